--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -48,7 +48,7 @@
 from gannetweir.config import load
 config = load(dict(os.environ))
 mark()
-from gannetweir.proto.pool_watch import PoolWatch, read_known
+from gannetweir.proto.endpoint_watch import PoolWatch, read_known
 known = read_known(config.known, config.settings)
 mark()
 from gannetweir.core import Engine
--- a/gannetweir/adapter.py
+++ b/gannetweir/adapter.py
@@ -7,8 +7,8 @@
 from typing import BinaryIO
 
 from gannetweir import wire
-from gannetweir.brain import Balancer
 from gannetweir.config import ConfigError, read_settings
+from gannetweir.placement.balancer import Balancer
 
 
 class Host:
--- a/gannetweir/reach/paths.py
+++ b/gannetweir/addresses/address_selector.py
@@ -13,9 +13,9 @@
 from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass
 
-from gannetweir.reach.address import Address
-from gannetweir.reach.race import Race
-from gannetweir.reach.rules import ReachRules
+from gannetweir.addresses.address import Address
+from gannetweir.addresses.connection_race import Race
+from gannetweir.addresses.rules import ReachRules
 
 FIRST_REST_US = 250_000
 MOST_STRIKES = 8
--- a/gannetweir/reach/race.py
+++ b/gannetweir/addresses/connection_race.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from gannetweir.reach.address import Address
+from gannetweir.addresses.address import Address
 
 
 @dataclass(frozen=True, slots=True)
--- a/gannetweir/reach/rules.py
+++ b/gannetweir/addresses/rules.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from fnmatch import fnmatchcase
 
-from gannetweir.reach.address import FAMILIES, Address, AddressError, parse
+from gannetweir.addresses.address import FAMILIES, Address, AddressError, parse
 
 HOST = "{host}"  # in an address of a pattern: the server's own name
 
--- a/gannetweir/cli.py
+++ b/gannetweir/cli.py
@@ -126,7 +126,7 @@
         form = args["--log"] or env.get("RELAY_LOG") or "plain"
         serve(config, lambda standing: load(env, standing), form, args["--trace"])
     else:
-        from gannetweir.proto.pool_watch import read_known
+        from gannetweir.proto.endpoint_watch import read_known
 
         known = read_known(config.known, config.settings)
         routes = f", {len(config.rules.routes)} routes" if config.rules is not None else ""
--- a/gannetweir/config/loader.py
+++ b/gannetweir/config/loader.py
@@ -21,7 +21,7 @@
     """A configuration with the operators' file laid over it: both are right together, or an error."""
     # Only where it is switched on: a relay without an operators' file does without the code for one.
     from gannetweir.config.operators import load_file
-    from gannetweir.timing.keeper import with_routes
+    from gannetweir.routing.route_admission import with_routes
 
     told = config.known.get("hosts")
     entries = told if isinstance(told, list) else []
--- a/gannetweir/config/operators.py
+++ b/gannetweir/config/operators.py
@@ -11,16 +11,16 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from gannetweir.addresses.address import FAMILIES
+from gannetweir.addresses.rules import ReachRules, ServerRule
+from gannetweir.addresses.rules import check as check_reach
 from gannetweir.config.errors import ConfigError
 from gannetweir.config.files import read_bytes
 from gannetweir.config.kdl import KdlError, Node, read
 from gannetweir.interface import Settings
 from gannetweir.limits import Limits
-from gannetweir.reach.address import FAMILIES
-from gannetweir.reach.rules import ReachRules, ServerRule
-from gannetweir.reach.rules import check as check_reach
-from gannetweir.timing.check import check
-from gannetweir.timing.rules import (
+from gannetweir.routing.route_checks import check
+from gannetweir.routing.rules import (
     HEX_DIGITS,
     BudgetRule,
     LimitRule,
--- a/gannetweir/config/platform.py
+++ b/gannetweir/config/platform.py
@@ -16,8 +16,8 @@
 from gannetweir.limits import Limits
 
 if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
-    from gannetweir.reach.rules import ReachRules
-    from gannetweir.timing.rules import Rules
+    from gannetweir.addresses.rules import ReachRules
+    from gannetweir.routing.rules import Rules
 
 
 @dataclass(frozen=True, slots=True)
--- a/gannetweir/core/answer_delays.py
+++ b/gannetweir/core/answer_delays.py
@@ -7,8 +7,8 @@
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.reasons import Reason
+from gannetweir.core.request_state import Transaction
 from gannetweir.core.timers import Timer
-from gannetweir.core.transactions import Transaction
 from gannetweir.limits import Limits
 
 
--- a/gannetweir/core/answers.py
+++ b/gannetweir/core/answers.py
@@ -9,7 +9,7 @@
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.reasons import Reason, after
 from gannetweir.core.request_log import Step
-from gannetweir.core.transactions import Transaction
+from gannetweir.core.request_state import Transaction
 
 
 class Answers:
--- a/gannetweir/core/attempts.py
+++ b/gannetweir/core/attempts.py
@@ -10,11 +10,11 @@
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.reasons import after
 from gannetweir.core.request_log import Step, outcome
+from gannetweir.core.request_state import Transaction
 from gannetweir.core.timers import Timer
-from gannetweir.core.transactions import Transaction
 
 if TYPE_CHECKING:  # a relay without several addresses a server does without the code for them
-    from gannetweir.reach.address import Address
+    from gannetweir.addresses.address import Address
 
 
 class Attempts:
--- a/gannetweir/core/context.py
+++ b/gannetweir/core/context.py
@@ -11,15 +11,15 @@
 from gannetweir.core.invariants import InvariantGuard, Violation
 from gannetweir.core.reasons import Reason
 from gannetweir.core.request_log import RequestEvent, RequestLog, Step
+from gannetweir.core.request_state import Transaction
 from gannetweir.core.timers import Timer, TimerQueue
-from gannetweir.core.transactions import Transaction
-from gannetweir.counters import Counters
 from gannetweir.limits import Limits
-from gannetweir.pool import Hand, Pool
+from gannetweir.membership.endpoint_list import Hand, Pool
+from gannetweir.observability.counters import Counters
 
 if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
-    from gannetweir.reach.paths import Paths
-    from gannetweir.timing.keeper import Keeper
+    from gannetweir.addresses.address_selector import Paths
+    from gannetweir.routing.route_admission import Keeper
 
 
 HISTORY = 8  # steps of a request that the log line of a violation tells
--- a/gannetweir/core/decisions.py
+++ b/gannetweir/core/decisions.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Sequence
 
 from gannetweir import interface as i
-from gannetweir.brain import Balancer
 from gannetweir.core.context import EngineContext
 from gannetweir.core.timers import Timer
+from gannetweir.placement.balancer import Balancer
 
 Trace = Callable[[int, i.Event, Sequence[i.Action]], None]
 
--- a/gannetweir/core/drain.py
+++ b/gannetweir/core/draining.py
@@ -7,8 +7,8 @@
 from gannetweir.core.commands import Exit
 from gannetweir.core.context import EngineContext
 from gannetweir.core.reasons import Reason
+from gannetweir.core.request_state import Transaction
 from gannetweir.core.timers import Timer
-from gannetweir.core.transactions import Transaction
 
 
 class Drain:
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -9,29 +9,29 @@
 from typing import TYPE_CHECKING
 
 from gannetweir import interface as i
-from gannetweir.brain import Balancer
 from gannetweir.core.answer_delays import AnswerDelays
 from gannetweir.core.answers import Answers
 from gannetweir.core.attempts import Attempts
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions, Trace
-from gannetweir.core.drain import Drain
-from gannetweir.core.flow_events import FlowEvents
-from gannetweir.core.membership import Membership
+from gannetweir.core.draining import Drain
+from gannetweir.core.load_probes import Probes
+from gannetweir.core.membership_updates import Membership
 from gannetweir.core.operator_overrides import OperatorOverrides
-from gannetweir.core.probes import Probes
 from gannetweir.core.request_log import RequestEvent
+from gannetweir.core.request_state import Transaction
 from gannetweir.core.requests import Requests
 from gannetweir.core.resumption import Resumption
 from gannetweir.core.timers import Timer
-from gannetweir.core.transactions import Transaction
+from gannetweir.core.upstream_events import FlowEvents
 from gannetweir.limits import Limits
-from gannetweir.pool import Hand, PoolNews
+from gannetweir.membership.endpoint_list import Hand, PoolNews
+from gannetweir.placement.balancer import Balancer
 
 if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
-    from gannetweir.reach.paths import Paths
-    from gannetweir.reach.rules import ReachRules
-    from gannetweir.timing.keeper import Keeper
+    from gannetweir.addresses.address_selector import Paths
+    from gannetweir.addresses.rules import ReachRules
+    from gannetweir.routing.route_admission import Keeper
 
 
 class Engine:
--- a/gannetweir/core/invariants.py
+++ b/gannetweir/core/invariants.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 
 from gannetweir import interface as i
-from gannetweir.pool import Pool
+from gannetweir.membership.endpoint_list import Pool
 
 LOST_AFTER_US = 500_000  # an answer that is later than this after its time is a lost one
 
--- a/gannetweir/core/membership.py
+++ b/gannetweir/core/membership_updates.py
@@ -8,13 +8,13 @@
 from gannetweir.core.commands import WatchPool
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
-from gannetweir.core.flow_events import FlowEvents
+from gannetweir.core.request_state import Transaction
 from gannetweir.core.timers import Timer
-from gannetweir.core.transactions import Transaction
-from gannetweir.pool import PoolNews
+from gannetweir.core.upstream_events import FlowEvents
+from gannetweir.membership.endpoint_list import PoolNews
 
 if TYPE_CHECKING:  # a relay without several addresses a server does without the code for them
-    from gannetweir.reach.rules import ReachRules
+    from gannetweir.addresses.rules import ReachRules
 
 
 class Membership:
@@ -86,8 +86,8 @@
 
     def choose_addresses(self, rules: ReachRules | None) -> None:
         """Choose the ways to servers by these rules from now on; without any, by discovery's list."""
-        from gannetweir.reach.paths import Paths  # only where a server has several addresses
-        from gannetweir.reach.rules import ReachRules
+        from gannetweir.addresses.address_selector import Paths  # only where a server has several addresses
+        from gannetweir.addresses.rules import ReachRules
 
         rules = rules or ReachRules()
         if self.context.paths is not None:
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -5,10 +5,10 @@
 from gannetweir import interface as i
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
-from gannetweir.core.drain import Drain
-from gannetweir.core.flow_events import FlowEvents
+from gannetweir.core.draining import Drain
 from gannetweir.core.reasons import Reason
-from gannetweir.pool import Hand
+from gannetweir.core.upstream_events import FlowEvents
+from gannetweir.membership.endpoint_list import Hand
 
 
 class OperatorOverrides:
--- a/gannetweir/core/request_log.py
+++ b/gannetweir/core/request_log.py
@@ -13,7 +13,7 @@
 
 from gannetweir import interface as i
 from gannetweir.core.reasons import Reason
-from gannetweir.counters import OUTCOMES, Counters
+from gannetweir.observability.counters import OUTCOMES, Counters
 
 KEPT = 2048  # events: 0.7 MB, measured with ids of 32 characters
 
--- a/gannetweir/core/transactions.py
+++ b/gannetweir/core/request_state.py
@@ -10,8 +10,8 @@
 from gannetweir.core.reasons import Reason
 
 if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
-    from gannetweir.reach.address import Address
-    from gannetweir.timing.keeper import Share
+    from gannetweir.addresses.address import Address
+    from gannetweir.routing.route_admission import Share
 
 
 @dataclass(slots=True)
--- a/gannetweir/core/resumption.py
+++ b/gannetweir/core/resumption.py
@@ -9,8 +9,8 @@
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.reasons import Reason, after
+from gannetweir.core.request_state import Transaction
 from gannetweir.core.timers import Timer
-from gannetweir.core.transactions import Transaction
 
 
 class Resumption:
--- a/gannetweir/core/flow_events.py
+++ b/gannetweir/core/upstream_events.py
@@ -12,9 +12,9 @@
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.reasons import Reason
 from gannetweir.core.request_log import Step
+from gannetweir.core.request_state import Transaction
 from gannetweir.core.resumption import Resumption
 from gannetweir.core.timers import Timer
-from gannetweir.core.transactions import Transaction
 
 
 class FlowEvents:
--- a/gannetweir/explain.py
+++ b/gannetweir/explain.py
@@ -8,10 +8,10 @@
 from gannetweir.config.platform import limits_from, read_object
 from gannetweir.config.settings import check_settings
 from gannetweir.limits import Limits
-from gannetweir.timing.check import ms
-from gannetweir.timing.keeper import Keeper, with_routes
-from gannetweir.timing.rules import HEX_DIGITS, Route, Rules
-from gannetweir.timing.schedule import Schedule, schedule
+from gannetweir.routing.route_admission import Keeper, with_routes
+from gannetweir.routing.route_checks import ms
+from gannetweir.routing.rules import HEX_DIGITS, Route, Rules
+from gannetweir.routing.schedule import Schedule, schedule
 
 WIDTH = 48  # of the timeline, in characters
 
--- a/gannetweir/lab/emulator/push_node.py
+++ b/gannetweir/lab/emulator/push_node.py
@@ -16,10 +16,10 @@
 import anyio
 import anyio.abc
 
+from gannetweir.addresses.address import UNIX, V6, Address, parse
 from gannetweir.lab.emulator.attempts import OpenAttempts
 from gannetweir.limits import Limits
-from gannetweir.net.endpoint import Endpoint, Spawn, accept
-from gannetweir.reach.address import UNIX, V6, Address, parse
+from gannetweir.net.transport import Endpoint, Spawn, accept
 
 FAULTS = ("", "refuse", "hole", "stall", "reset", "slow")
 SLOW_S = 0.15  # a slow address reads nothing for so long
--- a/gannetweir/lab/emulator/registry.py
+++ b/gannetweir/lab/emulator/registry.py
@@ -12,7 +12,7 @@
 
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.limits import Limits
-from gannetweir.net.endpoint import Endpoint, accept, tune
+from gannetweir.net.transport import Endpoint, accept, tune
 
 
 class Registry:
--- a/gannetweir/lab/experiments/trial.py
+++ b/gannetweir/lab/experiments/trial.py
@@ -28,11 +28,11 @@
 import anyio
 from hdrh.histogram import HdrHistogram
 
+from gannetweir.addresses.address import FAMILIES
 from gannetweir.config.kdl import KdlError, Node, read
 from gannetweir.config.operators import duration
 from gannetweir.lab.emulator.push_node import FAULTS
 from gannetweir.lab.emulator.yard import Event, Script, Yard, YardPlan, play
-from gannetweir.reach.address import FAMILIES
 
 IN_WORDS = {
     "": "is mended",
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -14,15 +14,15 @@
 
 from gannetweir import core as e
 from gannetweir import interface as i
+from gannetweir.addresses.address import Address
+from gannetweir.addresses.connection_race import Action, Close, Connect, Lost, Wake, Won
 from gannetweir.config.operators import read_file
 from gannetweir.lab.model.backends import Backend, SessionStore
 from gannetweir.lab.model.checker import Checker, Cold
 from gannetweir.lab.model.clock import VirtualClock
 from gannetweir.limits import Limits
-from gannetweir.pool import Member, PoolNews
-from gannetweir.reach.address import Address
-from gannetweir.reach.race import Action, Close, Connect, Lost, Wake, Won
-from gannetweir.timing.keeper import Keeper, told_classes, with_routes
+from gannetweir.membership.endpoint_list import Member, PoolNews
+from gannetweir.routing.route_admission import Keeper, told_classes, with_routes
 
 SECOND = 1_000_000
 KINDS = 0.6, 1.0, 1.4  # capacities of the kinds of machines, over the mean
--- a/gannetweir/lab/scale/control_costs.py
+++ b/gannetweir/lab/scale/control_costs.py
@@ -27,11 +27,11 @@
 from gannetweir.core import Engine
 from gannetweir.interface import RequestClass, Settings
 from gannetweir.limits import Limits
+from gannetweir.membership.endpoint_list import PoolNews
 from gannetweir.net.control_check import RelayCheck
-from gannetweir.pool import PoolNews
 from gannetweir.proto.control_calls import chunk
 from gannetweir.proto.control_watch import canonical, read_slice, write_compressed, write_slice
-from gannetweir.proto.pool_watch import read_pool
+from gannetweir.proto.endpoint_watch import read_pool
 
 SIZES = (500, 1_500, 5_000, 15_000)
 ZONES = list("abcdefghijklm")
--- a/gannetweir/lab/scale/control_machine.py
+++ b/gannetweir/lab/scale/control_machine.py
@@ -35,7 +35,7 @@
 from gannetweir.lab.scale.store import MemoryStore
 from gannetweir.limits import Limits
 from gannetweir.net.control_server import ControlServer
-from gannetweir.net.endpoint import Endpoint
+from gannetweir.net.transport import Endpoint
 from gannetweir.proto.control_watch import canonical
 
 TRICKLE_S = 1.0  # between two bytes
--- a/gannetweir/lab/scale/discovery_stub.py
+++ b/gannetweir/lab/scale/discovery_stub.py
@@ -31,7 +31,7 @@
     SetMembership,
     SetMode,
 )
-from gannetweir.net.endpoint import accept, tune
+from gannetweir.net.transport import accept, tune
 from gannetweir.proto.control_calls import chunk
 
 HEARTBEAT_S = 2.0
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -22,9 +22,9 @@
 from gannetweir.lab.scale.processes import backend
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.limits import Limits
-from gannetweir.net.endpoint import Endpoint, connect, tcp_socket, tune
-from gannetweir.net.host import DialHost
-from gannetweir.net.probes import run_probe
+from gannetweir.net.load_probes import run_probe
+from gannetweir.net.ports import DialHost
+from gannetweir.net.transport import Endpoint, connect, tcp_socket, tune
 
 TURNS = 24  # of the event loop, after which every watcher has been written to
 CHANGES = 3  # a round
--- a/gannetweir/lab/scale/flips.py
+++ b/gannetweir/lab/scale/flips.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from gannetweir.brain import LOOKS
 from gannetweir.lab.scale import target as t
 from gannetweir.lab.scale.model import Load
 from gannetweir.lab.scale.record import Record
 from gannetweir.lab.scale.slopes import FitRefusedError
 from gannetweir.lab.scale.target import Assumptions, sweep
+from gannetweir.placement.balancer import LOOKS
 
 STEPS = 60  # of a bisection
 
--- a/gannetweir/lab/scale/hollow_relay.py
+++ b/gannetweir/lab/scale/hollow_relay.py
@@ -21,9 +21,9 @@
 from gannetweir.interface import Settings
 from gannetweir.lab.scale.messages import RelayRecord
 from gannetweir.limits import Limits
-from gannetweir.net.endpoint import Endpoint, Spawn
-from gannetweir.pool import PoolNews
-from gannetweir.proto.pool_watch import read_known
+from gannetweir.membership.endpoint_list import PoolNews
+from gannetweir.net.transport import Endpoint, Spawn
+from gannetweir.proto.endpoint_watch import read_known
 
 SECOND_NS = 1_000_000_000
 
@@ -191,7 +191,7 @@
 
 def direct_driver(relay: HollowRelay) -> MembershipDriver:
     """Today's way: a watch on the one discovery."""
-    from gannetweir.net.pool_watch import PoolDriver
+    from gannetweir.net.endpoint_watch import PoolDriver
 
     return PoolDriver(relay, relay.counted_endpoint)
 
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -18,8 +18,8 @@
 from gannetweir.lab.scale.measure import Named, Step, Sweep, elapsed_ms, processor_us, sweep
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.limits import Limits
-from gannetweir.pool import PoolNews
-from gannetweir.proto.pool_watch import PoolWatch
+from gannetweir.membership.endpoint_list import PoolNews
+from gannetweir.proto.endpoint_watch import PoolWatch
 
 SIZES = (500, 1500, 5000, 8000)
 CHECK = 15000
--- a/gannetweir/lab/scale/module.py
+++ b/gannetweir/lab/scale/module.py
@@ -7,14 +7,14 @@
 import time
 
 from gannetweir import interface as i
-from gannetweir.brain import TICK, TICK_US, Balancer
 from gannetweir.core import Engine, OpenFlow
 from gannetweir.lab.scale.lists import NOW_US, host, relay_settings
 from gannetweir.lab.scale.measure import Named, Step, Sweep, elapsed_ms, processor_us, sweep
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.limits import Limits
-from gannetweir.pool import PoolNews
-from gannetweir.proto.pool_watch import read_pool
+from gannetweir.membership.endpoint_list import PoolNews
+from gannetweir.placement.balancer import TICK, TICK_US, Balancer
+from gannetweir.proto.endpoint_watch import read_pool
 
 REMEMBERED, NEW = 200, 12  # arrivals of groups whose order of backends is remembered, and is not
 CHANGES = 40  # news of one entry
--- a/gannetweir/lab/scale/page.py
+++ b/gannetweir/lab/scale/page.py
@@ -5,7 +5,6 @@
 import textwrap
 from pathlib import Path
 
-from gannetweir.brain import KEEP, LOOKS
 from gannetweir.lab.experiments.report import markdown
 from gannetweir.lab.scale import tables
 from gannetweir.lab.scale import target as t
@@ -18,6 +17,7 @@
 from gannetweir.lab.scale.slopes import LARGEST_ERROR
 from gannetweir.lab.scale.tables import Table, count_of, number
 from gannetweir.lab.scale.target import Assumptions, life
+from gannetweir.placement.balancer import KEEP, LOOKS
 
 FOLDER = "measurements/capacity"
 WIDTH = 110
--- a/gannetweir/lab/scale/peer.py
+++ b/gannetweir/lab/scale/peer.py
@@ -15,7 +15,7 @@
 
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.limits import Limits
-from gannetweir.net.endpoint import Endpoint, accept, connect, tcp_socket, tune
+from gannetweir.net.transport import Endpoint, accept, connect, tcp_socket, tune
 
 REPORT = b"PONG tps=1,concurrent=90000,x0=0.2\r\n"  # so many that one more makes no difference
 
--- a/gannetweir/lab/scale/role_loads.py
+++ b/gannetweir/lab/scale/role_loads.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from gannetweir.brain import LOOKS
 from gannetweir.lab.scale import target as t
 from gannetweir.lab.scale.model import PROBE_BYTES, Load
 from gannetweir.lab.scale.roles import (
@@ -16,6 +15,7 @@
     Carrier,
     RoleLoad,
 )
+from gannetweir.placement.balancer import LOOKS
 
 PRESENT, NEW = Carrier.PRESENT, Carrier.NEW
 MISSING, UNMEASURED = Carrier.MISSING, Carrier.UNMEASURED
--- a/gannetweir/pool.py
+++ b/gannetweir/membership/endpoint_list.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field, replace
 
 from gannetweir import interface as i
-from gannetweir.start_times import StartTimes
+from gannetweir.membership.start_times import StartTimes
 
 
 @dataclass(frozen=True, slots=True)
--- a/gannetweir/net/admin.py
+++ b/gannetweir/net/admin.py
@@ -8,9 +8,9 @@
 import anyio
 
 from gannetweir.config import Address
-from gannetweir.net.endpoint import Endpoint, accept, tune
-from gannetweir.net.host import Host
 from gannetweir.net.listener import open_listener
+from gannetweir.net.ports import Host
+from gannetweir.net.transport import Endpoint, accept, tune
 from gannetweir.proto.admin import AdminCall, RefusedError
 
 
--- a/gannetweir/net/sessions.py
+++ b/gannetweir/net/client_connection.py
@@ -7,9 +7,9 @@
 import anyio
 
 from gannetweir.core import OpenFlow
-from gannetweir.net.endpoint import Endpoint
-from gannetweir.net.flows import FlowDriver, FlowHost
-from gannetweir.proto.virtual_server import (
+from gannetweir.net.transport import Endpoint
+from gannetweir.net.upstream_connection import FlowDriver, FlowHost
+from gannetweir.proto.client_connection import (
     ClientEvent,
     FirstLine,
     LinePassed,
--- a/gannetweir/net/connecting.py
+++ b/gannetweir/net/connecting.py
@@ -8,8 +8,8 @@
 
 import anyio
 
-from gannetweir.net.endpoint import Endpoint, connect
 from gannetweir.net.errors import LocalError, pauses
+from gannetweir.net.transport import Endpoint, connect
 
 OpenSocket = Callable[[], tuple[socket.socket, Any]]
 
--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -11,7 +11,7 @@
 from gannetweir.config.settings import check_settings, settings_from
 from gannetweir.control.versions import Entry, Resource
 from gannetweir.interface import Settings
-from gannetweir.proto.pool_watch import PoolError, read_pool
+from gannetweir.proto.endpoint_watch import PoolError, read_pool
 
 LEAST_MOVES_US = 200_000  # a drain whose moves have less time than this breaks connections
 
--- a/gannetweir/net/control_host.py
+++ b/gannetweir/net/control_host.py
@@ -10,9 +10,9 @@
 from gannetweir.control.versions import Resource, Version
 from gannetweir.interface import Settings
 from gannetweir.limits import Limits
-from gannetweir.net.endpoint import Spawn
-from gannetweir.net.host import Host
-from gannetweir.pool import PoolNews
+from gannetweir.membership.endpoint_list import PoolNews
+from gannetweir.net.ports import Host
+from gannetweir.net.transport import Spawn
 
 
 class EngineHost:
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -16,8 +16,8 @@
 from gannetweir.control.store import Store
 from gannetweir.control.versions import RejectedError, Resource, Slice, Version
 from gannetweir.limits import Limits
-from gannetweir.net.endpoint import Endpoint, Spawn, accept, listen, tune
 from gannetweir.net.errors import LONGEST_PAUSE_S
+from gannetweir.net.transport import Endpoint, Spawn, accept, listen, tune
 from gannetweir.proto.control_calls import (
     AnswerCall,
     CallReader,
@@ -28,7 +28,7 @@
     watch_head,
 )
 from gannetweir.proto.control_watch import compressed, stream_head, write_compressed, write_slice
-from gannetweir.proto.pool_watch import PoolError
+from gannetweir.proto.endpoint_watch import PoolError
 
 HEARTBEAT_S = 2.0
 REPORT_S = 0.5
--- a/gannetweir/net/control_status.py
+++ b/gannetweir/net/control_status.py
@@ -9,7 +9,7 @@
 from gannetweir.control.report import StandingReport, together
 from gannetweir.control.versions import Resource
 from gannetweir.proto.control_calls import STATUS_TARGET, read_status
-from gannetweir.proto.pool_watch import PoolError
+from gannetweir.proto.endpoint_watch import PoolError
 
 ASK_S = 3.0
 MOST_STATUS_BYTES = 1 << 20
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -23,10 +23,10 @@
 from gannetweir.control.versions import Ack, Nack, Reason, Resource, Slice, Version
 from gannetweir.interface import Settings
 from gannetweir.limits import Limits
-from gannetweir.net.endpoint import Endpoint, Spawn, connect, tcp_socket
-from gannetweir.pool import PoolNews
+from gannetweir.membership.endpoint_list import PoolNews
+from gannetweir.net.transport import Endpoint, Spawn, connect, tcp_socket
 from gannetweir.proto.control_watch import ACK_TARGET, ControlWatch, write_answer
-from gannetweir.proto.pool_watch import Broken, PoolError, read_pool
+from gannetweir.proto.endpoint_watch import Broken, PoolError, read_pool
 
 RETURN_US = (
     60_000_000  # a watch of another machine's ends for the first choice after this, or up to twice this
--- a/gannetweir/net/descriptors.py
+++ b/gannetweir/net/descriptors.py
@@ -12,11 +12,11 @@
 
 import anyio
 
-from gannetweir.counters import Counters
-from gannetweir.handover import Handover
 from gannetweir.limits import Limits
-from gannetweir.net.endpoint import Endpoint, Ledger
-from gannetweir.net.host import GivesWay
+from gannetweir.net.ports import GivesWay
+from gannetweir.net.transport import Endpoint, Ledger
+from gannetweir.observability.counters import Counters
+from gannetweir.process_handover.handover import Handover
 
 
 class ClientConnection(Protocol):
--- a/gannetweir/net/dialer.py
+++ b/gannetweir/net/dialer.py
@@ -6,13 +6,13 @@
 
 import anyio
 
+from gannetweir.addresses.address import Address
+from gannetweir.addresses.address_selector import Paths
+from gannetweir.addresses.connection_race import Action, Close, Connect, Lost, Race, Wake, Won
 from gannetweir.net.connecting import connect_endpoint
-from gannetweir.net.endpoint import Endpoint, Ledger, socket_to
 from gannetweir.net.errors import LocalError
-from gannetweir.net.host import Racing
-from gannetweir.reach.address import Address
-from gannetweir.reach.paths import Paths
-from gannetweir.reach.race import Action, Close, Connect, Lost, Race, Wake, Won
+from gannetweir.net.ports import Racing
+from gannetweir.net.transport import Endpoint, Ledger, socket_to
 
 
 class Dialer:
--- a/gannetweir/net/pool_watch.py
+++ b/gannetweir/net/endpoint_watch.py
@@ -12,11 +12,11 @@
 from gannetweir.config import Address
 from gannetweir.core import WatchPool
 from gannetweir.limits import Limits
+from gannetweir.membership.endpoint_list import PoolNews
 from gannetweir.net.connecting import connect_endpoint
-from gannetweir.net.endpoint import Endpoint, Spawn, tcp_socket
-from gannetweir.net.host import Host
-from gannetweir.pool import PoolNews
-from gannetweir.proto.pool_watch import Beat, Broken, PoolError, PoolWatch
+from gannetweir.net.ports import Host
+from gannetweir.net.transport import Endpoint, Spawn, tcp_socket
+from gannetweir.proto.endpoint_watch import Beat, Broken, PoolError, PoolWatch
 
 
 class Watcher(Host, Protocol):
--- a/gannetweir/net/listener.py
+++ b/gannetweir/net/listener.py
@@ -13,9 +13,9 @@
 
 from gannetweir.config import Address
 from gannetweir.limits import Limits
-from gannetweir.net.endpoint import accept, listen
 from gannetweir.net.errors import PAUSE_S, PEER_OF_ACCEPT_GONE, SHORTAGE, pauses
-from gannetweir.net.host import Host
+from gannetweir.net.ports import Host
+from gannetweir.net.transport import accept, listen
 
 # At a start the address may be held by another process, not be there yet, or the machine be short.
 _NOT_YET = SHORTAGE | {errno.EADDRINUSE, errno.EADDRNOTAVAIL}
--- a/gannetweir/net/probes.py
+++ b/gannetweir/net/load_probes.py
@@ -10,14 +10,14 @@
 from gannetweir.core import StartProbe
 from gannetweir.interface import ServerId
 from gannetweir.net.connecting import connect_endpoint
-from gannetweir.net.endpoint import Endpoint, tcp_socket
 from gannetweir.net.errors import LocalError
-from gannetweir.net.host import DialHost, Host
-from gannetweir.proto.probe import ProbeCall
-from gannetweir.proto.server_flow import Ended
+from gannetweir.net.ports import DialHost, Host
+from gannetweir.net.transport import Endpoint, tcp_socket
+from gannetweir.proto.load_probe import ProbeCall
+from gannetweir.proto.upstream_connection import Ended
 
 if TYPE_CHECKING:
-    from gannetweir.reach.address import Address
+    from gannetweir.addresses.address import Address
 
 
 async def _ask(relay: Host, server: ServerId, endpoint: Endpoint) -> Ended:
--- a/gannetweir/net/host.py
+++ b/gannetweir/net/ports.py
@@ -8,7 +8,7 @@
 from gannetweir.core import Engine
 from gannetweir.interface import Settings
 from gannetweir.limits import Limits
-from gannetweir.net.endpoint import Spawn
+from gannetweir.net.transport import Spawn
 
 
 class Host(Protocol):
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -18,27 +18,27 @@
 
 from gannetweir import core as e
 from gannetweir.config import Address, Config, ConfigError, address
-from gannetweir.handover import Handover
 from gannetweir.interface import Settings
 from gannetweir.limits import Limits
-from gannetweir.logs import FORMS, PLAIN, Log
 from gannetweir.net.admin import AdminDoor
+from gannetweir.net.client_connection import Session
 from gannetweir.net.descriptors import DescriptorRoom
-from gannetweir.net.endpoint import Endpoint, Ledger, tune
+from gannetweir.net.endpoint_watch import PoolDriver
 from gannetweir.net.errors import LONGEST_PAUSE_S, is_shortage
-from gannetweir.net.host import GivesWay
 from gannetweir.net.listener import OPEN_WITHIN_S, ClientListener, open_listener
-from gannetweir.net.pool_watch import PoolDriver
-from gannetweir.net.probes import run_probe
-from gannetweir.net.sessions import Session
+from gannetweir.net.load_probes import run_probe
+from gannetweir.net.ports import GivesWay
 from gannetweir.net.signals import listening
-from gannetweir.proto.pool_watch import read_known
-from gannetweir.proto.virtual_server import FirstLine, rejection
-from gannetweir.standard_error import standard_error
+from gannetweir.net.transport import Endpoint, Ledger, tune
+from gannetweir.observability.logs import FORMS, PLAIN, Log
+from gannetweir.observability.standard_error import standard_error
+from gannetweir.process_handover.handover import Handover
+from gannetweir.proto.client_connection import FirstLine, rejection
+from gannetweir.proto.endpoint_watch import read_known
 
 if TYPE_CHECKING:
-    from gannetweir.timing.keeper import Keeper
-    from gannetweir.trace import Trace
+    from gannetweir.observability.trace import Trace
+    from gannetweir.routing.route_admission import Keeper
 
 
 class Clock:
@@ -407,7 +407,7 @@
     """The keeper of the operators' routes; one that stands goes on: what it has counted still counts."""
     if config.rules is None:
         return None
-    from gannetweir.timing.keeper import Keeper  # only where it is switched on
+    from gannetweir.routing.route_admission import Keeper  # only where it is switched on
 
     if standing is None:
         return Keeper(config.rules, config.settings)
@@ -425,7 +425,7 @@
 
 
 def _trace(config: Config) -> Trace:
-    from gannetweir.trace import Trace  # only where it is switched on
+    from gannetweir.observability.trace import Trace  # only where it is switched on
 
     return Trace(config.name, config.settings, standard_error())
 
--- a/gannetweir/net/endpoint.py
+++ b/gannetweir/net/transport.py
@@ -26,7 +26,7 @@
 )
 
 if TYPE_CHECKING:
-    from gannetweir.reach.address import Address as Path
+    from gannetweir.addresses.address import Address as Path
 
 Spawn = Callable[[Callable[[], Awaitable[Any]]], None]
 LAST_TRIES = 8  # to send, before a close that can't wait
@@ -52,7 +52,7 @@
 def socket_to(address: Path) -> tuple[socket.socket, Any]:
     """A non-blocking socket for an address of any family, and what to connect it to. `OSError` where the
     interface of a link-local address is not there."""
-    from gannetweir.reach.address import UNIX, V6  # only where a server has several
+    from gannetweir.addresses.address import UNIX, V6  # only where a server has several
 
     if address.family == UNIX:
         sock = _socket(socket.AF_UNIX)
--- a/gannetweir/net/flows.py
+++ b/gannetweir/net/upstream_connection.py
@@ -12,10 +12,10 @@
 from gannetweir.core import OpenFlow
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.descriptors import DescriptorRoom
-from gannetweir.net.endpoint import Endpoint, Ledger, tcp_socket
 from gannetweir.net.errors import PAUSE_S, LocalError, is_shortage, wait_writable
-from gannetweir.net.host import DialHost
-from gannetweir.proto.server_flow import CameUp, Ended, LoadTold, ServerFlow, ServerLine
+from gannetweir.net.ports import DialHost
+from gannetweir.net.transport import Endpoint, Ledger, tcp_socket
+from gannetweir.proto.upstream_connection import CameUp, Ended, LoadTold, ServerFlow, ServerLine
 
 if TYPE_CHECKING:
     from gannetweir.net.dialer import Dialer
--- a/gannetweir/logs.py
+++ b/gannetweir/observability/logs.py
@@ -9,7 +9,7 @@
 import orjson
 import structlog
 
-from gannetweir.standard_error import LineWriter, standard_error
+from gannetweir.observability.standard_error import LineWriter, standard_error
 
 PLAIN, JSON = "plain", "json"
 FORMS = PLAIN, JSON
--- a/gannetweir/trace.py
+++ b/gannetweir/observability/trace.py
@@ -12,7 +12,7 @@
 
 from gannetweir import interface as i
 from gannetweir.core.request_log import RequestEvent
-from gannetweir.standard_error import LineWriter, StandardError
+from gannetweir.observability.standard_error import LineWriter, StandardError
 
 READER_MS = 20  # a reader that has no room for so long ends the trace
 
--- a/gannetweir/brain.py
+++ b/gannetweir/placement/balancer.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from gannetweir import interface as i
-from gannetweir.records import Draw, Flight, Flights, Logs, Node, Pools, Table, Walk
+from gannetweir.placement.endpoint_state import Draw, Flight, Flights, Logs, Node, Pools, Table, Walk
 
 FRESH_US = 1_000_000  # reports are up to about a second old when read; a fill does not outlive another
 MEMORY_US = 20_000_000  # table entries older than this no longer describe the fleet
--- a/gannetweir/proto/control_calls.py
+++ b/gannetweir/proto/control_calls.py
@@ -13,7 +13,7 @@
 from gannetweir.control.stage import ServiceTotals, StageReport
 from gannetweir.control.versions import NO_VERSION, Ack, Nack, Resource, Version
 from gannetweir.proto.control_watch import ACK_TARGET, MOST_ANSWER_BYTES, held_text, read_answer, read_held
-from gannetweir.proto.pool_watch import PoolError
+from gannetweir.proto.endpoint_watch import PoolError
 
 WATCH_TARGET = "/registry/instances"
 STATUS_TARGET = "/control/status"
--- a/gannetweir/proto/control_watch.py
+++ b/gannetweir/proto/control_watch.py
@@ -35,7 +35,7 @@
     Version,
 )
 from gannetweir.limits import Limits
-from gannetweir.proto.pool_watch import Beat, Broken, PoolError, PoolWatch
+from gannetweir.proto.endpoint_watch import Beat, Broken, PoolError, PoolWatch
 
 ACK_TARGET = "/control/answers"
 MOST_ANSWER_BYTES = 4_096
--- a/gannetweir/proto/pool_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -11,7 +11,7 @@
 
 from gannetweir import interface as i
 from gannetweir.limits import Limits
-from gannetweir.pool import Member, PoolNews
+from gannetweir.membership.endpoint_list import Member, PoolNews
 from gannetweir.proto.lines import LineError, Lines
 
 STATES = {"Ready": i.READY, "Terminating": i.DRAINING, "Gone": i.GONE}
--- a/gannetweir/proto/probe.py
+++ b/gannetweir/proto/load_probe.py
@@ -5,8 +5,8 @@
 from gannetweir import interface as i
 from gannetweir.limits import Limits
 from gannetweir.proto.lines import END, LineError, Lines, text_of
-from gannetweir.proto.report import read_report
-from gannetweir.proto.server_flow import Ended
+from gannetweir.proto.load_report import read_report
+from gannetweir.proto.upstream_connection import Ended
 
 
 class ProbeCall:
--- a/gannetweir/proto/server_flow.py
+++ b/gannetweir/proto/upstream_connection.py
@@ -7,7 +7,7 @@
 from gannetweir import interface as i
 from gannetweir.limits import Limits
 from gannetweir.proto.lines import END, LineError, Lines, text_of
-from gannetweir.proto.report import read_report
+from gannetweir.proto.load_report import read_report
 
 
 @dataclass(frozen=True, slots=True)
--- a/gannetweir/timing/limit.py
+++ b/gannetweir/routing/rate_limit.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from gannetweir.timing.rules import LimitRule
+from gannetweir.routing.rules import LimitRule
 
 SOONEST_US = 50_000  # nobody is told to come again sooner
 REST = 0.5  # where no place can be foretold, anything from this part of the longest advice to the whole of it
--- a/gannetweir/timing/budget.py
+++ b/gannetweir/routing/retry_budget.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from gannetweir.timing.rules import BudgetRule
+from gannetweir.routing.rules import BudgetRule
 
 PARTS = 10  # of the window; what falls out of it goes by parts
 
--- a/gannetweir/timing/keeper.py
+++ b/gannetweir/routing/route_admission.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, replace
 
 from gannetweir import interface as i
-from gannetweir.timing.budget import Budget
-from gannetweir.timing.limit import Limit
-from gannetweir.timing.routes import RouteTable
-from gannetweir.timing.rules import BudgetRule, LimitRule, Rules, timed
+from gannetweir.routing.rate_limit import Limit
+from gannetweir.routing.retry_budget import Budget
+from gannetweir.routing.routes import RouteTable
+from gannetweir.routing.rules import BudgetRule, LimitRule, Rules, timed
 
 
 @dataclass(frozen=True, slots=True)
--- a/gannetweir/timing/check.py
+++ b/gannetweir/routing/route_checks.py
@@ -11,9 +11,9 @@
 
 from gannetweir import interface as i
 from gannetweir.limits import Limits
-from gannetweir.timing.keeper import told_classes
-from gannetweir.timing.routes import Reach, reach
-from gannetweir.timing.rules import (
+from gannetweir.routing.route_admission import told_classes
+from gannetweir.routing.routes import Reach, reach
+from gannetweir.routing.rules import (
     MOST_ATTEMPTS,
     BudgetRule,
     LimitRule,
@@ -23,7 +23,7 @@
     Rules,
     timed,
 )
-from gannetweir.timing.schedule import largest_attempt_us, largest_attempts, schedule
+from gannetweir.routing.schedule import largest_attempt_us, largest_attempts, schedule
 
 MOST_ROUTES = 1000
 MOST_WINDOW_US = 600_000_000
--- a/gannetweir/timing/routes.py
+++ b/gannetweir/routing/routes.py
@@ -12,7 +12,7 @@
 from itertools import product
 
 from gannetweir import interface as i
-from gannetweir.timing.rules import HEX_DIGITS, Match, Route
+from gannetweir.routing.rules import HEX_DIGITS, Match, Route
 
 Box = tuple[str, str]  # a group's and a key's prefix
 Cell = tuple[list[tuple[int, int]], dict[tuple[int, ...], int]]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from gannetweir import interface as i
-from gannetweir.brain import Balancer
+from gannetweir.placement.balancer import Balancer
 
 SECOND = 1_000_000
 
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -14,13 +14,13 @@
 
 import anyio
 
-from gannetweir import brain
 from gannetweir import interface as i
 from gannetweir.core import decisions, drain, operator_overrides
+from gannetweir.membership.endpoint_list import Pool
 from gannetweir.net import flows, sessions
-from gannetweir.net.endpoint import Endpoint
-from gannetweir.pool import Pool
-from gannetweir.proto import virtual_server
+from gannetweir.net.transport import Endpoint
+from gannetweir.placement import balancer as brain
+from gannetweir.proto import client_connection as virtual_server
 
 EVERY = 7  # one of so many requests is treated wrongly
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -31,11 +31,11 @@
 from gannetweir import interface as i
 from gannetweir.config.operators import read_rules
 from gannetweir.limits import Limits
-from gannetweir.pool import Member, PoolNews
-from gannetweir.proto import server_flow as f
-from gannetweir.proto import virtual_server as v
-from gannetweir.proto.pool_watch import PoolWatch, read_pool
-from gannetweir.timing.keeper import Keeper, told_classes, with_routes
+from gannetweir.membership.endpoint_list import Member, PoolNews
+from gannetweir.proto import client_connection as v
+from gannetweir.proto import upstream_connection as f
+from gannetweir.proto.endpoint_watch import PoolWatch, read_pool
+from gannetweir.routing.route_admission import Keeper, told_classes, with_routes
 from tests.helpers import settings
 
 CLASSES = [i.RequestClass("plain", 500_000, 2_000_000, 3.0, "repeatable", "all", 5_000_000)]
--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -11,7 +11,7 @@
 from gannetweir import core as e
 from gannetweir import interface as i
 from gannetweir.limits import Limits
-from gannetweir.pool import Member, PoolNews
+from gannetweir.membership.endpoint_list import Member, PoolNews
 from tests.helpers import settings
 
 EFFECTS = [
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -11,7 +11,7 @@
 from gannetweir import core as e
 from gannetweir import interface as i
 from gannetweir.config import ConfigError, load
-from gannetweir.pool import Member, PoolNews
+from gannetweir.membership.endpoint_list import Member, PoolNews
 from tests.scenario import play
 
 SETTINGS: dict[str, Any] = {
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -14,7 +14,7 @@
 
 from gannetweir import interface as i
 from gannetweir.net import connecting
-from gannetweir.proto.pool_watch import read_pool
+from gannetweir.proto.endpoint_watch import read_pool
 from tests.place import (
     QUICK,
     Peer,
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gannetweir.net.sessions import Session
+from gannetweir.net.client_connection import Session
 from tests.place import (
     QUICK,
     Peer,
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,10 +11,10 @@
 import pytest
 
 from gannetweir import interface as i
-from gannetweir.brain import Balancer
 from gannetweir.config import Address, ConfigError, load
 from gannetweir.limits import Limits
-from gannetweir.proto.virtual_server import rejection
+from gannetweir.placement.balancer import Balancer
+from gannetweir.proto.client_connection import rejection
 
 ROOT = Path(__file__).parent.parent
 GOOD = {
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -22,12 +22,12 @@
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.lab.scale.store import MemoryStore
 from gannetweir.limits import Limits
+from gannetweir.membership.endpoint_list import PoolNews
 from gannetweir.net.control_check import RelayCheck
 from gannetweir.net.control_host import EngineHost
 from gannetweir.net.control_server import ControlServer
 from gannetweir.net.control_status import status
 from gannetweir.net.control_watch import ControlDriver
-from gannetweir.pool import PoolNews
 from gannetweir.proto.control_calls import chunk, watch_head
 from gannetweir.proto.control_watch import (
     ControlWatch,
@@ -38,7 +38,7 @@
     write_answer,
     write_slice,
 )
-from gannetweir.proto.pool_watch import Beat, Broken, PoolError
+from gannetweir.proto.endpoint_watch import Beat, Broken, PoolError
 from tests.helpers import settings
 from tests.test_start import START, started
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,9 +16,9 @@
 from gannetweir.config import Address
 from gannetweir.core import StartProbe
 from gannetweir.limits import Limits
-from gannetweir.net.endpoint import Endpoint
-from gannetweir.net.probes import run_probe
-from gannetweir.proto.pool_watch import read_pool
+from gannetweir.net.load_probes import run_probe
+from gannetweir.net.transport import Endpoint
+from gannetweir.proto.endpoint_watch import read_pool
 from tests.place import (
     BEAT,
     HEAD,
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -13,12 +13,12 @@
 import anyio
 import pytest
 
-from gannetweir import brain
 from gannetweir import core as e
 from gannetweir import interface as i
 from gannetweir.config import Address
 from gannetweir.limits import Limits
-from gannetweir.pool import Member, PoolNews
+from gannetweir.membership.endpoint_list import Member, PoolNews
+from gannetweir.placement import balancer as brain
 from tests.helpers import SECOND, settings
 from tests.place import BEAT, HEAD, QUICK, Peer, Place, Play, anyio_backend, bound, played  # noqa: F401
 from tests.scenario import CLASSES, play
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -3,9 +3,9 @@
 import pytest
 
 from gannetweir import interface as i
-from gannetweir import records
-from gannetweir.brain import TICK
-from gannetweir.records import spread
+from gannetweir.placement import endpoint_state as records
+from gannetweir.placement.balancer import TICK
+from gannetweir.placement.endpoint_state import spread
 from tests.helpers import SECOND, Gateway, of
 
 ZONES = {"zones": ["a", "b"], "fee_cross_zone": 0.1, "places": {n: n % 2 for n in range(6)}}
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from gannetweir.handover import Handover
+from gannetweir.process_handover.handover import Handover
 
 BROKEN = [b"", b"{", b"[]", b'{"out":1,"back":{}}', b'{"out":["a"],"back":{"b":"x"}}', b'{"out":["a"']
 
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -5,14 +5,14 @@
 import pytest
 
 from gannetweir import core as e
-from gannetweir import records
-from gannetweir.core.drain import Drain
+from gannetweir.core.draining import Drain
 from gannetweir.lab.experiments.herd import DAYS, plan_of, play
 from gannetweir.lab.model.backends import Backend
 from gannetweir.lab.model.checker import Checker
 from gannetweir.lab.model.world import Relay, World
-from gannetweir.pool import PoolNews
-from gannetweir.records import Node
+from gannetweir.membership.endpoint_list import PoolNews
+from gannetweir.placement import endpoint_state as records
+from gannetweir.placement.endpoint_state import Node
 
 
 @pytest.mark.parametrize("day", DAYS)
--- a/tests/test_hollow_fleet.py
+++ b/tests/test_hollow_fleet.py
@@ -38,7 +38,7 @@
     encode,
 )
 from gannetweir.limits import Limits
-from gannetweir.proto.pool_watch import Beat, PoolWatch
+from gannetweir.proto.endpoint_watch import Beat, PoolWatch
 from tests.helpers import settings
 
 EXPERIMENTS = Path(__file__).parent.parent / "experiments"
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,7 +8,7 @@
 
 from gannetweir import interface as i
 from gannetweir.core.invariants import InvariantGuard, Rule, Violation
-from gannetweir.pool import Member, Pool, PoolNews
+from gannetweir.membership.endpoint_list import Member, Pool, PoolNews
 from tests.scenario import World
 
 DEADLINE = 2_000_000
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -154,7 +154,7 @@
 def test_what_serves_loads_neither_the_lab_nor_what_is_switched_off() -> None:
     code = (
         "import sys, gannetweir.cli, gannetweir.net.relay as r\n"
-        "off = ('gannetweir.lab', 'gannetweir.reach', 'gannetweir.timing', 'gannetweir.explain', 'ckdl',"
+        "off = ('gannetweir.lab', 'gannetweir.addresses', 'gannetweir.routing', 'gannetweir.explain', 'ckdl',"
         " 'pygal', 'hdrh', 'gannetweir.net.dialer')\n"
         "bad = [m for m in sys.modules if m.startswith(off)]\n"
         "assert not bad, bad\n"
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -11,8 +11,8 @@
 from gannetweir.config import keys_of
 from gannetweir.lab.experiments.trial import MOST_NODES, MOST_RELAYS
 from gannetweir.limits import Limits
-from gannetweir.pool import Member, Pool, PoolNews
-from gannetweir.proto.pool_watch import Broken, PoolWatch
+from gannetweir.membership.endpoint_list import Member, Pool, PoolNews
+from gannetweir.proto.endpoint_watch import Broken, PoolWatch
 from tests.helpers import Gateway, of, settings
 from tests.scenario import play
 from tests.test_pool_watch import HEAD, LAYOUTS, chunk
@@ -142,7 +142,7 @@
         copied.append(entry.server)
         return dataclasses.replace(entry, **changes)
 
-    monkeypatch.setattr("gannetweir.pool.replace", replace)
+    monkeypatch.setattr("gannetweir.membership.endpoint_list.replace", replace)
     pool.take(PoolNews(2, True, [Member(entry, "127.0.0.1:1") for entry in entries[2:]]), 1)
     assert copied == ["s0", "s1"] and list(pool.entries) == [entry.server for entry in entries]
     assert [pool.entries[f"s{n}"].state for n in range(3)] == [i.GONE, i.GONE, i.READY]
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -5,7 +5,7 @@
 import orjson
 import pytest
 
-from gannetweir.logs import Log
+from gannetweir.observability.logs import Log
 
 
 def test_plain_and_json_say_the_same() -> None:
--- a/tests/test_operators_file.py
+++ b/tests/test_operators_file.py
@@ -18,8 +18,8 @@
 from gannetweir.config.kdl import KdlError, read
 from gannetweir.config.operators import OperatorsError, read_rules
 from gannetweir.limits import Limits
-from gannetweir.timing.keeper import Keeper, with_routes
-from gannetweir.timing.schedule import schedule
+from gannetweir.routing.route_admission import Keeper, with_routes
+from gannetweir.routing.schedule import schedule
 
 ROOT = Path(__file__).parent.parent
 CLASSES = [
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -7,8 +7,8 @@
 
 from gannetweir import interface as i
 from gannetweir.limits import Limits
-from gannetweir.proto.report import read_report
-from gannetweir.proto.server_flow import LoadTold, ServerFlow, ServerLine
+from gannetweir.proto.load_report import read_report
+from gannetweir.proto.upstream_connection import LoadTold, ServerFlow, ServerLine
 from tests.helpers import SECOND, Gateway, of
 
 
--- a/tests/test_pool_watch.py
+++ b/tests/test_pool_watch.py
@@ -9,8 +9,8 @@
 
 from gannetweir import interface as i
 from gannetweir.limits import Limits
-from gannetweir.pool import PoolNews
-from gannetweir.proto.pool_watch import Beat, Broken, PoolWatch, read_known
+from gannetweir.membership.endpoint_list import PoolNews
+from gannetweir.proto.endpoint_watch import Beat, Broken, PoolWatch, read_known
 from tests.helpers import settings
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -15,15 +15,15 @@
 from hypothesis import strategies as st
 
 from gannetweir import interface as i
+from gannetweir.addresses.address import Address, AddressError, parse
+from gannetweir.addresses.address_selector import Paths
+from gannetweir.addresses.connection_race import Close, Connect, Lost, Race, Wake, Won
+from gannetweir.addresses.rules import ReachRules, ServerRule
 from gannetweir.config.operators import OperatorsError, read_file
 from gannetweir.core import Engine
 from gannetweir.limits import Limits
+from gannetweir.membership.endpoint_list import Member, PoolNews
 from gannetweir.net.dialer import Dialer
-from gannetweir.pool import Member, PoolNews
-from gannetweir.reach.address import Address, AddressError, parse
-from gannetweir.reach.paths import Paths
-from gannetweir.reach.race import Close, Connect, Lost, Race, Wake, Won
-from gannetweir.reach.rules import ReachRules, ServerRule
 from tests.helpers import settings
 
 MS, SECOND = 1000, 1_000_000
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -6,11 +6,11 @@
 import pytest
 
 from gannetweir import interface as i
-from gannetweir.timing.budget import Budget
-from gannetweir.timing.keeper import Keeper, told_classes, with_routes
-from gannetweir.timing.limit import Limit
-from gannetweir.timing.routes import RouteTable, reach
-from gannetweir.timing.rules import BudgetRule, LimitRule, Match, Route, Rules, WaitRule
+from gannetweir.routing.rate_limit import Limit
+from gannetweir.routing.retry_budget import Budget
+from gannetweir.routing.route_admission import Keeper, told_classes, with_routes
+from gannetweir.routing.routes import RouteTable, reach
+from gannetweir.routing.rules import BudgetRule, LimitRule, Match, Route, Rules, WaitRule
 
 SECOND = 1_000_000
 NAMES = ["a", "b"]
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -8,8 +8,8 @@
 from gannetweir import interface as i
 from gannetweir.core import Engine, WatchPool
 from gannetweir.limits import Limits
-from gannetweir.pool import Member, PoolNews
-from gannetweir.trace import Trace
+from gannetweir.membership.endpoint_list import Member, PoolNews
+from gannetweir.observability.trace import Trace
 from tests.helpers import SECOND, settings
 
 POOL = PoolNews(1, True, [Member(i.ServerEntry("a"), "127.0.0.1:1")])
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -12,7 +12,7 @@
 from gannetweir import core as e
 from gannetweir import interface as i
 from gannetweir.net.relay import Relay
-from gannetweir.proto.pool_watch import read_pool
+from gannetweir.proto.endpoint_watch import read_pool
 from tests.place import Place
 from tests.scenario import CLASSES
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,8 +12,8 @@
 from gannetweir import interface as i
 from gannetweir import wire
 from gannetweir.adapter import Host, serve
-from gannetweir.brain import Balancer
 from gannetweir.config import read_settings
+from gannetweir.placement.balancer import Balancer
 
 SERVER = bytes.fromhex("0a124a07c32b")
 OTHER = bytes.fromhex("0a9011f2ec2b")
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -12,7 +12,7 @@
 from gannetweir.lab.model.checker import Checker
 from gannetweir.lab.model.world import SECOND, Plan, Traffic, World
 from gannetweir.limits import Limits
-from gannetweir.timing.schedule import margin_us, schedule
+from gannetweir.routing.schedule import margin_us, schedule
 
 HEAD = "gannetweir version=1\n"
 TWO_TIMINGS = (
--- a/tests/test_yard.py
+++ b/tests/test_yard.py
@@ -11,16 +11,16 @@
 import anyio.lowlevel
 import pytest
 
+from gannetweir.addresses.address import UNIX, V6, Address
+from gannetweir.addresses.address_selector import Paths
+from gannetweir.addresses.rules import ReachRules
 from gannetweir.lab.emulator.attempts import BEATS_BACK, RESOLUTION_MS, OpenAttempts, now_ms
 from gannetweir.lab.emulator.push_node import PushNode, Store, loopback, spawn_in
 from gannetweir.lab.emulator.yard import Yard, YardPlan
 from gannetweir.lab.model.checker import Checker
 from gannetweir.limits import Limits
 from gannetweir.net.dialer import Dialer
-from gannetweir.net.endpoint import Ledger, Spawn
-from gannetweir.reach.address import UNIX, V6, Address
-from gannetweir.reach.paths import Paths
-from gannetweir.reach.rules import ReachRules
+from gannetweir.net.transport import Ledger, Spawn
 
 FAMILIES = ("unix", "ipv6", "ipv4")
 KINDS = ("refuse", "hole", "stall", "reset", "slow")
