--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -57,7 +57,7 @@
 watch = PoolWatch("127.0.0.1:1", 0, config.settings, config.limits)
 with open(os.environ["ANSWER"], "rb") as file:
     for news in watch.feed(file.read()):
-        engine.pool_news(news, 2)
+        engine.endpoint_update_received(news, 2)
 mark()
 print(json.dumps([1e3 * (later - before) for before, later in zip([0.0, *marks], marks)]))
 """
--- a/gannetweir/addresses/address_selector.py
+++ b/gannetweir/addresses/address_selector.py
@@ -15,7 +15,7 @@
 
 from gannetweir.addresses.address import Address
 from gannetweir.addresses.connection_race import Race
-from gannetweir.addresses.rules import ReachRules
+from gannetweir.addresses.rules import AddressRules
 
 FIRST_REST_US = 250_000
 MOST_STRIKES = 8
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Path:
+class AddressState:
     """One address of one server."""
 
     address: Address
@@ -46,19 +46,19 @@
         return self.strikes > 0 and now_us >= self.rest_until_us
 
 
-class Paths:
+class AddressSelector:
     """All paths of all servers of one relay."""
 
-    def __init__(self, rules: ReachRules, seed: int, connect_us: int) -> None:
+    def __init__(self, rules: AddressRules, seed: int, connect_us: int) -> None:
         self.rules, self.connect_us = rules, connect_us
         self.rng = random.Random(seed ^ 0x5EA1)
-        self.known: dict[str, dict[Address, Path]] = {}
+        self.known: dict[str, dict[Address, AddressState]] = {}
         self.owners: dict[Address, str] = {}  # an address is one server's
         self.told: dict[str, tuple[str, tuple[str, ...]]] = {}  # what discovery said of each
         self.choice: dict[str, bool] = {}  # is there anything but discovery's own address?
         self.passed_over = 0  # flows whose preferred address was found broken or much slower, and came later
 
-    def take(self, rules: ReachRules, connect_us: int) -> None:
+    def take(self, rules: AddressRules, connect_us: int) -> None:
         """Other rules, from now on. What was learnt of an address that a server keeps stays."""
         self.rules, self.connect_us = rules, connect_us
         old, self.known, self.owners = self.known, {}, {}  # one server's may be another's from now on
@@ -72,14 +72,14 @@
             self.told[server] = told
             self._lay(server, *told, self._take_away(server))
 
-    def _lay(self, server: str, dial: str, dials: Sequence[str], old: Mapping[Address, Path]) -> None:
+    def _lay(self, server: str, dial: str, dials: Sequence[str], old: Mapping[Address, AddressState]) -> None:
         addresses = self.rules.addresses(server, dial, dials)
         # what another server has already is not this one's: its lines would go to the wrong one
         own = [a for a in addresses if self.owners.setdefault(a, server) == server]
-        self.known[server] = {a: old.get(a) or Path(a) for a in own}
+        self.known[server] = {a: old.get(a) or AddressState(a) for a in own}
         self.choice[server] = [str(a) for a in own] != [dial]
 
-    def _take_away(self, server: str) -> dict[Address, Path]:
+    def _take_away(self, server: str) -> dict[Address, AddressState]:
         old = self.known.pop(server, {})
         for address in old:
             del self.owners[address]
@@ -130,11 +130,11 @@
         at = families.index(wanted) if wanted is not None else 0  # the first of its family, as it was told
         return paths[at].address if paths else None
 
-    def _in_turn(self, paths: list[Path]) -> list[Path]:
+    def _in_turn(self, paths: list[AddressState]) -> list[AddressState]:
         """Families in turn, by preference: the next to be tried is of another kind than what just failed."""
         groups = [[p for p in paths if p.address.family == family] for family in self.rules.prefer]
         groups += [[p for p in paths if p.address.family not in self.rules.prefer]]
-        found: list[Path] = []
+        found: list[AddressState] = []
         while any(groups):
             found += [group.pop(0) for group in groups if group]
         return found
@@ -157,14 +157,14 @@
 
     # ---- what is learnt
 
-    def _path(self, server: str, address: Address) -> Path | None:
+    def _path(self, server: str, address: Address) -> AddressState | None:
         return self.known.get(server, {}).get(address)
 
-    def _rest_us(self, path: Path) -> int:
+    def _rest_us(self, path: AddressState) -> int:
         wait = min(FIRST_REST_US << min(path.strikes, MOST_STRIKES), self.rules.mend_us)
         return int(wait * self.rng.uniform(0.75, 1.0))
 
-    def _strike(self, path: Path, now_us: int) -> None:
+    def _strike(self, path: AddressState, now_us: int) -> None:
         path.strikes = min(path.strikes + 1, MOST_STRIKES)
         path.rest_until_us = now_us + self._rest_us(path)
 
--- a/gannetweir/addresses/rules.py
+++ b/gannetweir/addresses/rules.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReachRules:
+class AddressRules:
     """How servers are reached."""
 
     servers: tuple[ServerRule, ...] = ()
@@ -53,7 +53,7 @@
 Problem = tuple[int, str, str, str]  # line, where, what was found, what is allowed
 
 
-def check(rules: ReachRules, hosts: Sequence[str] = (), connect_us: int = 0) -> Iterator[Problem]:
+def check(rules: AddressRules, hosts: Sequence[str] = (), connect_us: int = 0) -> Iterator[Problem]:
     """All that is wrong; `hosts` are the servers known so far, for which patterns are tried."""
     seen: dict[Address, str] = {}
     names: set[str] = set()
--- a/gannetweir/cli.py
+++ b/gannetweir/cli.py
@@ -130,6 +130,6 @@
 
         known = read_known(config.known, config.settings)
         routes = f", {len(config.rules.routes)} routes" if config.rules is not None else ""
-        counts = f"{len(known.members)} backends known, {config.limits.clients} clients at most{routes}"
+        counts = f"{len(known.endpoints)} backends known, {config.limits.clients} clients at most{routes}"
         print(f"{config.name}: {counts}")
     return 0
--- a/gannetweir/config/operators.py
+++ b/gannetweir/config/operators.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from gannetweir.addresses.address import FAMILIES
-from gannetweir.addresses.rules import ReachRules, ServerRule
+from gannetweir.addresses.rules import AddressRules, ServerRule
 from gannetweir.addresses.rules import check as check_reach
 from gannetweir.config.errors import ConfigError
 from gannetweir.config.files import read_bytes
@@ -194,7 +194,7 @@
 
     def __init__(self) -> None:
         self.mistakes: list[Mistake] = []
-        self.reach: ReachRules | None = None
+        self.reach: AddressRules | None = None
 
     def wrong(self, node: Node, where: str, found: str, allowed: str) -> None:
         """Note one mistake."""
@@ -282,7 +282,7 @@
                     self.wrong(node, "route", f"the name {named!r}", "a name of its own")
                 routes.append(self.route(node, named or f"#{len(routes) + 1}"))
             if node.name in ("reach", "server"):
-                self.reach = self.reach or ReachRules()
+                self.reach = self.reach or AddressRules()
         if "gannetweir" not in seen:
             allowed = f"a first line `gannetweir version={VERSION}`"
             self.mistakes.append(Mistake(0, "gannetweir", "missing", allowed))
@@ -296,7 +296,7 @@
             self.wrong(node, "reach", "found values", "a block only")
         found = self.block(node, "reach", REACH)
         got = {key: self.node(child, f"reach {key}", REACH[key])[0] for key, child in found.items()}
-        base = self.reach or ReachRules()
+        base = self.reach or AddressRules()
         self.reach = replace(
             base,
             prefer=tuple(got.get("prefer") or base.prefer),
@@ -315,7 +315,7 @@
         rule = ServerRule(
             named or "", tuple(got.get("address") or ()), (got.get("dial") or [True])[0], node.line
         )
-        base = self.reach or ReachRules()
+        base = self.reach or AddressRules()
         self.reach = replace(base, servers=(*base.servers, rule) if named else base.servers)
 
     def relay(self, node: Node) -> tuple[BudgetRule | None, LimitRule, dict[str, int]]:
@@ -424,7 +424,7 @@
     limits: Limits | None = None,
     lines: bool = False,
     hosts: Sequence[str] = (),
-) -> tuple[Rules, ReachRules | None]:
+) -> tuple[Rules, AddressRules | None]:
     """A file's rules, checked with the platform's settings where they are given; `OperatorsError` otherwise,
     with all mistakes and their lines. Without `lines` the rules of a good file do not know theirs. The file's
     name is put in by `load_rules`."""
@@ -467,7 +467,7 @@
     limits: Limits | None = None,
     lines: bool = False,
     hosts: Sequence[str] = (),
-) -> tuple[Rules, ReachRules | None]:
+) -> tuple[Rules, AddressRules | None]:
     """`read_file` from a file."""
     try:
         text = read_bytes(path).decode("utf-8")
--- a/gannetweir/config/platform.py
+++ b/gannetweir/config/platform.py
@@ -16,7 +16,7 @@
 from gannetweir.limits import Limits
 
 if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
-    from gannetweir.addresses.rules import ReachRules
+    from gannetweir.addresses.rules import AddressRules
     from gannetweir.routing.rules import Rules
 
 
@@ -44,7 +44,7 @@
     shared: Path | None = None  # the folder that all processes of this relay share
     keys: frozenset[str] = frozenset()  # all that the file named
     rules: Rules | None = None  # the operators' file; its routes stand in `settings`, too
-    reach: ReachRules | None = None  # and what it says of servers' addresses
+    reach: AddressRules | None = None  # and what it says of servers' addresses
 
 
 def address(text: Any, what: str) -> Address:
@@ -66,7 +66,7 @@
     # buffers must fit the memory: half of it, over both directions of each connection
     limits = Limits(**given, connect_us=int(settings.connect_timeout_us))
     # no longer than the platform allows as advice; where it allows none, none is given
-    advice = settings.max_retry_after_us if settings.retry_after else 0
+    advice = settings.max_retry_after_us if settings.sends_retry_after else 0
     limits = replace(limits, reject_retry_us=int(max(0, min(limits.reject_retry_us, advice))))
     room = limits.memory_mb * (1 << 19) // limits.sockets
     limits = replace(limits, buffer_bytes=max(4096, min(limits.buffer_bytes, room)))
--- a/gannetweir/config/settings.py
+++ b/gannetweir/config/settings.py
@@ -14,37 +14,37 @@
 _NUMBER = (int, float)
 # field of Settings: path on the wire, accepted types
 SETTINGS: dict[str, tuple[str, Any]] = {
-    "gateways": ("fleet-size", int),
+    "relay_count": ("fleet-size", int),
     "zone": ("zone", int),
-    "zones": ("zones", [str]),
-    "kinds": ("kinds", [str]),
-    "ask_within_us": ("contract.ask-within-us", _NUMBER),
-    "cold_from": ("contract.cold-from", _NUMBER),
-    "warm_within_us": ("contract.warm-within-us", _NUMBER),
-    "fall_multiple": ("contract.fall-multiple", _NUMBER),
-    "report_names": ("reporting.names", [str]),
-    "report_source": ("reporting.source", str),
-    "probes": ("limits.probes", bool),
+    "zone_names": ("zones", [str]),
+    "machine_types": ("kinds", [str]),
+    "poll_interval_us": ("contract.ask-within-us", _NUMBER),
+    "slow_start_min_share": ("contract.cold-from", _NUMBER),
+    "slow_start_window_us": ("contract.warm-within-us", _NUMBER),
+    "overload_multiple": ("contract.fall-multiple", _NUMBER),
+    "load_report_fields": ("reporting.names", [str]),
+    "load_report_source": ("reporting.source", str),
+    "load_probes_enabled": ("limits.probes", bool),
     "max_attempts": ("limits.max-attempts", int),
     "connect_timeout_us": ("limits.connect-timeout-us", _NUMBER),
     "max_retry_after_us": ("limits.max-retry-after-us", _NUMBER),
-    "retry_after": ("limits.retry-after", bool),
-    "message_aim_us": ("family-info.message-aim-us", [_NUMBER]),
-    "groups": ("family-info.groups", bool),
-    "tells_load": ("family-info.tells-load", bool),
-    "tells_delay": ("family-info.tells-delay", bool),
-    "fee_cross_zone": ("fees.cross-zone", _NUMBER),
-    "may_duplicate": ("limits.may-duplicate", bool),
-    "marks_retry": ("client-habits.marks-retry", bool),
+    "sends_retry_after": ("limits.retry-after", bool),
+    "message_latency_objectives_us": ("family-info.message-aim-us", [_NUMBER]),
+    "groups_enabled": ("family-info.groups", bool),
+    "reports_connection_load": ("family-info.tells-load", bool),
+    "reports_message_delay": ("family-info.tells-delay", bool),
+    "cross_zone_cost": ("fees.cross-zone", _NUMBER),
+    "allows_hedged_requests": ("limits.may-duplicate", bool),
+    "clients_mark_retries": ("client-habits.marks-retry", bool),
 }
 CLASS: dict[str, tuple[str, Any]] = {
     "name": ("name", str),
-    "aim_us": ("aim-us", _NUMBER),
+    "latency_objective_us": ("aim-us", _NUMBER),
     "deadline_us": ("hard-limit-us", _NUMBER),
-    "worth": ("importance", _NUMBER),
-    "repeat": ("idempotency", str),
-    "scope": ("dedup-scope", str),
-    "window_us": ("window-us", _NUMBER),
+    "priority_weight": ("importance", _NUMBER),
+    "idempotency": ("idempotency", str),
+    "idempotency_scope": ("dedup-scope", str),
+    "idempotency_window_us": ("window-us", _NUMBER),
 }
 
 
@@ -78,15 +78,18 @@
     over_0: dict[str, float] = {
         "limits.max-attempts": settings.max_attempts,
         "limits.connect-timeout-us": settings.connect_timeout_us,
-        "fleet-size": settings.gateways,
+        "fleet-size": settings.relay_count,
     }
-    if not 0 <= settings.cold_from <= 1:
-        raise ConfigError(f"setting contract.cold-from: {settings.cold_from} is no share of 1")
-    for name, value in ("ask-within-us", settings.ask_within_us), ("fall-multiple", settings.fall_multiple):
+    if not 0 <= settings.slow_start_min_share <= 1:
+        raise ConfigError(f"setting contract.cold-from: {settings.slow_start_min_share} is no share of 1")
+    for name, value in (
+        ("ask-within-us", settings.poll_interval_us),
+        ("fall-multiple", settings.overload_multiple),
+    ):
         if not value >= 0:  # 0 is what an installation may say that has no such rule
             raise ConfigError(f"setting contract.{name}: {value} is under 0")
     for c in settings.classes:
-        over_0 |= {f"{c.name}: hard-limit-us": c.deadline_us, f"{c.name}: aim-us": c.aim_us}
+        over_0 |= {f"{c.name}: hard-limit-us": c.deadline_us, f"{c.name}: aim-us": c.latency_objective_us}
     for name, value in over_0.items():
         if not (math.isfinite(value) and value > 0):
             raise ConfigError(f"setting {name}: {value} is not over 0")
@@ -100,11 +103,13 @@
     if classes is _MISSING or not classes:
         raise ConfigError("setting categories: missing")
     found = fill(SETTINGS, data)
-    if found.get("ask_within_us") == 0:  # nothing is stated: not that the list be asked for without a pause
-        del found["ask_within_us"]
+    if (
+        found.get("poll_interval_us") == 0
+    ):  # nothing is stated: not that the list be asked for without a pause
+        del found["poll_interval_us"]
     settings = Settings(classes=[RequestClass(**fill(CLASS, c)) for c in classes], **found)
     asked = _read(data, "registry-mode", str)
-    settings.ask_list = asked is not _MISSING and asked != "pushed"
+    settings.polls_endpoint_list = asked is not _MISSING and asked != "pushed"
     return settings
 
 
--- a/gannetweir/core/answer_delays.py
+++ b/gannetweir/core/answer_delays.py
@@ -7,7 +7,7 @@
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.reasons import Reason
-from gannetweir.core.request_state import Transaction
+from gannetweir.core.request_state import PendingRequest
 from gannetweir.core.timers import Timer
 from gannetweir.limits import Limits
 
@@ -17,54 +17,56 @@
 
     def __init__(self, context: EngineContext, decisions: Decisions, answers: Answers) -> None:
         self.context, self.decisions, self.answers = context, decisions, answers
-        self.transactions = context.transactions  # kept here, as every line asks for it
-        self.late: dict[i.ServerId, int] = {}  # backends with late answers, and when a note last said so
+        self.transactions = context.requests  # kept here, as every line asks for it
+        self.late: dict[i.EndpointId, int] = {}  # backends with late answers, and when a note last said so
         self.configure(context.settings, context.limits)
 
     def configure(self, settings: i.Settings, limits: Limits) -> None:
         """Settings that hold from now on; kept here as well, for the same reason."""
-        self.tells_delay, self.most_unanswered = settings.tells_delay, limits.unanswered_lines
-        self.shortest_aim_ms = min(settings.message_aim_us, default=1e5) / 1000
+        self.tells_delay, self.most_unanswered = settings.reports_message_delay, limits.unanswered_lines
+        self.shortest_aim_ms = min(settings.message_latency_objectives_us, default=1e5) / 1000
 
     def client_line(self, number: int, now_us: int) -> None:
         """A line of the client's has been passed on; its answer is waited for."""
         tx = self.transactions.get(number)
-        if tx is not None and len(tx.unanswered) < self.most_unanswered:
-            tx.unanswered.append(now_us)
+        if tx is not None and len(tx.unanswered_since_us) < self.most_unanswered:
+            tx.unanswered_since_us.append(now_us)
 
     def server_line(self, number: int, now_us: int) -> None:
         """A line came that may answer one of the client's."""
         tx = self.transactions.get(number)
-        if tx is None or not tx.unanswered:
+        if tx is None or not tx.unanswered_since_us:
             return
-        self.context.now = now_us
-        self._note_delay(tx, (now_us - tx.unanswered.popleft()) / 1000)
+        self.context.now_us = now_us
+        self._note_delay(tx, (now_us - tx.unanswered_since_us.popleft()) / 1000)
 
-    def _note_delay(self, tx: Transaction, delay_ms: float) -> None:
+    def _note_delay(self, tx: PendingRequest, delay_ms: float) -> None:
         """Late answers are told as the simulator tells them: once a second for a backend while they are over
         a third of the shortest aim, and once more when they are back under."""
         if not self.tells_delay:
             return
-        last = self.late.get(tx.server)
+        last = self.late.get(tx.endpoint_id)
         if delay_ms > self.shortest_aim_ms / 3:
-            if last is not None and self.context.now - last < self.context.limits.delay_note_us:
+            if last is not None and self.context.now_us - last < self.context.limits.delay_note_us:
                 return
-            self.late[tx.server] = self.context.now
+            self.late[tx.endpoint_id] = self.context.now_us
         elif last is not None:
-            del self.late[tx.server]
+            del self.late[tx.endpoint_id]
         else:
             return
         self.context.counters.add("delay_notes")
-        self.decisions.tell(i.Note(tx.number, tx.attempt, tx.server, i.NOTE_DELAY, delay_ms))
+        self.decisions.dispatch(
+            i.ConnectionMetric(tx.request_id, tx.attempt, tx.endpoint_id, i.NOTE_DELAY, delay_ms)
+        )
 
     def watchdog_due(self) -> None:
         """A machine that vanished says nothing: only the answers that do not come show it."""
-        self.context.after(self.context.limits.watchdog_us, Timer.WATCHDOG)
-        for tx in [t for t in self.transactions.values() if t.up and t.unanswered]:
-            waited = self.context.now - tx.unanswered[0]
+        self.context.set_timer(self.context.limits.watchdog_us, Timer.WATCHDOG)
+        for tx in [t for t in self.transactions.values() if t.established and t.unanswered_since_us]:
+            waited = self.context.now_us - tx.unanswered_since_us[0]
             if waited > self.context.limits.answer_silence_us:
                 self.context.counters.add("silent")
-                self.answers.move(tx, i.RESET, Reason.BACKEND_SILENT)
+                self.answers.migrate(tx, i.RESET, Reason.BACKEND_SILENT)
             elif waited > self.context.limits.answer_late_us:
                 # a message has taken so long already: the module can ask the backend before all are lost
                 self._note_delay(tx, waited / 1000)
--- a/gannetweir/core/attempts.py
+++ b/gannetweir/core/attempts.py
@@ -5,12 +5,12 @@
 from typing import TYPE_CHECKING
 
 from gannetweir import interface as i
-from gannetweir.core.commands import CloseFlow, OpenFlow
+from gannetweir.core.commands import CloseUpstream, OpenUpstream
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.reasons import after
 from gannetweir.core.request_log import Step, outcome
-from gannetweir.core.request_state import Transaction
+from gannetweir.core.request_state import PendingRequest
 from gannetweir.core.timers import Timer
 
 if TYPE_CHECKING:  # a relay without several addresses a server does without the code for them
@@ -23,114 +23,142 @@
     def __init__(self, context: EngineContext, decisions: Decisions) -> None:
         self.context, self.decisions = context, decisions
 
-    def send(self, action: i.Send) -> None:
+    def start(self, action: i.StartAttempt) -> None:
         """Start the attempt that the module asks for; one that may not leave ends as moot."""
         context = self.context
-        tx = context.transactions.get(action.request)
-        if tx is None or tx.up:
+        tx = context.requests.get(action.request_id)
+        if tx is None or tx.established:
             return
         attempt = tx.attempt + 1
-        dial, now = context.pool.dial(action.server), context.now
+        dial, now = context.endpoint_list.address_of(action.endpoint_id), context.now_us
         if (
-            tx.out
+            tx.attempt_in_flight
             or not dial
             or attempt >= self._cap(tx)
-            or tx.due_us <= now
-            or not context.pool.may_send(action.server)
-            or self._held_back(tx, attempt, action.server)
+            or tx.deadline_us <= now
+            or not context.endpoint_list.accepts_requests(action.endpoint_id)
+            or self._held_back(tx, attempt, action.endpoint_id)
         ):
             # two flows at once, a backend that is not listed as ready or is out by hand, one attempt too
             # many: none may leave
-            tx.attempt = attempt if not tx.out else tx.attempt
+            tx.attempt = attempt if not tx.attempt_in_flight else tx.attempt
             context.counters.add("attempts", i.MOOT)
-            self.decisions.tell(i.Outcome(tx.number, attempt, i.MOOT, 0, action.server, 0))
+            self.decisions.dispatch(i.AttemptEnded(tx.request_id, attempt, i.MOOT, 0, action.endpoint_id, 0))
             return
-        left = tx.due_us - now
+        left = tx.deadline_us - now
         wait = min(left, action.timeout_us) if action.timeout_us > 0 else left
-        self.open(tx, action.server, dial, wait)
+        self.open(tx, action.endpoint_id, dial, wait)
 
-    def _cap(self, tx: Transaction) -> int:
+    def _cap(self, tx: PendingRequest) -> int:
         most = self.context.settings.max_attempts
-        return self.context.keeper.cap(tx.cls, most) if self.context.keeper is not None else most
+        return (
+            self.context.route_admission.max_attempts(tx.request_class, most)
+            if self.context.route_admission is not None
+            else most
+        )
 
-    def _held_back(self, tx: Transaction, attempt: int, server: i.ServerId) -> bool:
+    def _held_back(self, tx: PendingRequest, attempt: int, server: i.EndpointId) -> bool:
         """Does the route's budget or limit forbid this attempt? The module then gives up at once."""
-        if self.context.keeper is None or tx.share is None:
+        if self.context.route_admission is None or tx.admission_permit is None:
             return False
-        reason = self.context.keeper.may_try(tx.share, tx.cls, server, attempt, self.context.now)
+        reason = self.context.route_admission.attempt_refusal(
+            tx.admission_permit, tx.request_class, server, attempt, self.context.now_us
+        )
         if reason:
             self.context.counters.add(f"held_back.{reason}")
             self.context.log(
                 "attempt held back",
-                transaction=tx.number,
+                transaction=tx.request_id,
                 attempt=attempt,
                 backend=server,
-                route=tx.cls.route,
-                cls=tx.cls.name,
+                route=tx.request_class.route,
+                cls=tx.request_class.name,
                 reason=reason,
             )
-        tx.setting_up = not reason
+        tx.counts_as_setup = not reason
         return bool(reason)
 
-    def settled(self, tx: Transaction) -> None:
+    def setup_finished(self, tx: PendingRequest) -> None:
         """The attempt is no set-up any more."""
-        if tx.setting_up:
-            tx.setting_up = False
-            if self.context.keeper is not None:
-                self.context.keeper.settled(tx.server)
+        if tx.counts_as_setup:
+            tx.counts_as_setup = False
+            if self.context.route_admission is not None:
+                self.context.route_admission.setup_finished(tx.endpoint_id)
 
-    def open(self, tx: Transaction, server: i.ServerId, dial: str, wait: int) -> None:
+    def open(self, tx: PendingRequest, server: i.EndpointId, dial: str, wait: int) -> None:
         """Open the flow of the next attempt, which has `wait` microseconds."""
         context = self.context
-        now = context.now
-        tx.attempt, tx.server, tx.out, tx.sent, tx.sent_us = tx.attempt + 1, server, True, False, now
-        tx.held_up = False
-        tx.started_us = context.pool.started_us(server)
-        tx.path, chosen = None, context.paths is not None and context.paths.chosen(str(server))
-        context.commands.append(OpenFlow(tx.number, tx.attempt, dial, wait, server, chosen))
+        now = context.now_us
+        tx.attempt, tx.endpoint_id, tx.attempt_in_flight, tx.first_line_written, tx.attempt_started_us = (
+            tx.attempt + 1,
+            server,
+            True,
+            False,
+            now,
+        )
+        tx.connect_delayed_locally = False
+        tx.endpoint_started_us = context.endpoint_list.started_us(server)
+        tx.address, chosen = (
+            None,
+            context.address_selector is not None and context.address_selector.chosen(str(server)),
+        )
+        context.commands.append(OpenUpstream(tx.request_id, tx.attempt, dial, wait, server, chosen))
         first = not tx.last_status
-        context.note(tx, Step.ATTEMPT if first else Step.RETRIED, "" if first else after(tx.last_status))
+        context.record_step(
+            tx, Step.ATTEMPT if first else Step.RETRIED, "" if first else after(tx.last_status)
+        )
         connect = context.limits.connect_us
         if not tx.resumed:
-            connect = tx.cls.connect_us or connect
-            if tx.cls.attempt_us:  # that counts from the first line's last byte
-                wait = min(tx.due_us - now, connect + wait)
-        tx.flow_due_us = now + wait
-        context.after(wait, Timer.FLOW, tx.number, tx.attempt)
-        context.after(connect, Timer.CONNECT, tx.number, tx.attempt)
+            connect = tx.request_class.connect_timeout_us or connect
+            if tx.request_class.attempt_timeout_us:  # that counts from the first line's last byte
+                wait = min(tx.deadline_us - now, connect + wait)
+        tx.attempt_deadline_us = now + wait
+        context.set_timer(wait, Timer.ATTEMPT, tx.request_id, tx.attempt)
+        context.set_timer(connect, Timer.CONNECT, tx.request_id, tx.attempt)
         context.counters.add("flows")
 
-    def drop(self, tx: Transaction) -> None:
+    def close(self, tx: PendingRequest) -> None:
         """Close the flow that is out, if one is."""
-        if tx.out:
-            tx.out = False
-            self.context.commands.append(CloseFlow(tx.number, tx.attempt))
+        if tx.attempt_in_flight:
+            tx.attempt_in_flight = False
+            self.context.commands.append(CloseUpstream(tx.request_id, tx.attempt))
 
     def ended(
-        self, tx: Transaction, status: int, closed: int, report: tuple[float, ...] = (), fault: bool = False
+        self,
+        tx: PendingRequest,
+        status: int,
+        closed: int,
+        report: tuple[float, ...] = (),
+        fault: bool = False,
     ) -> None:
         """Tell the module how an attempt ended (`closed` 0), or the connection that it became (1). `fault`:
         the way to the server is to blame."""
-        tx.out, tx.ran, tx.last_status = False, tx.ran or status not in i.NEVER_RAN, status
-        self.context.note(tx, Step.ATTEMPT_ENDED, outcome(status))
-        self.settled(tx)
-        if tx.path is not None:
+        tx.attempt_in_flight, tx.may_have_executed, tx.last_status = (
+            False,
+            tx.may_have_executed or status not in i.NEVER_RAN,
+            status,
+        )
+        self.context.record_step(tx, Step.ATTEMPT_ENDED, outcome(status))
+        self.setup_finished(tx)
+        if tx.address is not None:
             fault = self._path_ended(tx, status)
-        self.context.counters.add("connections" if tx.up else "attempts", status)
-        attempt, elapsed = max(0, tx.attempt), self.context.now - tx.sent_us
-        self.decisions.tell(i.Outcome(tx.number, attempt, status, closed, tx.server, elapsed, report, fault))
+        self.context.counters.add("connections" if tx.established else "attempts", status)
+        attempt, elapsed = max(0, tx.attempt), self.context.now_us - tx.attempt_started_us
+        self.decisions.dispatch(
+            i.AttemptEnded(tx.request_id, attempt, status, closed, tx.endpoint_id, elapsed, report, fault)
+        )
 
-    def _path_ended(self, tx: Transaction, status: int) -> bool:
+    def _path_ended(self, tx: PendingRequest, status: int) -> bool:
         """What an attempt's end says of its path. Is that to blame, and not the server?"""
-        assert self.context.paths is not None and tx.path is not None
-        server, path, tx.path = str(tx.server), tx.path, None
+        assert self.context.address_selector is not None and tx.address is not None
+        server, path, tx.address = str(tx.endpoint_id), tx.address, None
         if status in (i.TIMEOUT, i.RESET):
-            fault = self.context.paths.unanswered(server, path, self.context.now)
+            fault = self.context.address_selector.unanswered(server, path, self.context.now_us)
             if fault:
                 self.context.counters.add("path_faults")
                 self.context.log(
                     "path failed",
-                    transaction=tx.number,
+                    transaction=tx.request_id,
                     attempt=tx.attempt,
                     backend=server,
                     path=path,
@@ -138,13 +166,13 @@
                 )
             return fault
         if status in (i.OK, i.ERROR, i.FULL):
-            self.context.paths.answered(server, path, self.context.now)
+            self.context.address_selector.answered(server, path, self.context.now_us)
         return False
 
-    def path_won(self, number: int, attempt: int, path: Address, now_us: int) -> None:
+    def address_connected(self, number: int, attempt: int, path: Address, now_us: int) -> None:
         """Of a server's addresses this one carries the attempt."""
-        self.context.now = now_us
-        tx = self.context.flow_of(number, attempt)
+        self.context.now_us = now_us
+        tx = self.context.request_with_attempt(number, attempt)
         if tx is not None:
-            tx.path = path
+            tx.address = path
             self.context.counters.add(f"paths.{path.family}")
--- a/gannetweir/core/commands.py
+++ b/gannetweir/core/commands.py
@@ -9,93 +9,93 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OpenFlow:
+class OpenUpstream:
     """Start a server-side flow; the backend is told how long the relay waits."""
 
-    transaction: int
+    request_id: int
     attempt: int
-    dial: str
-    wait_us: int
-    server: i.ServerId = None
-    chosen: bool = False  # `Engine.paths` knows the way there: its addresses race
+    address: str
+    timeout_us: int
+    endpoint_id: i.EndpointId = None
+    races_addresses: bool = False  # `Engine.paths` knows the way there: its addresses race
 
 
 @dataclass(frozen=True, slots=True)
-class CloseFlow:
+class CloseUpstream:
     """End a server-side flow at once, before anything else is done for its transaction."""
 
-    transaction: int
+    request_id: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Serve:
+class StartForwarding:
     """The client's answer is the backend's; from now on lines pass."""
 
-    transaction: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Reject:
+class RejectClient:
     """Refused: trying again is harmless, after so long."""
 
-    transaction: int
-    retry_us: int = 0
+    request_id: int
+    retry_after_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Abandon:
+class FailClient:
     """Failed: nothing is promised."""
 
-    transaction: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class MoveClient:
+class MigrateClient:
     """Ask the client to come again, then end both sides."""
 
-    transaction: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class EndClient:
     """The backend ended the connection: end the client's side in kind."""
 
-    transaction: int
+    request_id: int
     reset: bool
 
 
 @dataclass(frozen=True, slots=True)
-class EndFlow:
+class EndUpstream:
     """The client ended the connection: end the backend's side in kind."""
 
-    transaction: int
+    request_id: int
     reset: bool
 
 
 @dataclass(frozen=True, slots=True)
-class StartProbe:
+class StartLoadProbe:
     """Ask a backend for its load."""
 
-    server: i.ServerId
-    dial: str
-    chosen: bool = False
+    endpoint_id: i.EndpointId
+    address: str
+    races_addresses: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class WatchPool:
+class SetEndpointWatch:
     """Start a watch on the pool, or end it."""
 
-    on: bool
-    since: int
+    enabled: bool
+    since_version: int
 
 
 @dataclass(frozen=True, slots=True)
-class LogLine:
+class WriteLogLine:
     """A line for the people on call, and what it is about."""
 
     text: str
-    about: Mapping[str, object] = field(default_factory=dict)
+    fields: Mapping[str, object] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,16 +104,16 @@
 
 
 Command = (
-    OpenFlow
-    | CloseFlow
-    | Serve
-    | Reject
-    | Abandon
-    | MoveClient
+    OpenUpstream
+    | CloseUpstream
+    | StartForwarding
+    | RejectClient
+    | FailClient
+    | MigrateClient
     | EndClient
-    | EndFlow
-    | StartProbe
-    | WatchPool
-    | LogLine
+    | EndUpstream
+    | StartLoadProbe
+    | SetEndpointWatch
+    | WriteLogLine
     | Exit
 )
--- a/gannetweir/core/context.py
+++ b/gannetweir/core/context.py
@@ -7,19 +7,19 @@
 from typing import TYPE_CHECKING
 
 from gannetweir import interface as i
-from gannetweir.core.commands import Command, LogLine
+from gannetweir.core.commands import Command, WriteLogLine
 from gannetweir.core.invariants import InvariantGuard, Violation
 from gannetweir.core.reasons import Reason
 from gannetweir.core.request_log import RequestEvent, RequestLog, Step
-from gannetweir.core.request_state import Transaction
+from gannetweir.core.request_state import PendingRequest
 from gannetweir.core.timers import Timer, TimerQueue
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import Hand, Pool
+from gannetweir.membership.endpoint_list import EndpointList, OperatorOverrides
 from gannetweir.observability.counters import Counters
 
 if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
-    from gannetweir.addresses.address_selector import Paths
-    from gannetweir.routing.route_admission import Keeper
+    from gannetweir.addresses.address_selector import AddressSelector
+    from gannetweir.routing.route_admission import RouteAdmission
 
 
 HISTORY = 8  # steps of a request that the log line of a violation tells
@@ -32,50 +32,56 @@
         self,
         settings: i.Settings,
         limits: Limits,
-        keeper: Keeper | None,
-        hand: Hand | None,
+        keeper: RouteAdmission | None,
+        hand: OperatorOverrides | None,
         now_us: int,
         sink: Callable[[RequestEvent], None] | None = None,
         wall_ahead_us: int | None = None,
     ) -> None:
         self.settings, self.limits = settings, limits
-        self.now = now_us  # of the call that is being handled, in microseconds
-        self.keeper = keeper  # of the operators' routes; none: one timing for all, as the module has it
-        self.paths: Paths | None = None  # the ways to servers, where there are any to choose from
-        self.pool, self.counters = Pool(hand, wall_ahead_us), Counters()
+        self.now_us = now_us  # of the call that is being handled, in microseconds
+        self.route_admission = (
+            keeper  # of the operators' routes; none: one timing for all, as the module has it
+        )
+        self.address_selector: AddressSelector | None = (
+            None  # the ways to servers, where there are any to choose from
+        )
+        self.endpoint_list, self.counters = EndpointList(hand, wall_ahead_us), Counters()
         self.commands: deque[Command] = deque()
-        self.requests = RequestLog(self.counters, sink)
-        self.guard = InvariantGuard(self.pool, self._violated)
+        self.request_log = RequestLog(self.counters, sink)
+        self.guard = InvariantGuard(self.endpoint_list, self._violated)
         self.timers = TimerQueue()
-        self.transactions: dict[int, Transaction] = {}
-        self.idents: dict[str, int] = {}  # of those, by the client's id
-        self.closed = False  # nothing new is taken any more
+        self.requests: dict[int, PendingRequest] = {}
+        self.request_id_by_client_id: dict[str, int] = {}  # of those, by the client's id
+        self.admission_closed = False  # nothing new is taken any more
 
-    def after(self, wait_us: float, timer: Timer, value: int = 0, attempt: int = 0) -> None:
+    def set_timer(self, wait_us: float, timer: Timer, value: int = 0, attempt: int = 0) -> None:
         """Set a timer; a wait that is not positive falls due at the next `advance`."""
-        self.timers.add(self.now + max(0, int(wait_us)), timer, value, attempt)
+        self.timers.add(self.now_us + max(0, int(wait_us)), timer, value, attempt)
 
     def log(self, text: str, **about: object) -> None:
         """Command a line for the people on call."""
-        self.commands.append(LogLine(text, about))
+        self.commands.append(WriteLogLine(text, about))
 
-    def note(self, tx: Transaction, step: Step, reason: Reason | str = "") -> None:
+    def record_step(self, tx: PendingRequest, step: Step, reason: Reason | str = "") -> None:
         """Record a step of a request."""
-        self.requests.add(self.now, tx.number, tx.ident, step, tx.attempt, tx.server, reason)
+        self.request_log.add(
+            self.now_us, tx.request_id, tx.client_request_id, step, tx.attempt, tx.endpoint_id, reason
+        )
 
     def _violated(self, violation: Violation) -> None:
         self.counters.add(f"violations.{violation.rule}")
-        history = self.requests.history(violation.number) if violation.number else []
+        history = self.request_log.history(violation.request_id) if violation.request_id else []
         self.log(
             "invariant violated",
             rule=violation.rule,
-            transaction=violation.number,
-            id=history[0].ident if history else "",
+            transaction=violation.request_id,
+            id=history[0].client_request_id if history else "",
             reason=violation.detail,
             history=" ".join(map(str, history[-HISTORY:])),
         )
 
-    def flow_of(self, number: int, attempt: int) -> Transaction | None:
+    def request_with_attempt(self, number: int, attempt: int) -> PendingRequest | None:
         """The transaction, if this flow is still its flow; news of a closed one is too late."""
-        tx = self.transactions.get(number)
-        return tx if tx is not None and tx.out and tx.attempt == attempt else None
+        tx = self.requests.get(number)
+        return tx if tx is not None and tx.attempt_in_flight and tx.attempt == attempt else None
--- a/gannetweir/core/decisions.py
+++ b/gannetweir/core/decisions.py
@@ -28,33 +28,33 @@
         self.carry_out, self.fail = carry_out, fail
         self.trace = trace  # told all that the module hears and answers, where that is asked for
         self.events: deque[i.Event] = deque()
-        self.telling = False
+        self.dispatching = False
 
-    def tell(self, event: i.Event) -> None:
+    def dispatch(self, event: i.Event) -> None:
         """Give the module an event. What its actions lead to at once waits for its turn."""
         self.events.append(event)
-        if self.telling:
+        if self.dispatching:
             return
-        self.telling, context = True, self.context
+        self.dispatching, context = True, self.context
         try:
             while self.events:
                 event = self.events.popleft()
                 try:
-                    actions = self.balancer.handle(event, context.now)
+                    actions = self.balancer.handle(event, context.now_us)
                 except Exception as error:  # one event must not cost every open connection
                     self._fault(event, error)
                     continue
                 if self.trace is not None:
-                    self.trace(context.now, event, actions)
+                    self.trace(context.now_us, event, actions)
                 for action in actions:
                     self.carry_out(action)
         finally:
-            self.telling = False
+            self.dispatching = False
 
     def _fault(self, event: i.Event, error: Exception) -> None:
         self.context.counters.add("module_faults")
         kind = type(event).__name__
         self.context.log(f"the decision module failed on {kind}: {type(error).__name__}: {error}")
-        if isinstance(event, i.TimerDue):  # it sets the next as it takes one: upkeep must not end here
-            self.context.after(self.context.limits.module_again_us, Timer.MODULE, event.token)
-        self.fail(getattr(event, "request", 0))
+        if isinstance(event, i.TimerExpired):  # it sets the next as it takes one: upkeep must not end here
+            self.context.set_timer(self.context.limits.module_again_us, Timer.PLACEMENT, event.token)
+        self.fail(getattr(event, "request_id", 0))
--- a/gannetweir/core/invariants.py
+++ b/gannetweir/core/invariants.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 
 from gannetweir import interface as i
-from gannetweir.membership.endpoint_list import Pool
+from gannetweir.membership.endpoint_list import EndpointList
 
 LOST_AFTER_US = 500_000  # an answer that is later than this after its time is a lost one
 
@@ -38,7 +38,7 @@
     """One broken rule. `number` is the request's, 0 where it is of none."""
 
     rule: Rule
-    number: int
+    request_id: int
     detail: str
 
 
@@ -46,14 +46,14 @@
 class RequestRecord:
     """One request as its sockets saw it."""
 
-    cls: i.RequestClass
+    request_class: i.RequestClass
     deadline_us: int  # 0: none is stated (resumed connections)
-    begun: int = 0  # attempts of which a byte was written
-    out: int = -1  # the attempt that is out, -1 for none
-    out_server: i.ServerId = None
-    begun_us: int = 0
-    ran_server: i.ServerId = None  # where the first attempt that may have run was made
-    ran_us: int = -1  # when that one was begun; -1: none may have run
+    attempts_written: int = 0  # attempts of which a byte was written
+    attempt_in_flight: int = -1  # the attempt that is out, -1 for none
+    in_flight_endpoint_id: i.EndpointId = None
+    attempt_written_us: int = 0
+    executed_endpoint_id: i.EndpointId = None  # where the first attempt that may have run was made
+    executed_us: int = -1  # when that one was begun; -1: none may have run
     answered: bool = False
     served: bool = False
     client_ended: bool = False
@@ -63,7 +63,7 @@
 class InvariantGuard:
     """Counts violations. `report` is called for each one."""
 
-    def __init__(self, pool: Pool, report: Callable[[Violation], None]) -> None:
+    def __init__(self, pool: EndpointList, report: Callable[[Violation], None]) -> None:
         self.pool, self.report = pool, report
         self.records: dict[int, RequestRecord] = {}
         self.violations = 0
@@ -115,52 +115,61 @@
 
     # ---- attempts
 
-    def writing(self, number: int, attempt: int, server: i.ServerId, now_us: int, most: int) -> None:
+    def writing(self, number: int, attempt: int, server: i.EndpointId, now_us: int, most: int) -> None:
         """The first byte of an attempt is about to be written. `most`: attempts that are allowed now."""
         record = self.records.get(number)
         if record is None or record.client_ended:
             self._violated(Rule.CLIENT_GONE, number, f"attempt {attempt} at {server}")
             return
-        if record.out >= 0:
-            detail = f"attempt {attempt} at {server}, {record.out} is out at {record.out_server}"
+        if record.attempt_in_flight >= 0:
+            detail = f"attempt {attempt} at {server}, {record.attempt_in_flight} is out at {record.in_flight_endpoint_id}"
             self._violated(Rule.OVERLAP, number, detail)
         if record.answered:
             self._violated(Rule.AFTER_ANSWER, number, f"attempt {attempt} at {server}")
         if record.deadline_us:  # a resumed connection is held by its backend, whatever is told of that
             self._check_new_attempt(record, number, attempt, server, now_us, most)
-        record.begun += 1
-        record.out, record.out_server, record.begun_us = attempt, server, now_us
+        record.attempts_written += 1
+        record.attempt_in_flight, record.in_flight_endpoint_id, record.attempt_written_us = (
+            attempt,
+            server,
+            now_us,
+        )
 
     def _check_new_attempt(
-        self, record: RequestRecord, number: int, attempt: int, server: i.ServerId, now_us: int, most: int
+        self, record: RequestRecord, number: int, attempt: int, server: i.EndpointId, now_us: int, most: int
     ) -> None:
-        if not self.pool.may_send(server):
+        if not self.pool.accepts_requests(server):
             self._violated(Rule.BACKEND_LEAVING, number, f"attempt {attempt} at {server}")
-        if record.begun >= most:
-            self._violated(Rule.TOO_MANY_ATTEMPTS, number, f"{record.begun + 1} of {most}")
-        if record.ran_us >= 0 and not self._may_repeat(record, server, now_us):
-            detail = f"a {record.cls.repeat} class, at {server} after {record.ran_server}"
+        if record.attempts_written >= most:
+            self._violated(Rule.TOO_MANY_ATTEMPTS, number, f"{record.attempts_written + 1} of {most}")
+        if record.executed_us >= 0 and not self._may_repeat(record, server, now_us):
+            detail = (
+                f"a {record.request_class.idempotency} class, at {server} after {record.executed_endpoint_id}"
+            )
             self._violated(Rule.UNSAFE_REPEAT, number, detail)
 
-    def _may_repeat(self, record: RequestRecord, server: i.ServerId, now_us: int) -> bool:
-        cls = record.cls
-        if cls.repeat == "repeatable":
+    def _may_repeat(self, record: RequestRecord, server: i.EndpointId, now_us: int) -> bool:
+        cls = record.request_class
+        if cls.idempotency == "repeatable":
             return True
-        if cls.repeat != "by_key" or now_us - record.ran_us >= cls.window_us:
+        if cls.idempotency != "by_key" or now_us - record.executed_us >= cls.idempotency_window_us:
             return False
-        before, here = self.pool.entries.get(record.ran_server), self.pool.entries.get(server)
-        if cls.scope == "all" or before is None or here is None:
-            return cls.scope == "all"
-        return before.zone == here.zone if cls.scope == "zone" else before.cell == here.cell
+        before, here = self.pool.entries.get(record.executed_endpoint_id), self.pool.entries.get(server)
+        if cls.idempotency_scope == "all" or before is None or here is None:
+            return cls.idempotency_scope == "all"
+        return before.zone == here.zone if cls.idempotency_scope == "zone" else before.cell == here.cell
 
     def attempt_over(self, number: int, attempt: int, may_have_run: bool) -> None:
         """The connection of an attempt is closed here. May be told more than once."""
         record = self.records.get(number)
-        if record is None or record.out != attempt:
+        if record is None or record.attempt_in_flight != attempt:
             return
-        record.out = -1
-        if may_have_run and record.ran_us < 0:
-            record.ran_us, record.ran_server = record.begun_us, record.out_server
+        record.attempt_in_flight = -1
+        if may_have_run and record.executed_us < 0:
+            record.executed_us, record.executed_endpoint_id = (
+                record.attempt_written_us,
+                record.in_flight_endpoint_id,
+            )
 
     # ---- the process
 
--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -5,102 +5,119 @@
 from typing import TYPE_CHECKING
 
 from gannetweir import interface as i
-from gannetweir.core.commands import WatchPool
+from gannetweir.core.commands import SetEndpointWatch
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
-from gannetweir.core.request_state import Transaction
+from gannetweir.core.request_state import PendingRequest
 from gannetweir.core.timers import Timer
-from gannetweir.core.upstream_events import FlowEvents
-from gannetweir.membership.endpoint_list import PoolNews
+from gannetweir.core.upstream_events import UpstreamEvents
+from gannetweir.membership.endpoint_list import MembershipUpdate
 
 if TYPE_CHECKING:  # a relay without several addresses a server does without the code for them
-    from gannetweir.addresses.rules import ReachRules
+    from gannetweir.addresses.rules import AddressRules
 
 
-class Membership:
+class MembershipUpdates:
     """Keeps the pool as discovery tells it, and the module informed."""
 
-    def __init__(self, context: EngineContext, decisions: Decisions, flows: FlowEvents, seed: int) -> None:
+    def __init__(
+        self, context: EngineContext, decisions: Decisions, flows: UpstreamEvents, seed: int
+    ) -> None:
         self.context, self.decisions, self.flows = context, decisions, flows
         self.seed = seed
         self.watch_fails = 0  # in a row, where the list is pushed
 
-    def update(self, news: PoolNews, now_us: int) -> None:
+    def update(self, news: MembershipUpdate, now_us: int) -> None:
         """Discovery has told something."""
-        self.context.now = now_us
+        self.context.now_us = now_us
         self.context.counters.add("pool_news")
         self.watch_fails = 0
-        self.apply(i.LIST_FULL if news.whole else i.LIST_DELTA, news)
+        self.apply(i.LIST_FULL if news.complete else i.LIST_DELTA, news)
 
-    def apply(self, kind: int, news: PoolNews) -> None:
+    def apply(self, kind: int, news: MembershipUpdate) -> None:
         """Apply a list or its changes, tell the module, and end what must not reach a backend any more."""
-        warm_us = int(self.context.settings.warm_within_us)
-        seen = self.context.pool.take(news, self.context.now, kind == i.LIST_CACHED, warm_us)
-        if self.context.paths is not None:  # of a whole list also those that it lacks
-            for server in self.context.pool.entries if news.whole else [m.entry.server for m in news.members]:
+        warm_us = int(self.context.settings.slow_start_window_us)
+        seen = self.context.endpoint_list.apply(news, self.context.now_us, kind == i.LIST_CACHED, warm_us)
+        if self.context.address_selector is not None:  # of a whole list also those that it lacks
+            for server in (
+                self.context.endpoint_list.entries
+                if news.complete
+                else [m.entry.endpoint_id for m in news.endpoints]
+            ):
                 self._tell_paths(server)
-        elif any(member.dials for member in news.members):  # this discovery tells several addresses
+        elif any(
+            member.more_addresses for member in news.endpoints
+        ):  # this discovery tells several addresses
             self.choose_addresses(None)
-        self.decisions.tell(i.ServerList(kind, news.version, seen))
+        self.decisions.dispatch(i.EndpointListUpdate(kind, news.version, seen))
         # A connect may outlast the grace of a drain, and one that comes up late could reach a new start with
         # what was meant for the warm one before it. The way to it failed, not the server.
         self.flows.drop_unsent(self._outdated, fault=True)
 
-    def _outdated(self, tx: Transaction) -> bool:
+    def _outdated(self, tx: PendingRequest) -> bool:
         """Was its flow opened to a start of a backend that wants nothing new, or has been replaced?"""
-        pool = self.context.pool
+        pool = self.context.endpoint_list
         if tx.resumed:
             return False
-        return not pool.may_send(tx.server) or pool.started_us(tx.server) != tx.started_us
+        return (
+            not pool.accepts_requests(tx.endpoint_id)
+            or pool.started_us(tx.endpoint_id) != tx.endpoint_started_us
+        )
 
     def failed(self, reason: str, now_us: int) -> None:
         """A watch ended or never began: the last pool holds."""
-        self.context.now = now_us
+        self.context.now_us = now_us
         self.context.counters.add("pool_failures")
         self.context.log(f"pool: {reason}")
-        if not self.context.settings.ask_list:
-            self.context.after(self.context.limits.pool_push_retry_us if self.watch_fails else 0, Timer.WATCH)
+        if not self.context.settings.polls_endpoint_list:
+            self.context.set_timer(
+                self.context.limits.pool_push_retry_us if self.watch_fails else 0, Timer.ENDPOINT_WATCH
+            )
             self.watch_fails += 1
             return
         self._ask_again()
 
     def _ask_again(self) -> None:
-        self.decisions.tell(i.ServerList(i.LIST_FAILED, self.context.pool.version, []))
+        self.decisions.dispatch(i.EndpointListUpdate(i.LIST_FAILED, self.context.endpoint_list.version, []))
 
     def watch_due(self) -> None:
         """The wait before the next watch is over."""
-        if self.context.settings.ask_list:  # since a reload: the module takes over
+        if self.context.settings.polls_endpoint_list:  # since a reload: the module takes over
             self._ask_again()
         else:
             self.watch_pushed()
 
     def watch(self, on: bool) -> None:
         """Start a watch, or end it, as the module says."""
-        self.context.commands.append(WatchPool(on, self.context.pool.version))
+        self.context.commands.append(SetEndpointWatch(on, self.context.endpoint_list.version))
 
     def watch_pushed(self) -> None:
         """A pushed list counts as told whether or not it is watched, from a relay's first moment on. So it is
         not the module's to ask for: the watch is opened at once, and again whenever it has ended."""
-        if not self.context.settings.ask_list:
+        if not self.context.settings.polls_endpoint_list:
             self.watch(True)
 
-    def choose_addresses(self, rules: ReachRules | None) -> None:
+    def choose_addresses(self, rules: AddressRules | None) -> None:
         """Choose the ways to servers by these rules from now on; without any, by discovery's list."""
-        from gannetweir.addresses.address_selector import Paths  # only where a server has several addresses
-        from gannetweir.addresses.rules import ReachRules
-
-        rules = rules or ReachRules()
-        if self.context.paths is not None:
-            self.context.paths.take(rules, self.context.limits.connect_us)
+        from gannetweir.addresses.address_selector import (
+            AddressSelector,  # only where a server has several addresses
+        )
+        from gannetweir.addresses.rules import AddressRules
+
+        rules = rules or AddressRules()
+        if self.context.address_selector is not None:
+            self.context.address_selector.take(rules, self.context.limits.connect_us)
             return
-        self.context.paths = Paths(rules, self.seed, self.context.limits.connect_us)
-        for server in self.context.pool.entries:
+        self.context.address_selector = AddressSelector(rules, self.seed, self.context.limits.connect_us)
+        for server in self.context.endpoint_list.entries:
             self._tell_paths(server)
 
-    def _tell_paths(self, server: i.ServerId) -> None:
-        assert self.context.paths is not None
-        if self.context.pool.entries[server].state == i.GONE:
-            self.context.paths.forget(str(server))
+    def _tell_paths(self, server: i.EndpointId) -> None:
+        assert self.context.address_selector is not None
+        if self.context.endpoint_list.entries[server].state == i.GONE:
+            self.context.address_selector.forget(str(server))
         else:
-            pool = self.context.pool
-            self.context.paths.tell(str(server), pool.dial(server), pool.more.get(server, ()))
+            pool = self.context.endpoint_list
+            self.context.address_selector.tell(
+                str(server), pool.address_of(server), pool.more_addresses.get(server, ())
+            )
--- a/gannetweir/core/request_log.py
+++ b/gannetweir/core/request_log.py
@@ -15,7 +15,7 @@
 from gannetweir.core.reasons import Reason
 from gannetweir.observability.counters import OUTCOMES, Counters
 
-KEPT = 2048  # events: 0.7 MB, measured with ids of 32 characters
+MAX_EVENTS = 2048  # events: 0.7 MB, measured with ids of 32 characters
 
 
 class Step(StrEnum):
@@ -41,15 +41,15 @@
     """One step of one request. `at_us` is on the engine's clock, `ident` is the client's id."""
 
     at_us: int
-    number: int
-    ident: str
+    request_id: int
+    client_request_id: str
     step: Step
     attempt: int
-    backend: i.ServerId
+    endpoint_id: i.EndpointId
     reason: str
 
     def __str__(self) -> str:
-        where = "" if self.backend is None else f"@{self.backend}"
+        where = "" if self.endpoint_id is None else f"@{self.endpoint_id}"
         why = f":{self.reason}" if self.reason else ""
         return f"{self.at_us // 1000}ms {self.step}{where}{why}"
 
@@ -59,7 +59,7 @@
 
     def __init__(self, counters: Counters, sink: Callable[[RequestEvent], None] | None = None) -> None:
         self.counters, self.sink = counters, sink
-        self.events: deque[RequestEvent] = deque(maxlen=KEPT)
+        self.events: deque[RequestEvent] = deque(maxlen=MAX_EVENTS)
 
     def add(
         self,
@@ -68,7 +68,7 @@
         ident: str,
         step: Step,
         attempt: int = -1,
-        backend: i.ServerId = None,
+        backend: i.EndpointId = None,
         reason: Reason | str = "",
     ) -> None:
         """Record one step; retries, refusals, moves and ends are counted by their reason."""
@@ -81,7 +81,7 @@
 
     def history(self, number: int) -> list[RequestEvent]:
         """What is still remembered of one request, oldest first."""
-        return [event for event in self.events if event.number == number]
+        return [event for event in self.events if event.request_id == number]
 
 
 def outcome(status: int) -> str:
--- a/gannetweir/core/timers.py
+++ b/gannetweir/core/timers.py
@@ -10,16 +10,16 @@
 class Timer(IntEnum):
     """What a due time is for."""
 
-    MODULE = 1  # a timer that the module set
-    FLOW = 2  # an attempt's time is up
+    PLACEMENT = 1  # a timer that the module set
+    ATTEMPT = 2  # an attempt's time is up
     CONNECT = 3  # a flow that is not up by now never will be
     ANSWER = 4  # the final answer is due
     RESUME = 5  # try again to reach the backend that holds a resumed connection
     WATCHDOG = 6
-    MOVE = 7  # a drain moves this client
+    MIGRATE = 7  # a drain moves this client
     DRAINED = 8  # nothing new is taken any more
-    END = 9
-    WATCH = 10  # open the watch on a pushed list again
+    DRAIN_END = 9
+    ENDPOINT_WATCH = 10  # open the watch on a pushed list again
 
 
 class TimerQueue:
@@ -33,7 +33,7 @@
         """Add a timer. `value` is the module's token, or the number of a transaction."""
         # one integer carries both: attempts are few
         self._added += 1
-        value = value if timer is Timer.MODULE else value << 16 | attempt
+        value = value if timer is Timer.PLACEMENT else value << 16 | attempt
         heapq.heappush(self._heap, (due_us, self._added, timer, value))
 
     def next_due(self) -> int:
@@ -45,7 +45,7 @@
         heap = self._heap
         while heap and heap[0][0] <= now_us:
             _, _, timer, value = heapq.heappop(heap)
-            if timer is Timer.MODULE:
+            if timer is Timer.PLACEMENT:
                 yield timer, value, 0
             else:
                 yield timer, value >> 16, value & 0xFFFF
--- a/gannetweir/explain.py
+++ b/gannetweir/explain.py
@@ -8,7 +8,7 @@
 from gannetweir.config.platform import limits_from, read_object
 from gannetweir.config.settings import check_settings
 from gannetweir.limits import Limits
-from gannetweir.routing.route_admission import Keeper, with_routes
+from gannetweir.routing.route_admission import RouteAdmission, with_routes
 from gannetweir.routing.route_checks import ms
 from gannetweir.routing.rules import HEX_DIGITS, Route, Rules
 from gannetweir.routing.schedule import Schedule, schedule
@@ -61,9 +61,9 @@
     routed = with_routes(settings, rules)
     flags = (i.RETURNED if again else 0) | (i.CLIENT_RETRY if retry else 0)
     number = names.index(cls)
-    wanted = i.Request(0, number, key=_hex(key, "key"), group=_hex(group, "group"), flags=flags)
-    keeper = Keeper(rules, routed)
-    route, told = rules.routes[keeper.table.find(wanted)], routed.classes[keeper.find(wanted)]
+    wanted = i.RequestArrived(0, number, key=_hex(key, "key"), group=_hex(group, "group"), flags=flags)
+    keeper = RouteAdmission(rules, routed)
+    route, told = rules.routes[keeper.table.find(wanted)], routed.classes[keeper.class_index_for(wanted)]
     plan = schedule(told, settings, limits)
     lines = [f"{cls}: route {route.name} ({file}:{route.line('name')})"]
     lines += _values(route, told, rules, settings)
@@ -72,13 +72,13 @@
 
 def _values(route: Route, told: i.RequestClass, rules: Rules, settings: i.Settings) -> list[str]:
     own = "the module's: the aim, doubled each time, the last to the end"
-    again = "may-have-run" if told.ran_again and told.repeat != "once" else "never-ran"
+    again = "may-have-run" if told.retries_executed_attempts and told.idempotency != "once" else "never-ran"
     lines = [
-        f"  give-up        {ms(told.give_up_us or told.deadline_us)} (the client's: {ms(told.deadline_us)})",
-        f"  attempts       {told.attempts} (the platform's: {settings.max_attempts})",
-        f"  connect        {ms(told.connect_us or settings.connect_timeout_us)}",
-        f"  attempt        {ms(told.attempt_us) if told.attempt_us else own}",
-        f"  tried again    {again} (the class is {told.repeat})",
+        f"  give-up        {ms(told.request_timeout_us or told.deadline_us)} (the client's: {ms(told.deadline_us)})",
+        f"  attempts       {told.max_attempts} (the platform's: {settings.max_attempts})",
+        f"  connect        {ms(told.connect_timeout_us or settings.connect_timeout_us)}",
+        f"  attempt        {ms(told.attempt_timeout_us) if told.attempt_timeout_us else own}",
+        f"  tried again    {again} (the class is {told.idempotency})",
     ]
     for name, budget in (("retry-budget", route.budget), ("of the relay", rules.budget)):
         if budget is not None:
--- a/gannetweir/interface.py
+++ b/gannetweir/interface.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-ServerId: TypeAlias = Hashable
+EndpointId: TypeAlias = Hashable
 
 # How an attempt or a probe ended.
 OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = 10, 20, 30, 40, 50, 60, 70, 80
@@ -30,35 +30,43 @@
     """One class of requests, and what a repeat of it may do."""
 
     name: str = ""
-    aim_us: int = 300_000
+    latency_objective_us: int = 300_000
     deadline_us: int = 1_800_000
-    worth: float = 1.0
-    repeat: str = "once"  # repeatable | by_key | once
-    scope: str = "cell"  # for by_key: all | zone | cell
-    window_us: int = 0
+    priority_weight: float = 1.0
+    idempotency: str = "once"  # repeatable | by_key | once
+    idempotency_scope: str = "cell"  # for by_key: all | zone | cell
+    idempotency_window_us: int = 0
     # The operators' timing, where a route of theirs states it; 0 or empty: the module's own holds.
     route: str = ""  # set in what `timing` derives from a class; the platform names none
-    give_up_us: int = 0  # the relay's final answer is due by then
-    connect_us: int = 0
-    attempt_us: int = 0  # from the first line's last byte
-    attempts: int = 0
-    waits: tuple[int, ...] = ()  # the longest before the second attempt, the third, ...
-    every: bool = False  # those count from the start of the attempt before
-    jitter: bool = False  # anything from 0 to the wait
-    ran_again: bool = True  # an attempt that may have run may be followed by another, where `repeat` allows
-    at_backend: int = 0  # set-ups under way at one server
+    request_timeout_us: int = 0  # the relay's final answer is due by then
+    connect_timeout_us: int = 0
+    attempt_timeout_us: int = 0  # from the first line's last byte
+    max_attempts: int = 0
+    retry_backoff_us: tuple[int, ...] = ()  # the longest before the second attempt, the third, ...
+    backoff_from_attempt_start: bool = False  # those count from the start of the attempt before
+    full_jitter: bool = False  # anything from 0 to the wait
+    retries_executed_attempts: bool = (
+        True  # an attempt that may have run may be followed by another, where `repeat` allows
+    )
+    max_setups_per_endpoint: int = 0  # set-ups under way at one server
 
     @property
-    def harmless(self) -> bool:
+    def is_idempotent_everywhere(self) -> bool:
         """Wherever a repeat goes, it does no harm."""
-        return self.repeat == "repeatable" or (self.repeat == "by_key" and self.scope == "all")
+        return self.idempotency == "repeatable" or (
+            self.idempotency == "by_key" and self.idempotency_scope == "all"
+        )
 
-    def wait_us(self, attempts: int, sent_us: int, now_us: int, draw: Callable[[], float]) -> int:
+    def backoff_us(self, attempts: int, sent_us: int, now_us: int, draw: Callable[[], float]) -> int:
         """How long the next attempt waits after so many; `draw` gives a random number from 0 to 1."""
-        if not 0 < attempts <= len(self.waits):
+        if not 0 < attempts <= len(self.retry_backoff_us):
             return 0
-        wait = self.waits[attempts - 1]
-        return max(0, sent_us + wait - now_us) if self.every else int(wait * (draw() if self.jitter else 1.0))
+        wait = self.retry_backoff_us[attempts - 1]
+        return (
+            max(0, sent_us + wait - now_us)
+            if self.backoff_from_attempt_start
+            else int(wait * (draw() if self.full_jitter else 1.0))
+        )
 
 
 @dataclass(slots=True)
@@ -66,41 +74,43 @@
     """What an instance is told at its start; every default is the cautious reading of a missing key."""
 
     classes: list[RequestClass]
-    gateways: int = 1
+    relay_count: int = 1
     zone: int = 0
-    zones: list[str] = field(default_factory=list)
-    kinds: list[str] = field(default_factory=list)
-    ask_list: bool = False  # the list answers only when asked
-    ask_within_us: int = 10_000_000
-    cold_from: float = 0.1
-    warm_within_us: int = 30_000_000
-    fall_multiple: float = 2.0
-    report_names: list[str] = field(default_factory=list)
-    report_source: str = "none"
-    probes: bool = False
+    zone_names: list[str] = field(default_factory=list)
+    machine_types: list[str] = field(default_factory=list)
+    polls_endpoint_list: bool = False  # the list answers only when asked
+    poll_interval_us: int = 10_000_000
+    slow_start_min_share: float = 0.1
+    slow_start_window_us: int = 30_000_000
+    overload_multiple: float = 2.0
+    load_report_fields: list[str] = field(default_factory=list)
+    load_report_source: str = "none"
+    load_probes_enabled: bool = False
     max_attempts: int = 1
     connect_timeout_us: int = 250_000
     max_retry_after_us: int = 1_000_000
-    retry_after: bool = True  # a refusal may say when to come again
-    message_aim_us: list[float] = field(default_factory=list)
-    groups: bool = False  # connections of one group share work: each server that holds any pays for it once
-    tells_load: bool = False
-    tells_delay: bool = False
-    fee_cross_zone: float = 0.0
-    may_duplicate: bool = False  # two attempts of one request may be out together
-    marks_retry: bool = True  # clients mark their own retries
+    sends_retry_after: bool = True  # a refusal may say when to come again
+    message_latency_objectives_us: list[float] = field(default_factory=list)
+    groups_enabled: bool = (
+        False  # connections of one group share work: each server that holds any pays for it once
+    )
+    reports_connection_load: bool = False
+    reports_message_delay: bool = False
+    cross_zone_cost: float = 0.0
+    allows_hedged_requests: bool = False  # two attempts of one request may be out together
+    clients_mark_retries: bool = True  # clients mark their own retries
 
 
 # ---- events
 
 
 @dataclass(slots=True)
-class ServerEntry:
+class EndpointEntry:
     """One line of a server list."""
 
-    server: ServerId
+    endpoint_id: EndpointId
     zone: int = 0
-    kind: int = 0
+    machine_type: int = 0
     cell: int = 0
     state: int = READY
     weight: float = 1.0
@@ -108,97 +118,97 @@
 
 
 @dataclass(slots=True)
-class ServerList:
+class EndpointListUpdate:
     """A whole list, changes to it, or word that asking for it failed."""
 
     kind: int
     version: int
-    entries: list[ServerEntry]
+    entries: list[EndpointEntry]
 
 
 @dataclass(slots=True)
-class Request:
+class RequestArrived:
     """A client wants a connection; one final answer is owed."""
 
-    request: int
-    cls: int = 0
+    request_id: int
+    class_index: int = 0
     tenant: int = 0
     key: int = 0
-    budget_us: int = 0
-    hint_us: int = 0
+    time_budget_us: int = 0
+    load_hint: int = 0
     group: int = 0
     flags: int = 0
 
 
 @dataclass(slots=True)
-class Resumed:
+class ConnectionResumed:
     """A connection that was already open through this instance when it started."""
 
-    request: int
-    hint_us: int
-    budget_us: int
+    request_id: int
+    load_hint: int
+    time_budget_us: int
     group: int
     key: int
     tenant: int
-    server: ServerId
+    endpoint_id: EndpointId
     flags: int = 0
-    cls: int = 0
+    class_index: int = 0
 
 
 @dataclass(slots=True)
-class Established:
+class ConnectionEstablished:
     """The connection stands."""
 
-    request: int
+    request_id: int
     attempt: int
-    server: ServerId
+    endpoint_id: EndpointId
     elapsed_us: int
 
 
 @dataclass(slots=True)
-class Outcome:
+class AttemptEnded:
     """An attempt ended; `closed` says that the request did too. `report` follows `report_names`."""
 
-    request: int
+    request_id: int
     attempt: int
     status: int
     closed: int
-    server: ServerId
+    endpoint_id: EndpointId
     elapsed_us: int
-    report: tuple[float, ...] = ()
-    path_fault: bool = False  # the way there failed, not the server
+    load_report: tuple[float, ...] = ()
+    address_fault: bool = False  # the way there failed, not the server
 
 
 @dataclass(slots=True)
-class ClientGone:
+class ClientDisconnected:
     """The client left; nothing more is owed."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(slots=True)
-class ProbeResult:
+class LoadProbeResult:
     """The answer to one probe."""
 
-    server: ServerId
+    endpoint_id: EndpointId
     status: int
     elapsed_us: int
-    report: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(slots=True)
-class Note:
+class ConnectionMetric:
     """News of an open connection: its load, or how long a message takes at its server."""
 
-    request: int
+    request_id: int
     attempt: int
-    server: ServerId
+    endpoint_id: EndpointId
     kind: int
     value: float
 
 
 @dataclass(slots=True)
-class TimerDue:
+class TimerExpired:
     """A timer that the instance set has fallen due."""
 
     token: int
@@ -213,15 +223,15 @@
 
 
 Event = (
-    ServerList
-    | Request
-    | Resumed
-    | Established
-    | Outcome
-    | ClientGone
-    | ProbeResult
-    | Note
-    | TimerDue
+    EndpointListUpdate
+    | RequestArrived
+    | ConnectionResumed
+    | ConnectionEstablished
+    | AttemptEnded
+    | ClientDisconnected
+    | LoadProbeResult
+    | ConnectionMetric
+    | TimerExpired
     | PeerMessage
 )
 
@@ -229,41 +239,41 @@
 
 
 @dataclass(slots=True)
-class Send:
+class StartAttempt:
     """Start the request's next attempt; a time-out of 0 lasts until the client gives up."""
 
-    request: int
-    server: ServerId
+    request_id: int
+    endpoint_id: EndpointId
     timeout_us: int
 
 
 @dataclass(slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: not served, trying again is harmless."""
 
-    request: int
+    request_id: int
     retry_after_us: int
 
 
 @dataclass(slots=True)
-class Fail:
+class FailRequest:
     """Final answer: not served, nothing promised."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(slots=True)
-class Probe:
+class ProbeLoad:
     """Ask a server for its load."""
 
-    server: ServerId
+    endpoint_id: EndpointId
 
 
 @dataclass(slots=True)
-class Move:
+class MigrateConnection:
     """End an open connection politely; its client comes again."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(slots=True)
@@ -275,17 +285,26 @@
 
 
 @dataclass(slots=True)
-class Watch:
+class WatchEndpoints:
     """Subscribe to changes of the server list."""
 
-    on: int
+    enabled: int
 
 
 @dataclass(slots=True)
-class Log:
+class WriteLog:
     """A line for the people on call."""
 
     text: str
 
 
-Action = Send | Refuse | Fail | Probe | Move | SetTimer | Watch | Log
+Action = (
+    StartAttempt
+    | RejectRequest
+    | FailRequest
+    | ProbeLoad
+    | MigrateConnection
+    | SetTimer
+    | WatchEndpoints
+    | WriteLog
+)
--- a/gannetweir/lab/emulator/push_node.py
+++ b/gannetweir/lab/emulator/push_node.py
@@ -19,7 +19,7 @@
 from gannetweir.addresses.address import UNIX, V6, Address, parse
 from gannetweir.lab.emulator.attempts import OpenAttempts
 from gannetweir.limits import Limits
-from gannetweir.net.transport import Endpoint, Spawn, accept
+from gannetweir.net.transport import Spawn, Transport, accept
 
 FAULTS = ("", "refuse", "hole", "stall", "reset", "slow")
 SLOW_S = 0.15  # a slow address reads nothing for so long
@@ -78,7 +78,7 @@
         self.name, self.capacity, self.store = name, capacity, store
         self.attempts, self.rng = attempts, rng
         self.doors = {str(address): Door(address) for address in addresses}
-        self.held: dict[Endpoint, str] = {}
+        self.held: dict[Transport, str] = {}
         self.limits = Limits()
         self.deliveries: dict[str, int] = {}  # by request, wherever they came in
         self.fails = 0.0
@@ -192,11 +192,11 @@
             door.accepted += 1
             sock.setblocking(False)
             assert self.tasks is not None
-            self.tasks.start_soon(self._serve, door, Endpoint(sock, self.limits, spawn_in(self.tasks)))
+            self.tasks.start_soon(self._serve, door, Transport(sock, self.limits, spawn_in(self.tasks)))
 
     # ---- a connection
 
-    async def _serve(self, door: Door, end: Endpoint) -> None:
+    async def _serve(self, door: Door, end: Transport) -> None:
         ident = ""
         try:
             if door.fault == "slow":
@@ -223,7 +223,7 @@
             self.held.pop(end, None)
             (end.abort if door.fault == "reset" else end.close)()
 
-    async def _opened(self, door: Door, end: Endpoint, ident: str) -> bool:
+    async def _opened(self, door: Door, end: Transport, ident: str) -> bool:
         """A first line is whole: this is the delivery that counts."""
         door.delivered += 1
         self.deliveries[ident] = self.deliveries.get(ident, 0) + 1
@@ -272,7 +272,7 @@
                 scope.cancel()
                 return
 
-    def _line(self, door: Door, end: Endpoint, line: bytes, up: bool) -> bool:
+    def _line(self, door: Door, end: Transport, line: bytes, up: bool) -> bool:
         if up:
             end.write(line)  # a sound connection returns a line at once
             return True
--- a/gannetweir/lab/emulator/registry.py
+++ b/gannetweir/lab/emulator/registry.py
@@ -12,7 +12,7 @@
 
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.limits import Limits
-from gannetweir.net.transport import Endpoint, accept, tune
+from gannetweir.net.transport import Transport, accept, tune
 
 
 class Registry:
@@ -48,19 +48,19 @@
                 while True:
                     sock = await accept(self.listener)
                     tune(sock)
-                    caller = Endpoint(sock, Limits(), spawn_in(tasks))
+                    caller = Transport(sock, Limits(), spawn_in(tasks))
                     tasks.start_soon(self._serve, caller)
             finally:
                 self.listener.close()
 
-    async def _serve(self, caller: Endpoint) -> None:
+    async def _serve(self, caller: Transport) -> None:
         try:
             with suppress(OSError):
                 await self._answer(caller)
         finally:
             caller.close()
 
-    async def _answer(self, caller: Endpoint) -> None:
+    async def _answer(self, caller: Transport) -> None:
         data = b""
         while b"\r\n\r\n" not in data:
             more = await caller.read()
@@ -80,7 +80,7 @@
         caller.write(head.encode() + body)
         await caller.drained()
 
-    async def _follow(self, caller: Endpoint, target: str) -> None:
+    async def _follow(self, caller: Transport, target: str) -> None:
         since = int(target.rpartition("since=")[2] or 0)
         caller.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         event = anyio.Event()
@@ -106,6 +106,6 @@
             self.watches.discard(event)
 
     @staticmethod
-    async def _chunk(caller: Endpoint, line: bytes) -> None:
+    async def _chunk(caller: Transport, line: bytes) -> None:
         caller.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
         await caller.drained()
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -21,8 +21,8 @@
 from gannetweir.lab.model.checker import Checker, Cold
 from gannetweir.lab.model.clock import VirtualClock
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import Member, PoolNews
-from gannetweir.routing.route_admission import Keeper, told_classes, with_routes
+from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
+from gannetweir.routing.route_admission import RouteAdmission, told_classes, with_routes
 
 SECOND = 1_000_000
 KINDS = 0.6, 1.0, 1.4  # capacities of the kinds of machines, over the mean
@@ -64,22 +64,22 @@
         """What the platform would tell a relay of that zone."""
         return i.Settings(
             classes=list(self.classes),
-            gateways=self.relays,
+            relay_count=self.relays,
             zone=zone,
-            zones=[chr(ord("a") + n) for n in range(self.zones)],
-            kinds=["slow", "middle", "fast"],
-            cold_from=0.12,
-            fee_cross_zone=0.16 * (self.zones > 1),
-            warm_within_us=23 * SECOND,
-            fall_multiple=4.0,
-            report_names=["concurrent", "x0"],
-            report_source="probe",
-            probes=True,
+            zone_names=[chr(ord("a") + n) for n in range(self.zones)],
+            machine_types=["slow", "middle", "fast"],
+            slow_start_min_share=0.12,
+            cross_zone_cost=0.16 * (self.zones > 1),
+            slow_start_window_us=23 * SECOND,
+            overload_multiple=4.0,
+            load_report_fields=["concurrent", "x0"],
+            load_report_source="probe",
+            load_probes_enabled=True,
             max_attempts=6,
             connect_timeout_us=250_000,
             max_retry_after_us=1_500_000,
-            message_aim_us=[100_000.0],
-            groups=True,
+            message_latency_objectives_us=[100_000.0],
+            groups_enabled=True,
         )
 
 
@@ -124,7 +124,7 @@
         skip: Collection[Address],
         done: Callable[[Address | None], None],
     ) -> None:
-        paths = relay.engine.paths
+        paths = relay.engine.address_selector
         assert paths is not None
         self.relay, self.server, self.backend, self.done, self.paths = relay, server, backend, done, paths
         self.clock = relay.world.clock
@@ -172,12 +172,12 @@
     def __init__(self, world: World, name: str, seed: int, file: str, zone: int = 0) -> None:
         self.world, self.name, self.file, self.zone = world, name, file, zone
         self.dead_us = self.drains_us = 0  # since when it is dead, or was told to end
-        self.missed: list[PoolNews] = []  # while it is cut off
+        self.missed: list[MembershipUpdate] = []  # while it is cut off
         told = world.plan.settings(zone)
         self.limits = replace(Limits(sockets=world.plan.sockets), connect_us=int(told.connect_timeout_us))
         rules, reach = read_file(file, told, self.limits) if file else (None, None)
         self.settings = with_routes(told, rules) if rules is not None else told
-        keeper = Keeper(rules, self.settings) if rules is not None else None
+        keeper = RouteAdmission(rules, self.settings) if rules is not None else None
         known = world.whole()
         now = world.clock.now
         self.engine = e.Engine(self.settings, self.limits, seed, known, now, keeper=keeper, reach=reach)
@@ -185,49 +185,49 @@
         self.logs: list[str] = []
         self.wake_us = 0
         self.on: dict[type, Callable[[Any], None]] = {
-            e.OpenFlow: self._open,
-            e.CloseFlow: self._close,
-            e.Serve: self._serve,
-            e.Reject: lambda c: self._last(c, "busy", c.retry_us),
-            e.Abandon: lambda c: self._last(c, "err", 0),
-            e.MoveClient: self._move,
+            e.OpenUpstream: self._open,
+            e.CloseUpstream: self._close,
+            e.StartForwarding: self._serve,
+            e.RejectClient: lambda c: self._last(c, "busy", c.retry_after_us),
+            e.FailClient: lambda c: self._last(c, "err", 0),
+            e.MigrateClient: self._move,
             e.EndClient: self._end_client,
-            e.EndFlow: self._close_all,
-            e.StartProbe: self._probe,
-            e.WatchPool: lambda c: None,
-            e.LogLine: self._log,
+            e.EndUpstream: self._close_all,
+            e.StartLoadProbe: self._probe,
+            e.SetEndpointWatch: lambda c: None,
+            e.WriteLogLine: self._log,
             e.Exit: lambda c: world.exited(self),
         }
-        for member in known.members:
+        for member in known.endpoints:
             self.heard(member)
         self.carry_out()
 
-    def heard(self, member: Member) -> None:
+    def heard(self, member: ListedEndpoint) -> None:
         """For the checker: it was told of this."""
         entry = member.entry
         self.world.checker.told(
-            str(entry.server), entry.state != i.READY, self.world.clock.now, self.name, entry.started_us
+            str(entry.endpoint_id), entry.state != i.READY, self.world.clock.now, self.name, entry.started_us
         )
 
-    def news(self, news: PoolNews) -> None:
+    def news(self, news: MembershipUpdate) -> None:
         """Discovery's, unless it is cut off."""
         if self.world.cut == self.zone:
             self.missed.append(news)
             return
-        for member in news.members:
+        for member in news.endpoints:
             self.heard(member)
-        self.tell(self.engine.pool_news, news)
+        self.tell(self.engine.endpoint_update_received, news)
 
     def reload(self, file: str) -> None:
         """Another operators' file, as at SIGHUP."""
         told = replace(self.settings, classes=told_classes(self.settings))
         rules, reach = read_file(file, told, self.limits)
         self.settings = with_routes(told, rules)
-        keeper = self.engine.keeper
+        keeper = self.engine.route_admission
         if keeper is None:
-            keeper = Keeper(rules, self.settings)
+            keeper = RouteAdmission(rules, self.settings)
         else:
-            keeper.take(rules, self.settings)
+            keeper.apply(rules, self.settings)
         self.engine.reload(self.settings, self.limits, self.world.clock.now, keeper, reach)
         self.carry_out()
 
@@ -260,52 +260,52 @@
         """A client's first line is in."""
         flags = (i.RETURNED if client.again else 0) | (i.CLIENT_RETRY if client.tries else 0)
         key, group = client.key, client.group
-        wanted = i.Request(0, client.cls, key=key, budget_us=budget_us, group=group, flags=flags)
+        wanted = i.RequestArrived(0, client.cls, key=key, time_budget_us=budget_us, group=group, flags=flags)
         # its commands may name it at once
-        self.clients[self.engine.last + 1] = client
-        client.transaction = self.engine.last + 1
-        self.tell(lambda now: self.engine.opened(wanted, "", now, f"{client.number:x}"))
+        self.clients[self.engine.last_request_id + 1] = client
+        client.transaction = self.engine.last_request_id + 1
+        self.tell(lambda now: self.engine.request_opened(wanted, "", now, f"{client.number:x}"))
 
     def _client(self, command: Any) -> Client | None:
-        return self.clients.get(command.transaction)
+        return self.clients.get(command.request_id)
 
     def _last(self, command: Any, answer: str, retry_us: int) -> None:
-        client = self.clients.pop(command.transaction)
+        client = self.clients.pop(command.request_id)
         self.world.answered(client, answer, retry_us)
 
-    def _serve(self, command: e.Serve) -> None:
-        client = self.clients[command.transaction]
+    def _serve(self, command: e.StartForwarding) -> None:
+        client = self.clients[command.request_id]
         client.up = True
         self.world.answered(client, "up", 0)
 
     def client_left(self, client: Client) -> None:
         """The client ends its connection, in good order."""
         if client.transaction in self.clients:
-            self.tell(lambda now: self.engine.client_left(client.transaction, False, now))
+            self.tell(lambda now: self.engine.client_disconnected(client.transaction, False, now))
 
-    def _move(self, command: e.MoveClient) -> None:
-        client = self.clients.pop(command.transaction)
+    def _move(self, command: e.MigrateClient) -> None:
+        client = self.clients.pop(command.request_id)
         self._end_flows(client)
         self.world.moved(client)
 
     def _end_client(self, command: e.EndClient) -> None:
-        client = self.clients.pop(command.transaction)
+        client = self.clients.pop(command.request_id)
         self._end_flows(client)
         self.world.broken(client)
 
-    def _close_all(self, command: e.EndFlow) -> None:
-        client = self.clients.pop(command.transaction)
+    def _close_all(self, command: e.EndUpstream) -> None:
+        client = self.clients.pop(command.request_id)
         self._end_flows(client)
 
     # ---- flows
 
-    def _open(self, order: e.OpenFlow) -> None:
-        client, world = self.clients[order.transaction], self.world
-        backend = world.by_dial[order.dial]
+    def _open(self, order: e.OpenUpstream) -> None:
+        client, world = self.clients[order.request_id], self.world
+        backend = world.by_dial[order.address]
         flow = client.flows[order.attempt] = Flow(backend)
-        if order.chosen:
+        if order.races_addresses:
             won = partial(self._won, client, order, flow)
-            flow.race = VirtualRace(self, str(order.server), backend, False, (), won)
+            flow.race = VirtualRace(self, str(order.endpoint_id), backend, False, (), won)
             return
         after = 2 * world.plan.one_way_us
         if world.severed(self, backend):
@@ -316,20 +316,20 @@
         elif not backend.gone:  # refused at once; a machine that is gone says nothing
             world.clock.after(after, lambda: self._ended(client, order, flow, i.CONNECT_FAILED))
 
-    def _won(self, client: Client, order: e.OpenFlow, flow: Flow, path: Address | None) -> None:
+    def _won(self, client: Client, order: e.OpenUpstream, flow: Flow, path: Address | None) -> None:
         """The race of a flow is over."""
         flow.race = None
         if path is None:
             self._ended(client, order, flow, i.CONNECT_FAILED)
             return
-        self.engine.path_won(order.transaction, order.attempt, path, self.world.clock.now)
+        self.engine.address_connected(order.request_id, order.attempt, path, self.world.clock.now)
         flow.fault = flow.backend.paths[str(path)]
         self._written(client, order, flow)
 
-    def _written(self, client: Client, order: e.OpenFlow, flow: Flow) -> None:
+    def _written(self, client: Client, order: e.OpenUpstream, flow: Flow) -> None:
         if flow.over:
             return
-        self.tell(self.engine.flow_sent, order.transaction, order.attempt)
+        self.tell(self.engine.upstream_first_line_written, order.request_id, order.attempt)
         if flow.over:
             return
         world = self.world
@@ -347,27 +347,27 @@
             status = i.FULL if said.word == "BUSY" else i.ERROR
             world.clock.after(after, lambda: self._ended(client, order, flow, status))
 
-    def _up(self, client: Client, order: e.OpenFlow, flow: Flow) -> None:
+    def _up(self, client: Client, order: e.OpenUpstream, flow: Flow) -> None:
         if flow.over:
             return
         flow.stands = True
         flow.backend.held += 1
         # answered: it is out no more, and stands from here on
         self.world.checker.attempt_ended(client.number, order.attempt)
-        self.tell(self.engine.flow_up, order.transaction, order.attempt)
+        self.tell(self.engine.upstream_established, order.request_id, order.attempt)
 
-    def _ended(self, client: Client, order: e.OpenFlow, flow: Flow, status: int) -> None:
+    def _ended(self, client: Client, order: e.OpenUpstream, flow: Flow, status: int) -> None:
         if flow.over:
             return
         self._over(client, order.attempt, flow)
         engine = self.engine
-        self.tell(lambda now: engine.flow_ended(order.transaction, order.attempt, status, (), False, now))
+        self.tell(lambda now: engine.upstream_ended(order.request_id, order.attempt, status, (), False, now))
 
     def broken(self, client: Client, attempt: int, flow: Flow) -> None:
         """The backend has reset it."""
         number, status = client.transaction, i.RESET if flow.arrived else i.CONNECT_FAILED
         self._over(client, attempt, flow)
-        self.tell(lambda now: self.engine.flow_ended(number, attempt, status, (), True, now))
+        self.tell(lambda now: self.engine.upstream_ended(number, attempt, status, (), True, now))
 
     def _over(self, client: Client, attempt: int, flow: Flow) -> None:
         if flow.over:
@@ -380,7 +380,7 @@
         elif flow.arrived:
             self.world.checker.attempt_ended(client.number, attempt)
 
-    def _close(self, command: e.CloseFlow) -> None:
+    def _close(self, command: e.CloseUpstream) -> None:
         client = self._client(command)
         if client is not None:
             self._over(client, command.attempt, client.flows[command.attempt])
@@ -391,22 +391,22 @@
 
     # ---- the rest
 
-    def _probe(self, order: e.StartProbe) -> None:
-        backend = self.world.by_dial[order.dial]
-        if order.chosen:
+    def _probe(self, order: e.StartLoadProbe) -> None:
+        backend = self.world.by_dial[order.address]
+        if order.races_addresses:
             self._probe_paths(order, backend, [], self.world.clock.now + self.limits.probe_us)
             return
         report = backend.report() if not self.world.severed(self, backend) else None
         took = 2 * self.world.plan.one_way_us if report is not None else self.limits.probe_us
         status = i.OK if report is not None else i.TIMEOUT
-        ended = self.engine.probe_ended
-        self.world.clock.after(took, lambda: self.tell(ended, order.server, status, report or ()))
+        ended = self.engine.load_probe_ended
+        self.world.clock.after(took, lambda: self.tell(ended, order.endpoint_id, status, report or ()))
 
     def _probe_paths(
-        self, order: e.StartProbe, backend: Backend, tried: list[Address], until_us: int
+        self, order: e.StartLoadProbe, backend: Backend, tried: list[Address], until_us: int
     ) -> None:
         """One address after another, as `net.probes` does."""
-        clock, paths, server = self.world.clock, self.engine.paths, str(order.server)
+        clock, paths, server = self.world.clock, self.engine.address_selector, str(order.endpoint_id)
         assert paths is not None
         share = self.limits.probe_us // max(1, len(backend.paths))
         over: list[bool] = []
@@ -415,7 +415,7 @@
             if not over:
                 over.append(True)
                 race.stop()
-                self.tell(self.engine.probe_ended, order.server, status, report)
+                self.tell(self.engine.load_probe_ended, order.endpoint_id, status, report)
 
         def won(path: Address | None) -> None:
             if over:
@@ -436,14 +436,14 @@
                 if len(tried) < len(backend.paths) and clock.now < until_us:
                     self._probe_paths(order, backend, tried, until_us)
                 else:
-                    self.tell(self.engine.probe_ended, order.server, i.TIMEOUT, ())
+                    self.tell(self.engine.load_probe_ended, order.endpoint_id, i.TIMEOUT, ())
 
             clock.after(2 * self.world.plan.one_way_us if report is not None else share, answered)
 
         race = VirtualRace(self, server, backend, True, tuple(tried), won)
         clock.after(max(1, until_us - clock.now), lambda: end(i.TIMEOUT))
 
-    def _log(self, command: e.LogLine) -> None:
+    def _log(self, command: e.WriteLogLine) -> None:
         if len(self.logs) < 10_000:
             self.logs.append(command.text)
 
@@ -482,17 +482,17 @@
         self.burst = 1.0  # arrivals a second, over the plan's
         self._next_arrival()
 
-    def member(self, backend: Backend) -> Member:
+    def member(self, backend: Backend) -> ListedEndpoint:
         """A backend as discovery tells it."""
         state = i.GONE if backend.gone else i.DRAINING if backend.drains else i.READY
-        entry = i.ServerEntry(
+        entry = i.EndpointEntry(
             backend.name, backend.zone, backend.kind, state=state, started_us=backend.started_us
         )
-        return Member(entry, backend.dial, tuple(backend.paths))
+        return ListedEndpoint(entry, backend.dial, tuple(backend.paths))
 
-    def whole(self) -> PoolNews:
+    def whole(self) -> MembershipUpdate:
         """The list as discovery tells it now."""
-        return PoolNews(self.version, True, list(self.listed.values()))
+        return MembershipUpdate(self.version, True, list(self.listed.values()))
 
     def severed(self, relay: Relay, backend: Backend) -> bool:
         """Does nothing pass between them?"""
@@ -505,10 +505,10 @@
     def announce(self, changed: Sequence[Backend], after_us: float = 0.0) -> None:
         """Discovery tells the relays what has become of these backends."""
         self.version += 1
-        news = PoolNews(self.version, False, [self.member(backend) for backend in changed])
+        news = MembershipUpdate(self.version, False, [self.member(backend) for backend in changed])
 
         def tell() -> None:
-            self.listed |= {str(member.entry.server): member for member in news.members}
+            self.listed |= {str(member.entry.endpoint_id): member for member in news.endpoints}
             for relay in self.relays:
                 relay.news(news)
 
@@ -558,9 +558,9 @@
         backend.drains = backend.gone = False
         backend.started_us = self.clock.now
         told, life = self.plan.settings(), sum(t.share * t.life_us for t in self.plan.traffic)
-        per_s = told.fall_multiple * backend.capacity / (life / SECOND)
-        warm_us = int(told.warm_within_us)
-        self.checker.started(backend.name, Cold(self.clock.now, per_s, told.cold_from, warm_us))
+        per_s = told.overload_multiple * backend.capacity / (life / SECOND)
+        warm_us = int(told.slow_start_window_us)
+        self.checker.started(backend.name, Cold(self.clock.now, per_s, told.slow_start_min_share, warm_us))
 
     def cut_zone(self, zone: int) -> None:
         """Nothing passes between this zone and the others, lists included; -1 mends it."""
--- a/gannetweir/lab/scale/control_costs.py
+++ b/gannetweir/lab/scale/control_costs.py
@@ -27,7 +27,7 @@
 from gannetweir.core import Engine
 from gannetweir.interface import RequestClass, Settings
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import PoolNews
+from gannetweir.membership.endpoint_list import MembershipUpdate
 from gannetweir.net.control_check import RelayCheck
 from gannetweir.proto.control_calls import chunk
 from gannetweir.proto.control_watch import canonical, read_slice, write_compressed, write_slice
@@ -35,7 +35,7 @@
 
 SIZES = (500, 1_500, 5_000, 15_000)
 ZONES = list("abcdefghijklm")
-SETTINGS = Settings([RequestClass("plain")], zones=ZONES, kinds=["m0", "m1", "m2"])
+SETTINGS = Settings([RequestClass("plain")], zone_names=ZONES, machine_types=["m0", "m1", "m2"])
 M = Resource.MEMBERSHIP
 
 
@@ -106,7 +106,7 @@
 
 def followed(parts: list[Slice]) -> dict[str, float]:
     """A relay without a list takes a snapshot: its turns, with the engine and the module told."""
-    engine = Engine(SETTINGS, Limits(), 1, PoolNews(0, True), 0)
+    engine = Engine(SETTINGS, Limits(), 1, MembershipUpdate(0, True), 0)
     follower, turns = Follower(M, RelayCheck(lambda: SETTINGS)), Turns()
     lines = [write_slice(part) for part in parts]
 
@@ -115,7 +115,7 @@
             if isinstance(event, Apply):
                 hosts = [orjson.loads(entry.body or b"null") for entry in event.entries]
                 news = read_pool({"seq": event.version.number, "whole": False, "hosts": hosts}, SETTINGS)
-                engine.pool_news(news, 1_000_000)
+                engine.endpoint_update_received(news, 1_000_000)
 
     for line in lines:
         part = turns.run(lambda line=line: read_slice(orjson.loads(line)))  # type: ignore[misc]
--- a/gannetweir/lab/scale/control_machine.py
+++ b/gannetweir/lab/scale/control_machine.py
@@ -35,7 +35,7 @@
 from gannetweir.lab.scale.store import MemoryStore
 from gannetweir.limits import Limits
 from gannetweir.net.control_server import ControlServer
-from gannetweir.net.transport import Endpoint
+from gannetweir.net.transport import Transport
 from gannetweir.proto.control_watch import canonical
 
 TRICKLE_S = 1.0  # between two bytes
@@ -47,7 +47,7 @@
     def __init__(self, name: str, store: MemoryStore, at: Address) -> None:
         super().__init__(name, store, at, Limits())
         self.mode, self.snapshots = ServerMode.NORMAL, 0
-        self.held: dict[Endpoint, bytearray] = {}
+        self.held: dict[Transport, bytearray] = {}
         self.by_second: Counter[int] = Counter()
         self.slices_left = 0  # until it dies
 
@@ -60,13 +60,13 @@
             for endpoint, data in held.items():
                 self._write(endpoint, bytes(data))
 
-    def _write(self, endpoint: Endpoint, data: bytes) -> None:
+    def _write(self, endpoint: Transport, data: bytes) -> None:
         if self.mode in (ServerMode.SILENT, ServerMode.TRICKLE):
             self.held.setdefault(endpoint, bytearray()).extend(data)
             return
         self._send(endpoint, data)
 
-    def _send(self, endpoint: Endpoint, data: bytes) -> None:
+    def _send(self, endpoint: Transport, data: bytes) -> None:
         self.by_second[int(time.monotonic())] += len(data)
         super()._write(endpoint, data)
 
@@ -81,7 +81,7 @@
 
     async def _feed(
         self,
-        endpoint: Endpoint,
+        endpoint: Transport,
         relay: str,
         machine: ControlMachine,
         write: Callable[[Slice], bytes],
--- a/gannetweir/lab/scale/control_relay.py
+++ b/gannetweir/lab/scale/control_relay.py
@@ -8,7 +8,7 @@
 from gannetweir.config import Address
 from gannetweir.control.follower import Follower
 from gannetweir.control.versions import Entry, Resource, Version
-from gannetweir.core import WatchPool
+from gannetweir.core import SetEndpointWatch
 from gannetweir.interface import Settings
 from gannetweir.lab.scale.messages import RelayRecord
 from gannetweir.net.control_check import RelayCheck
@@ -62,9 +62,9 @@
         self.driver.record = relay.record
         relay.version, relay.known = lambda: self.in_force, self._known
 
-    def order(self, order: WatchPool) -> None:
+    def order(self, order: SetEndpointWatch) -> None:
         """See `MembershipDriver`."""
-        if order.on and not self.started:
+        if order.enabled and not self.started:
             self.started = True
             self.relay.spawn(self.driver.run)
 
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -14,7 +14,7 @@
 import orjson
 
 from gannetweir import interface as i
-from gannetweir.core import StartProbe
+from gannetweir.core import StartLoadProbe
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.lab.emulator.registry import Registry
 from gannetweir.lab.scale.lists import host, relay_settings
@@ -24,7 +24,7 @@
 from gannetweir.limits import Limits
 from gannetweir.net.load_probes import run_probe
 from gannetweir.net.ports import DialHost
-from gannetweir.net.transport import Endpoint, connect, tcp_socket, tune
+from gannetweir.net.transport import Transport, connect, tcp_socket, tune
 
 TURNS = 24  # of the event loop, after which every watcher has been written to
 CHANGES = 3  # a round
@@ -109,7 +109,7 @@
     async with anyio.create_task_group() as tasks:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             pairs = [_pair(listener) for _ in range(watchers)]
-        ends = [Endpoint(one, Limits(), spawn_in(tasks)) for one, _ in pairs]
+        ends = [Transport(one, Limits(), spawn_in(tasks)) for one, _ in pairs]
 
         def tell() -> None:
             data = orjson.dumps({"seq": 2, "whole": False, "hosts": [host(0)]})
@@ -126,7 +126,7 @@
 
 @dataclass
 class _Pool:
-    def may_send(self, server: i.ServerId) -> bool:
+    def may_send(self, server: i.EndpointId) -> bool:
         return True
 
 
@@ -135,7 +135,7 @@
     pool: _Pool = field(default_factory=_Pool)
     answers: int = 0
 
-    def probe_ended(self, server: i.ServerId, status: int, report: tuple[float, ...]) -> None:
+    def probe_ended(self, server: i.EndpointId, status: int, report: tuple[float, ...]) -> None:
         self.answers += status == i.OK
 
 
@@ -165,7 +165,7 @@
         asker = _Host(port, spawn_in(tasks))
         began = _clock_us()
         for _ in range(count):
-            await run_probe(cast(DialHost, asker), StartProbe("b", "127.0.0.1:1", False))
+            await run_probe(cast(DialHost, asker), StartLoadProbe("b", "127.0.0.1:1", False))
         spent = _clock_us() - began
     if asker.engine.answers != count:
         raise OSError(f"{asker.engine.answers} of {count} probes were answered")
--- a/gannetweir/lab/scale/hollow_relay.py
+++ b/gannetweir/lab/scale/hollow_relay.py
@@ -21,8 +21,8 @@
 from gannetweir.interface import Settings
 from gannetweir.lab.scale.messages import RelayRecord
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import PoolNews
-from gannetweir.net.transport import Endpoint, Spawn
+from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.net.transport import Spawn, Transport
 from gannetweir.proto.endpoint_watch import read_known
 
 SECOND_NS = 1_000_000_000
@@ -31,7 +31,7 @@
 class MembershipDriver(Protocol):
     """What brings a relay its membership."""
 
-    def order(self, order: e.WatchPool) -> None:
+    def order(self, order: e.SetEndpointWatch) -> None:
         """Start a watch in place of the one before, or only end that."""
 
 
@@ -55,7 +55,7 @@
     known: KnownList | None = None  # what it is started with
 
 
-class CountedEndpoint(Endpoint):
+class CountedEndpoint(Transport):
     """A connection whose received bytes are counted."""
 
     def __init__(
@@ -85,7 +85,7 @@
         self.engine = e.Engine(config.settings, config.limits, config.seed, self._started_with(), clock())
         # The version that is in force as a whole, and the list that a next start may be given: a driver that
         # brings a version in parts sets its own.
-        self.version: Callable[[], int] = lambda: self.engine.pool.version
+        self.version: Callable[[], int] = lambda: self.engine.endpoint_list.version
         self.known: Callable[[], KnownList | None] = lambda: None
         self.driver = driver(self)
         self.listed = anyio.Event()  # it has a list
@@ -93,10 +93,10 @@
         self.sleep_until = 0
         self.tasks: anyio.abc.TaskGroup  # from `run` on
 
-    def _started_with(self) -> PoolNews:
+    def _started_with(self) -> MembershipUpdate:
         known = self.config.known
         if known is None:
-            return PoolNews(0, True)
+            return MembershipUpdate(0, True)
         hosts = [orjson.loads(body) for body in known.members.values()]
         return read_known({"seq": known.version, "hosts": hosts}, self.config.settings)
 
@@ -135,7 +135,7 @@
         second = (time.monotonic_ns() - self.config.epoch_ns) // SECOND_NS
         self.record.received[second] = self.record.received.get(second, 0) + count
 
-    def counted_endpoint(self, sock: socket.socket, limits: Limits, spawn: Spawn) -> Endpoint:
+    def counted_endpoint(self, sock: socket.socket, limits: Limits, spawn: Spawn) -> Transport:
         """For a driver: a connection whose bytes are counted as this relay's."""
         return CountedEndpoint(sock, limits, spawn, self.received)
 
@@ -179,11 +179,11 @@
         commands = self.engine.commands
         while commands:
             command = commands.popleft()
-            if isinstance(command, e.WatchPool):
+            if isinstance(command, e.SetEndpointWatch):
                 self.driver.order(command)
-            elif isinstance(command, e.StartProbe):  # there is nothing to probe
+            elif isinstance(command, e.StartLoadProbe):  # there is nothing to probe
                 self.record.unsent_probes += 1
-            elif isinstance(command, e.LogLine) and command.text.startswith("pool: "):
+            elif isinstance(command, e.WriteLogLine) and command.text.startswith("pool: "):
                 self.record.watch_failures += 1
         if self.engine.next_due() < self.sleep_until:
             self.wake.set()
@@ -191,9 +191,9 @@
 
 def direct_driver(relay: HollowRelay) -> MembershipDriver:
     """Today's way: a watch on the one discovery."""
-    from gannetweir.net.endpoint_watch import PoolDriver
+    from gannetweir.net.endpoint_watch import EndpointWatchDriver
 
-    return PoolDriver(relay, relay.counted_endpoint)
+    return EndpointWatchDriver(relay, relay.counted_endpoint)
 
 
 def control_driver(relay: HollowRelay) -> MembershipDriver:
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -18,8 +18,8 @@
 from gannetweir.lab.scale.measure import Named, Step, Sweep, elapsed_ms, processor_us, sweep
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import PoolNews
-from gannetweir.proto.endpoint_watch import PoolWatch
+from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.proto.endpoint_watch import EndpointWatch
 
 SIZES = (500, 1500, 5000, 8000)
 CHECK = 15000
@@ -39,14 +39,14 @@
     "a first whole list in the engine",
     "µs",
     "entries",
-    "Engine.pool_news on an empty list, module included, processor time",
+    "Engine.endpoint_update_received on an empty list, module included, processor time",
 )
 REPEAT = Named(
     "list.repeat",
     "the same whole list again in the engine",
     "µs",
     "entries",
-    "Engine.pool_news, module included, processor time",
+    "Engine.endpoint_update_received, module included, processor time",
 )
 MODULE = Named(
     "list.module",
@@ -60,7 +60,7 @@
     "longest turn of the event loop for a whole list",
     "ms",
     "entries",
-    "the last read of the list and Engine.pool_news, elapsed",
+    "the last read of the list and Engine.endpoint_update_received, elapsed",
 )
 MEMORY = Named("list.memory", "memory that a list holds", "KB", "entries", "tracemalloc, engine and list")
 PEAK = Named("list.peak", "memory while a first list is taken", "KB", "entries", "tracemalloc's peak")
@@ -93,7 +93,7 @@
 
 def empty_engine() -> Engine:
     """A relay's engine with no backend in its list."""
-    return Engine(relay_settings(), Limits(), 1, PoolNews(0, True), NOW_US)
+    return Engine(relay_settings(), Limits(), 1, MembershipUpdate(0, True), NOW_US)
 
 
 def chunks(data: bytes, size: int) -> list[bytes]:
@@ -102,10 +102,10 @@
     return [framed[at : at + size] for at in range(0, len(framed), size)]
 
 
-def read(entries: int) -> tuple[PoolNews, float, float]:
+def read(entries: int) -> tuple[MembershipUpdate, float, float]:
     """A list read by a watch: what it tells, processor microseconds in all, milliseconds of the last read."""
     limits = Limits()
-    watch = PoolWatch("127.0.0.1:1", 0, relay_settings(), limits)
+    watch = EndpointWatch("127.0.0.1:1", 0, relay_settings(), limits)
     *before, last = chunks(line(entries), limits.read_bytes)
     spent = math.fsum(processor_us(lambda d=data: watch.feed(d)) for data in before)  # type: ignore[misc]
     told: list[object] = []
@@ -117,7 +117,7 @@
 
     spent += processor_us(finish)
     (news,) = told
-    assert isinstance(news, PoolNews)
+    assert isinstance(news, MembershipUpdate)
     return news, spent, held
 
 
@@ -130,15 +130,15 @@
 
     def apply() -> None:
         nonlocal applied_us
-        applied_us = processor_us(lambda: engine.pool_news(news, NOW_US))
+        applied_us = processor_us(lambda: engine.endpoint_update_received(news, NOW_US))
 
     held_ms += elapsed_ms(apply)
-    event = i.ServerList(i.LIST_FULL, news.version, [member.entry for member in news.members])
+    event = i.EndpointListUpdate(i.LIST_FULL, news.version, [member.entry for member in news.endpoints])
     return {
         WIRE.key: float(len(line(entries))),
         READ.key: read_us,
         APPLY.key: applied_us,
-        REPEAT.key: processor_us(lambda: engine.pool_news(news, NOW_US + 1)),
+        REPEAT.key: processor_us(lambda: engine.endpoint_update_received(news, NOW_US + 1)),
         MODULE.key: processor_us(lambda: engine.balancer.handle(event, NOW_US + 2)),
         HOLD.key: held_ms,
     }
@@ -152,12 +152,12 @@
     try:
         engine = empty_engine()
         news, _, _ = read(entries)
-        engine.pool_news(news, NOW_US)
+        engine.endpoint_update_received(news, NOW_US)
         del news
         held, peak = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    assert len(engine.pool.entries) == entries
+    assert len(engine.endpoint_list.entries) == entries
     return {MEMORY.key: held / 1024, PEAK.key: peak / 1024}
 
 
--- a/gannetweir/lab/scale/module.py
+++ b/gannetweir/lab/scale/module.py
@@ -7,12 +7,12 @@
 import time
 
 from gannetweir import interface as i
-from gannetweir.core import Engine, OpenFlow
+from gannetweir.core import Engine, OpenUpstream
 from gannetweir.lab.scale.lists import NOW_US, host, relay_settings
 from gannetweir.lab.scale.measure import Named, Step, Sweep, elapsed_ms, processor_us, sweep
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import PoolNews
+from gannetweir.membership.endpoint_list import MembershipUpdate
 from gannetweir.placement.balancer import TICK, TICK_US, Balancer
 from gannetweir.proto.endpoint_watch import read_pool
 
@@ -38,14 +38,18 @@
     "the same; each sorts all backends, and 256 groups' orders are kept until a backend comes or goes",
 )
 NEWS = Named(
-    "news.backends", "news of one entry", "µs", "backends", "Engine.pool_news, an entry leaves or returns"
+    "news.backends",
+    "news of one entry",
+    "µs",
+    "backends",
+    "Engine.endpoint_update_received, an entry leaves or returns",
 )
 PLAIN = Named(
     "news.plain",
     "news of one entry that stays ready",
     "µs",
     "backends",
-    "Engine.pool_news, its share alone changes",
+    "Engine.endpoint_update_received, its share alone changes",
 )
 PROBES = Named(
     "upkeep.probes",
@@ -76,7 +80,11 @@
     "one Engine.advance, elapsed",
 )
 NEWS_STANDING = Named(
-    "news.connections", "news of one entry", "µs", "connections", "Engine.pool_news, processor time"
+    "news.connections",
+    "news of one entry",
+    "µs",
+    "connections",
+    "Engine.endpoint_update_received, processor time",
 )
 
 
@@ -87,8 +95,8 @@
         self.now, self.sent, self.probes, self.spent_us = NOW_US, 0, 0, 0.0
         self.balancer = Balancer(relay_settings(), 1, NOW_US)
         self.report = (1.0, CONNECTIONS / backends, LOAD)
-        entries = [i.ServerEntry(n) for n in range(backends)]
-        self.give(i.ServerList(i.LIST_CACHED, 1, entries))
+        entries = [i.EndpointEntry(n) for n in range(backends)]
+        self.give(i.EndpointListUpdate(i.LIST_CACHED, 1, entries))
 
     def give(self, event: i.Event) -> None:
         """One event, and the answers to the probes that it leads to."""
@@ -99,17 +107,17 @@
             actions = self.balancer.handle(event, self.now)
             self.spent_us += (time.process_time_ns() - began) / 1000.0
             for action in actions:
-                if isinstance(action, i.Probe):
+                if isinstance(action, i.ProbeLoad):
                     self.probes += 1
-                    waiting.append(i.ProbeResult(action.server, i.OK, 1000, self.report))
-                self.sent += isinstance(action, i.Send)
+                    waiting.append(i.LoadProbeResult(action.endpoint_id, i.OK, 1000, self.report))
+                self.sent += isinstance(action, i.StartAttempt)
 
     def place(self, request: int, group: int) -> None:
         """One arrival, from its request until it is sent and has left again."""
         self.now += ARRIVES_US
-        self.give(i.Request(request, budget_us=2_000_000, group=group))
+        self.give(i.RequestArrived(request, time_budget_us=2_000_000, group=group))
         spent = self.spent_us
-        self.give(i.ClientGone(request))
+        self.give(i.ClientDisconnected(request))
         self.spent_us = spent
 
 
@@ -136,7 +144,7 @@
     return {NEWS.key: told(engine, backends), PLAIN.key: told(engine, backends, "Ready")}
 
 
-def pool(version: int, whole: bool, numbers: list[int], health: str = "Ready") -> PoolNews:
+def pool(version: int, whole: bool, numbers: list[int], health: str = "Ready") -> MembershipUpdate:
     """News of some entries, as discovery would tell them."""
     hosts = [host(number) | {"health": health} for number in numbers]
     return read_pool({"seq": version, "whole": whole, "hosts": hosts}, relay_settings())
@@ -149,7 +157,7 @@
         chosen = [(number // 2 * 37) % backends]
         news = pool(number + 1, False, chosen, "Ready" if number % 2 else odd)
         engine.commands.clear()
-        spent += processor_us(lambda n=news: engine.pool_news(n, NOW_US + 1))  # type: ignore[misc]
+        spent += processor_us(lambda n=news: engine.endpoint_update_received(n, NOW_US + 1))  # type: ignore[misc]
     return spent / CHANGES
 
 
@@ -158,12 +166,12 @@
     gc.collect()
     module = Module(backends)
     for number in range(backends):
-        module.give(i.Resumed(number + 1, 0, 3_600_000_000, number + 1, 1, 1, number))
+        module.give(i.ConnectionResumed(number + 1, 0, 3_600_000_000, number + 1, 1, 1, number))
     for second in range(2 * UPKEEP_S):
         if second == UPKEEP_S:
             module.probes, module.spent_us = 0, 0.0
         module.now += TICK_US
-        module.give(i.TimerDue(TICK))
+        module.give(i.TimerExpired(TICK))
     return {PROBES.key: module.probes / UPKEEP_S, UPKEEP.key: module.spent_us / UPKEEP_S}
 
 
@@ -171,13 +179,13 @@
     """An engine through which so many connections stand, resumed ones, for they need no probes to place."""
     limits = Limits(sockets=4 * connections)
     engine = Engine(relay_settings(), limits, 1, pool(0, True, list(range(backends))), NOW_US)
-    names = list(engine.pool.entries)
+    names = list(engine.endpoint_list.entries)
     for number in range(connections):
-        wanted = i.Request(0, budget_us=2_000_000, group=number % 700 + 1, flags=i.MID_FLOW)
-        engine.opened(wanted, names[number % backends], NOW_US, f"{number:x}")
-        (order,) = (c for c in engine.commands if isinstance(c, OpenFlow))
-        engine.flow_sent(order.transaction, order.attempt, NOW_US)
-        engine.flow_up(order.transaction, order.attempt, NOW_US)
+        wanted = i.RequestArrived(0, time_budget_us=2_000_000, group=number % 700 + 1, flags=i.MID_FLOW)
+        engine.request_opened(wanted, names[number % backends], NOW_US, f"{number:x}")
+        (order,) = (c for c in engine.commands if isinstance(c, OpenUpstream))
+        engine.upstream_first_line_written(order.request_id, order.attempt, NOW_US)
+        engine.upstream_established(order.request_id, order.attempt, NOW_US)
         engine.commands.clear()
     return engine
 
--- a/gannetweir/lab/scale/peer.py
+++ b/gannetweir/lab/scale/peer.py
@@ -15,7 +15,7 @@
 
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.limits import Limits
-from gannetweir.net.transport import Endpoint, accept, connect, tcp_socket, tune
+from gannetweir.net.transport import Transport, accept, connect, tcp_socket, tune
 
 REPORT = b"PONG tps=1,concurrent=90000,x0=0.2\r\n"  # so many that one more makes no difference
 
@@ -63,7 +63,7 @@
     await server.serve_forever()
 
 
-async def _copy(source: Endpoint, sink: Endpoint) -> None:
+async def _copy(source: Transport, sink: Transport) -> None:
     try:
         while data := await source.read():
             sink.write(data)
@@ -84,8 +84,8 @@
     async with anyio.create_task_group() as tasks:
         spawn = spawn_in(tasks)
 
-        async def one(client: Endpoint) -> None:
-            server = Endpoint(tcp_socket("127.0.0.1"), limits, spawn)
+        async def one(client: Transport) -> None:
+            server = Transport(tcp_socket("127.0.0.1"), limits, spawn)
             await connect(server.sock, ("127.0.0.1", backend))
             tasks.start_soon(_copy, server, client)
             await _copy(client, server)
@@ -93,7 +93,7 @@
         while True:
             sock = await accept(listener)
             tune(sock)
-            tasks.start_soon(one, Endpoint(sock, limits, spawn))
+            tasks.start_soon(one, Transport(sock, limits, spawn))
 
 
 def main(argv: list[str]) -> None:
--- a/gannetweir/membership/endpoint_list.py
+++ b/gannetweir/membership/endpoint_list.py
@@ -11,47 +11,49 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class ListedEndpoint:
     """One backend: what the module learns of it, and where this relay reaches it."""
 
-    entry: i.ServerEntry
-    dial: str
-    dials: tuple[str, ...] = ()  # more addresses, where an installation's discovery tells them
+    entry: i.EndpointEntry
+    address: str
+    more_addresses: tuple[str, ...] = ()  # more addresses, where an installation's discovery tells them
 
 
 @dataclass(frozen=True, slots=True)
-class PoolNews:
+class MembershipUpdate:
     """The whole pool or changes to it."""
 
     version: int
-    whole: bool
-    members: list[Member] = field(default_factory=list)
+    complete: bool
+    endpoints: list[ListedEndpoint] = field(default_factory=list)
     older: bool = False  # than what was told before, by the same discovery's count
 
 
 @dataclass(frozen=True, slots=True)
-class Hand:
+class OperatorOverrides:
     """What the operators said: the backends that are out, and when others were called back."""
 
-    out: frozenset[i.ServerId] = frozenset()
-    back: Mapping[str, int] = field(default_factory=dict)
+    offline: frozenset[i.EndpointId] = frozenset()
+    online_since: Mapping[str, int] = field(default_factory=dict)
 
-    def newly_out(self, later: Hand) -> set[i.ServerId]:
+    def newly_offline(self, later: OperatorOverrides) -> set[i.EndpointId]:
         """What has gone out from this to a later state, also if it was called back since."""
-        again = {s for s, at in later.back.items() if at != self.back.get(s)}
-        return (set(later.out) | again) - self.out
+        again = {s for s, at in later.online_since.items() if at != self.online_since.get(s)}
+        return (set(later.offline) | again) - self.offline
 
-    def with_call(self, server: str, out: bool, now_us: int) -> Hand:
+    def with_override(self, server: str, out: bool, now_us: int) -> OperatorOverrides:
         """After one more call. One that says what holds already changes nothing: a second call back would
         make a backend cold that has warmed up since."""
-        if out == (server in self.out):
+        if out == (server in self.offline):
             return self
         if out:
-            return Hand(self.out | {server}, {s: at for s, at in self.back.items() if s != server})
-        return Hand(self.out - {server}, {**self.back, server: now_us})
+            return OperatorOverrides(
+                self.offline | {server}, {s: at for s, at in self.online_since.items() if s != server}
+            )
+        return OperatorOverrides(self.offline - {server}, {**self.online_since, server: now_us})
 
 
-def _not_back(was: i.ServerEntry | None, member: Member) -> Member:
+def _not_back(was: i.EndpointEntry | None, member: ListedEndpoint) -> ListedEndpoint:
     """What an older list says of a backend: it may take away, but not bring back a start that was told to
     drain or to be gone."""
     now = member.entry
@@ -60,85 +62,89 @@
     return replace(member, entry=replace(now, state=was.state))
 
 
-class Pool:
+class EndpointList:
     """Every backend that discovery has named, the ones that left included."""
 
-    def __init__(self, hand: Hand | None = None, wall_ahead_us: int | None = None) -> None:
+    def __init__(self, hand: OperatorOverrides | None = None, wall_ahead_us: int | None = None) -> None:
         self.version = 0
-        self.hand = hand or Hand()
-        self.dials: dict[i.ServerId, str] = {}
-        self.more: dict[i.ServerId, tuple[str, ...]] = {}  # the other addresses, of those that have some
-        self.entries: dict[i.ServerId, i.ServerEntry] = {}  # as discovery tells them
+        self.overrides = hand or OperatorOverrides()
+        self.addresses: dict[i.EndpointId, str] = {}
+        self.more_addresses: dict[
+            i.EndpointId, tuple[str, ...]
+        ] = {}  # the other addresses, of those that have some
+        self.entries: dict[i.EndpointId, i.EndpointEntry] = {}  # as discovery tells them
         self.start_times = StartTimes(wall_ahead_us)
         self._now_us = 0
         self._heard = False  # discovery itself has told a list
 
-    def take(
-        self, news: PoolNews, now_us: int, known: bool = False, warm_within_us: int = 0
-    ) -> list[i.ServerEntry]:
+    def apply(
+        self, news: MembershipUpdate, now_us: int, known: bool = False, warm_within_us: int = 0
+    ) -> list[i.EndpointEntry]:
         """Apply news; what the module is to hear of it. An entry without an address keeps the one it had.
         `known`: it is what the process was started with, and may be old. `warm_within_us`: the settings'."""
         self._now_us = now_us
         first, self._heard = not self._heard, self._heard or not known
         self.version, before = news.version, self.entries
         if news.older:
-            news = replace(news, members=[_not_back(before.get(m.entry.server), m) for m in news.members])
-        if news.whole:
-            listed = {member.entry.server for member in news.members}
+            news = replace(
+                news, endpoints=[_not_back(before.get(m.entry.endpoint_id), m) for m in news.endpoints]
+            )
+        if news.complete:
+            listed = {member.entry.endpoint_id for member in news.endpoints}
             for server in [server for server in self.entries if server not in listed]:
                 self.entries[server] = replace(self.entries[server], state=i.GONE)
-        for member in news.members:
-            self.entries[member.entry.server] = member.entry
-            if member.dial:
-                self.dials[member.entry.server] = member.dial
-            if member.dials or member.entry.server in self.more:
-                self.more[member.entry.server] = member.dials
-        entries = [member.entry for member in news.members]
-        if first and news.whole:
+        for member in news.endpoints:
+            self.entries[member.entry.endpoint_id] = member.entry
+            if member.address:
+                self.addresses[member.entry.endpoint_id] = member.address
+            if member.more_addresses or member.entry.endpoint_id in self.more_addresses:
+                self.more_addresses[member.entry.endpoint_id] = member.more_addresses
+        entries = [member.entry for member in news.endpoints]
+        if first and news.complete:
             self.start_times.learn_first(entries, now_us, warm_within_us)
         else:
             self.start_times.learn(entries, now_us)
-        return [self._seen(member.entry) for member in news.members]
+        return [self._seen(member.entry) for member in news.endpoints]
 
-    def lay(self, hand: Hand, now_us: int) -> list[i.ServerEntry]:
+    def apply_overrides(self, hand: OperatorOverrides, now_us: int) -> list[i.EndpointEntry]:
         """Lay the operators' word over the list; the whole list as it is now seen."""
-        self.hand, self._now_us = hand, now_us
+        self.overrides, self._now_us = hand, now_us
         return [self._seen(entry) for entry in self.entries.values() if entry.state != i.GONE]
 
-    def _seen(self, entry: i.ServerEntry) -> i.ServerEntry:
+    def _seen(self, entry: i.EndpointEntry) -> i.EndpointEntry:
         """With its start on this process's clock. Out by hand is draining. One called back has started no
         earlier than the call: it restarted while it was out, and discovery may not know of that yet."""
         started_us = self.start_times.started_us(entry)
-        if entry.server in self.hand.out and entry.state == i.READY:
+        if entry.endpoint_id in self.overrides.offline and entry.state == i.READY:
             return replace(entry, state=i.DRAINING, started_us=started_us)
-        called_us = self.hand.back.get(str(entry.server), 0)
+        called_us = self.overrides.online_since.get(str(entry.endpoint_id), 0)
         if called_us:
-            back_us = self.start_times.called_back_us(entry.server, called_us, self._now_us)
+            back_us = self.start_times.called_back_us(entry.endpoint_id, called_us, self._now_us)
             started_us = max(started_us, back_us) if started_us else back_us
         return entry if started_us == entry.started_us else replace(entry, started_us=started_us)
 
-    def knows(self, server: i.ServerId) -> bool:
+    def knows(self, server: i.EndpointId) -> bool:
         """Has discovery ever named it?"""
         return server in self.entries
 
-    def dial(self, server: i.ServerId) -> str:
+    def address_of(self, server: i.EndpointId) -> str:
         """Where to reach a backend; empty for one never listed, which must not be sent to."""
-        return self.dials.get(server, "")
+        return self.addresses.get(server, "")
 
-    def is_out(self, server: i.ServerId) -> bool:
+    def is_offline(self, server: i.EndpointId) -> bool:
         """Have the operators left it out?"""
-        return server in self.hand.out
+        return server in self.overrides.offline
 
-    def may_send(self, server: i.ServerId) -> bool:
+    def accepts_requests(self, server: i.EndpointId) -> bool:
         """May something new go there, as far as discovery and the operators have told?"""
         entry = self.entries.get(server)
-        return entry is not None and entry.state == i.READY and server not in self.hand.out
+        return entry is not None and entry.state == i.READY and server not in self.overrides.offline
 
-    def started_us(self, server: i.ServerId) -> int:
+    def started_us(self, server: i.EndpointId) -> int:
         """When the backend started last, as discovery tells it."""
         entry = self.entries.get(server)
         return entry.started_us if entry is not None else 0
 
-    def ready(self) -> bool:
+    def has_ready_endpoint(self) -> bool:
         """Is there anything to send to?"""
-        return any(map(self.may_send, self.entries))
+        return any(map(self.accepts_requests, self.entries))
--- a/gannetweir/membership/start_times.py
+++ b/gannetweir/membership/start_times.py
@@ -15,7 +15,7 @@
 
 from collections.abc import Sequence
 
-from gannetweir.interface import READY, ServerEntry, ServerId
+from gannetweir.interface import READY, EndpointEntry, EndpointId
 
 CLOCK_SLACK_US = 1_000_000  # two clocks that are right differ by less
 
@@ -29,14 +29,14 @@
         self._wall_ahead_us = wall_ahead_us
         self._latest_us = 0  # the latest start that was told, on discovery's clock
         self._told_us = 0  # when that was told, on the own clock
-        self._started: dict[ServerId, tuple[int, int]] = {}  # of each backend: its start on either clock
-        self._called_back: dict[tuple[ServerId, int], int] = {}
+        self._started: dict[EndpointId, tuple[int, int]] = {}  # of each backend: its start on either clock
+        self._called_back: dict[tuple[EndpointId, int], int] = {}
 
-    def learn(self, entries: Sequence[ServerEntry], now_us: int) -> None:
+    def learn(self, entries: Sequence[EndpointEntry], now_us: int) -> None:
         """A list has come. Starts that are known already keep their time."""
         self._learn(entries, now_us, False)
 
-    def learn_first(self, entries: Sequence[ServerEntry], now_us: int, warm_within_us: int) -> None:
+    def learn_first(self, entries: Sequence[EndpointEntry], now_us: int, warm_within_us: int) -> None:
         """The whole list that the process was started with, or discovery's first one. All is worked out anew:
         the one may be older than the other. `warm_within_us`: the age at which a backend is warm."""
         self._learn(entries, now_us, True)
@@ -44,11 +44,11 @@
         if 2 * len(disputed) > sum(entry.state == READY for entry in entries):
             for entry in disputed:
                 own_us = entry.started_us - (self._wall_ahead_us or 0)
-                self._started[entry.server] = entry.started_us, own_us or -1
+                self._started[entry.endpoint_id] = entry.started_us, own_us or -1
 
     def _disputed(
-        self, entries: Sequence[ServerEntry], now_us: int, warm_within_us: int
-    ) -> list[ServerEntry]:
+        self, entries: Sequence[EndpointEntry], now_us: int, warm_within_us: int
+    ) -> list[EndpointEntry]:
         """The backends that may be cold by what was told, and are warm by the wall clock."""
         if self._wall_ahead_us is None:
             return []
@@ -59,15 +59,18 @@
         maybe_cold = [entry for entry in ready if now_us - self.started_us(entry) < warm_within_us]
         return [entry for entry in maybe_cold if wall_us - entry.started_us >= warm_within_us]
 
-    def _learn(self, entries: Sequence[ServerEntry], now_us: int, again: bool) -> None:
+    def _learn(self, entries: Sequence[EndpointEntry], now_us: int, again: bool) -> None:
         told = [entry for entry in entries if entry.started_us]
         latest_us = max((entry.started_us for entry in told), default=0)
         if latest_us > self._discovery_now(now_us):
             self._latest_us, self._told_us = latest_us, now_us
         for entry in told:
-            known_us, _ = self._started.get(entry.server, (0, 0))
+            known_us, _ = self._started.get(entry.endpoint_id, (0, 0))
             if again or known_us != entry.started_us:
-                self._started[entry.server] = entry.started_us, self._on_own_clock(entry.started_us, now_us)
+                self._started[entry.endpoint_id] = (
+                    entry.started_us,
+                    self._on_own_clock(entry.started_us, now_us),
+                )
 
     def _discovery_now(self, now_us: int) -> int:
         """A moment that discovery's clock has reached for certain; 0 before any start was told."""
@@ -77,12 +80,12 @@
         age_us = self._discovery_now(now_us) - started_us
         return (now_us - age_us) or -1  # 0 means long ago
 
-    def started_us(self, entry: ServerEntry) -> int:
+    def started_us(self, entry: EndpointEntry) -> int:
         """When a backend started, on the own clock; 0: long ago."""
-        started_us, own_us = self._started.get(entry.server, (0, 0))
+        started_us, own_us = self._started.get(entry.endpoint_id, (0, 0))
         return own_us if entry.started_us and started_us == entry.started_us else 0
 
-    def called_back_us(self, server: ServerId, called_us: int, now_us: int) -> int:
+    def called_back_us(self, server: EndpointId, called_us: int, now_us: int) -> int:
         """When operators called a backend back. The time is of a process of this machine, so of the same
         clock; one that lies ahead is of an earlier boot, and counts from when it was first seen here."""
         return self._called_back.setdefault((server, called_us), min(called_us, now_us))
--- a/gannetweir/net/admin.py
+++ b/gannetweir/net/admin.py
@@ -10,7 +10,7 @@
 from gannetweir.config import Address
 from gannetweir.net.listener import open_listener
 from gannetweir.net.ports import Host
-from gannetweir.net.transport import Endpoint, accept, tune
+from gannetweir.net.transport import Transport, accept, tune
 from gannetweir.proto.admin import AdminCall, RefusedError
 
 
@@ -24,13 +24,13 @@
     def call_by_hand(self, server: str, out: bool) -> None: ...
 
 
-class AdminDoor:
+class AdminListener:
     """Accepts callers and carries out their calls; `Operations` for `proto.admin`."""
 
     def __init__(self, relay: Operated, at: Address) -> None:
         self.relay, self.limits = relay, relay.limits
         self.listener = open_listener(at, self.limits)
-        self.callers: dict[Endpoint, None] = {}  # oldest first
+        self.callers: dict[Transport, None] = {}  # oldest first
 
     async def run(self) -> None:
         """Until the relay ends."""
@@ -56,11 +56,11 @@
             oldest = next(iter(self.callers))
             del self.callers[oldest]
             oldest.close()
-        caller = Endpoint(sock, self.limits, self.relay.spawn)
+        caller = Transport(sock, self.limits, self.relay.spawn)
         self.callers[caller] = None
         self.relay.spawn(lambda: self._serve(caller))
 
-    async def _serve(self, caller: Endpoint) -> None:
+    async def _serve(self, caller: Transport) -> None:
         call = AdminCall(self.limits)
         try:
             with anyio.move_on_after(self.limits.admin_idle_us / 1e6):
@@ -95,8 +95,8 @@
         return self._by_hand(server, False, "in use")
 
     def _by_hand(self, server: str, out: bool, word: str) -> str:
-        pool = self.relay.engine.pool
-        if not pool.knows(server) and not pool.is_out(server):  # it may be out since before this process
+        pool = self.relay.engine.endpoint_list
+        if not pool.knows(server) and not pool.is_offline(server):  # it may be out since before this process
             raise RefusedError(f"unknown backend {server[:80]}")
         try:
             self.relay.call_by_hand(server, out)
--- a/gannetweir/net/client_connection.py
+++ b/gannetweir/net/client_connection.py
@@ -6,10 +6,11 @@
 
 import anyio
 
-from gannetweir.core import OpenFlow
-from gannetweir.net.transport import Endpoint
-from gannetweir.net.upstream_connection import FlowDriver, FlowHost
+from gannetweir.core import OpenUpstream
+from gannetweir.net.transport import Transport
+from gannetweir.net.upstream_connection import UpstreamDriver, UpstreamHost
 from gannetweir.proto.client_connection import (
+    ClientConnection,
     ClientEvent,
     FirstLine,
     LinePassed,
@@ -17,11 +18,10 @@
     Opened,
     Phase,
     PingAsked,
-    VirtualServer,
 )
 
 
-class SessionHost(FlowHost, Protocol):
+class SessionHost(UpstreamHost, Protocol):
     """What a client's side needs of the relay, beside what its flows do."""
 
     @property
@@ -30,23 +30,23 @@
     @property
     def waste(self) -> bytearray: ...
 
-    def open(self, session: Session, first: FirstLine) -> None: ...
+    def open(self, session: ClientConnectionDriver, first: FirstLine) -> None: ...
 
-    def forget(self, session: Session) -> None: ...
+    def forget(self, session: ClientConnectionDriver) -> None: ...
 
     def log(self, text: str, **about: object) -> None: ...
 
 
-class Session:
+class ClientConnectionDriver:
     """Reads the client; the relay calls the rest as the engine commands."""
 
-    def __init__(self, relay: SessionHost, client: Endpoint) -> None:
+    def __init__(self, relay: SessionHost, client: Transport) -> None:
         self.relay, self.client = relay, client
         self.limits = relay.limits
-        self.virtual = VirtualServer(relay.classes, self.limits)
+        self.virtual = ClientConnection(relay.classes, self.limits)
         self.number = 0
         self.first: FirstLine | None = None
-        self.flow: FlowDriver | None = None
+        self.flow: UpstreamDriver | None = None
         self.up_line = b""
         self.pinged = False
         self.client_ended = False
@@ -75,7 +75,7 @@
         guard = self.relay.engine.guard
         if self.number and self.virtual.phase in (Phase.HELD, Phase.UP):
             self.virtual.phase = Phase.ENDED
-            self.relay.tell(self.relay.engine.client_left, self.number, True)
+            self.relay.tell(self.relay.engine.client_disconnected, self.number, True)
         elif self.virtual.phase is Phase.FIRST and not self.client_ended:
             guard.released_unheard()
         guard.released(self.number)
@@ -86,7 +86,7 @@
         """The client ended its side: nothing begins for it any more."""
         self.virtual.phase = Phase.ENDED
         self.relay.engine.guard.client_ended(self.number)
-        self.relay.tell(self.relay.engine.client_left, self.number, reset)
+        self.relay.tell(self.relay.engine.client_disconnected, self.number, reset)
 
     def look(self) -> None:
         """Take in what the client has sent by now, before an attempt for it begins. Its end may have come
@@ -152,7 +152,7 @@
         if isinstance(event, PingAsked):
             self.pinged = True
             self.relay.room.pinged(self)
-            self.client.write(self.virtual.pong(self.relay.engine.ready()))
+            self.client.write(self.virtual.pong(self.relay.engine.is_ready()))
         elif isinstance(event, Opened):
             self.first = event.first
             self.relay.open(self, event.first)
@@ -160,22 +160,22 @@
             self._malformed(event.reason, event.owed)
         elif isinstance(event, LinePassed) and self.flow is not None:
             self.flow.to_server(event.line)
-            self.relay.tell_only(self.relay.engine.client_line, self.number)
+            self.relay.tell_only(self.relay.engine.client_line_forwarded, self.number)
 
     def _malformed(self, reason: str, owed: bool) -> None:
         self.relay.engine.counters.add("malformed")
         self.relay.log("malformed", transaction=self.number, reason=reason)
         if self.number:
             self.relay.engine.guard.client_ended(self.number)  # what it sent ends the connection
-            self.relay.tell(self.relay.engine.client_left, self.number, True)
+            self.relay.tell(self.relay.engine.client_disconnected, self.number, True)
         self._end(self.virtual.fail() if owed else b"")
 
     # ---- as the engine commands
 
-    def open_flow(self, order: OpenFlow) -> None:
+    def open_flow(self, order: OpenUpstream) -> None:
         """Start an attempt."""
         assert self.first is not None
-        self.flow = FlowDriver(self.relay, self, order, self.first.line(order.wait_us))
+        self.flow = UpstreamDriver(self.relay, self, order, self.first.line(order.timeout_us))
         self.relay.spawn(self.flow.run)
 
     def close_flow(self) -> None:
--- a/gannetweir/net/connecting.py
+++ b/gannetweir/net/connecting.py
@@ -9,7 +9,7 @@
 import anyio
 
 from gannetweir.net.errors import LocalError, pauses
-from gannetweir.net.transport import Endpoint, connect
+from gannetweir.net.transport import Transport, connect
 
 OpenSocket = Callable[[], tuple[socket.socket, Any]]
 
@@ -20,10 +20,10 @@
 
 async def connect_endpoint(
     open_socket: OpenSocket,
-    make: Callable[[socket.socket], Endpoint],
+    make: Callable[[socket.socket], Transport],
     held_up: Callable[[LocalError], None] = _nothing,
     under_way: Callable[[], None] = _nothing,
-) -> Endpoint:
+) -> Transport:
     """Open a socket, make an endpoint of it and connect it. A `LocalError` says nothing of the peer: it is
     told to `held_up`, and all is done again after a pause, until it succeeds or the caller's time is over.
     `under_way` is told once a connect has left this machine.
@@ -32,7 +32,7 @@
     unless it is returned.
     """
     for pause in pauses():
-        endpoint: Endpoint | None = None
+        endpoint: Transport | None = None
         try:
             sock, address = open_socket()
             endpoint = make(sock)
--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -11,7 +11,7 @@
 from gannetweir.config.settings import check_settings, settings_from
 from gannetweir.control.versions import Entry, Resource
 from gannetweir.interface import Settings
-from gannetweir.proto.endpoint_watch import PoolError, read_pool
+from gannetweir.proto.endpoint_watch import EndpointListError, read_pool
 
 LEAST_MOVES_US = 200_000  # a drain whose moves have less time than this breaks connections
 
@@ -28,10 +28,14 @@
             return ""  # settings are read together
         data = orjson.loads(entry.body)
         try:
-            (member,) = read_pool({"seq": 0, "whole": False, "hosts": [data]}, self.settings()).members
-        except PoolError as error:
+            (member,) = read_pool({"seq": 0, "whole": False, "hosts": [data]}, self.settings()).endpoints
+        except EndpointListError as error:
             return str(error)
-        return "" if member.entry.server == entry.key else f"{entry.key!r} names {member.entry.server!r}"
+        return (
+            ""
+            if member.entry.endpoint_id == entry.key
+            else f"{entry.key!r} names {member.entry.endpoint_id!r}"
+        )
 
     def whole(
         self, resource: Resource, held: Mapping[str, bytes], changes: Mapping[str, bytes | None]
@@ -52,8 +56,8 @@
             return str(error)
         standing = self.settings()
         for name, was, now in (
-            ("zones", standing.zones, settings.zones),
-            ("kinds", standing.kinds, settings.kinds),
+            ("zones", standing.zone_names, settings.zone_names),
+            ("kinds", standing.machine_types, settings.machine_types),
         ):
             if was and now != was:  # the entries of the list that is held are counted by these
                 return f"{name} change only at a restart"
--- a/gannetweir/net/control_host.py
+++ b/gannetweir/net/control_host.py
@@ -10,7 +10,7 @@
 from gannetweir.control.versions import Resource, Version
 from gannetweir.interface import Settings
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import PoolNews
+from gannetweir.membership.endpoint_list import MembershipUpdate
 from gannetweir.net.ports import Host
 from gannetweir.net.transport import Spawn
 
@@ -44,9 +44,9 @@
         """The relay's."""
         return self.relay.spawn
 
-    def apply_membership(self, news: PoolNews) -> None:
+    def apply_membership(self, news: MembershipUpdate) -> None:
         """To the engine, as news of discovery's."""
-        self.relay.tell(self.relay.engine.pool_news, news)
+        self.relay.tell(self.relay.engine.endpoint_update_received, news)
 
     def apply_settings(self, data: dict[str, Any]) -> None:
         """To the relay. `ConfigError` can't come: the follower's check has read them the same way."""
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -17,7 +17,7 @@
 from gannetweir.control.versions import RejectedError, Resource, Slice, Version
 from gannetweir.limits import Limits
 from gannetweir.net.errors import LONGEST_PAUSE_S
-from gannetweir.net.transport import Endpoint, Spawn, accept, listen, tune
+from gannetweir.net.transport import Spawn, Transport, accept, listen, tune
 from gannetweir.proto.control_calls import (
     AnswerCall,
     CallReader,
@@ -28,7 +28,7 @@
     watch_head,
 )
 from gannetweir.proto.control_watch import compressed, stream_head, write_compressed, write_slice
-from gannetweir.proto.endpoint_watch import PoolError
+from gannetweir.proto.endpoint_watch import EndpointListError
 
 HEARTBEAT_S = 2.0
 REPORT_S = 0.5
@@ -49,8 +49,8 @@
         self.listener = listen(at, limits)
         self.machine: ControlMachine | None = None
         self.coordinator = Coordinator()
-        self.watches: dict[str, tuple[Endpoint, anyio.Event]] = {}
-        self.connections: set[Endpoint] = set()
+        self.watches: dict[str, tuple[Transport, anyio.Event]] = {}
+        self.connections: set[Transport] = set()
         self.bytes_written = 0
         self.last_error = ""
 
@@ -138,14 +138,14 @@
 
     def _take(self, sock: socket.socket, spawn: Spawn) -> None:
         tune(sock)
-        endpoint = Endpoint(sock, self.limits, spawn)
+        endpoint = Transport(sock, self.limits, spawn)
         if len(self.connections) >= MOST_CONNECTIONS:
             endpoint.close()
             return
         self.connections.add(endpoint)
         spawn(lambda: self._serve(endpoint, spawn))
 
-    async def _serve(self, endpoint: Endpoint, spawn: Spawn) -> None:
+    async def _serve(self, endpoint: Transport, spawn: Spawn) -> None:
         try:
             reader, call = CallReader(), None
             with anyio.fail_after(CALL_S):
@@ -155,7 +155,7 @@
                 await self._watch(endpoint, call, spawn)
                 return
             await self._reply(endpoint, self._answer(call))
-        except PoolError as error:
+        except EndpointListError as error:
             await self._reply(endpoint, response(400, str(error).encode()))
         except (OSError, TimeoutError):
             pass
@@ -165,7 +165,7 @@
             self.connections.discard(endpoint)
             endpoint.close()
 
-    async def _reply(self, endpoint: Endpoint, data: bytes) -> None:
+    async def _reply(self, endpoint: Transport, data: bytes) -> None:
         """Answer and let the caller end: a close over unread bytes could cost it the answer."""
         self._write(endpoint, data)
         endpoint.finish()
@@ -183,7 +183,7 @@
             self.watches[call.relay][1].set()  # what waited for this goes now
         return response(204)
 
-    async def _watch(self, endpoint: Endpoint, call: WatchCall, spawn: Spawn) -> None:
+    async def _watch(self, endpoint: Transport, call: WatchCall, spawn: Spawn) -> None:
         relay = call.relay
         try:
             if self.machine is None:
@@ -218,10 +218,10 @@
             with suppress(OSError):  # then the relay gets the whole content
                 publisher.reach_back(version, self.store.since(resource, version) or ())
 
-    def _current(self, relay: str, endpoint: Endpoint) -> bool:
+    def _current(self, relay: str, endpoint: Transport) -> bool:
         return relay in self.watches and self.watches[relay][0] is endpoint
 
-    async def _until_closed(self, endpoint: Endpoint, relay: str) -> None:
+    async def _until_closed(self, endpoint: Transport, relay: str) -> None:
         with suppress(OSError):
             while await endpoint.read():
                 pass
@@ -231,7 +231,7 @@
 
     async def _feed(
         self,
-        endpoint: Endpoint,
+        endpoint: Transport,
         relay: str,
         machine: ControlMachine,
         write: Callable[[Slice], bytes],
@@ -266,7 +266,7 @@
         with anyio.move_on_after(max(0.0, until - now)):
             await event.wait()
 
-    def _write(self, endpoint: Endpoint, data: bytes) -> None:
+    def _write(self, endpoint: Transport, data: bytes) -> None:
         self.bytes_written += len(data)
         endpoint.write(data)
 
--- a/gannetweir/net/control_status.py
+++ b/gannetweir/net/control_status.py
@@ -9,7 +9,7 @@
 from gannetweir.control.report import StandingReport, together
 from gannetweir.control.versions import Resource
 from gannetweir.proto.control_calls import STATUS_TARGET, read_status
-from gannetweir.proto.endpoint_watch import PoolError
+from gannetweir.proto.endpoint_watch import EndpointListError
 
 ASK_S = 3.0
 MOST_STATUS_BYTES = 1 << 20
@@ -23,11 +23,11 @@
         answer = caller.getresponse()
         body = answer.read(MOST_STATUS_BYTES)
     except http.client.HTTPException as error:
-        raise PoolError(f"no HTTP: {type(error).__name__}") from None
+        raise EndpointListError(f"no HTTP: {type(error).__name__}") from None
     finally:
         caller.close()
     if answer.status != 200:
-        raise PoolError(body[:200].decode("utf-8", "replace"))
+        raise EndpointListError(body[:200].decode("utf-8", "replace"))
     return read_status(body)
 
 
@@ -37,7 +37,7 @@
     for at in machines:
         try:
             found.append(ask(at))
-        except (OSError, PoolError) as error:
+        except (OSError, EndpointListError) as error:
             reason = getattr(error, "strerror", None) or error
             lines.append(f"{at.host}:{at.port}: {reason}")
             fine = False
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -23,10 +23,10 @@
 from gannetweir.control.versions import Ack, Nack, Reason, Resource, Slice, Version
 from gannetweir.interface import Settings
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import PoolNews
-from gannetweir.net.transport import Endpoint, Spawn, connect, tcp_socket
+from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.net.transport import Spawn, Transport, connect, tcp_socket
 from gannetweir.proto.control_watch import ACK_TARGET, ControlWatch, write_answer
-from gannetweir.proto.endpoint_watch import Broken, PoolError, read_pool
+from gannetweir.proto.endpoint_watch import Broken, EndpointListError, read_pool
 
 RETURN_US = (
     60_000_000  # a watch of another machine's ends for the first choice after this, or up to twice this
@@ -51,7 +51,7 @@
     @property
     def spawn(self) -> Spawn: ...
 
-    def apply_membership(self, news: PoolNews) -> None:
+    def apply_membership(self, news: MembershipUpdate) -> None:
         """Changes to the list, at most `ENTRIES_A_STEP` of them."""
 
     def apply_settings(self, data: dict[str, Any]) -> None:
@@ -73,7 +73,7 @@
         machines: Mapping[str, Address],
         followers: Mapping[Resource, Follower],
         draw: Callable[[], float],
-        endpoint: Callable[[socket.socket, Limits, Spawn], Endpoint] = Endpoint,
+        endpoint: Callable[[socket.socket, Limits, Spawn], Transport] = Transport,
     ) -> None:
         """`machines` by their names; `draw` gives numbers from 0 to 1. `ValueError` without a machine."""
         self.host, self.machines, self.followers, self.draw = host, machines, followers, draw
@@ -115,13 +115,13 @@
             return True
         except TimeoutError:
             self.last_error = "the watch fell silent"
-        except (OSError, PoolError) as error:
+        except (OSError, EndpointListError) as error:
             self.last_error = str(error)
         finally:
             endpoint.close()
         return False
 
-    def _write(self, endpoint: Endpoint, data: bytes) -> None:
+    def _write(self, endpoint: Transport, data: bytes) -> None:
         self.bytes_written += len(data)
         endpoint.write(data)
 
@@ -130,7 +130,7 @@
         events = watch.events(data)
         for event in events:
             if isinstance(event, Broken):
-                raise PoolError(event.reason)
+                raise EndpointListError(event.reason)
             self.calls.succeeded()
             if isinstance(event, Slice):
                 await self._take(event, at)
@@ -156,7 +156,7 @@
             if isinstance(event, Nack):
                 self.nacks += 1
                 if event.reason in (Reason.OLDER, Reason.CONFLICT):  # another machine may be in step
-                    raise PoolError(f"the control machine is out of step: {event.reason}")
+                    raise EndpointListError(f"the control machine is out of step: {event.reason}")
 
     def _apply(self, follower: Follower, event: Apply) -> None:
         if event.resource is Resource.MEMBERSHIP:
--- a/gannetweir/net/descriptors.py
+++ b/gannetweir/net/descriptors.py
@@ -13,8 +13,8 @@
 import anyio
 
 from gannetweir.limits import Limits
-from gannetweir.net.ports import GivesWay
-from gannetweir.net.transport import Endpoint, Ledger
+from gannetweir.net.ports import Evictable
+from gannetweir.net.transport import DescriptorCount, Transport
 from gannetweir.observability.counters import Counters
 from gannetweir.process_handover.handover import Handover
 
@@ -23,7 +23,7 @@
     """What is asked of a client's connection here."""
 
     @property
-    def client(self) -> Endpoint: ...
+    def client(self) -> Transport: ...
 
     @property
     def since(self) -> float: ...
@@ -33,14 +33,14 @@
     def turn_away(self) -> None: ...
 
 
-class DescriptorRoom:
+class DescriptorBudget:
     """Keeps the connections that may give way, by how far they have come, the oldest of each first."""
 
     def __init__(
-        self, ledger: Ledger, handover: Handover, counters: Counters, limits: Callable[[], Limits]
+        self, ledger: DescriptorCount, handover: Handover, counters: Counters, limits: Callable[[], Limits]
     ) -> None:
         self.ledger, self.handover, self.counters, self.limits = ledger, handover, counters, limits
-        self.racing: dict[GivesWay, None] = {}  # races between the addresses of a server
+        self.racing: dict[Evictable, None] = {}  # races between the addresses of a server
         self.waiting: dict[ClientConnection, None] = {}  # without a first line so far
         self.asked: dict[ClientConnection, None] = {}  # of those, who has had the answer to a ping
         self.ending: dict[ClientConnection, None] = {}  # answered; the rest of what they send is read
--- a/gannetweir/net/dialer.py
+++ b/gannetweir/net/dialer.py
@@ -7,25 +7,27 @@
 import anyio
 
 from gannetweir.addresses.address import Address
-from gannetweir.addresses.address_selector import Paths
+from gannetweir.addresses.address_selector import AddressSelector
 from gannetweir.addresses.connection_race import Action, Close, Connect, Lost, Race, Wake, Won
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.errors import LocalError
 from gannetweir.net.ports import Racing
-from gannetweir.net.transport import Endpoint, Ledger, socket_to
+from gannetweir.net.transport import DescriptorCount, Transport, socket_to
 
 
 class Dialer:
     """One race. Each connect holds a descriptor of the ledger, and all but the oldest give way."""
 
-    def __init__(self, host: Racing, paths: Paths, server: str, race: Race, ledger: Ledger | None) -> None:
+    def __init__(
+        self, host: Racing, paths: AddressSelector, server: str, race: Race, ledger: DescriptorCount | None
+    ) -> None:
         self.host, self.paths, self.server, self.race, self.ledger = host, paths, server, race, ledger
-        self.open: dict[Address, Endpoint] = {}
-        self.won: tuple[Endpoint, Address] | None = None
+        self.open: dict[Address, Transport] = {}
+        self.won: tuple[Transport, Address] | None = None
         self.group: anyio.abc.TaskGroup | None = None
         self.stopped = False
 
-    async def connect(self) -> tuple[Endpoint, Address]:
+    async def connect(self) -> tuple[Transport, Address]:
         """The connection that won. `OSError` if all addresses failed, or it was stopped. What did not win is
         closed by then, also when this is cancelled."""
         if self.ledger is not None:  # a probe's are kept for it: they have nothing to give
@@ -103,8 +105,8 @@
     async def _connect(self, address: Address) -> None:
         """One connect; an error of this machine says nothing of the address, and is waited out."""
 
-        def make(sock: socket.socket) -> Endpoint:
-            endpoint = self.open[address] = Endpoint(sock, self.host.limits, self.host.spawn, self.ledger)
+        def make(sock: socket.socket) -> Transport:
+            endpoint = self.open[address] = Transport(sock, self.host.limits, self.host.spawn, self.ledger)
             self.race.started(address, self.host.clock())
             return endpoint
 
--- a/gannetweir/net/endpoint_watch.py
+++ b/gannetweir/net/endpoint_watch.py
@@ -10,13 +10,13 @@
 import anyio
 
 from gannetweir.config import Address
-from gannetweir.core import WatchPool
+from gannetweir.core import SetEndpointWatch
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import PoolNews
+from gannetweir.membership.endpoint_list import MembershipUpdate
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.ports import Host
-from gannetweir.net.transport import Endpoint, Spawn, tcp_socket
-from gannetweir.proto.endpoint_watch import Beat, Broken, PoolError, PoolWatch
+from gannetweir.net.transport import Spawn, Transport, tcp_socket
+from gannetweir.proto.endpoint_watch import Broken, EndpointListError, EndpointWatch, Heartbeat
 
 
 class Watcher(Host, Protocol):
@@ -26,13 +26,13 @@
     def discovery(self) -> Address: ...
 
 
-class PoolDriver:
+class EndpointWatchDriver:
     """Holds the watch that is open, if any, and beside it the one that it is to replace."""
 
     def __init__(
         self,
         relay: Watcher,
-        endpoint: Callable[[socket.socket, Limits, Spawn], Endpoint] = Endpoint,
+        endpoint: Callable[[socket.socket, Limits, Spawn], Transport] = Transport,
     ) -> None:
         self.relay, self.endpoint = relay, endpoint  # `endpoint`: a measurement counts the bytes in its own
         self.scope: anyio.CancelScope | None = None
@@ -40,13 +40,13 @@
         self.last: anyio.CancelScope | None = None  # at the old address, until the new one has answered
         self.moving = False  # the pool is another discovery's: its versions say nothing to the new one
 
-    def order(self, order: WatchPool) -> None:
+    def order(self, order: SetEndpointWatch) -> None:
         """Start a watch in place of the one before, or only end that."""
         if self.scope is not None:
             self.scope.cancel()
             self.scope = None
-        if order.on:
-            self._open(order.since)
+        if order.enabled:
+            self._open(order.since_version)
         else:
             self._drop_last()
 
@@ -69,28 +69,32 @@
             self.last.cancel()
             self.last = None
 
-    def _news(self, news: PoolNews | Beat, scope: anyio.CancelScope) -> None:
+    def _news(self, news: MembershipUpdate | Heartbeat, scope: anyio.CancelScope) -> None:
         engine = self.relay.engine
         if scope not in (self.scope, self.last):
             return  # ended a moment ago, with this read already: it must not bring back what is gone
         if scope is self.scope and not self.answered:
-            if self.moving and isinstance(news, PoolNews) and news.version < engine.pool.version:
+            if (
+                self.moving
+                and isinstance(news, MembershipUpdate)
+                and news.version < engine.endpoint_list.version
+            ):
                 # another count, or a list from before what the old address told: no drain may be undone by it
                 news = replace(news, older=True)
             self.answered, self.moving = True, False
             self._drop_last()
-            if isinstance(news, Beat):  # in place of news: the pool is what it was
-                news = PoolNews(engine.pool.version, False)
-        if isinstance(news, PoolNews):
-            self.relay.tell(engine.pool_news, news)
+            if isinstance(news, Heartbeat):  # in place of news: the pool is what it was
+                news = MembershipUpdate(engine.endpoint_list.version, False)
+        if isinstance(news, MembershipUpdate):
+            self.relay.tell(engine.endpoint_update_received, news)
 
     async def _run(self, since: int, scope: anyio.CancelScope) -> None:
         reason = "the watch fell silent"
-        endpoint: Endpoint | None = None
+        endpoint: Transport | None = None
         with scope:
             try:
                 at, limits = self.relay.discovery, self.relay.limits
-                watch = PoolWatch(f"{at.host}:{at.port}", since, self.relay.settings, limits)
+                watch = EndpointWatch(f"{at.host}:{at.port}", since, self.relay.settings, limits)
                 due = anyio.current_time() + limits.pool_call_us / 1e6
                 with anyio.fail_after(limits.pool_call_us / 1e6):
                     endpoint = await connect_endpoint(
@@ -104,7 +108,7 @@
                     answered, events = watch.answered, watch.feed(data)
                     for event in events:
                         if isinstance(event, Broken):
-                            raise PoolError(event.reason)
+                            raise EndpointListError(event.reason)
                         self._news(event, scope)
                     # A watch that is open but says nothing whole, not even its beat, is dead. Bytes alone do
                     # not wind this clock: an answer that trickles without end would keep a dead watch alive.
@@ -112,7 +116,7 @@
                         due = anyio.current_time() + limits.pool_silence_us / 1e6
             except TimeoutError:
                 pass
-            except (OSError, PoolError) as error:
+            except (OSError, EndpointListError) as error:
                 reason = str(error)
             except Exception as error:  # a fault of ours must not end the watching for good
                 self.relay.engine.counters.add("driver_faults")
@@ -124,4 +128,4 @@
             self.last = None
         elif self.scope is scope:  # not ended by an order
             self.scope = None
-            self.relay.tell(self.relay.engine.pool_failed, reason)
+            self.relay.tell(self.relay.engine.endpoint_watch_failed, reason)
--- a/gannetweir/net/load_probes.py
+++ b/gannetweir/net/load_probes.py
@@ -7,12 +7,12 @@
 import anyio
 
 from gannetweir import interface as i
-from gannetweir.core import StartProbe
-from gannetweir.interface import ServerId
+from gannetweir.core import StartLoadProbe
+from gannetweir.interface import EndpointId
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.errors import LocalError
 from gannetweir.net.ports import DialHost, Host
-from gannetweir.net.transport import Endpoint, tcp_socket
+from gannetweir.net.transport import Transport, tcp_socket
 from gannetweir.proto.load_probe import ProbeCall
 from gannetweir.proto.upstream_connection import Ended
 
@@ -20,12 +20,12 @@
     from gannetweir.addresses.address import Address
 
 
-async def _ask(relay: Host, server: ServerId, endpoint: Endpoint) -> Ended:
+async def _ask(relay: Host, server: EndpointId, endpoint: Transport) -> Ended:
     """The question, and its answer. A backend that was told to leave while the connect was under way is not
     asked any more: it may have come up late, and a probe is work as well."""
-    if not relay.engine.pool.may_send(server):
+    if not relay.engine.endpoint_list.accepts_requests(server):
         return Ended(i.MOOT)
-    call = ProbeCall(relay.settings.report_names, relay.limits)
+    call = ProbeCall(relay.settings.load_report_fields, relay.limits)
     endpoint.write(call.QUESTION)
     answer = None
     while answer is None:
@@ -34,18 +34,18 @@
     return answer
 
 
-async def _ask_anywhere(relay: DialHost, order: StartProbe) -> Ended:
+async def _ask_anywhere(relay: DialHost, order: StartLoadProbe) -> Ended:
     """Over one of a server's addresses after another: an answer on any is the server's. A path that is silent
     has its share of the time, no more."""
     from gannetweir.net.dialer import Dialer  # only where a server has several
 
-    paths, server = relay.engine.paths, str(order.server)
+    paths, server = relay.engine.address_selector, str(order.endpoint_id)
     assert paths is not None
     tried: list[Address] = []
     result = Ended(i.CONNECT_FAILED)
     share = relay.limits.probe_us / max(1, len(paths.known.get(server, ())))
     while paths.order(server, relay.clock(), True, tried):
-        endpoint: Endpoint | None = None
+        endpoint: Transport | None = None
         path: Address | None = None
         asked = relay.clock()
         try:
@@ -53,7 +53,7 @@
                 race = paths.race(server, relay.clock(), True, tried)
                 endpoint, path = await Dialer(relay, paths, server, race, None).connect()
                 result, asked = Ended(i.TIMEOUT), relay.clock()
-                result = await _ask(relay, order.server, endpoint)
+                result = await _ask(relay, order.endpoint_id, endpoint)
         except (TimeoutError, OSError):
             pass
         finally:
@@ -71,29 +71,29 @@
     return result
 
 
-async def run_probe(relay: DialHost, order: StartProbe) -> None:
+async def run_probe(relay: DialHost, order: StartLoadProbe) -> None:
     """Ask one backend for its load; every probe ends in one result, whatever fails here."""
     result = Ended(i.MOOT)
-    names = relay.settings.report_names
+    names = relay.settings.load_report_fields
     try:
-        result = await (_probe_anywhere(relay, order) if order.chosen else _probe(relay, order))
+        result = await (_probe_anywhere(relay, order) if order.races_addresses else _probe(relay, order))
     finally:
-        if relay.settings.report_names != names:  # a reload came between: the figures would be misread
+        if relay.settings.load_report_fields != names:  # a reload came between: the figures would be misread
             result = Ended(i.MOOT)
-        relay.tell(relay.engine.probe_ended, order.server, result.status, result.report)
+        relay.tell(relay.engine.load_probe_ended, order.endpoint_id, result.status, result.report)
 
 
-async def _probe_anywhere(relay: DialHost, order: StartProbe) -> Ended:
+async def _probe_anywhere(relay: DialHost, order: StartLoadProbe) -> Ended:
     result = Ended(i.TIMEOUT)
     with anyio.move_on_after(relay.limits.probe_us / 1e6):
         result = await _ask_anywhere(relay, order)
     return result
 
 
-async def _probe(relay: DialHost, order: StartProbe) -> Ended:
+async def _probe(relay: DialHost, order: StartLoadProbe) -> Ended:
     limits = relay.limits
     result = Ended(i.CONNECT_FAILED)
-    endpoint: Endpoint | None = None
+    endpoint: Transport | None = None
 
     def held_up(_: LocalError) -> None:
         nonlocal result
@@ -105,16 +105,16 @@
 
     try:
         with anyio.move_on_after(limits.probe_us / 1e6):
-            at = relay.dial(order.dial)
+            at = relay.dial(order.address)
             with anyio.fail_after(limits.connect_us / 1e6):
                 endpoint = await connect_endpoint(
                     lambda: (tcp_socket(at[0]), at),
-                    lambda sock: Endpoint(sock, limits, relay.spawn),
+                    lambda sock: Transport(sock, limits, relay.spawn),
                     held_up,
                     under_way,
                 )
             result = Ended(i.TIMEOUT)
-            result = await _ask(relay, order.server, endpoint)
+            result = await _ask(relay, order.endpoint_id, endpoint)
     except TimeoutError:
         pass
     except OSError:
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -20,16 +20,16 @@
 from gannetweir.config import Address, Config, ConfigError, address
 from gannetweir.interface import Settings
 from gannetweir.limits import Limits
-from gannetweir.net.admin import AdminDoor
-from gannetweir.net.client_connection import Session
-from gannetweir.net.descriptors import DescriptorRoom
-from gannetweir.net.endpoint_watch import PoolDriver
+from gannetweir.net.admin import AdminListener
+from gannetweir.net.client_connection import ClientConnectionDriver
+from gannetweir.net.descriptors import DescriptorBudget
+from gannetweir.net.endpoint_watch import EndpointWatchDriver
 from gannetweir.net.errors import LONGEST_PAUSE_S, is_shortage
 from gannetweir.net.listener import OPEN_WITHIN_S, ClientListener, open_listener
 from gannetweir.net.load_probes import run_probe
-from gannetweir.net.ports import GivesWay
+from gannetweir.net.ports import Evictable
 from gannetweir.net.signals import listening
-from gannetweir.net.transport import Endpoint, Ledger, tune
+from gannetweir.net.transport import DescriptorCount, Transport, tune
 from gannetweir.observability.logs import FORMS, PLAIN, Log
 from gannetweir.observability.standard_error import standard_error
 from gannetweir.process_handover.handover import Handover
@@ -38,7 +38,7 @@
 
 if TYPE_CHECKING:
     from gannetweir.observability.trace import Trace
-    from gannetweir.routing.route_admission import Keeper
+    from gannetweir.routing.route_admission import RouteAdmission
 
 
 class Clock:
@@ -74,7 +74,7 @@
             config.seed,
             known,
             self.clock(),
-            self.handover.hand,
+            self.handover.overrides,
             replaces=bool(self.handover.others),
             keeper=_keeper(config, None),
             reach=config.reach,
@@ -86,15 +86,15 @@
         self.standard_error = standard_error()
         self.log = Log(config.name, config.limits.log_lines, log_form, self.standard_error, dropped=dropped)
         self.classes = _told(config.settings)
-        self.sessions: dict[int, Session] = {}  # by transaction
+        self.sessions: dict[int, ClientConnectionDriver] = {}  # by transaction
         self.open_clients = 0
         self.most_held = _most_held(config.limits)
-        self.ledger = Ledger(self._tell_held)
-        self.room = DescriptorRoom(
+        self.ledger = DescriptorCount(self._tell_held)
+        self.room = DescriptorBudget(
             self.ledger, self.handover, self.engine.counters, lambda: self.config.limits
         )
         self.waste = bytearray(config.limits.waste_bytes)
-        self.pool = PoolDriver(self)
+        self.pool = EndpointWatchDriver(self)
         self.tasks: anyio.abc.TaskGroup
         self.wake = anyio.Event()
         self.sleep_until = 0
@@ -103,17 +103,17 @@
         self.leaving = False
         self.started = False  # the loop runs
         self.on: dict[type, Callable[[Any], None]] = {
-            e.OpenFlow: lambda c: self._at(c, lambda s: s.open_flow(c)),
-            e.CloseFlow: lambda c: self._at(c, lambda s: s.close_flow()),
-            e.Serve: lambda c: self._at(c, lambda s: s.serve()),
-            e.Reject: lambda c: self._last(c, lambda s: s.reject(c.retry_us)),
-            e.Abandon: lambda c: self._last(c, lambda s: s.fail()),
-            e.MoveClient: lambda c: self._last(c, lambda s: s.move()),
+            e.OpenUpstream: lambda c: self._at(c, lambda s: s.open_flow(c)),
+            e.CloseUpstream: lambda c: self._at(c, lambda s: s.close_flow()),
+            e.StartForwarding: lambda c: self._at(c, lambda s: s.serve()),
+            e.RejectClient: lambda c: self._last(c, lambda s: s.reject(c.retry_after_us)),
+            e.FailClient: lambda c: self._last(c, lambda s: s.fail()),
+            e.MigrateClient: lambda c: self._last(c, lambda s: s.move()),
             e.EndClient: lambda c: self._last(c, lambda s: s.end(c.reset)),
-            e.EndFlow: lambda c: self._last(c, lambda s: s.end_flow(c.reset)),
-            e.StartProbe: lambda c: self.spawn(partial(run_probe, self, c)),
-            e.WatchPool: self.pool.order,
-            e.LogLine: lambda c: self.log(c.text, **c.about),
+            e.EndUpstream: lambda c: self._last(c, lambda s: s.end_flow(c.reset)),
+            e.StartLoadProbe: lambda c: self.spawn(partial(run_probe, self, c)),
+            e.SetEndpointWatch: self.pool.order,
+            e.WriteLogLine: lambda c: self.log(c.text, **c.fields),
             e.Exit: lambda c: self.leave(),
         }
 
@@ -135,7 +135,7 @@
         return self.config.discovery
 
     @property
-    def racing(self) -> dict[GivesWay, None]:
+    def racing(self) -> dict[Evictable, None]:
         """Races between the addresses of a server, oldest first."""
         return self.room.racing
 
@@ -164,28 +164,28 @@
         if self.engine.next_due() < self.sleep_until:
             self.wake.set()
 
-    def _at(self, command: Any, do: Callable[[Session], None]) -> None:
-        session = self.sessions.get(command.transaction)
+    def _at(self, command: Any, do: Callable[[ClientConnectionDriver], None]) -> None:
+        session = self.sessions.get(command.request_id)
         if session is not None:
             do(session)
 
-    def _last(self, command: Any, do: Callable[[Session], None]) -> None:
+    def _last(self, command: Any, do: Callable[[ClientConnectionDriver], None]) -> None:
         """The engine has ended this transaction."""
-        session = self.sessions.pop(command.transaction, None)
+        session = self.sessions.pop(command.request_id, None)
         if session is not None:
             do(session)
 
-    def open(self, session: Session, first: FirstLine) -> None:
+    def open(self, session: ClientConnectionDriver, first: FirstLine) -> None:
         """A client's first line is in. Its number must be known before the engine's commands are done."""
         self.room.opened(session)
-        session.number = self.engine.opened(first.wanted, first.at, self.clock(), first.ident)
+        session.number = self.engine.request_opened(first.wanted, first.at, self.clock(), first.ident)
         if session.number:
             self.sessions[session.number] = session
         else:  # another client's open request has this id, and must not hear of it
             session.fail()
         self.carry_out()
 
-    def forget(self, session: Session) -> None:
+    def forget(self, session: ClientConnectionDriver) -> None:
         """A client's connection is over."""
         self.open_clients -= 1
         self.gone.set()
@@ -201,11 +201,11 @@
 
     def unready(self) -> str:
         """Why a client would not be served here now; nothing if it would."""
-        if self.engine.drain_us:
+        if self.engine.drain_started_us:
             return "draining"
         if not self.listener.accepting:
             return "starting"
-        return "" if self.engine.ready() else "no backend in use"
+        return "" if self.engine.is_ready() else "no backend in use"
 
     def call_by_hand(self, server: str, out: bool) -> None:
         """Holds for every process of this relay, and for those to come, before it is answered."""
@@ -215,9 +215,9 @@
     def look_at_hand(self) -> None:
         """Take over what was called at this door or at the other process's."""
         self.handover.refresh()
-        if self.handover.hand != self.engine.pool.hand:
-            self.log(f"out by hand: {', '.join(sorted(map(str, self.handover.hand.out))) or 'none'}")
-            self.tell(self.engine.by_hand, self.handover.hand)
+        if self.handover.overrides != self.engine.endpoint_list.overrides:
+            self.log(f"out by hand: {', '.join(sorted(map(str, self.handover.overrides.offline))) or 'none'}")
+            self.tell(self.engine.apply_operator_overrides, self.handover.overrides)
 
     async def _look_round(self) -> None:
         while True:
@@ -259,7 +259,7 @@
         """The counters and the figures of this moment."""
         figures = {"clients": self.open_clients, "descriptors": self.ledger.open}
         figures["descriptors_most"] = self.ledger.most
-        line = self.engine.counters.line(**figures, **self.engine.present())
+        line = self.engine.counters.line(**figures, **self.engine.current_figures())
         with contextlib.suppress(OSError):  # nobody reads them any more: no reason to fail
             self.standard_error.write(f"{line}\n")
             self.standard_error.flush()
@@ -281,7 +281,7 @@
         self.config = replace(config, name=old.name, listen=old.listen, admin=old.admin)
         self.most_held = _most_held(config.limits)
         self.classes = _told(config.settings)
-        keeper = _keeper(config, self.engine.keeper)
+        keeper = _keeper(config, self.engine.route_admission)
         new = config.settings, config.limits
         self.tell(lambda now_us: self.engine.reload(*new, now_us, keeper, config.reach))
         if config.discovery != old.discovery:
@@ -296,7 +296,7 @@
         inherited = self.config.inherited is not None
         self.listener = ClientListener(self, self._listen(), inherited)
         try:
-            door = AdminDoor(self, self.config.admin) if self.config.admin else None
+            door = AdminListener(self, self.config.admin) if self.config.admin else None
             async with anyio.create_task_group() as self.tasks:
                 self.tasks.start_soon(self._signals)
                 self.tasks.start_soon(self._timers)
@@ -348,9 +348,9 @@
                 self.tell(self.engine.advance)
 
     async def _accept(self) -> None:
-        while self.listener.inherited and not self.engine.pool.ready():
+        while self.listener.inherited and not self.engine.endpoint_list.has_ready_endpoint():
             await anyio.sleep(0.02)  # the other process, or the platform's queue, has better use for them
-        if not (self.engine.drain_us and self.listener.inherited):
+        if not (self.engine.drain_started_us and self.listener.inherited):
             await self.listener.run()
 
     def take_in(self, sock: socket.socket) -> None:
@@ -358,10 +358,10 @@
         with self._outlived():
             tune(sock)
             room = self.room.make()
-            client = Endpoint(sock, self.config.limits, self.spawn, self.ledger)
+            client = Transport(sock, self.config.limits, self.spawn, self.ledger)
             if room:
                 self.open_clients += 1
-                session = Session(self, client)
+                session = ClientConnectionDriver(self, client)
                 self.room.came(session)
                 self.spawn(session.run)
             else:  # before the descriptors run out
@@ -403,15 +403,15 @@
     return {c.name: n for n, c in enumerate(settings.classes) if not c.route}
 
 
-def _keeper(config: Config, standing: Keeper | None) -> Keeper | None:
+def _keeper(config: Config, standing: RouteAdmission | None) -> RouteAdmission | None:
     """The keeper of the operators' routes; one that stands goes on: what it has counted still counts."""
     if config.rules is None:
         return None
-    from gannetweir.routing.route_admission import Keeper  # only where it is switched on
+    from gannetweir.routing.route_admission import RouteAdmission  # only where it is switched on
 
     if standing is None:
-        return Keeper(config.rules, config.settings)
-    standing.take(config.rules, config.settings)
+        return RouteAdmission(config.rules, config.settings)
+    standing.apply(config.rules, config.settings)
     return standing
 
 
--- a/gannetweir/net/transport.py
+++ b/gannetweir/net/transport.py
@@ -108,7 +108,7 @@
         raise OSError(code, os.strerror(code))
 
 
-class Ledger:
+class DescriptorCount:
     """The descriptors that clients and their flows hold."""
 
     def __init__(self, tell: Callable[[int], None] | None = None) -> None:
@@ -123,11 +123,11 @@
             self.tell(self.open)
 
 
-class Endpoint:
+class Transport:
     """Reading, writing and the two ways to end."""
 
     def __init__(
-        self, sock: socket.socket, limits: Limits, spawn: Spawn, ledger: Ledger | None = None
+        self, sock: socket.socket, limits: Limits, spawn: Spawn, ledger: DescriptorCount | None = None
     ) -> None:
         self.sock, self.limits, self.spawn, self.ledger = sock, limits, spawn, ledger
         if ledger is not None:
--- a/gannetweir/net/upstream_connection.py
+++ b/gannetweir/net/upstream_connection.py
@@ -9,28 +9,28 @@
 import anyio
 
 from gannetweir import interface as i
-from gannetweir.core import OpenFlow
+from gannetweir.core import OpenUpstream
 from gannetweir.net.connecting import connect_endpoint
-from gannetweir.net.descriptors import DescriptorRoom
+from gannetweir.net.descriptors import DescriptorBudget
 from gannetweir.net.errors import PAUSE_S, LocalError, is_shortage, wait_writable
 from gannetweir.net.ports import DialHost
-from gannetweir.net.transport import Endpoint, Ledger, tcp_socket
-from gannetweir.proto.upstream_connection import CameUp, Ended, LoadTold, ServerFlow, ServerLine
+from gannetweir.net.transport import DescriptorCount, Transport, tcp_socket
+from gannetweir.proto.upstream_connection import CameUp, Ended, LoadTold, ServerLine, UpstreamConnection
 
 if TYPE_CHECKING:
     from gannetweir.net.dialer import Dialer
 
 
-class FlowHost(DialHost, Protocol):
+class UpstreamHost(DialHost, Protocol):
     """What a flow needs of the relay: beside the way to a server, a place for its descriptor."""
 
     @property
-    def ledger(self) -> Ledger: ...
+    def ledger(self) -> DescriptorCount: ...
 
     def look_at_hand(self) -> None: ...
 
     @property
-    def room(self) -> DescriptorRoom: ...
+    def room(self) -> DescriptorBudget: ...
 
     def tell_only(self, call: Callable[..., Any], *args: Any) -> None: ...
 
@@ -41,20 +41,22 @@
     up_line: bytes
 
     @property
-    def client(self) -> Endpoint: ...
+    def client(self) -> Transport: ...
 
     def look(self) -> None: ...
 
     def to_client(self, line: bytes) -> None: ...
 
 
-class FlowDriver:
+class UpstreamDriver:
     """Opens a connection to one backend, writes the first line, then hands on what comes."""
 
-    def __init__(self, relay: FlowHost, session: FlowOwner, order: OpenFlow, first_line: bytes) -> None:
+    def __init__(
+        self, relay: UpstreamHost, session: FlowOwner, order: OpenUpstream, first_line: bytes
+    ) -> None:
         self.relay, self.session, self.order = relay, session, order
-        self.flow = ServerFlow(first_line, relay.settings.report_names, relay.limits)
-        self.endpoint: Endpoint | None = None
+        self.flow = UpstreamConnection(first_line, relay.settings.load_report_fields, relay.limits)
+        self.endpoint: Transport | None = None
         self.dialer: Dialer | None = None  # while addresses race
         self.closed = False  # nothing of it counts any more
         self.told = False  # the engine knows of its end, or ended it itself
@@ -80,22 +82,22 @@
         from gannetweir.net.dialer import Dialer  # only where a server has several
 
         engine, order = self.relay.engine, self.order
-        assert engine.paths is not None
-        server = str(order.server)
-        race = engine.paths.race(server, self.relay.clock())
-        self.dialer = Dialer(self.relay, engine.paths, server, race, self.relay.ledger)
+        assert engine.address_selector is not None
+        server = str(order.endpoint_id)
+        race = engine.address_selector.race(server, self.relay.clock())
+        self.dialer = Dialer(self.relay, engine.address_selector, server, race, self.relay.ledger)
         try:
             self.endpoint, path = await self.dialer.connect()
         finally:
             self.dialer = None
         self._still_wanted()
-        self.relay.tell_only(engine.path_won, order.transaction, order.attempt, path)
+        self.relay.tell_only(engine.address_connected, order.request_id, order.attempt, path)
         return self.endpoint.sock
 
     async def _dial(self) -> socket.socket:
         """The one address that discovery told. What fails on this machine is tried again until the connect's
         time is over: it says nothing of the backend, and none has heard of this attempt."""
-        at = self.relay.dial(self.order.dial)
+        at = self.relay.dial(self.order.address)
 
         def open_socket() -> tuple[socket.socket, tuple[str, int]]:
             self._still_wanted()  # it may have been closed in a pause
@@ -105,20 +107,20 @@
         assert self.endpoint is not None
         return self.endpoint.sock
 
-    def _take_socket(self, sock: socket.socket) -> Endpoint:
-        self.endpoint = Endpoint(sock, self.relay.limits, self.relay.spawn, self.relay.ledger)
+    def _take_socket(self, sock: socket.socket) -> Transport:
+        self.endpoint = Transport(sock, self.relay.limits, self.relay.spawn, self.relay.ledger)
         return self.endpoint
 
     def _held_up(self, error: LocalError) -> None:
         """No connect was begun, for want of something here."""
         order = self.order
-        call = self.relay.engine.flow_held_up
-        self.relay.tell_only(call, order.transaction, order.attempt, error.strerror)
+        call = self.relay.engine.upstream_connect_delayed
+        self.relay.tell_only(call, order.request_id, order.attempt, error.strerror)
 
     def _under_way(self) -> None:
         """From here on what comes of it is the backend's doing, or the network's."""
         order = self.order
-        self.relay.tell_only(self.relay.engine.flow_under_way, order.transaction, order.attempt)
+        self.relay.tell_only(self.relay.engine.upstream_connect_started, order.request_id, order.attempt)
 
     def _still_wanted(self) -> None:
         """Nothing is dialled or written for a flow that was closed meanwhile: its client has left, or the
@@ -131,7 +133,7 @@
     def _begin_writing(self) -> None:
         order, most = self.order, self.relay.settings.max_attempts
         now = self.relay.clock()
-        self.relay.engine.guard.writing(order.transaction, order.attempt, order.server, now, most)
+        self.relay.engine.guard.writing(order.request_id, order.attempt, order.endpoint_id, now, most)
 
     async def _connect(self) -> None:
         try:
@@ -139,7 +141,7 @@
             # Here, where the descriptor is taken, not with the order: of many orders in one turn each would
             # find the same room.
             self.relay.room.make(at_any_cost=True)
-            sock = await (self._race() if self.order.chosen else self._dial())
+            sock = await (self._race() if self.order.races_addresses else self._dial())
             self.relay.look_at_hand()  # out by now? Then this flow was closed, and nothing is written
             begun = False
             while self.flow.unsent:
@@ -159,7 +161,9 @@
         except anyio.ClosedResourceError:
             raise OSError("closed here") from None
         # it may set an earlier time-out, so it is told as what leads to commands is
-        self.relay.tell(self.relay.engine.flow_sent, self.order.transaction, self.order.attempt)
+        self.relay.tell(
+            self.relay.engine.upstream_first_line_written, self.order.request_id, self.order.attempt
+        )
 
     async def _read(self) -> bool:
         """Until the backend ends the connection; true if it did so by breaking it."""
@@ -178,18 +182,18 @@
             await self.session.client.drained()
 
     def _take(self, event: CameUp | ServerLine | LoadTold | Ended) -> None:
-        number, engine = self.order.transaction, self.relay.engine
+        number, engine = self.order.request_id, self.relay.engine
         if self.closed:
             return
         if isinstance(event, CameUp):
             self.session.up_line = event.line
-            self.relay.tell(engine.flow_up, number, self.order.attempt)
+            self.relay.tell(engine.upstream_established, number, self.order.attempt)
         elif isinstance(event, ServerLine):
             self.session.to_client(event.line)
             if event.answer:
-                self.relay.tell(engine.server_line, number)
+                self.relay.tell(engine.answer_line_received, number)
         elif isinstance(event, LoadTold):
-            self.relay.tell(engine.load_told, number, event.load)
+            self.relay.tell(engine.connection_load_reported, number, event.load)
         elif not self.told:
             self._ended(event, False)
 
@@ -205,7 +209,12 @@
         order = self.order
         reset = reset or event.status == i.ERROR
         self.relay.tell(
-            self.relay.engine.flow_ended, order.transaction, order.attempt, event.status, event.report, reset
+            self.relay.engine.upstream_ended,
+            order.request_id,
+            order.attempt,
+            event.status,
+            event.report,
+            reset,
         )
 
     def to_server(self, line: bytes) -> None:
@@ -227,4 +236,4 @@
         if self.endpoint is not None:
             (self.endpoint.abort if reset else self.endpoint.close)()
         order = self.order
-        self.relay.engine.guard.attempt_over(order.transaction, order.attempt, self.flow.may_have_run)
+        self.relay.engine.guard.attempt_over(order.request_id, order.attempt, self.flow.may_have_run)
--- a/gannetweir/observability/trace.py
+++ b/gannetweir/observability/trace.py
@@ -27,15 +27,15 @@
             {
                 "relay": relay,
                 "zone": settings.zone,
-                "zones": settings.zones,
-                "gateways": settings.gateways,
+                "zones": settings.zone_names,
+                "gateways": settings.relay_count,
                 "classes": settings.classes,
             }
         )
 
     def __call__(self, now_us: int, event: i.Event, actions: Sequence[i.Action]) -> None:
         """One event and its actions. A timer that led to nothing but the next timer is left out."""
-        if isinstance(event, i.TimerDue) and all(isinstance(a, i.SetTimer) for a in actions):
+        if isinstance(event, i.TimerExpired) and all(isinstance(a, i.SetTimer) for a in actions):
             return
         said = [[type(a).__name__, a] for a in actions if not isinstance(a, i.SetTimer)]
         self._write({"t": now_us, "n": self.relay, "on": type(event).__name__, "is": event, "do": said})
