--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,12 +11,12 @@
 from gannetweir import interface as i
 from tests.helpers import SECOND, Gateway, of
 
-REPEATABLE = i.RequestClass("r", repeat="repeatable")
-ONCE = i.RequestClass("o", repeat="once")
+REPEATABLE = i.RequestClass("r", idempotency="repeatable")
+ONCE = i.RequestClass("o", idempotency="once")
 
 
 def keyed(scope: str) -> i.RequestClass:
-    return i.RequestClass("k", repeat="by_key", scope=scope, window_us=SECOND)
+    return i.RequestClass("k", idempotency="by_key", idempotency_scope=scope, idempotency_window_us=SECOND)
 
 
 RAN = (i.ERROR, i.TIMEOUT, i.RESET)
@@ -28,7 +28,7 @@
     g.arrive()
     first = g.sent[-1]
     actions = g.end(first, status)
-    assert [s.server == first.server for s in of(actions, i.Send)] == [False]
+    assert [s.endpoint_id == first.endpoint_id for s in of(actions, i.StartAttempt)] == [False]
 
 
 @pytest.mark.parametrize("status", RAN)
@@ -36,14 +36,14 @@
     g = Gateway(4, classes=[ONCE])
     g.arrive()
     actions = g.end(g.sent[-1], status)
-    assert of(actions, i.Fail) and not of(actions, i.Send) and not of(actions, i.Refuse)
+    assert of(actions, i.FailRequest) and not of(actions, i.StartAttempt) and not of(actions, i.RejectRequest)
 
 
 @pytest.mark.parametrize("status", [i.FULL, i.CONNECT_FAILED])
 def test_once_is_sent_again_after_an_attempt_that_never_ran(status: int) -> None:
     g = Gateway(4, classes=[ONCE])
     g.arrive()
-    assert of(g.end(g.sent[-1], status), i.Send)
+    assert of(g.end(g.sent[-1], status), i.StartAttempt)
 
 
 @pytest.mark.parametrize("scope", ["zone", "cell"])
@@ -55,17 +55,17 @@
         first = g.sent[-1]
         g.pass_time(SECOND // 2)
         actions = g.end(first, i.TIMEOUT)
-        assert [s.server % 3 for s in of(actions, i.Send)] == [first.server % 3]
+        assert [s.endpoint_id % 3 for s in of(actions, i.StartAttempt)] == [first.endpoint_id % 3]
         g.pass_time(SECOND // 2)
-        assert of(g.end(g.sent[-1], i.TIMEOUT), i.Fail)
+        assert of(g.end(g.sent[-1], i.TIMEOUT), i.FailRequest)
 
 
 def test_keyed_by_all_goes_anywhere_within_its_window_and_may_be_refused() -> None:
     g = Gateway(4, classes=[keyed("all")])
     g.arrive()
-    assert of(g.end(g.sent[-1], i.TIMEOUT), i.Send)
+    assert of(g.end(g.sent[-1], i.TIMEOUT), i.StartAttempt)
     g.pass_time(SECOND)
-    assert of(g.end(g.sent[-1], i.TIMEOUT), i.Refuse)
+    assert of(g.end(g.sent[-1], i.TIMEOUT), i.RejectRequest)
 
 
 @pytest.mark.parametrize(("after", "again"), [(740_000, True), (760_000, False)])
@@ -73,30 +73,30 @@
     g = Gateway(4, classes=[keyed("all")])  # remembered for a second; a connect may take a quarter of one
     g.arrive()
     g.pass_time(after)
-    assert bool(of(g.end(g.sent[-1], i.RESET), i.Send)) is again
+    assert bool(of(g.end(g.sent[-1], i.RESET), i.StartAttempt)) is again
 
 
 def test_moot_and_spent_budgets_end_the_request_at_once() -> None:
     g = Gateway(4)
     g.arrive()
-    assert of(g.end(g.sent[-1], i.MOOT), i.Refuse)
+    assert of(g.end(g.sent[-1], i.MOOT), i.RejectRequest)
     g = Gateway(4)
     g.arrive()
     g.pass_time(2 * SECOND)
     actions = g.end(g.sent[-1], i.TIMEOUT)
-    assert of(actions, i.Refuse) and not of(actions, i.Send)
+    assert of(actions, i.RejectRequest) and not of(actions, i.StartAttempt)
 
 
 def test_attempts_are_counted() -> None:
     g = Gateway(30, max_attempts=2)
     g.arrive()
-    assert of(g.end(g.sent[-1], i.FULL), i.Send)
-    assert of(g.end(g.sent[-1], i.FULL), i.Refuse)
+    assert of(g.end(g.sent[-1], i.FULL), i.StartAttempt)
+    assert of(g.end(g.sent[-1], i.FULL), i.RejectRequest)
 
 
 def test_the_last_attempt_lasts_until_the_client_gives_up() -> None:
     g = Gateway(4, max_attempts=1)
-    g.arrive(budget_us=900_000)
+    g.arrive(time_budget_us=900_000)
     assert g.sent[-1].timeout_us == 900_000
 
 
@@ -104,10 +104,10 @@
     g, given = Gateway(servers=12, max_attempts=6), []
     g.balancer.took = 10.0  # others stand: the throttle is not what is asked here
 
-    aim = g.balancer.s.classes[0].aim_us
+    aim = g.balancer.s.classes[0].latency_objective_us
 
-    def first() -> i.Send:
-        (send,) = of(g.arrive(budget_us=20 * SECOND), i.Send)
+    def first() -> i.StartAttempt:
+        (send,) = of(g.arrive(time_budget_us=20 * SECOND), i.StartAttempt)
         given.append(send.timeout_us / aim)
         return send
 
@@ -115,31 +115,35 @@
     g.end(first(), i.FULL)  # full tells no time
     g.establish(first())  # in 10 ms
     last = first()
-    g.give(i.Established(last.request, g.attempts[last.request], last.server, int(1.2 * aim)))
+    g.give(
+        i.ConnectionEstablished(
+            last.request_id, g.attempts[last.request_id], last.endpoint_id, int(1.2 * aim)
+        )
+    )
     first()
     assert given == [1, 2, 2, 1, 4]
 
 
 def test_the_time_of_a_set_up_is_doubled_thrice_at_most() -> None:
     g = Gateway(servers=16, max_attempts=6)
-    g.arrive(budget_us=100 * SECOND)
+    g.arrive(time_budget_us=100 * SECOND)
     for _ in range(4):
         g.end(g.sent[-1], i.TIMEOUT)
     g.balancer.bad = 0.0  # by which a set-up would have all the time that is left
-    (send,) = of(g.arrive(budget_us=100 * SECOND), i.Send)
-    assert send.timeout_us == 8 * g.balancer.s.classes[0].aim_us
+    (send,) = of(g.arrive(time_budget_us=100 * SECOND), i.StartAttempt)
+    assert send.timeout_us == 8 * g.balancer.s.classes[0].latency_objective_us
 
 
 def test_empty_fleet_and_unfit_fleet_answer_at_once() -> None:
-    g = Gateway(0, probes=False)
-    assert of(g.arrive(), i.Refuse)
+    g = Gateway(0, load_probes_enabled=False)
+    assert of(g.arrive(), i.RejectRequest)
     g = Gateway(1)
-    assert of(g.arrive(), i.Send)
+    assert of(g.arrive(), i.StartAttempt)
     g.mark(0, i.DRAINING)
     actions = g.arrive()
     timers = of(actions, i.SetTimer)
     g.pass_time(timers[0].after_us if timers else 0)
-    assert of(actions + (g.give(i.TimerDue(timers[0].token)) if timers else []), i.Refuse)
+    assert of(actions + (g.give(i.TimerExpired(timers[0].token)) if timers else []), i.RejectRequest)
 
 
 @pytest.mark.parametrize("state", [i.DRAINING, i.GONE])
@@ -149,43 +153,45 @@
     for _ in range(50):
         g.arrive()
         g.pass_time(100_000)
-    assert {s.server for s in g.sent} == {0, 2}
+    assert {s.endpoint_id for s in g.sent} == {0, 2}
     g.mark(1, i.READY)
     for _ in range(50):
         g.arrive()
         g.pass_time(100_000)
-    assert {s.server for s in g.sent[50:]} == {0, 1, 2}
+    assert {s.endpoint_id for s in g.sent[50:]} == {0, 1, 2}
 
 
 def test_a_full_list_removes_what_it_leaves_out_and_a_failed_one_clears_nothing() -> None:
-    g = Gateway(3, ask_list=True)
-    g.give(i.ServerList(i.LIST_FULL, 3, [i.ServerEntry(0)]))
+    g = Gateway(3, polls_endpoint_list=True)
+    g.give(i.EndpointListUpdate(i.LIST_FULL, 3, [i.EndpointEntry(0)]))
     assert [n.id for n in g.balancer.ready] == [0]
-    g.give(i.ServerList(i.LIST_FAILED, 3, []))
+    g.give(i.EndpointListUpdate(i.LIST_FAILED, 3, []))
     assert [n.id for n in g.balancer.ready] == [0]
 
 
 def test_the_list_is_asked_for_with_jitter_and_asked_again_later_after_each_failure() -> None:
-    first = {of(Gateway(2, seed=seed, ask_list=True).log, i.SetTimer)[1].after_us for seed in range(20)}
+    first = {
+        of(Gateway(2, seed=seed, polls_endpoint_list=True).log, i.SetTimer)[1].after_us for seed in range(20)
+    }
     assert len(first) > 10
-    g = Gateway(2, ask_list=True)
+    g = Gateway(2, polls_endpoint_list=True)
     waits = []
     for _ in range(6):
-        assert of(g.give(i.TimerDue(2)), i.Watch)
-        waits.append(of(g.give(i.ServerList(i.LIST_FAILED, 1, [])), i.SetTimer)[0].after_us)
+        assert of(g.give(i.TimerExpired(2)), i.WatchEndpoints)
+        waits.append(of(g.give(i.EndpointListUpdate(i.LIST_FAILED, 1, [])), i.SetTimer)[0].after_us)
         g.pass_time(waits[-1])
     assert waits[-1] > 4 * waits[0]
-    g.give(i.TimerDue(2))
-    g.give(i.ServerList(i.LIST_DELTA, 2, []))
-    assert not of(g.give(i.TimerDue(2)), i.Watch)  # subscribed: no call more
+    g.give(i.TimerExpired(2))
+    g.give(i.EndpointListUpdate(i.LIST_DELTA, 2, []))
+    assert not of(g.give(i.TimerExpired(2)), i.WatchEndpoints)  # subscribed: no call more
 
 
 def test_a_pushed_list_is_not_asked_for() -> None:
     g = Gateway(2)
     for _ in range(5):
         g.pass_time(SECOND)
-        g.give(i.TimerDue(1))
-    assert not of(g.log, i.Watch)
+        g.give(i.TimerExpired(1))
+    assert not of(g.log, i.WatchEndpoints)
 
 
 def cold_sends(gateways: int, per_second: int, **request: int) -> int:
@@ -198,22 +204,22 @@
         g = Gateway(
             10,
             seed=seed,
-            gateways=gateways,
+            relay_count=gateways,
             starts={0: 100 * SECOND - 1},
-            cold_from=0.2,
-            warm_within_us=20 * SECOND,
-            fall_multiple=3.0,
+            slow_start_min_share=0.2,
+            slow_start_window_us=20 * SECOND,
+            overload_multiple=3.0,
         )
         g.loads[0] = (0.0, 0.0)
         g.balancer.lived_us, g.balancer.ended = 1e10, 1000
         for n in range(10):
-            g.give(i.ProbeResult(n, i.OK, 1000, g.loads[n]))
+            g.give(i.LoadProbeResult(n, i.OK, 1000, g.loads[n]))
         for _ in range(5):
             g.pass_time(SECOND)
-            g.give(i.TimerDue(1))
+            g.give(i.TimerExpired(1))
             for _ in range(per_second):
                 g.arrive(**request)
-        total += sum(s.server == 0 for s in g.sent)
+        total += sum(s.endpoint_id == 0 for s in g.sent)
     return total
 
 
@@ -225,28 +231,28 @@
 
 
 def test_a_heavy_connection_does_not_go_to_a_cold_server() -> None:
-    g = Gateway(2, starts={0: 100 * SECOND - 1}, warm_within_us=20 * SECOND)
+    g = Gateway(2, starts={0: 100 * SECOND - 1}, slow_start_window_us=20 * SECOND)
     node = g.balancer.nodes[0]
     g.balancer.hint_mean = 1000.0
     for hint, expected in ((500, 0), (5000, 1)):
         draw = g.balancer.draw
         draw.target, draw.fill, draw.answered_us = node, 1, g.now
-        g.arrive(hint_us=hint, flags=i.HINT_VALID)
-        assert g.sent[-1].server == expected
+        g.arrive(load_hint=hint, flags=i.HINT_VALID)
+        assert g.sent[-1].endpoint_id == expected
 
 
 def test_a_warm_server_is_not_held_back() -> None:
-    g = Gateway(2, starts={0: 60 * SECOND}, warm_within_us=30 * SECOND)
+    g = Gateway(2, starts={0: 60 * SECOND}, slow_start_window_us=30 * SECOND)
     assert not g.balancer.cold
     g.arrive()
     for _ in range(20):
         g.arrive()
-    assert {s.server for s in g.sent} == {0, 1}
+    assert {s.endpoint_id for s in g.sent} == {0, 1}
 
 
 def test_a_fleet_that_is_cold_altogether_is_used() -> None:
     g = Gateway(3, starts=dict.fromkeys(range(3), 100 * SECOND - 1))
-    assert of(g.arrive(), i.Send)
+    assert of(g.arrive(), i.StartAttempt)
 
 
 def test_a_silent_server_is_set_aside_with_growing_waits_and_its_connections_moved() -> None:
@@ -258,15 +264,15 @@
         g.establish(send)
     waits = []
     for _ in range(3):
-        actions = g.give(i.ProbeResult(2, i.TIMEOUT, 500_000))
+        actions = g.give(i.LoadProbeResult(2, i.TIMEOUT, 500_000))
         waits.append(node.out_until - g.now)
-        assert {m.request for m in of(actions, i.Move)} == set(node.conns)
+        assert {m.request_id for m in of(actions, i.MigrateConnection)} == set(node.conns)
         before = len(g.sent)
         for _ in range(30):
             g.arrive()
-        assert all(s.server != 2 for s in g.sent[before:])
+        assert all(s.endpoint_id != 2 for s in g.sent[before:])
         g.pass_time(waits[-1] + 1)
-        g.give(i.TimerDue(1))
+        g.give(i.TimerExpired(1))
     assert waits[0] < waits[1] < waits[2]
 
 
@@ -275,7 +281,7 @@
     """Lines of bad clients can pass for good ones here and be turned away there: no server is at fault."""
     g = Gateway(6)
     g.arrive()
-    while g.sent[-1].request in g.balancer.flights:
+    while g.sent[-1].request_id in g.balancer.flights:
         g.end(g.sent[-1], status)
     assert not g.aside() and g.balancer.bad == 0.0
     g.arrive()
@@ -283,7 +289,7 @@
     g.end(first, status)
     assert not g.aside()
     g.establish(g.sent[-1])
-    assert g.aside() == [first.server]
+    assert g.aside() == [first.endpoint_id]
 
 
 def test_a_probe_that_is_reset_moves_nobody() -> None:
@@ -293,21 +299,21 @@
         g.arrive()
         g.establish(g.sent[-1])
     for server in range(6):
-        assert not of(g.give(i.ProbeResult(server, i.RESET, 900)), i.Move)
+        assert not of(g.give(i.LoadProbeResult(server, i.RESET, 900)), i.MigrateConnection)
     assert not g.aside()
 
 
 def test_failures_everywhere_blame_no_more_than_a_third() -> None:
     g = Gateway(9)
     for server in range(9):
-        g.give(i.ProbeResult(server, i.TIMEOUT, 500_000))
+        g.give(i.LoadProbeResult(server, i.TIMEOUT, 500_000))
     assert len(g.aside()) == 3
-    assert any("shared cause" in line.text for line in of(g.log, i.Log))
+    assert any("shared cause" in line.text for line in of(g.log, i.WriteLog))
 
 
 def fail(g: Gateway) -> None:
     """Every attempt for the last request times out."""
-    while g.sent[-1].request in g.balancer.flights:
+    while g.sent[-1].request_id in g.balancer.flights:
         g.end(g.sent[-1], i.TIMEOUT)
 
 
@@ -317,7 +323,7 @@
     for _ in range(12):
         g.arrive()
         send = g.sent[-1]
-        while send.request in g.balancer.flights:
+        while send.request_id in g.balancer.flights:
             g.pass_time(50_000)
             g.end(send, i.TIMEOUT)
             send = g.sent[-1]
@@ -325,9 +331,9 @@
     before = len(g.sent)
     refused = 0
     for _ in range(400):
-        refused += bool(of(g.arrive(), i.Refuse))
+        refused += bool(of(g.arrive(), i.RejectRequest))
         g.pass_time(50_000)
-        while g.sent[-1].request in g.balancer.flights:
+        while g.sent[-1].request_id in g.balancer.flights:
             assert g.sent[-1].timeout_us == 2 * SECOND
             g.end(g.sent[-1], i.TIMEOUT)
     assert refused > 350 and len(g.sent) > before  # a few go on trying
@@ -340,9 +346,9 @@
     """Three a memory passed at each of 200 relays, which kept a slow store at several times its rate."""
     sends = 0
     for seed in range(5):
-        g = Gateway(30, seed=seed, gateways=200)
+        g = Gateway(30, seed=seed, relay_count=200)
         for n in range(40):  # 1.25 a second, all in vain
-            sends += bool(of(g.arrive(flags=marked * (n % 10 < 7)), i.Send))
+            sends += bool(of(g.arrive(flags=marked * (n % 10 < 7)), i.StartAttempt))
             fail(g)
             g.pass_time(800_000)
     assert 15 < sends < most  # of 200; it was 141
@@ -353,17 +359,17 @@
     for seed in range(20):
         g = Gateway(30, seed=seed)
         for n in range(60):  # for 5 s none stands, then all do
-            if of(g.arrive(flags=i.CLIENT_RETRY), i.Send):
+            if of(g.arrive(flags=i.CLIENT_RETRY), i.StartAttempt):
                 g.establish(g.sent[-1]) if n >= 10 else fail(g)
             else:
                 refused += n >= 10
             g.pass_time(SECOND // 2)
-        assert not [r for _ in range(10) for r in of(g.arrive(), i.Refuse)]
+        assert not [r for _ in range(10) for r in of(g.arrive(), i.RejectRequest)]
     assert refused < 20 * 20  # of 20 * 50: for less than 10 s on average
 
 
 def test_the_first_arrival_passes_though_its_client_comes_again() -> None:
-    assert all(of(Gateway(4, seed=seed).arrive(flags=i.CLIENT_RETRY), i.Send) for seed in range(30))
+    assert all(of(Gateway(4, seed=seed).arrive(flags=i.CLIENT_RETRY), i.StartAttempt) for seed in range(30))
 
 
 def test_a_rush_in_a_healthy_fleet_is_not_throttled() -> None:
@@ -371,9 +377,9 @@
     g = Gateway(6)
     g.loads = dict.fromkeys(range(6), (10.0, 0.2))  # what is placed in the rush still fits
     for n in range(6):
-        g.give(i.ProbeResult(n, i.OK, 1000, g.loads[n]))
+        g.give(i.LoadProbeResult(n, i.OK, 1000, g.loads[n]))
     for _ in range(40):
-        assert len(of(g.arrive(), i.Send)) == 1
+        assert len(of(g.arrive(), i.StartAttempt)) == 1
 
 
 def test_the_first_arrivals_are_not_throttled_while_they_wait_for_a_look() -> None:
@@ -382,18 +388,25 @@
         g = Gateway(6, seed=seed)
         g.silent = set(range(6))
         g.pass_time(3 * SECOND)
-        assert not [refusal for _ in range(3) for refusal in of(g.arrive(), i.Refuse)]
+        assert not [refusal for _ in range(3) for refusal in of(g.arrive(), i.RejectRequest)]
 
 
 def test_past_the_limit_the_least_worth_is_refused_first() -> None:
-    classes = [i.RequestClass(n, repeat="repeatable", worth=w) for n, w in (("low", 1.0), ("high", 5.0))]
+    classes = [
+        i.RequestClass(n, idempotency="repeatable", priority_weight=w)
+        for n, w in (("low", 1.0), ("high", 5.0))
+    ]
     g = Gateway(4, classes=classes)
-    for load, cls, kind in ((-0.05, 0, i.Refuse), (-0.05, 1, i.Send), (0.5, 1, i.Refuse)):
+    for load, cls, kind in (
+        (-0.05, 0, i.RejectRequest),
+        (-0.05, 1, i.StartAttempt),
+        (0.5, 1, i.RejectRequest),
+    ):
         g.loads = dict.fromkeys(range(4), (20.0, g.balancer.limit + load))
         g.pass_time(30 * SECOND)
-        answer = of(g.arrive(cls=cls), kind)
+        answer = of(g.arrive(class_index=cls), kind)
         assert answer
-        assert kind is i.Send or 500_000 <= answer[0].retry_after_us <= 1_000_000
+        assert kind is i.StartAttempt or 500_000 <= answer[0].retry_after_us <= 1_000_000
 
 
 def test_an_overloaded_server_is_relieved_and_an_ordinary_one_left_alone() -> None:
@@ -403,10 +416,10 @@
     for send in g.sent:
         g.establish(send)
     g.loads = dict.fromkeys(range(4), (15.0, 0.5))
-    assert not of(g.give(i.ProbeResult(1, i.OK, 900, (15.0, 0.5))), i.Move)
-    moved = of(g.give(i.ProbeResult(1, i.OK, 900, (15.0, 1.8))), i.Move)
-    assert moved and {m.request for m in moved} <= set(g.balancer.nodes[1].conns)
-    assert not of(g.give(i.ProbeResult(1, i.OK, 900, (15.0, 1.8))), i.Move)  # paced
+    assert not of(g.give(i.LoadProbeResult(1, i.OK, 900, (15.0, 0.5))), i.MigrateConnection)
+    moved = of(g.give(i.LoadProbeResult(1, i.OK, 900, (15.0, 1.8))), i.MigrateConnection)
+    assert moved and {m.request_id for m in moved} <= set(g.balancer.nodes[1].conns)
+    assert not of(g.give(i.LoadProbeResult(1, i.OK, 900, (15.0, 1.8))), i.MigrateConnection)  # paced
 
 
 def test_a_late_message_calls_for_a_probe_of_its_server() -> None:
@@ -415,26 +428,28 @@
     send = g.sent[-1]
     g.establish(send)
     g.pass_time(3 * SECOND)
-    late = g.give(i.Note(send.request, 0, send.server, i.NOTE_DELAY, 500.0))
-    assert [probe.server for probe in of(late, i.Probe)] == [send.server]
+    late = g.give(i.ConnectionMetric(send.request_id, 0, send.endpoint_id, i.NOTE_DELAY, 500.0))
+    assert [probe.endpoint_id for probe in of(late, i.ProbeLoad)] == [send.endpoint_id]
     g.pass_time(3 * SECOND)
-    assert not of(g.give(i.Note(send.request, 0, send.server, i.NOTE_DELAY, 20.0)), i.Probe)
-    assert not g.give(i.Note(send.request, 0, send.server, i.NOTE_DELAY, math.nan))
+    assert not of(
+        g.give(i.ConnectionMetric(send.request_id, 0, send.endpoint_id, i.NOTE_DELAY, 20.0)), i.ProbeLoad
+    )
+    assert not g.give(i.ConnectionMetric(send.request_id, 0, send.endpoint_id, i.NOTE_DELAY, math.nan))
 
 
 def test_handed_over_connections_count_and_late_or_unknown_ids_do_not() -> None:
     g = Gateway(2)
-    g.give(i.Resumed(77, 0, 0, 0, 0, 0, 1))
+    g.give(i.ConnectionResumed(77, 0, 0, 0, 0, 0, 1))
     assert 77 in g.balancer.nodes[1].conns
-    g.give(i.Outcome(77, 0, i.OK, 1, 1, 10))
+    g.give(i.AttemptEnded(77, 0, i.OK, 1, 1, 10))
     assert not g.balancer.nodes[1].conns
     for event in (
-        i.Outcome(77, 0, i.OK, 1, 1, 10),
-        i.ClientGone(5),
-        i.Established(5, 0, 1, 10),
-        i.TimerDue(99),
-        i.Outcome(5, 3, i.TIMEOUT, 0, 9, 10),
-        i.Note(5, 0, 1, 1, 2.0),
+        i.AttemptEnded(77, 0, i.OK, 1, 1, 10),
+        i.ClientDisconnected(5),
+        i.ConnectionEstablished(5, 0, 1, 10),
+        i.TimerExpired(99),
+        i.AttemptEnded(5, 3, i.TIMEOUT, 0, 9, 10),
+        i.ConnectionMetric(5, 0, 1, 1, 2.0),
         i.PeerMessage(1, b"x"),
     ):
         assert g.give(event) == []
@@ -442,7 +457,7 @@
 
 def test_same_events_same_actions() -> None:
     def day() -> list[i.Action]:
-        g = Gateway(8, seed=5, gateways=9)
+        g = Gateway(8, seed=5, relay_count=9)
         for _ in range(100):
             g.arrive()
             g.pass_time(40_000)
@@ -461,10 +476,10 @@
     """One final answer in time, no double effect, nothing to draining servers, one attempt at a time."""
     cls = {"repeatable": REPEATABLE, "once": ONCE}.get(kind) or keyed(kind)
     part = {n: n % 2 for n in range(6)}
-    g = Gateway(6, classes=[cls], places=part, cells=part, probes=probes)
+    g = Gateway(6, classes=[cls], places=part, cells=part, load_probes_enabled=probes)
     state = dict.fromkeys(range(6), i.READY)
     owed: dict[int, int] = {}  # request: deadline
-    out: dict[int, i.Send] = {}
+    out: dict[int, i.StartAttempt] = {}
     ran: dict[int, tuple[int, int]] = {}  # request: server and time of the first attempt that may have run
     sent_at: dict[int, int] = {}
     timers: list[tuple[int, int]] = []
@@ -473,20 +488,23 @@
         for a in actions:
             if isinstance(a, i.SetTimer):
                 timers.append((g.now + a.after_us, a.token))
-            if isinstance(a, i.Send):
-                assert a.request in owed and a.request not in out and state[a.server] == i.READY
+            if isinstance(a, i.StartAttempt):
+                assert a.request_id in owed and a.request_id not in out and state[a.endpoint_id] == i.READY
                 assert a.timeout_us > 0
-                if a.request in ran and kind != "repeatable":
-                    server, at = ran[a.request]
+                if a.request_id in ran and kind != "repeatable":
+                    server, at = ran[a.request_id]
                     # it may take a connect's time to get there
-                    assert kind != "once" and g.now + g.balancer.s.connect_timeout_us - at < cls.window_us
-                    assert kind == "all" or part[server] == part[a.server]
-                out[a.request], sent_at[a.request] = a, g.now
-            if isinstance(a, i.Refuse | i.Fail):
-                assert a.request in owed and a.request not in out
-                if isinstance(a, i.Refuse) and a.request in ran:
+                    assert (
+                        kind != "once"
+                        and g.now + g.balancer.s.connect_timeout_us - at < cls.idempotency_window_us
+                    )
+                    assert kind == "all" or part[server] == part[a.endpoint_id]
+                out[a.request_id], sent_at[a.request_id] = a, g.now
+            if isinstance(a, i.RejectRequest | i.FailRequest):
+                assert a.request_id in owed and a.request_id not in out
+                if isinstance(a, i.RejectRequest) and a.request_id in ran:
                     assert kind in ("repeatable", "all")
-                del owed[a.request]
+                del owed[a.request_id]
 
     def until(when: int) -> None:
         while timers and min(timers)[0] <= when:
@@ -495,7 +513,7 @@
             if token == 1 and at > g.now + 5 * SECOND:
                 continue
             g.now = max(g.now, at)
-            check(g.give(i.TimerDue(token)))
+            check(g.give(i.TimerExpired(token)))
         g.now = max(g.now, when)
 
     check(g.log[:])
@@ -504,7 +522,7 @@
         until(g.now + gap)
         for rid in [r for r, send in out.items() if g.now >= sent_at[r] + send.timeout_us]:
             send = out.pop(rid)
-            ran.setdefault(rid, (send.server, sent_at[rid]))
+            ran.setdefault(rid, (send.endpoint_id, sent_at[rid]))
             check(g.end(send, i.TIMEOUT))
         if what <= 3:
             owed[g.next_id] = g.now + 2 * SECOND
@@ -514,7 +532,7 @@
             send = out.pop(rid)
             status = rng.choice([i.ERROR, i.FULL, i.CONNECT_FAILED, i.RESET])
             if status in RAN:
-                ran.setdefault(rid, (send.server, sent_at[rid]))
+                ran.setdefault(rid, (send.endpoint_id, sent_at[rid]))
             check(g.end(send, status))
         elif what == 5 and out:
             rid = sorted(out)[pick % len(out)]
@@ -533,32 +551,36 @@
         elif what == 8 and owed:
             rid = sorted(owed)[pick % len(owed)]
             if rid not in out:
-                check(g.give(i.ClientGone(rid)))
+                check(g.give(i.ClientDisconnected(rid)))
                 del owed[rid]
     for _ in range(60):  # every time-out runs out: all that was owed has been answered by then
         until(g.now + SECOND // 10)
         for rid in [r for r, send in out.items() if g.now >= sent_at[r] + send.timeout_us]:
             send = out.pop(rid)
-            ran.setdefault(rid, (send.server, sent_at[rid]))
+            ran.setdefault(rid, (send.endpoint_id, sent_at[rid]))
             check(g.end(send, i.TIMEOUT))
     assert not owed
 
 
-def fault(g: Gateway, send: i.Send, status: int) -> list[i.Action]:
+def fault(g: Gateway, send: i.StartAttempt, status: int) -> list[i.Action]:
     """The attempt failed by the way there, not by the server."""
-    attempt = g.attempts[send.request]
-    return g.give(i.Outcome(send.request, attempt, status, 0, send.server, 10_000, (), True))
+    attempt = g.attempts[send.request_id]
+    return g.give(i.AttemptEnded(send.request_id, attempt, status, 0, send.endpoint_id, 10_000, (), True))
 
 
 def test_a_way_that_failed_leaves_the_time_of_an_attempt_and_its_server_as_they_were() -> None:
-    g = Gateway(1, max_attempts=6, classes=[i.RequestClass("r", 500_000, repeat="repeatable")])
+    g = Gateway(1, max_attempts=6, classes=[i.RequestClass("r", 500_000, idempotency="repeatable")])
     g.arrive()
     for status in (i.RESET, i.TIMEOUT, i.RESET):
         actions = fault(g, g.sent[-1], status)
-        (again,) = of(actions, i.Send)
+        (again,) = of(actions, i.StartAttempt)
         # the same server by another way, and no longer than a first attempt: the next may be needed as well
-        assert again.server == g.sent[0].server and again.timeout_us == g.sent[0].timeout_us == 500_000
-    assert of(g.end(g.sent[-1], i.TIMEOUT), i.Refuse)  # a fault of its own ends it, with no other server
+        assert (
+            again.endpoint_id == g.sent[0].endpoint_id and again.timeout_us == g.sent[0].timeout_us == 500_000
+        )
+    assert of(
+        g.end(g.sent[-1], i.TIMEOUT), i.RejectRequest
+    )  # a fault of its own ends it, with no other server
 
 
 def test_ways_that_fail_are_no_sign_of_overload() -> None:
@@ -568,4 +590,4 @@
         fault(g, g.sent[-1], i.TIMEOUT)
         assert g.balancer.bad == 0.0 and not g.aside()
         g.establish(g.sent[-1])
-    assert g.balancer.took > 7.9 and not of(g.log, i.Refuse)  # all stand: nothing is throttled
+    assert g.balancer.took > 7.9 and not of(g.log, i.RejectRequest)  # all stand: nothing is throttled
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -162,16 +162,16 @@
     place.hup(discovery=Address(*moved[0].getsockname()))
     silent = await place.watcher(moved[0], 0)
     old.send(told(7))  # the new one has not answered: the old one still counts
-    await place.until(lambda: place.relay.engine.pool.version == 7)
+    await place.until(lambda: place.relay.engine.endpoint_list.version == 7)
     place.hup(discovery=Address(*moved[1].getsockname()))  # a second reload during the first
     new = await place.watcher(moved[1], 0)
     await silent.expect("end")
     old.close()  # as it does after a while; no failure, for the new one is under way
     await place.until(lambda: place.relay.pool.last is None)
     new.send(HEAD + told(9))
-    await place.until(lambda: place.relay.engine.pool.version == 9)
+    await place.until(lambda: place.relay.engine.endpoint_list.version == 9)
     assert not place.relay.engine.counters.counts["pool_failures"]
-    assert place.relay.engine.pool.ready()  # what the old one told has stayed
+    assert place.relay.engine.endpoint_list.has_ready_endpoint()  # what the old one told has stayed
     client.send(r"still here\r\n")
     await server.expect("still here")
 
@@ -182,7 +182,7 @@
     place.hup(seed=BAD)
     await place.until(lambda: place.relay.engine.counters.counts["reload_failures"] == 1)
     assert place.relay.config is before
-    classes = [i.RequestClass("plain"), i.RequestClass("other", repeat="repeatable")]
+    classes = [i.RequestClass("plain"), i.RequestClass("other", idempotency="repeatable")]
     place.hup(
         seed=1,
         limits=replace(before.limits, linger_us=60_000),
@@ -249,7 +249,7 @@
         await waiting.expect("BUSY")  # whichever took it, nothing starts there
         await place.call(r"ONLINE b1\r\n", "ok b1 in use")
         await client.expect("MOVE")
-        await place.until(lambda: not new.engine.pool.is_out("b1"))
+        await place.until(lambda: not new.engine.endpoint_list.is_offline("b1"))
         place.relay.drain()
         for n in range(8):  # the old one accepts none of these
             again, _ = await served(place, f"1{n}")
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -8,7 +8,7 @@
 from gannetweir import interface as i
 from gannetweir.routing.rate_limit import Limit
 from gannetweir.routing.retry_budget import Budget
-from gannetweir.routing.route_admission import Keeper, told_classes, with_routes
+from gannetweir.routing.route_admission import RouteAdmission, told_classes, with_routes
 from gannetweir.routing.routes import RouteTable, reach
 from gannetweir.routing.rules import BudgetRule, LimitRule, Match, Route, Rules, WaitRule
 
@@ -16,12 +16,12 @@
 NAMES = ["a", "b"]
 
 
-def fits(match: Match, wanted: i.Request) -> bool:
+def fits(match: Match, wanted: i.RequestArrived) -> bool:
     """The meaning of a route, said as plainly as can be."""
     again, retry = wanted.flags & i.RETURNED > 0, wanted.flags & i.CLIENT_RETRY > 0
     group, key = f"{wanted.group:016x}", f"{wanted.key:016x}"
     return (
-        (not match.classes or NAMES[wanted.cls] in match.classes)
+        (not match.classes or NAMES[wanted.class_index] in match.classes)
         and match.again in (None, again)
         and match.retry in (None, retry)
         and (not match.groups or (wanted.group > 0 and any(group.startswith(p) for p in match.groups)))
@@ -39,11 +39,13 @@
     return Match(classes, prefixes(), prefixes(), *flags)
 
 
-def anyone(rng: random.Random) -> i.Request:
+def anyone(rng: random.Random) -> i.RequestArrived:
     def number() -> int:
         return int("".join(rng.choice("001") for _ in range(4)) + "0" * 12, 16)
 
-    return i.Request(0, rng.randrange(2), key=number(), group=number(), flags=rng.choice([0, 2, 16, 18]))
+    return i.RequestArrived(
+        0, rng.randrange(2), key=number(), group=number(), flags=rng.choice([0, 2, 16, 18])
+    )
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -69,7 +71,7 @@
     table = RouteTable(routes, NAMES)
     for cls in range(2):
         for flags in (0, 2, 16, 18):
-            all_of = (i.Request(0, cls, key=k, group=g, flags=flags) for g in groups for k in keys)
+            all_of = (i.RequestArrived(0, cls, key=k, group=g, flags=flags) for g in groups for k in keys)
             taken |= {table.find(wanted) for wanted in all_of}
     found = reach(routes, NAMES, True, True)
     assert set(found.blame) == set(range(len(routes))) - taken
@@ -182,19 +184,21 @@
 # ---- the keeper
 
 
-def keeper_of(*routes: Route, relay: LimitRule | None = None, budget: BudgetRule | None = None) -> Keeper:
+def keeper_of(
+    *routes: Route, relay: LimitRule | None = None, budget: BudgetRule | None = None
+) -> RouteAdmission:
     rules = Rules(routes, budget, relay or LimitRule())
-    return Keeper(rules, with_routes(SETTINGS, rules))
+    return RouteAdmission(rules, with_routes(SETTINGS, rules))
 
 
-CLASSES = [i.RequestClass("a", repeat="repeatable"), i.RequestClass("b", repeat="once")]
+CLASSES = [i.RequestClass("a", idempotency="repeatable"), i.RequestClass("b", idempotency="once")]
 SETTINGS = i.Settings(classes=CLASSES, max_attempts=4)
 
 
 def test_a_class_on_a_route_is_a_class_of_its_own() -> None:
     rules = Rules((Route("r", Match(classes=("b",)), attempt_us=7, attempts=2), Route("default", attempts=3)))
     settings = with_routes(SETTINGS, rules)
-    assert [(c.name, c.route, c.attempts) for c in settings.classes] == [
+    assert [(c.name, c.route, c.max_attempts) for c in settings.classes] == [
         ("a", "", 0),
         ("b", "", 0),
         ("a", "r", 2),
@@ -202,8 +206,11 @@
         ("a", "default", 3),
         ("b", "default", 3),
     ]
-    keeper = Keeper(rules, settings)
-    assert [settings.classes[keeper.find(i.Request(0, n))].route for n in range(2)] == ["default", "r"]
+    keeper = RouteAdmission(rules, settings)
+    assert [settings.classes[keeper.class_index_for(i.RequestArrived(0, n))].route for n in range(2)] == [
+        "default",
+        "r",
+    ]
     assert with_routes(settings, rules) == settings and told_classes(settings) == CLASSES
 
 
@@ -223,33 +230,42 @@
     share, cls = keeper.shares["default"], i.RequestClass("a", route="default")
     for _ in range(5):
         keeper.admit(share, False, 0, 0.5)
-    assert [keeper.may_try(share, cls, "s", 1, 0) for _ in range(2)] == ["", "retry-budget"]
+    assert [keeper.attempt_refusal(share, cls, "s", 1, 0) for _ in range(2)] == ["", "retry-budget"]
     for _ in range(5):
         keeper.admit(share, True, 0, 0.5)
-    assert [keeper.may_try(share, cls, "s", 1, 0) for _ in range(5)] == ["", "", "", "", "retry-budget"]
+    assert [keeper.attempt_refusal(share, cls, "s", 1, 0) for _ in range(5)] == [
+        "",
+        "",
+        "",
+        "",
+        "retry-budget",
+    ]
 
 
 def test_the_relays_budget_holds_over_all_routes() -> None:
     one = Route("one", Match(classes=("a",)), budget=BudgetRule(1.0, SECOND, 9))
     keeper = keeper_of(one, Route("default"), budget=BudgetRule(0.5, SECOND, 2))
     cls = i.RequestClass("a", route="one")
-    assert not keeper.may_try(keeper.shares["one"], cls, "s", 1, 0)
-    assert not keeper.may_try(keeper.shares["default"], cls, "s", 1, 0)
-    assert keeper.may_try(keeper.shares["one"], cls, "s", 1, 0) == "retry-budget"
-    assert not keeper.may_try(keeper.shares["one"], cls, "s", 0, 0)  # a first try asks no budget
+    assert not keeper.attempt_refusal(keeper.shares["one"], cls, "s", 1, 0)
+    assert not keeper.attempt_refusal(keeper.shares["default"], cls, "s", 1, 0)
+    assert keeper.attempt_refusal(keeper.shares["one"], cls, "s", 1, 0) == "retry-budget"
+    assert not keeper.attempt_refusal(keeper.shares["one"], cls, "s", 0, 0)  # a first try asks no budget
 
 
 def test_set_ups_at_one_backend_are_those_of_all_routes() -> None:
     keeper = keeper_of(Route("one", Match(classes=("a",)), limits=LimitRule(at_backend=2)), Route("default"))
-    tight, loose = i.RequestClass("a", route="one", at_backend=2), i.RequestClass("b", route="default")
-    assert not keeper.may_try(keeper.shares["default"], loose, "s", 0, 0)
-    assert not keeper.may_try(keeper.shares["one"], tight, "s", 0, 0)
-    assert keeper.may_try(keeper.shares["one"], tight, "s", 0, 0) == "setups-at-backend"
-    assert not keeper.may_try(keeper.shares["one"], tight, "t", 0, 0)
-    keeper.settled("s")
-    assert not keeper.may_try(keeper.shares["one"], tight, "s", 0, 0)
+    tight, loose = (
+        i.RequestClass("a", route="one", max_setups_per_endpoint=2),
+        i.RequestClass("b", route="default"),
+    )
+    assert not keeper.attempt_refusal(keeper.shares["default"], loose, "s", 0, 0)
+    assert not keeper.attempt_refusal(keeper.shares["one"], tight, "s", 0, 0)
+    assert keeper.attempt_refusal(keeper.shares["one"], tight, "s", 0, 0) == "setups-at-backend"
+    assert not keeper.attempt_refusal(keeper.shares["one"], tight, "t", 0, 0)
+    keeper.setup_finished("s")
+    assert not keeper.attempt_refusal(keeper.shares["one"], tight, "s", 0, 0)
     for _ in range(9):
-        keeper.settled("s")
+        keeper.setup_finished("s")
     assert keeper.pending == {"t": 1}
 
 
@@ -257,16 +273,18 @@
     named = Route("r", Match(classes=("a",)), attempts=4, limits=LimitRule(open=3))
     keeper = keeper_of(named, Route("default"))
     old = keeper.shares["r"]
-    plan = i.RequestClass("a", route="r", attempts=4)
+    plan = i.RequestClass("a", route="r", max_attempts=4)
     keeper.admit(old, True, 0, 0.5)
     rules = Rules((Route("r", Match(classes=("a",)), attempts=2, limits=LimitRule(open=1)), Route("default")))
-    keeper.take(rules, with_routes(SETTINGS, rules))
-    assert keeper.shares["r"] is old and keeper.cap(plan, 4) == 2 and keeper.cap(plan, 1) == 1
+    keeper.apply(rules, with_routes(SETTINGS, rules))
+    assert (
+        keeper.shares["r"] is old and keeper.max_attempts(plan, 4) == 2 and keeper.max_attempts(plan, 1) == 1
+    )
     refusal = keeper.admit(old, True, 0, 0.5)
     assert refusal is not None and refusal.reason == "open of route r"
     rules = Rules((Route("default"),))
-    keeper.take(rules, with_routes(SETTINGS, rules))
-    assert keeper.cap(plan, 4) == 4  # its route is gone: its own plan holds
+    keeper.apply(rules, with_routes(SETTINGS, rules))
+    assert keeper.max_attempts(plan, 4) == 4  # its route is gone: its own plan holds
     keeper.ended(old)  # what a route that is gone held is given back all the same
     assert keeper.whole.limit.open == 0
 
@@ -279,7 +297,12 @@
     assert WaitRule("exponential", 5, 12).waits(5) == (5, 10, 12, 12)
     assert WaitRule("exponential", 5).waits(4) == (5, 10, 20)
     assert WaitRule("fixed", 5).waits(1) == ()
-    cls = i.RequestClass(waits=(1000, 2000), jitter=True)
-    assert [cls.wait_us(n, 0, 0, lambda: 0.5) for n in range(4)] == [0, 500, 1000, 0]
-    every = i.RequestClass(waits=(1000, 1000), every=True)
-    assert [every.wait_us(1, 100, now, random.random) for now in (100, 600, 1100, 5000)] == [1000, 500, 0, 0]
+    cls = i.RequestClass(retry_backoff_us=(1000, 2000), full_jitter=True)
+    assert [cls.backoff_us(n, 0, 0, lambda: 0.5) for n in range(4)] == [0, 500, 1000, 0]
+    every = i.RequestClass(retry_backoff_us=(1000, 1000), backoff_from_attempt_start=True)
+    assert [every.backoff_us(1, 100, now, random.random) for now in (100, 600, 1100, 5000)] == [
+        1000,
+        500,
+        0,
+        0,
+    ]
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -6,17 +6,17 @@
 import pytest
 
 from gannetweir import interface as i
-from gannetweir.core import Engine, WatchPool
+from gannetweir.core import Engine, SetEndpointWatch
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import Member, PoolNews
+from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
 from gannetweir.observability.trace import Trace
 from tests.helpers import SECOND, settings
 
-POOL = PoolNews(1, True, [Member(i.ServerEntry("a"), "127.0.0.1:1")])
+POOL = MembershipUpdate(1, True, [ListedEndpoint(i.EndpointEntry("a"), "127.0.0.1:1")])
 
 
 def engine(file: io.StringIO) -> Engine:
-    told = settings(ask_list=True)
+    told = settings(polls_endpoint_list=True)
     return Engine(told, Limits(), 1, POOL, 0, trace=Trace("n3", told, file))
 
 
@@ -27,9 +27,13 @@
         run.advance(second * SECOND)
     head, first, *rest = [orjson.loads(line) for line in file.getvalue().splitlines()]
     assert head["relay"] == "n3" and head["classes"][0]["name"] == "plain"
-    assert (first["on"], first["n"], first["t"]) == ("ServerList", "n3", 0)
-    assert first["is"]["entries"][0]["server"] == "a" and ["Probe", {"server": "a"}] in first["do"]
-    assert [line["do"] for line in rest if line["on"] == "TimerDue"] == [[["Watch", {"on": 1}]]]
+    assert (first["on"], first["n"], first["t"]) == ("EndpointListUpdate", "n3", 0)
+    assert (
+        first["is"]["entries"][0]["endpoint_id"] == "a" and ["ProbeLoad", {"endpoint_id": "a"}] in first["do"]
+    )
+    assert [line["do"] for line in rest if line["on"] == "TimerExpired"] == [
+        [["WatchEndpoints", {"enabled": 1}]]
+    ]
 
 
 class Broken(io.StringIO):
@@ -41,24 +45,27 @@
 def test_what_can_not_be_written_ends_the_trace_and_nothing_else(file: io.StringIO) -> None:
     run = engine(file)
     assert run.trace is not None
-    run.trace(0, i.ClientGone(1 << 70), [])  # JSON has no form for it
+    run.trace(0, i.ClientDisconnected(1 << 70), [])  # JSON has no form for it
     length = len(file.getvalue())
     for second in range(1, 6):
         run.advance(second * SECOND)
-    assert any(isinstance(command, WatchPool) for command in run.commands)
+    assert any(isinstance(command, SetEndpointWatch) for command in run.commands)
     assert len(file.getvalue()) == length
 
 
 def test_every_step_of_a_request_is_a_line_with_the_client_s_id() -> None:
-    file, told = io.StringIO(), settings(ask_list=True, probes=False, report_source="none")
+    file, told = (
+        io.StringIO(),
+        settings(polls_endpoint_list=True, load_probes_enabled=False, load_report_source="none"),
+    )
     trace = Trace("n3", told, file)
     run = Engine(told, Limits(), 1, POOL, 0, request_trace=trace.request)
-    number = run.opened(i.Request(0, budget_us=SECOND), None, 5, "7f3a")
-    run.client_left(number, False, 9)
+    number = run.request_opened(i.RequestArrived(0, time_budget_us=SECOND), None, 5, "7f3a")
+    run.client_disconnected(number, False, 9)
     steps = [line for line in map(orjson.loads, file.getvalue().splitlines()) if "step" in line]
-    assert [(line["at_us"], line["ident"], line["step"]) for line in steps] == [
+    assert [(line["at_us"], line["client_request_id"], line["step"]) for line in steps] == [
         (5, "7f3a", "opened"),
         (5, "7f3a", "attempt"),
         (9, "7f3a", "closed"),
     ]
-    assert steps[-1]["reason"] == "client_ended" and steps[1]["backend"] == "a"
+    assert steps[-1]["reason"] == "client_ended" and steps[1]["endpoint_id"] == "a"
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -40,18 +40,20 @@
         hosts[0]["born_ms"] = time.monotonic_ns() // 1_000_000 + TRUE_S * 1000
     if port:  # processes that share a folder serve one address
         place.file = replace(place.file, listen=replace(place.file.listen, port=port))
-    settings = replace(place.file.settings, classes=CLASSES, warm_within_us=WARM_US, groups=False)
+    settings = replace(
+        place.file.settings, classes=CLASSES, slow_start_window_us=WARM_US, groups_enabled=False
+    )
     return Relay(replace(place.file, settings=settings, known={"seq": 1, "hosts": hosts}, shared=shared))
 
 
 def placed(relay: Relay, now_us: int, count: int = 60) -> Iterator[str]:
     """Where requests of this moment go."""
     for _ in range(count):
-        relay.engine.opened(i.Request(0, budget_us=2_000_000), None, now_us)
+        relay.engine.request_opened(i.RequestArrived(0, time_budget_us=2_000_000), None, now_us)
     commands = relay.engine.commands
     for command in list(commands):
-        if isinstance(command, e.OpenFlow):
-            yield str(command.server)
+        if isinstance(command, e.OpenUpstream):
+            yield str(command.endpoint_id)
     commands.clear()
 
 
@@ -86,11 +88,13 @@
         for n in range(6)
     ]
     place = Place()
-    settings = replace(place.file.settings, classes=CLASSES, warm_within_us=WARM_US, groups=False)
+    settings = replace(
+        place.file.settings, classes=CLASSES, slow_start_window_us=WARM_US, groups_enabled=False
+    )
     relay = Relay(replace(place.file, settings=settings, known={"seq": 1, "hosts": hosts}))
     assert len(set(placed(relay, relay.clock(), 200))) == 6
     news = read_pool({"seq": 2, "whole": True, "hosts": hosts}, settings)
-    relay.engine.pool_news(news, relay.clock())
+    relay.engine.endpoint_update_received(news, relay.clock())
     relay.engine.commands.clear()
     assert len(set(placed(relay, relay.clock(), 200))) == 6
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -72,28 +72,33 @@
     [
         (
             record(18, f"0300 {ID} 00 0000 640ad2557c3bf091 80a90300 e02e0000 107cf3d901648e2b 01"),
-            i.Request(0x0C27185D3A91C4, 0, 0, 0x91F03B7C55D20A64, 240000, 12000, 0x2B8E6401D9F37C10, 1),
+            i.RequestArrived(
+                0x0C27185D3A91C4, 0, 0, 0x91F03B7C55D20A64, 240000, 12000, 0x2B8E6401D9F37C10, 1
+            ),
+        ),
+        (record(21, f"0300 {ID}"), i.ClientDisconnected(0x0C27185D3A91C4)),
+        (record(22, "0300 4d00000000000000"), i.TimerExpired(0x4D)),
+        (
+            record(19, f"0300 {ID} 00 0a124a07c32b 22240000"),
+            i.ConnectionEstablished(0x0C27185D3A91C4, 0, SERVER, 9250),
         ),
-        (record(21, f"0300 {ID}"), i.ClientGone(0x0C27185D3A91C4)),
-        (record(22, "0300 4d00000000000000"), i.TimerDue(0x4D)),
-        (record(19, f"0300 {ID} 00 0a124a07c32b 22240000"), i.Established(0x0C27185D3A91C4, 0, SERVER, 9250)),
         (
             record(20, f"0300 {ID} 00 0a00 01 0a124a07c32b 44480000"),
-            i.Outcome(0x0C27185D3A91C4, 0, i.OK, 1, SERVER, 18500, ()),
+            i.AttemptEnded(0x0C27185D3A91C4, 0, i.OK, 1, SERVER, 18500, ()),
         ),
         (
             record(23, "0300 0a9011f2ec2b 0a00 78050000 03 0000e040 00000c43 cdcccc3e"),
-            i.ProbeResult(OTHER, i.OK, 1400, (7.0, 140.0, pytest.approx(0.4))),
+            i.LoadProbeResult(OTHER, i.OK, 1400, (7.0, 140.0, pytest.approx(0.4))),
         ),
         (
             record(27, f"0300 {ID} 00 0a124a07c32b 01 0000003f"),
-            i.Note(0x0C27185D3A91C4, 0, SERVER, i.NOTE_LOAD, 0.5),
+            i.ConnectionMetric(0x0C27185D3A91C4, 0, SERVER, i.NOTE_LOAD, 0.5),
         ),
         (
             record(
                 26, f"0300 {ID} e02e0000 80a90300 107cf3d901648e2b 640ad2557c3bf091 0200 0a9011f2ec2b 01 04"
             ),
-            i.Resumed(
+            i.ConnectionResumed(
                 0x0C27185D3A91C4, 12000, 240000, 0x2B8E6401D9F37C10, 0x91F03B7C55D20A64, 2, OTHER, 1, 4
             ),
         ),
@@ -109,12 +114,12 @@
         "0a9011f2 ec2b 0100 0000 0000 02 0000c03f 20145d0000000000".replace(" ", "")
     )
     event = decode(record(17, "0300 03 29000000 00000000 02000000"), tail)
-    assert event == i.ServerList(
+    assert event == i.EndpointListUpdate(
         i.LIST_CACHED,
         41,
         [
-            i.ServerEntry(SERVER, 0, 0, 0, i.READY, 1.0, 0),
-            i.ServerEntry(OTHER, 1, 0, 0, i.DRAINING, 1.5, 6100000),
+            i.EndpointEntry(SERVER, 0, 0, 0, i.READY, 1.0, 0),
+            i.EndpointEntry(OTHER, 1, 0, 0, i.DRAINING, 1.5, 6100000),
         ],
     )
     assert decode(record(24, "0300 02000000 00000000 04000000"), b"hi 7") == i.PeerMessage(2, b"hi 7")
@@ -125,13 +130,13 @@
 @pytest.mark.parametrize(
     ("action", "raw"),
     [
-        (i.Send(0x0C27185D3A91C4, SERVER, 80000), f"10 0300 {ID} 0a124a07c32b 80380100 000000"),
-        (i.Refuse(0x0C27185D3A91C4, 250000), f"11 0300 {ID} 90d00300 000000000000000000"),
-        (i.Fail(0x0C27185D3A91C4), f"12 0300 {ID} 00000000000000000000000000"),
+        (i.StartAttempt(0x0C27185D3A91C4, SERVER, 80000), f"10 0300 {ID} 0a124a07c32b 80380100 000000"),
+        (i.RejectRequest(0x0C27185D3A91C4, 250000), f"11 0300 {ID} 90d00300 000000000000000000"),
+        (i.FailRequest(0x0C27185D3A91C4), f"12 0300 {ID} 00000000000000000000000000"),
         (i.SetTimer(0x4D, 500000), "14 0300 4d00000000000000 20a10700 000000000000000000"),
-        (i.Probe(OTHER), "15 0300 0a9011f2ec2b 000000000000000000000000000000"),
-        (i.Watch(1), "1a 0300 01 0000000000000000000000000000000000000000"),
-        (i.Move(0x0C27185D3A91C4), f"1c 0300 {ID} 00000000000000000000000000"),
+        (i.ProbeLoad(OTHER), "15 0300 0a9011f2ec2b 000000000000000000000000000000"),
+        (i.WatchEndpoints(1), "1a 0300 01 0000000000000000000000000000000000000000"),
+        (i.MigrateConnection(0x0C27185D3A91C4), f"1c 0300 {ID} 00000000000000000000000000"),
     ],
 )
 def test_actions(action: i.Action, raw: str) -> None:
@@ -143,7 +148,7 @@
 
 def test_log_lines_go_to_the_tail() -> None:
     reply = wire.Reply()
-    reply.add(3, [i.Log("one"), i.Log("three")])
+    reply.add(3, [i.WriteLog("one"), i.WriteLog("three")])
     data = reply.frame()
     assert data[8:19] == bytes.fromhex("18030000000000 03000000".replace(" ", ""))
     assert data[32:43] == bytes.fromhex("18030003000000 05000000".replace(" ", ""))
@@ -152,10 +157,20 @@
 
 def test_settings_are_read_and_defaults_stand_in() -> None:
     s = read_settings(json.dumps(SETTINGS).encode())
-    assert (s.ask_list, s.probes, s.max_attempts, s.fall_multiple) == (True, True, 3, 2.5)
-    assert s.classes[0].repeat == "repeatable" and s.report_names == ["concurrent", "x0"]
+    assert (s.polls_endpoint_list, s.load_probes_enabled, s.max_attempts, s.overload_multiple) == (
+        True,
+        True,
+        3,
+        2.5,
+    )
+    assert s.classes[0].idempotency == "repeatable" and s.load_report_fields == ["concurrent", "x0"]
     bare = read_settings(b'{"categories": [{}]}')
-    assert (bare.probes, bare.max_attempts, bare.classes[0].repeat, bare.ask_list) == (
+    assert (
+        bare.load_probes_enabled,
+        bare.max_attempts,
+        bare.classes[0].idempotency,
+        bare.polls_endpoint_list,
+    ) == (
         False,
         1,
         "once",
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -101,10 +101,10 @@
     assert checker.counts["up"] > 50
     for relay in world.relays:
         assert relay.engine.counters.counts["overdue"] == relay.engine.counters.counts["module_faults"] == 0
-        if (keeper := relay.engine.keeper) is not None:
-            held = [tx for tx in relay.engine.transactions.values() if tx.share is not None]
+        if (keeper := relay.engine.route_admission) is not None:
+            held = [tx for tx in relay.engine.requests.values() if tx.admission_permit is not None]
             assert keeper.whole.limit.open == len(held)
-            assert sum(keeper.pending.values()) == sum(tx.setting_up for tx in held)
+            assert sum(keeper.pending.values()) == sum(tx.counts_as_setup for tx in held)
 
 
 @pytest.mark.parametrize("first", range(0, 60, 10))
@@ -117,7 +117,7 @@
         assert not checker.broken, checker.broken[:3]
         served, asked = served + checker.counts["up"], asked + len(checker.stories)
         for relay in world.relays:
-            assert relay.engine.paths is not None
+            assert relay.engine.address_selector is not None
             assert relay.engine.counters.counts["paths.unix"] > 0
     assert served >= 0.97 * asked > 500
 
@@ -153,15 +153,15 @@
     seen: list[set[str]] = []
 
     def look() -> None:
-        assert engine.paths is not None
-        seen.append({str(a) for a in engine.paths.known["b0"]})
+        assert engine.address_selector is not None
+        seen.append({str(a) for a in engine.address_selector.known["b0"]})
 
     world.at(5, look)
     world.at(6, lambda: world.relays[0].reload(only(2)))
     world.at(7, look)
     open_before: list[int] = []
-    world.at(5.9, lambda: open_before.append(engine.present()["open"]))
-    world.at(6.1, lambda: open_before.append(engine.present()["open"]))
+    world.at(5.9, lambda: open_before.append(engine.current_figures()["open"]))
+    world.at(6.1, lambda: open_before.append(engine.current_figures()["open"]))
     checker = world.run(12)
     ways = list(world.backends["b0"].paths)
     assert seen == [{ways[0], ways[1]}, {ways[2], ways[1]}]
@@ -191,7 +191,9 @@
         rules = read_rules(file, told, Limits())
         relay = World(replace(plan, per_s=0.001), file).relays[0]
         for number, cls in enumerate(plan.classes):
-            timed = relay.settings.classes[relay.engine.keeper.find(i.Request(0, number))]  # type: ignore[union-attr]
+            timed = relay.settings.classes[
+                relay.engine.route_admission.class_index_for(i.RequestArrived(0, number))
+            ]  # type: ignore[union-attr]
             sum_us = schedule(timed, told, Limits()).total_us
             assert worst(cls.name, begin, end) <= sum_us, (cls.name, rules)
     assert worst("rider-area", 3, 8) > worst("zone-view", 3, 8) > worst("zone-view", 8, 12)
@@ -223,15 +225,15 @@
             SMALL, seed=accepted, relays=1, per_s=1.0, backends=40, traffic=(Traffic(1.0, retries=0),) * 4
         )
         world = World(plan, file)
-        keeper = world.relays[0].engine.keeper
+        keeper = world.relays[0].engine.route_admission
         assert keeper is not None
-        timed = world.relays[0].settings.classes[keeper.find(i.Request(0, 0))]
+        timed = world.relays[0].settings.classes[keeper.class_index_for(i.RequestArrived(0, 0))]
         for backend in world.backends.values():
-            backend.stalls, backend.connect_us = True, timed.connect_us - 1_000
+            backend.stalls, backend.connect_us = True, timed.connect_timeout_us - 1_000
         checker = world.run(6)
         assert not checker.broken
         for number, cls in enumerate(plan.classes):
-            one = world.relays[0].settings.classes[keeper.find(i.Request(0, number))]
+            one = world.relays[0].settings.classes[keeper.class_index_for(i.RequestArrived(0, number))]
             # the last step of the sum is the margin that is kept for the answer's way
             most = schedule(one, told, Limits()).total_us - margin_us(int(cls.deadline_us), Limits())
             worst = checker.worst_us(cls.name)
--- a/tests/test_yard.py
+++ b/tests/test_yard.py
@@ -12,15 +12,15 @@
 import pytest
 
 from gannetweir.addresses.address import UNIX, V6, Address
-from gannetweir.addresses.address_selector import Paths
-from gannetweir.addresses.rules import ReachRules
+from gannetweir.addresses.address_selector import AddressSelector
+from gannetweir.addresses.rules import AddressRules
 from gannetweir.lab.emulator.attempts import BEATS_BACK, RESOLUTION_MS, OpenAttempts, now_ms
 from gannetweir.lab.emulator.push_node import PushNode, Store, loopback, spawn_in
 from gannetweir.lab.emulator.yard import Yard, YardPlan
 from gannetweir.lab.model.checker import Checker
 from gannetweir.limits import Limits
 from gannetweir.net.dialer import Dialer
-from gannetweir.net.transport import Ledger, Spawn
+from gannetweir.net.transport import DescriptorCount, Spawn
 
 FAMILIES = ("unix", "ipv6", "ipv4")
 KINDS = ("refuse", "hole", "stall", "reset", "slow")
@@ -112,8 +112,8 @@
     async def run() -> None:
         nothing = OpenAttempts(Checker(), lambda: 0)
         node = PushNode("a", loopback(1, "", ("ipv6", "ipv4")), 10, Store(100), nothing, random.Random(1))
-        ledger = Ledger()
-        paths = Paths(ReachRules(), 1, 250_000)
+        ledger = DescriptorCount()
+        paths = AddressSelector(AddressRules(), 1, 250_000)
         paths.tell("a", "", tuple(node.doors))
         async with anyio.create_task_group() as tasks:
             await tasks.start(node.run)
@@ -193,7 +193,7 @@
         node = PushNode(
             "a", loopback(1, str(tmp_path), (first, "ipv4")), 10, Store(100), attempts, random.Random(1)
         )
-        paths = Paths(ReachRules(), 1, 250_000)
+        paths = AddressSelector(AddressRules(), 1, 250_000)
         paths.tell("a", "", tuple(node.doors))
         async with anyio.create_task_group() as tasks:
             await tasks.start(node.run)
@@ -202,7 +202,9 @@
             async def taken(times: int) -> set[str]:
                 found = set()
                 for _ in range(times):
-                    endpoint, at = await Dialer(host, paths, "a", paths.race("a", 1), Ledger()).connect()
+                    endpoint, at = await Dialer(
+                        host, paths, "a", paths.race("a", 1), DescriptorCount()
+                    ).connect()
                     endpoint.close()
                     found.add(at.family)
                 return found
