--- a/gannetweir/config/operators.py
+++ b/gannetweir/config/operators.py
@@ -17,8 +17,8 @@
 from gannetweir.config.errors import ConfigError
 from gannetweir.config.files import read_bytes
 from gannetweir.config.kdl import KdlError, Node, read
-from gannetweir.interface import Settings
 from gannetweir.limits import Limits
+from gannetweir.placement.settings import Settings
 from gannetweir.routing.route_checks import check
 from gannetweir.routing.rules import (
     HEX_DIGITS,
--- a/gannetweir/config/platform.py
+++ b/gannetweir/config/platform.py
@@ -12,8 +12,8 @@
 from gannetweir.config.errors import ConfigError
 from gannetweir.config.files import read_bytes
 from gannetweir.config.settings import check_settings, fill, settings_from
-from gannetweir.interface import Settings
 from gannetweir.limits import Limits
+from gannetweir.placement.settings import Settings
 
 if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
     from gannetweir.addresses.rules import AddressRules
--- a/gannetweir/config/settings.py
+++ b/gannetweir/config/settings.py
@@ -8,7 +8,7 @@
 import orjson
 
 from gannetweir.config.errors import ConfigError
-from gannetweir.interface import RequestClass, Settings
+from gannetweir.placement.settings import RequestClass, Settings
 
 _MISSING: Any = object()
 _NUMBER = (int, float)
--- a/gannetweir/core/answer_delays.py
+++ b/gannetweir/core/answer_delays.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from gannetweir import interface as i
 from gannetweir.core.answers import Answers
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
@@ -10,6 +9,8 @@
 from gannetweir.core.request_state import PendingRequest
 from gannetweir.core.timers import Timer
 from gannetweir.limits import Limits
+from gannetweir.placement.events import AttemptStatus, ConnectionMetric, EndpointId, MetricKind
+from gannetweir.placement.settings import Settings
 
 
 class AnswerDelays:
@@ -18,10 +19,10 @@
     def __init__(self, context: EngineContext, decisions: Decisions, answers: Answers) -> None:
         self.context, self.decisions, self.answers = context, decisions, answers
         self.transactions = context.requests  # kept here, as every line asks for it
-        self.late: dict[i.EndpointId, int] = {}  # backends with late answers, and when a note last said so
+        self.late: dict[EndpointId, int] = {}  # backends with late answers, and when a note last said so
         self.configure(context.settings, context.limits)
 
-    def configure(self, settings: i.Settings, limits: Limits) -> None:
+    def configure(self, settings: Settings, limits: Limits) -> None:
         """Settings that hold from now on; kept here as well, for the same reason."""
         self.tells_delay, self.most_unanswered = settings.reports_message_delay, limits.unanswered_lines
         self.shortest_aim_ms = min(settings.message_latency_objectives_us, default=1e5) / 1000
@@ -56,7 +57,7 @@
             return
         self.context.counters.add("delay_notes")
         self.decisions.dispatch(
-            i.ConnectionMetric(tx.request_id, tx.attempt, tx.endpoint_id, i.NOTE_DELAY, delay_ms)
+            ConnectionMetric(tx.request_id, tx.attempt, tx.endpoint_id, MetricKind.MESSAGE_DELAY, delay_ms)
         )
 
     def watchdog_due(self) -> None:
@@ -66,7 +67,7 @@
             waited = self.context.now_us - tx.unanswered_since_us[0]
             if waited > self.context.limits.answer_silence_us:
                 self.context.counters.add("silent")
-                self.answers.migrate(tx, i.RESET, Reason.BACKEND_SILENT)
+                self.answers.migrate(tx, AttemptStatus.RESET, Reason.BACKEND_SILENT)
             elif waited > self.context.limits.answer_late_us:
                 # a message has taken so long already: the module can ask the backend before all are lost
                 self._note_delay(tx, waited / 1000)
--- a/gannetweir/core/answers.py
+++ b/gannetweir/core/answers.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from gannetweir import interface as i
 from gannetweir.core.attempts import Attempts
 from gannetweir.core.commands import FailClient, MigrateClient, RejectClient
 from gannetweir.core.context import EngineContext
@@ -10,6 +9,7 @@
 from gannetweir.core.reasons import Reason, after
 from gannetweir.core.request_log import Step
 from gannetweir.core.request_state import PendingRequest
+from gannetweir.placement.events import AttemptStatus, ClientDisconnected
 
 
 class Answers:
@@ -54,12 +54,12 @@
         """The module moves a client; it may have left since."""
         tx = self.context.requests.get(number)
         if tx is not None and tx.established:
-            self.migrate(tx, i.CANCELLED, Reason.DECISION)
+            self.migrate(tx, AttemptStatus.CANCELLED, Reason.DECISION)
 
     def fail(self, tx: PendingRequest, reason: Reason) -> None:
         """Fail a transaction that the module has not answered, and tell it so."""
         self.answer(tx, FailClient(tx.request_id), reason)
-        self.decisions.dispatch(i.ClientDisconnected(tx.request_id))
+        self.decisions.dispatch(ClientDisconnected(tx.request_id))
 
     def fail_unanswered(self, number: int) -> None:
         """The module failed on this transaction: no client may be left without an answer."""
--- a/gannetweir/core/attempts.py
+++ b/gannetweir/core/attempts.py
@@ -4,7 +4,6 @@
 
 from typing import TYPE_CHECKING
 
-from gannetweir import interface as i
 from gannetweir.core.commands import CloseUpstream, OpenUpstream
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
@@ -12,6 +11,8 @@
 from gannetweir.core.request_log import Step, outcome
 from gannetweir.core.request_state import PendingRequest
 from gannetweir.core.timers import Timer
+from gannetweir.placement.actions import StartAttempt
+from gannetweir.placement.events import NOT_EXECUTED, AttemptEnded, AttemptStatus, EndpointId
 
 if TYPE_CHECKING:  # a relay without several addresses a server does without the code for them
     from gannetweir.addresses.address import Address
@@ -23,7 +24,7 @@
     def __init__(self, context: EngineContext, decisions: Decisions) -> None:
         self.context, self.decisions = context, decisions
 
-    def start(self, action: i.StartAttempt) -> None:
+    def start(self, action: StartAttempt) -> None:
         """Start the attempt that the module asks for; one that may not leave ends as moot."""
         context = self.context
         tx = context.requests.get(action.request_id)
@@ -42,8 +43,10 @@
             # two flows at once, a backend that is not listed as ready or is out by hand, one attempt too
             # many: none may leave
             tx.attempt = attempt if not tx.attempt_in_flight else tx.attempt
-            context.counters.add("attempts", i.MOOT)
-            self.decisions.dispatch(i.AttemptEnded(tx.request_id, attempt, i.MOOT, 0, action.endpoint_id, 0))
+            context.counters.add("attempts", AttemptStatus.NOT_STARTED)
+            self.decisions.dispatch(
+                AttemptEnded(tx.request_id, attempt, AttemptStatus.NOT_STARTED, 0, action.endpoint_id, 0)
+            )
             return
         left = tx.deadline_us - now
         wait = min(left, action.timeout_us) if action.timeout_us > 0 else left
@@ -57,7 +60,7 @@
             else most
         )
 
-    def _held_back(self, tx: PendingRequest, attempt: int, server: i.EndpointId) -> bool:
+    def _held_back(self, tx: PendingRequest, attempt: int, server: EndpointId) -> bool:
         """Does the route's budget or limit forbid this attempt? The module then gives up at once."""
         if self.context.route_admission is None or tx.admission_permit is None:
             return False
@@ -85,7 +88,7 @@
             if self.context.route_admission is not None:
                 self.context.route_admission.setup_finished(tx.endpoint_id)
 
-    def open(self, tx: PendingRequest, server: i.EndpointId, dial: str, wait: int) -> None:
+    def open(self, tx: PendingRequest, server: EndpointId, dial: str, wait: int) -> None:
         """Open the flow of the next attempt, which has `wait` microseconds."""
         context = self.context
         now = context.now_us
@@ -135,7 +138,7 @@
         the way to the server is to blame."""
         tx.attempt_in_flight, tx.may_have_executed, tx.last_status = (
             False,
-            tx.may_have_executed or status not in i.NEVER_RAN,
+            tx.may_have_executed or status not in NOT_EXECUTED,
             status,
         )
         self.context.record_step(tx, Step.ATTEMPT_ENDED, outcome(status))
@@ -145,14 +148,14 @@
         self.context.counters.add("connections" if tx.established else "attempts", status)
         attempt, elapsed = max(0, tx.attempt), self.context.now_us - tx.attempt_started_us
         self.decisions.dispatch(
-            i.AttemptEnded(tx.request_id, attempt, status, closed, tx.endpoint_id, elapsed, report, fault)
+            AttemptEnded(tx.request_id, attempt, status, closed, tx.endpoint_id, elapsed, report, fault)
         )
 
     def _path_ended(self, tx: PendingRequest, status: int) -> bool:
         """What an attempt's end says of its path. Is that to blame, and not the server?"""
         assert self.context.address_selector is not None and tx.address is not None
         server, path, tx.address = str(tx.endpoint_id), tx.address, None
-        if status in (i.TIMEOUT, i.RESET):
+        if status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET):
             fault = self.context.address_selector.unanswered(server, path, self.context.now_us)
             if fault:
                 self.context.counters.add("path_faults")
@@ -162,10 +165,10 @@
                     attempt=tx.attempt,
                     backend=server,
                     path=path,
-                    reason="no answer" if status == i.TIMEOUT else "reset",
+                    reason="no answer" if status == AttemptStatus.TIMEOUT else "reset",
                 )
             return fault
-        if status in (i.OK, i.ERROR, i.FULL):
+        if status in (AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.FULL):
             self.context.address_selector.answered(server, path, self.context.now_us)
         return False
 
--- a/gannetweir/core/commands.py
+++ b/gannetweir/core/commands.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from gannetweir import interface as i
+from gannetweir.placement.events import EndpointId
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,7 +16,7 @@
     attempt: int
     address: str
     timeout_us: int
-    endpoint_id: i.EndpointId = None
+    endpoint_id: EndpointId = None
     races_addresses: bool = False  # `Engine.paths` knows the way there: its addresses race
 
 
@@ -77,7 +77,7 @@
 class StartLoadProbe:
     """Ask a backend for its load."""
 
-    endpoint_id: i.EndpointId
+    endpoint_id: EndpointId
     address: str
     races_addresses: bool = False
 
--- a/gannetweir/core/context.py
+++ b/gannetweir/core/context.py
@@ -6,7 +6,6 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from gannetweir import interface as i
 from gannetweir.core.commands import Command, WriteLogLine
 from gannetweir.core.invariants import InvariantGuard, Violation
 from gannetweir.core.reasons import Reason
@@ -16,6 +15,7 @@
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import EndpointList, OperatorOverrides
 from gannetweir.observability.counters import Counters
+from gannetweir.placement.settings import Settings
 
 if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
     from gannetweir.addresses.address_selector import AddressSelector
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         limits: Limits,
         keeper: RouteAdmission | None,
         hand: OperatorOverrides | None,
--- a/gannetweir/core/decisions.py
+++ b/gannetweir/core/decisions.py
@@ -5,12 +5,13 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 
-from gannetweir import interface as i
 from gannetweir.core.context import EngineContext
 from gannetweir.core.timers import Timer
+from gannetweir.placement.actions import Action
 from gannetweir.placement.balancer import Balancer
+from gannetweir.placement.events import Event, TimerExpired
 
-Trace = Callable[[int, i.Event, Sequence[i.Action]], None]
+Trace = Callable[[int, Event, Sequence[Action]], None]
 
 
 class Decisions:
@@ -20,17 +21,17 @@
         self,
         context: EngineContext,
         balancer: Balancer,
-        carry_out: Callable[[i.Action], None],
+        carry_out: Callable[[Action], None],
         fail: Callable[[int], None],
         trace: Trace | None,
     ) -> None:
         self.context, self.balancer = context, balancer
         self.carry_out, self.fail = carry_out, fail
         self.trace = trace  # told all that the module hears and answers, where that is asked for
-        self.events: deque[i.Event] = deque()
+        self.events: deque[Event] = deque()
         self.dispatching = False
 
-    def dispatch(self, event: i.Event) -> None:
+    def dispatch(self, event: Event) -> None:
         """Give the module an event. What its actions lead to at once waits for its turn."""
         self.events.append(event)
         if self.dispatching:
@@ -51,10 +52,10 @@
         finally:
             self.dispatching = False
 
-    def _fault(self, event: i.Event, error: Exception) -> None:
+    def _fault(self, event: Event, error: Exception) -> None:
         self.context.counters.add("module_faults")
         kind = type(event).__name__
         self.context.log(f"the decision module failed on {kind}: {type(error).__name__}: {error}")
-        if isinstance(event, i.TimerExpired):  # it sets the next as it takes one: upkeep must not end here
+        if isinstance(event, TimerExpired):  # it sets the next as it takes one: upkeep must not end here
             self.context.set_timer(self.context.limits.module_again_us, Timer.PLACEMENT, event.token)
         self.fail(getattr(event, "request_id", 0))
--- a/gannetweir/core/draining.py
+++ b/gannetweir/core/draining.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from gannetweir import interface as i
 from gannetweir.core.answers import Answers
 from gannetweir.core.commands import Exit
 from gannetweir.core.context import EngineContext
 from gannetweir.core.reasons import Reason
 from gannetweir.core.request_state import PendingRequest
 from gannetweir.core.timers import Timer
+from gannetweir.placement.events import AttemptStatus
 
 
 class Draining:
@@ -49,7 +49,7 @@
     def move_due(self, tx: PendingRequest) -> None:
         """The time of one client's move has come."""
         if tx.established:
-            self.answers.migrate(tx, i.CANCELLED, tx.migration_reason or Reason.DRAIN)
+            self.answers.migrate(tx, AttemptStatus.CANCELLED, tx.migration_reason or Reason.DRAIN)
             self._end_if_empty()
 
     def _end_if_empty(self) -> None:
@@ -64,7 +64,7 @@
         self.context.admission_closed = True
         for tx in list(self.context.requests.values()):
             if tx.established:
-                self.answers.migrate(tx, i.CANCELLED, Reason.DRAIN_OVER)
+                self.answers.migrate(tx, AttemptStatus.CANCELLED, Reason.DRAIN_OVER)
             else:
                 self.answers.reject(tx, self.context.limits.reject_retry_us, Reason.DRAIN_OVER)
         self.context.commands.append(Exit())
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -8,7 +8,6 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from gannetweir import interface as i
 from gannetweir.core.answer_delays import AnswerDelays
 from gannetweir.core.answers import Answers
 from gannetweir.core.attempts import Attempts
@@ -26,7 +25,20 @@
 from gannetweir.core.upstream_events import UpstreamEvents
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import MembershipUpdate, OperatorOverrides
+from gannetweir.placement.actions import (
+    Action,
+    FailRequest,
+    MigrateConnection,
+    ProbeLoad,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+    WriteLog,
+)
 from gannetweir.placement.balancer import Balancer
+from gannetweir.placement.events import TimerExpired, UpdateKind
+from gannetweir.placement.settings import Settings
 
 if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
     from gannetweir.addresses.address_selector import AddressSelector
@@ -39,7 +51,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         limits: Limits,
         seed: int,
         known: MembershipUpdate,
@@ -67,7 +79,7 @@
         self.context.set_timer(limits.watchdog_us, Timer.WATCHDOG)
         if reach is not None:
             self.membership.choose_addresses(reach)
-        self.membership.apply(i.LIST_CACHED, known)
+        self.membership.apply(UpdateKind.CACHED, known)
         self.membership.watch_pushed()
 
     def _wire(self, seed: int, trace: Trace | None) -> None:
@@ -157,7 +169,7 @@
 
     def reload(
         self,
-        settings: i.Settings,
+        settings: Settings,
         limits: Limits,
         now_us: int,
         keeper: RouteAdmission | None = None,
@@ -179,22 +191,22 @@
 
     # ---- the module
 
-    def _carry_out(self, action: i.Action) -> None:
-        if isinstance(action, i.SetTimer):
+    def _carry_out(self, action: Action) -> None:
+        if isinstance(action, SetTimer):
             self.context.set_timer(action.after_us, Timer.PLACEMENT, action.token)
-        elif isinstance(action, i.StartAttempt):
+        elif isinstance(action, StartAttempt):
             self.attempts.start(action)
-        elif isinstance(action, i.RejectRequest):
+        elif isinstance(action, RejectRequest):
             self.answers.reject_request(action.request_id, action.retry_after_us)
-        elif isinstance(action, i.FailRequest):
+        elif isinstance(action, FailRequest):
             self.answers.fail_request(action.request_id)
-        elif isinstance(action, i.MigrateConnection):
+        elif isinstance(action, MigrateConnection):
             self.answers.migrate_connection(action.request_id)
-        elif isinstance(action, i.ProbeLoad):
+        elif isinstance(action, ProbeLoad):
             self.load_probes.start(action.endpoint_id)
-        elif isinstance(action, i.WatchEndpoints):
+        elif isinstance(action, WatchEndpoints):
             self.membership.watch(bool(action.enabled))
-        elif isinstance(action, i.WriteLog):
+        elif isinstance(action, WriteLog):
             self.context.log(action.text)
 
     # ---- time
@@ -204,7 +216,7 @@
         for timer, value, attempt in self.context.timers.take_due(now_us):
             self.context.now_us = now_us
             if timer is Timer.PLACEMENT:
-                self.decisions.dispatch(i.TimerExpired(value))
+                self.decisions.dispatch(TimerExpired(value))
             else:
                 self._due(timer, value, attempt)
 
--- a/gannetweir/core/invariants.py
+++ b/gannetweir/core/invariants.py
@@ -11,8 +11,9 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from gannetweir import interface as i
 from gannetweir.membership.endpoint_list import EndpointList
+from gannetweir.placement.events import EndpointId
+from gannetweir.placement.settings import RequestClass
 
 LOST_AFTER_US = 500_000  # an answer that is later than this after its time is a lost one
 
@@ -46,13 +47,13 @@
 class RequestRecord:
     """One request as its sockets saw it."""
 
-    request_class: i.RequestClass
+    request_class: RequestClass
     deadline_us: int  # 0: none is stated (resumed connections)
     attempts_written: int = 0  # attempts of which a byte was written
     attempt_in_flight: int = -1  # the attempt that is out, -1 for none
-    in_flight_endpoint_id: i.EndpointId = None
+    in_flight_endpoint_id: EndpointId = None
     attempt_written_us: int = 0
-    executed_endpoint_id: i.EndpointId = None  # where the first attempt that may have run was made
+    executed_endpoint_id: EndpointId = None  # where the first attempt that may have run was made
     executed_us: int = -1  # when that one was begun; -1: none may have run
     answered: bool = False
     served: bool = False
@@ -74,7 +75,7 @@
 
     # ---- requests
 
-    def opened(self, number: int, cls: i.RequestClass, deadline_us: int) -> None:
+    def opened(self, number: int, cls: RequestClass, deadline_us: int) -> None:
         """A client's first line was taken. `deadline_us`: when its client gives up, 0 where it does not."""
         self.records[number] = RequestRecord(cls, deadline_us)
 
@@ -115,14 +116,15 @@
 
     # ---- attempts
 
-    def writing(self, number: int, attempt: int, server: i.EndpointId, now_us: int, most: int) -> None:
+    def writing(self, number: int, attempt: int, server: EndpointId, now_us: int, most: int) -> None:
         """The first byte of an attempt is about to be written. `most`: attempts that are allowed now."""
         record = self.records.get(number)
         if record is None or record.client_ended:
             self._violated(Rule.CLIENT_GONE, number, f"attempt {attempt} at {server}")
             return
         if record.attempt_in_flight >= 0:
-            detail = f"attempt {attempt} at {server}, {record.attempt_in_flight} is out at {record.in_flight_endpoint_id}"
+            in_flight = f"{record.attempt_in_flight} is out at {record.in_flight_endpoint_id}"
+            detail = f"attempt {attempt} at {server}, {in_flight}"
             self._violated(Rule.OVERLAP, number, detail)
         if record.answered:
             self._violated(Rule.AFTER_ANSWER, number, f"attempt {attempt} at {server}")
@@ -136,7 +138,7 @@
         )
 
     def _check_new_attempt(
-        self, record: RequestRecord, number: int, attempt: int, server: i.EndpointId, now_us: int, most: int
+        self, record: RequestRecord, number: int, attempt: int, server: EndpointId, now_us: int, most: int
     ) -> None:
         if not self.pool.accepts_requests(server):
             self._violated(Rule.BACKEND_LEAVING, number, f"attempt {attempt} at {server}")
@@ -148,7 +150,7 @@
             )
             self._violated(Rule.UNSAFE_REPEAT, number, detail)
 
-    def _may_repeat(self, record: RequestRecord, server: i.EndpointId, now_us: int) -> bool:
+    def _may_repeat(self, record: RequestRecord, server: EndpointId, now_us: int) -> bool:
         cls = record.request_class
         if cls.idempotency == "repeatable":
             return True
--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -4,7 +4,6 @@
 
 from typing import TYPE_CHECKING
 
-from gannetweir import interface as i
 from gannetweir.core.commands import SetEndpointWatch
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
@@ -12,6 +11,7 @@
 from gannetweir.core.timers import Timer
 from gannetweir.core.upstream_events import UpstreamEvents
 from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.placement.events import EndpointId, EndpointListUpdate, EndpointState, UpdateKind
 
 if TYPE_CHECKING:  # a relay without several addresses a server does without the code for them
     from gannetweir.addresses.rules import AddressRules
@@ -32,12 +32,12 @@
         self.context.now_us = now_us
         self.context.counters.add("pool_news")
         self.watch_fails = 0
-        self.apply(i.LIST_FULL if news.complete else i.LIST_DELTA, news)
+        self.apply(UpdateKind.SNAPSHOT if news.complete else UpdateKind.DELTA, news)
 
     def apply(self, kind: int, news: MembershipUpdate) -> None:
         """Apply a list or its changes, tell the module, and end what must not reach a backend any more."""
         warm_us = int(self.context.settings.slow_start_window_us)
-        seen = self.context.endpoint_list.apply(news, self.context.now_us, kind == i.LIST_CACHED, warm_us)
+        seen = self.context.endpoint_list.apply(news, self.context.now_us, kind == UpdateKind.CACHED, warm_us)
         if self.context.address_selector is not None:  # of a whole list also those that it lacks
             for server in (
                 self.context.endpoint_list.entries
@@ -49,7 +49,7 @@
             member.more_addresses for member in news.endpoints
         ):  # this discovery tells several addresses
             self.choose_addresses(None)
-        self.decisions.dispatch(i.EndpointListUpdate(kind, news.version, seen))
+        self.decisions.dispatch(EndpointListUpdate(kind, news.version, seen))
         # A connect may outlast the grace of a drain, and one that comes up late could reach a new start with
         # what was meant for the warm one before it. The way to it failed, not the server.
         self.flows.drop_unsent(self._outdated, fault=True)
@@ -78,7 +78,7 @@
         self._ask_again()
 
     def _ask_again(self) -> None:
-        self.decisions.dispatch(i.EndpointListUpdate(i.LIST_FAILED, self.context.endpoint_list.version, []))
+        self.decisions.dispatch(EndpointListUpdate(UpdateKind.FAILED, self.context.endpoint_list.version, []))
 
     def watch_due(self) -> None:
         """The wait before the next watch is over."""
@@ -112,9 +112,9 @@
         for server in self.context.endpoint_list.entries:
             self._tell_paths(server)
 
-    def _tell_paths(self, server: i.EndpointId) -> None:
+    def _tell_paths(self, server: EndpointId) -> None:
         assert self.context.address_selector is not None
-        if self.context.endpoint_list.entries[server].state == i.GONE:
+        if self.context.endpoint_list.entries[server].state == EndpointState.REMOVED:
             self.context.address_selector.forget(str(server))
         else:
             pool = self.context.endpoint_list
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from gannetweir import interface as i
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.draining import Draining
 from gannetweir.core.reasons import Reason
 from gannetweir.core.upstream_events import UpstreamEvents
 from gannetweir.membership.endpoint_list import OperatorOverrides
+from gannetweir.placement.events import EndpointListUpdate, UpdateKind
 
 
 class OverrideUpdates:
@@ -29,7 +29,7 @@
         # told as the list that is known already: as news it would pass for the answer to a watch
         pool = self.context.endpoint_list
         self.decisions.dispatch(
-            i.EndpointListUpdate(i.LIST_CACHED, pool.version, pool.apply_overrides(hand, now_us))
+            EndpointListUpdate(UpdateKind.CACHED, pool.version, pool.apply_overrides(hand, now_us))
         )
         self.flows.drop_unsent(lambda tx: tx.endpoint_id in out)
         here = [tx for tx in self.context.requests.values() if tx.endpoint_id in out and tx.established]
--- a/gannetweir/core/reasons.py
+++ b/gannetweir/core/reasons.py
@@ -4,7 +4,7 @@
 
 from enum import StrEnum
 
-from gannetweir import interface as i
+from gannetweir.placement.events import AttemptStatus
 
 
 class Reason(StrEnum):
@@ -33,13 +33,13 @@
     CLIENT_RESET = "client_reset"
 
 
-_AFTER = {
-    i.ERROR: Reason.AFTER_ERROR,
-    i.FULL: Reason.AFTER_FULL,
-    i.TIMEOUT: Reason.AFTER_TIMEOUT,
-    i.CONNECT_FAILED: Reason.AFTER_CONNECT_FAILED,
-    i.RESET: Reason.AFTER_RESET,
-    i.MOOT: Reason.AFTER_MOOT,
+_AFTER: dict[int, Reason] = {
+    AttemptStatus.ERROR: Reason.AFTER_ERROR,
+    AttemptStatus.FULL: Reason.AFTER_FULL,
+    AttemptStatus.TIMEOUT: Reason.AFTER_TIMEOUT,
+    AttemptStatus.CONNECT_FAILED: Reason.AFTER_CONNECT_FAILED,
+    AttemptStatus.RESET: Reason.AFTER_RESET,
+    AttemptStatus.NOT_STARTED: Reason.AFTER_MOOT,
 }
 
 
--- a/gannetweir/core/request_log.py
+++ b/gannetweir/core/request_log.py
@@ -11,9 +11,9 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from gannetweir import interface as i
 from gannetweir.core.reasons import Reason
 from gannetweir.observability.counters import OUTCOMES, Counters
+from gannetweir.placement.events import EndpointId
 
 MAX_EVENTS = 2048  # events: 0.7 MB, measured with ids of 32 characters
 
@@ -45,7 +45,7 @@
     client_request_id: str
     step: Step
     attempt: int
-    endpoint_id: i.EndpointId
+    endpoint_id: EndpointId
     reason: str
 
     def __str__(self) -> str:
@@ -68,7 +68,7 @@
         ident: str,
         step: Step,
         attempt: int = -1,
-        backend: i.EndpointId = None,
+        backend: EndpointId = None,
         reason: Reason | str = "",
     ) -> None:
         """Record one step; retries, refusals, moves and ends are counted by their reason."""
--- a/gannetweir/core/request_state.py
+++ b/gannetweir/core/request_state.py
@@ -6,8 +6,9 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from gannetweir import interface as i
 from gannetweir.core.reasons import Reason
+from gannetweir.placement.events import EndpointId
+from gannetweir.placement.settings import RequestClass
 
 if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
     from gannetweir.addresses.address import Address
@@ -22,7 +23,7 @@
     deadline_us: int  # its final answer has left by then
     client_request_id: str = ""  # the client's word for it
     attempt: int = -1  # the last one
-    endpoint_id: i.EndpointId = None
+    endpoint_id: EndpointId = None
     endpoint_started_us: int = 0  # when that one's server had started, as told when the flow was opened
     attempt_in_flight: bool = False  # that attempt's flow is open
     first_line_written: bool = False  # and has been written whole
@@ -34,7 +35,7 @@
     migration_reason: Reason | None = None  # why it is to be moved, at a time of its own
     last_status: int = 0  # how its last attempt ended; 0 before any has
     unanswered_since_us: deque[int] = field(default_factory=deque)  # when the lines without an answer came
-    request_class: i.RequestClass = field(default_factory=i.RequestClass)  # as its route treats it
+    request_class: RequestClass = field(default_factory=RequestClass)  # as its route treats it
     admission_permit: AdmissionPermit | None = None  # of its route, until it has given it back
     attempt_deadline_us: int = 0  # when the attempt that is out is over
     counts_as_setup: bool = False  # that attempt counts as a set-up at its server
--- a/gannetweir/core/requests.py
+++ b/gannetweir/core/requests.py
@@ -5,7 +5,6 @@
 import random
 from dataclasses import replace
 
-from gannetweir import interface as i
 from gannetweir.core.answers import Answers
 from gannetweir.core.attempts import Attempts
 from gannetweir.core.commands import EndUpstream, RejectClient
@@ -16,6 +15,13 @@
 from gannetweir.core.request_state import PendingRequest
 from gannetweir.core.resumption import Resumption
 from gannetweir.core.timers import Timer
+from gannetweir.placement.events import (
+    AttemptStatus,
+    ClientDisconnected,
+    EndpointId,
+    RequestArrived,
+    RequestFlag,
+)
 
 
 class RequestIntake:
@@ -35,7 +41,7 @@
         self.rng = random.Random(seed ^ 0x7F4A7C15)  # spreads the advice on when to come again
         self.last = 0  # the number of the last transaction
 
-    def open(self, wanted: i.RequestArrived, at: i.EndpointId, now_us: int, ident: str = "") -> int:
+    def open(self, wanted: RequestArrived, at: EndpointId, now_us: int, ident: str = "") -> int:
         """A client's first line is in: a new transaction, or one resumed at a backend. Its number, or 0 if
         another client's open transaction has this id: sent on, it would be a second copy of that one."""
         context = self.context
@@ -72,12 +78,12 @@
             self.decisions.dispatch(replace(wanted, request_id=tx.request_id, time_budget_us=budget))
         return tx.request_id
 
-    def _admitted(self, tx: PendingRequest, wanted: i.RequestArrived) -> bool:
+    def _admitted(self, tx: PendingRequest, wanted: RequestArrived) -> bool:
         """Has the route room for one more? What is over is rejected at once, with a time of its own."""
         if self.context.route_admission is None:
             return True
         share = self.context.route_admission.permit_for(tx.request_class)
-        first = not wanted.flags & i.CLIENT_RETRY
+        first = not wanted.flags & RequestFlag.CLIENT_RETRY
         refusal = self.context.route_admission.admit(share, first, self.context.now_us, self.rng.random())
         if refusal is None:
             tx.admission_permit = share
@@ -104,10 +110,10 @@
         self.context.record_step(tx, Step.CLOSED, Reason.CLIENT_RESET if reset else Reason.CLIENT_ENDED)
         if tx.established:
             self.context.commands.append(EndUpstream(number, reset))
-            self.attempts.ended(tx, i.CANCELLED, 1)
+            self.attempts.ended(tx, AttemptStatus.CANCELLED, 1)
             return
         out = tx.attempt_in_flight
         self.attempts.close(tx)
-        self.decisions.dispatch(i.ClientDisconnected(number))
+        self.decisions.dispatch(ClientDisconnected(number))
         if out and tx.resumed:
-            self.attempts.ended(tx, i.CANCELLED, 1)
+            self.attempts.ended(tx, AttemptStatus.CANCELLED, 1)
--- a/gannetweir/core/resumption.py
+++ b/gannetweir/core/resumption.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from gannetweir import interface as i
 from gannetweir.core.answers import Answers
 from gannetweir.core.attempts import Attempts
 from gannetweir.core.commands import FailClient, RejectClient
@@ -11,6 +10,13 @@
 from gannetweir.core.reasons import Reason, after
 from gannetweir.core.request_state import PendingRequest
 from gannetweir.core.timers import Timer
+from gannetweir.placement.events import (
+    NOT_EXECUTED,
+    AttemptStatus,
+    ConnectionResumed,
+    EndpointId,
+    RequestArrived,
+)
 
 
 class Resumption:
@@ -22,7 +28,7 @@
         self.context, self.decisions = context, decisions
         self.attempts, self.answers = attempts, answers
 
-    def start(self, tx: PendingRequest, wanted: i.RequestArrived, at: i.EndpointId) -> None:
+    def start(self, tx: PendingRequest, wanted: RequestArrived, at: EndpointId) -> None:
         """Open the way to the backend `at`, or answer where that is out of use."""
         dial = self.context.endpoint_list.address_of(at)
         if not dial or self.context.endpoint_list.is_offline(at):
@@ -39,7 +45,7 @@
         tx.deadline_us = min(tx.deadline_us, self.context.now_us + self.context.limits.resume_us)
         self.attempts.open(tx, at, dial, tx.deadline_us - self.context.now_us)
         self.decisions.dispatch(
-            i.ConnectionResumed(
+            ConnectionResumed(
                 tx.request_id,
                 w.load_hint,
                 w.time_budget_us,
@@ -56,12 +62,12 @@
         """Only its own backend holds this connection: ask there again while nothing has run."""
         tx.attempt_in_flight, tx.last_status = False, status
         wait = self.context.limits.resume_retry_us
-        if self.context.endpoint_list.is_offline(tx.endpoint_id) and status in i.NEVER_RAN:
+        if self.context.endpoint_list.is_offline(tx.endpoint_id) and status in NOT_EXECUTED:
             refusal = RejectClient(tx.request_id, self.context.limits.reject_retry_us)
             self.answers.answer(tx, refusal, Reason.OPERATORS)
             self.attempts.ended(tx, status, 1)
             return
-        if status in i.NEVER_RAN and self.context.now_us + wait < tx.deadline_us:
+        if status in NOT_EXECUTED and self.context.now_us + wait < tx.deadline_us:
             self.context.set_timer(wait, Timer.RESUME, tx.request_id)
             return
         self.answers.answer(tx, FailClient(tx.request_id), after(status))
@@ -72,7 +78,7 @@
         if tx.attempt_in_flight:
             return
         if self.context.endpoint_list.is_offline(tx.endpoint_id):
-            self.failed(tx, i.CONNECT_FAILED)
+            self.failed(tx, AttemptStatus.CONNECT_FAILED)
             return
         self.attempts.open(
             tx,
--- a/gannetweir/core/upstream_events.py
+++ b/gannetweir/core/upstream_events.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable
 
-from gannetweir import interface as i
 from gannetweir.core.answers import Answers
 from gannetweir.core.attempts import Attempts
 from gannetweir.core.commands import EndClient, StartForwarding
@@ -15,6 +14,7 @@
 from gannetweir.core.request_state import PendingRequest
 from gannetweir.core.resumption import Resumption
 from gannetweir.core.timers import Timer
+from gannetweir.placement.events import AttemptStatus, ConnectionEstablished, ConnectionMetric, MetricKind
 
 
 class UpstreamEvents:
@@ -75,7 +75,7 @@
         context.commands.append(StartForwarding(number))
         if not tx.resumed:
             self.decisions.dispatch(
-                i.ConnectionEstablished(number, tx.attempt, tx.endpoint_id, now_us - tx.attempt_started_us)
+                ConnectionEstablished(number, tx.attempt, tx.endpoint_id, now_us - tx.attempt_started_us)
             )
         if context.admission_closed or context.endpoint_list.is_offline(tx.endpoint_id):
             tx.migration_reason = Reason.DRAIN if context.admission_closed else Reason.OPERATORS
@@ -114,7 +114,7 @@
 
     def _late(self, tx: PendingRequest) -> None:
         """The time of an attempt is up: it is closed before anything else is sent."""
-        status = i.TIMEOUT if tx.first_line_written else i.CONNECT_FAILED
+        status = AttemptStatus.TIMEOUT if tx.first_line_written else AttemptStatus.CONNECT_FAILED
         self.attempts.close(tx)
         if tx.resumed:
             self.resumption.failed(tx, status)
@@ -130,9 +130,9 @@
         ]:
             self.attempts.close(tx)
             if tx.resumed:
-                self.resumption.failed(tx, i.CONNECT_FAILED)
+                self.resumption.failed(tx, AttemptStatus.CONNECT_FAILED)
             else:
-                self.attempts.ended(tx, i.CONNECT_FAILED, 0, fault=fault)
+                self.attempts.ended(tx, AttemptStatus.CONNECT_FAILED, 0, fault=fault)
 
     def load_reported(self, number: int, load: float, now_us: int) -> None:
         """A backend says what a connection's load is now."""
@@ -140,4 +140,6 @@
         tx = self.context.requests.get(number)
         if tx is not None and tx.established and self.context.settings.reports_connection_load:
             self.context.counters.add("load_notes")
-            self.decisions.dispatch(i.ConnectionMetric(number, tx.attempt, tx.endpoint_id, i.NOTE_LOAD, load))
+            self.decisions.dispatch(
+                ConnectionMetric(number, tx.attempt, tx.endpoint_id, MetricKind.LOAD, load)
+            )
--- a/gannetweir/explain.py
+++ b/gannetweir/explain.py
@@ -2,12 +2,13 @@
 
 from __future__ import annotations
 
-from gannetweir import interface as i
 from gannetweir.config import ConfigError, settings_from
 from gannetweir.config.operators import load_rules
 from gannetweir.config.platform import limits_from, read_object
 from gannetweir.config.settings import check_settings
 from gannetweir.limits import Limits
+from gannetweir.placement.events import RequestArrived, RequestFlag
+from gannetweir.placement.settings import RequestClass, Settings
 from gannetweir.routing.route_admission import RouteAdmission, with_routes
 from gannetweir.routing.route_checks import ms
 from gannetweir.routing.rules import HEX_DIGITS, Route, Rules
@@ -16,7 +17,7 @@
 WIDTH = 48  # of the timeline, in characters
 
 
-def read_platform(path: str) -> tuple[i.Settings, Limits]:
+def read_platform(path: str) -> tuple[Settings, Limits]:
     """The settings and limits of the platform's JSON: a whole configuration, or the settings object alone."""
     data = read_object(path, "--platform")
     settings = settings_from(data.get("settings", data))
@@ -59,9 +60,9 @@
     if cls not in names:
         raise ConfigError(f"--class: {cls!r} is none of {', '.join(names)}")
     routed = with_routes(settings, rules)
-    flags = (i.RETURNED if again else 0) | (i.CLIENT_RETRY if retry else 0)
+    flags = (RequestFlag.RETURNED if again else 0) | (RequestFlag.CLIENT_RETRY if retry else 0)
     number = names.index(cls)
-    wanted = i.RequestArrived(0, number, key=_hex(key, "key"), group=_hex(group, "group"), flags=flags)
+    wanted = RequestArrived(0, number, key=_hex(key, "key"), group=_hex(group, "group"), flags=flags)
     keeper = RouteAdmission(rules, routed)
     route, told = rules.routes[keeper.table.find(wanted)], routed.classes[keeper.class_index_for(wanted)]
     plan = schedule(told, settings, limits)
@@ -70,11 +71,12 @@
     return "\n".join([*lines, "", *_timeline(plan)])
 
 
-def _values(route: Route, told: i.RequestClass, rules: Rules, settings: i.Settings) -> list[str]:
+def _values(route: Route, told: RequestClass, rules: Rules, settings: Settings) -> list[str]:
     own = "the module's: the aim, doubled each time, the last to the end"
     again = "may-have-run" if told.retries_executed_attempts and told.idempotency != "once" else "never-ran"
+    give_up_us = told.request_timeout_us or told.deadline_us
     lines = [
-        f"  give-up        {ms(told.request_timeout_us or told.deadline_us)} (the client's: {ms(told.deadline_us)})",
+        f"  give-up        {ms(give_up_us)} (the client's: {ms(told.deadline_us)})",
         f"  attempts       {told.max_attempts} (the platform's: {settings.max_attempts})",
         f"  connect        {ms(told.connect_timeout_us or settings.connect_timeout_us)}",
         f"  attempt        {ms(told.attempt_timeout_us) if told.attempt_timeout_us else own}",
--- a/gannetweir/lab/scale/control_costs.py
+++ b/gannetweir/lab/scale/control_costs.py
@@ -25,10 +25,10 @@
 from gannetweir.control.version_log import Change
 from gannetweir.control.versions import NO_VERSION, Content, Entry, Resource, Slice, Version
 from gannetweir.core import Engine
-from gannetweir.interface import RequestClass, Settings
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import MembershipUpdate
 from gannetweir.net.control_check import RelayCheck
+from gannetweir.placement.settings import RequestClass, Settings
 from gannetweir.proto.control_calls import chunk
 from gannetweir.proto.control_watch import canonical, read_slice, write_compressed, write_slice
 from gannetweir.proto.endpoint_watch import read_pool
--- a/gannetweir/lab/scale/control_relay.py
+++ b/gannetweir/lab/scale/control_relay.py
@@ -9,11 +9,11 @@
 from gannetweir.control.follower import Follower
 from gannetweir.control.versions import Entry, Resource, Version
 from gannetweir.core import SetEndpointWatch
-from gannetweir.interface import Settings
 from gannetweir.lab.scale.messages import RelayRecord
 from gannetweir.net.control_check import RelayCheck
 from gannetweir.net.control_host import EngineHost
 from gannetweir.net.control_watch import ControlDriver
+from gannetweir.placement.settings import Settings
 
 if TYPE_CHECKING:
     from gannetweir.lab.scale.hollow_relay import HollowRelay, KnownList
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -13,7 +13,6 @@
 import anyio
 import orjson
 
-from gannetweir import interface as i
 from gannetweir.core import StartLoadProbe
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.lab.emulator.registry import Registry
@@ -25,6 +24,8 @@
 from gannetweir.net.load_probes import run_probe
 from gannetweir.net.ports import DialHost
 from gannetweir.net.transport import Transport, connect, tcp_socket, tune
+from gannetweir.placement.events import AttemptStatus, EndpointId
+from gannetweir.placement.settings import Settings
 
 TURNS = 24  # of the event loop, after which every watcher has been written to
 CHANGES = 3  # a round
@@ -126,7 +127,7 @@
 
 @dataclass
 class _Pool:
-    def may_send(self, server: i.EndpointId) -> bool:
+    def may_send(self, server: EndpointId) -> bool:
         return True
 
 
@@ -135,8 +136,8 @@
     pool: _Pool = field(default_factory=_Pool)
     answers: int = 0
 
-    def probe_ended(self, server: i.EndpointId, status: int, report: tuple[float, ...]) -> None:
-        self.answers += status == i.OK
+    def probe_ended(self, server: EndpointId, status: int, report: tuple[float, ...]) -> None:
+        self.answers += status == AttemptStatus.OK
 
 
 @dataclass
@@ -149,7 +150,7 @@
     limits: Limits = field(default_factory=Limits)
 
     @property
-    def settings(self) -> i.Settings:
+    def settings(self) -> Settings:
         return relay_settings()
 
     def dial(self, text: str) -> tuple[str, int]:
--- a/gannetweir/lab/scale/hollow_host.py
+++ b/gannetweir/lab/scale/hollow_host.py
@@ -8,7 +8,6 @@
 
 from gannetweir.config import address, settings_from
 from gannetweir.config.platform import limits_from
-from gannetweir.interface import Settings
 from gannetweir.lab.scale.hollow_relay import DRIVERS, HollowConfig, HollowRelay, KnownList
 from gannetweir.lab.scale.link import answer_calls
 from gannetweir.lab.scale.messages import (
@@ -24,6 +23,7 @@
     StartRelays,
 )
 from gannetweir.net.relay import Clock
+from gannetweir.placement.settings import Settings
 
 
 class HollowHost:
--- a/gannetweir/lab/scale/hollow_relay.py
+++ b/gannetweir/lab/scale/hollow_relay.py
@@ -18,11 +18,11 @@
 
 from gannetweir import core as e
 from gannetweir.config import Address
-from gannetweir.interface import Settings
 from gannetweir.lab.scale.messages import RelayRecord
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import MembershipUpdate
 from gannetweir.net.transport import Spawn, Transport
+from gannetweir.placement.settings import Settings
 from gannetweir.proto.endpoint_watch import read_known
 
 SECOND_NS = 1_000_000_000
--- a/gannetweir/membership/endpoint_list.py
+++ b/gannetweir/membership/endpoint_list.py
@@ -6,15 +6,15 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from gannetweir import interface as i
 from gannetweir.membership.start_times import StartTimes
+from gannetweir.placement.events import EndpointEntry, EndpointId, EndpointState
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
     """One backend: what the module learns of it, and where this relay reaches it."""
 
-    entry: i.EndpointEntry
+    entry: EndpointEntry
     address: str
     more_addresses: tuple[str, ...] = ()  # more addresses, where an installation's discovery tells them
 
@@ -33,10 +33,10 @@
 class OperatorOverrides:
     """What the operators said: the backends that are out, and when others were called back."""
 
-    offline: frozenset[i.EndpointId] = frozenset()
+    offline: frozenset[EndpointId] = frozenset()
     online_since: Mapping[str, int] = field(default_factory=dict)
 
-    def newly_offline(self, later: OperatorOverrides) -> set[i.EndpointId]:
+    def newly_offline(self, later: OperatorOverrides) -> set[EndpointId]:
         """What has gone out from this to a later state, also if it was called back since."""
         again = {s for s, at in later.online_since.items() if at != self.online_since.get(s)}
         return (set(later.offline) | again) - self.offline
@@ -53,11 +53,16 @@
         return OperatorOverrides(self.offline - {server}, {**self.online_since, server: now_us})
 
 
-def _not_back(was: i.EndpointEntry | None, member: ListedEndpoint) -> ListedEndpoint:
+def _not_back(was: EndpointEntry | None, member: ListedEndpoint) -> ListedEndpoint:
     """What an older list says of a backend: it may take away, but not bring back a start that was told to
     drain or to be gone."""
     now = member.entry
-    if was is None or was.state == i.READY or now.state != i.READY or now.started_us > was.started_us:
+    if (
+        was is None
+        or was.state == EndpointState.READY
+        or now.state != EndpointState.READY
+        or now.started_us > was.started_us
+    ):
         return member
     return replace(member, entry=replace(now, state=was.state))
 
@@ -68,18 +73,18 @@
     def __init__(self, hand: OperatorOverrides | None = None, wall_ahead_us: int | None = None) -> None:
         self.version = 0
         self.overrides = hand or OperatorOverrides()
-        self.addresses: dict[i.EndpointId, str] = {}
+        self.addresses: dict[EndpointId, str] = {}
         self.more_addresses: dict[
-            i.EndpointId, tuple[str, ...]
+            EndpointId, tuple[str, ...]
         ] = {}  # the other addresses, of those that have some
-        self.entries: dict[i.EndpointId, i.EndpointEntry] = {}  # as discovery tells them
+        self.entries: dict[EndpointId, EndpointEntry] = {}  # as discovery tells them
         self.start_times = StartTimes(wall_ahead_us)
         self._now_us = 0
         self._heard = False  # discovery itself has told a list
 
     def apply(
         self, news: MembershipUpdate, now_us: int, known: bool = False, warm_within_us: int = 0
-    ) -> list[i.EndpointEntry]:
+    ) -> list[EndpointEntry]:
         """Apply news; what the module is to hear of it. An entry without an address keeps the one it had.
         `known`: it is what the process was started with, and may be old. `warm_within_us`: the settings'."""
         self._now_us = now_us
@@ -92,7 +97,7 @@
         if news.complete:
             listed = {member.entry.endpoint_id for member in news.endpoints}
             for server in [server for server in self.entries if server not in listed]:
-                self.entries[server] = replace(self.entries[server], state=i.GONE)
+                self.entries[server] = replace(self.entries[server], state=EndpointState.REMOVED)
         for member in news.endpoints:
             self.entries[member.entry.endpoint_id] = member.entry
             if member.address:
@@ -106,41 +111,43 @@
             self.start_times.learn(entries, now_us)
         return [self._seen(member.entry) for member in news.endpoints]
 
-    def apply_overrides(self, hand: OperatorOverrides, now_us: int) -> list[i.EndpointEntry]:
+    def apply_overrides(self, hand: OperatorOverrides, now_us: int) -> list[EndpointEntry]:
         """Lay the operators' word over the list; the whole list as it is now seen."""
         self.overrides, self._now_us = hand, now_us
-        return [self._seen(entry) for entry in self.entries.values() if entry.state != i.GONE]
+        return [self._seen(entry) for entry in self.entries.values() if entry.state != EndpointState.REMOVED]
 
-    def _seen(self, entry: i.EndpointEntry) -> i.EndpointEntry:
+    def _seen(self, entry: EndpointEntry) -> EndpointEntry:
         """With its start on this process's clock. Out by hand is draining. One called back has started no
         earlier than the call: it restarted while it was out, and discovery may not know of that yet."""
         started_us = self.start_times.started_us(entry)
-        if entry.endpoint_id in self.overrides.offline and entry.state == i.READY:
-            return replace(entry, state=i.DRAINING, started_us=started_us)
+        if entry.endpoint_id in self.overrides.offline and entry.state == EndpointState.READY:
+            return replace(entry, state=EndpointState.DRAINING, started_us=started_us)
         called_us = self.overrides.online_since.get(str(entry.endpoint_id), 0)
         if called_us:
             back_us = self.start_times.called_back_us(entry.endpoint_id, called_us, self._now_us)
             started_us = max(started_us, back_us) if started_us else back_us
         return entry if started_us == entry.started_us else replace(entry, started_us=started_us)
 
-    def knows(self, server: i.EndpointId) -> bool:
+    def knows(self, server: EndpointId) -> bool:
         """Has discovery ever named it?"""
         return server in self.entries
 
-    def address_of(self, server: i.EndpointId) -> str:
+    def address_of(self, server: EndpointId) -> str:
         """Where to reach a backend; empty for one never listed, which must not be sent to."""
         return self.addresses.get(server, "")
 
-    def is_offline(self, server: i.EndpointId) -> bool:
+    def is_offline(self, server: EndpointId) -> bool:
         """Have the operators left it out?"""
         return server in self.overrides.offline
 
-    def accepts_requests(self, server: i.EndpointId) -> bool:
+    def accepts_requests(self, server: EndpointId) -> bool:
         """May something new go there, as far as discovery and the operators have told?"""
         entry = self.entries.get(server)
-        return entry is not None and entry.state == i.READY and server not in self.overrides.offline
+        return (
+            entry is not None and entry.state == EndpointState.READY and server not in self.overrides.offline
+        )
 
-    def started_us(self, server: i.EndpointId) -> int:
+    def started_us(self, server: EndpointId) -> int:
         """When the backend started last, as discovery tells it."""
         entry = self.entries.get(server)
         return entry.started_us if entry is not None else 0
--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -10,7 +10,7 @@
 from gannetweir.config.platform import keys_of, limits_from
 from gannetweir.config.settings import check_settings, settings_from
 from gannetweir.control.versions import Entry, Resource
-from gannetweir.interface import Settings
+from gannetweir.placement.settings import Settings
 from gannetweir.proto.endpoint_watch import EndpointListError, read_pool
 
 LEAST_MOVES_US = 200_000  # a drain whose moves have less time than this breaks connections
--- a/gannetweir/net/control_host.py
+++ b/gannetweir/net/control_host.py
@@ -8,11 +8,11 @@
 from gannetweir.config.settings import settings_from
 from gannetweir.control.stage import ServiceTotals
 from gannetweir.control.versions import Resource, Version
-from gannetweir.interface import Settings
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import MembershipUpdate
 from gannetweir.net.ports import Host
 from gannetweir.net.transport import Spawn
+from gannetweir.placement.settings import Settings
 
 
 class EngineHost:
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -21,10 +21,10 @@
 from gannetweir.control.stage import ServiceTotals
 from gannetweir.control.topology import CALL_US, Reconnect
 from gannetweir.control.versions import Ack, Nack, Reason, Resource, Slice, Version
-from gannetweir.interface import Settings
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import MembershipUpdate
 from gannetweir.net.transport import Spawn, Transport, connect, tcp_socket
+from gannetweir.placement.settings import Settings
 from gannetweir.proto.control_watch import ACK_TARGET, ControlWatch, write_answer
 from gannetweir.proto.endpoint_watch import Broken, EndpointListError, read_pool
 
--- a/gannetweir/net/load_probes.py
+++ b/gannetweir/net/load_probes.py
@@ -6,13 +6,12 @@
 
 import anyio
 
-from gannetweir import interface as i
 from gannetweir.core import StartLoadProbe
-from gannetweir.interface import EndpointId
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.errors import LocalError
 from gannetweir.net.ports import DialHost, Host
 from gannetweir.net.transport import Transport, tcp_socket
+from gannetweir.placement.events import AttemptStatus, EndpointId
 from gannetweir.proto.load_probe import ProbeCall
 from gannetweir.proto.upstream_connection import Ended
 
@@ -24,13 +23,13 @@
     """The question, and its answer. A backend that was told to leave while the connect was under way is not
     asked any more: it may have come up late, and a probe is work as well."""
     if not relay.engine.endpoint_list.accepts_requests(server):
-        return Ended(i.MOOT)
+        return Ended(AttemptStatus.NOT_STARTED)
     call = ProbeCall(relay.settings.load_report_fields, relay.limits)
     endpoint.write(call.QUESTION)
     answer = None
     while answer is None:
         data = await endpoint.read()
-        answer = call.feed(data) if data else Ended(i.RESET)
+        answer = call.feed(data) if data else Ended(AttemptStatus.RESET)
     return answer
 
 
@@ -42,7 +41,7 @@
     paths, server = relay.engine.address_selector, str(order.endpoint_id)
     assert paths is not None
     tried: list[Address] = []
-    result = Ended(i.CONNECT_FAILED)
+    result = Ended(AttemptStatus.CONNECT_FAILED)
     share = relay.limits.probe_us / max(1, len(paths.known.get(server, ())))
     while paths.order(server, relay.clock(), True, tried):
         endpoint: Transport | None = None
@@ -52,7 +51,7 @@
             with anyio.fail_after(share / 1e6):
                 race = paths.race(server, relay.clock(), True, tried)
                 endpoint, path = await Dialer(relay, paths, server, race, None).connect()
-                result, asked = Ended(i.TIMEOUT), relay.clock()
+                result, asked = Ended(AttemptStatus.TIMEOUT), relay.clock()
                 result = await _ask(relay, order.endpoint_id, endpoint)
         except (TimeoutError, OSError):
             pass
@@ -61,9 +60,9 @@
                 endpoint.close()
         if path is None:
             return result  # none could be connected
-        if result.status == i.MOOT:
+        if result.status == AttemptStatus.NOT_STARTED:
             return result
-        if result.status in (i.OK, i.ERROR):
+        if result.status in (AttemptStatus.OK, AttemptStatus.ERROR):
             paths.answered(server, path, relay.clock(), max(1, relay.clock() - asked))
             return result
         paths.unanswered(server, path, relay.clock())
@@ -73,18 +72,18 @@
 
 async def run_probe(relay: DialHost, order: StartLoadProbe) -> None:
     """Ask one backend for its load; every probe ends in one result, whatever fails here."""
-    result = Ended(i.MOOT)
+    result = Ended(AttemptStatus.NOT_STARTED)
     names = relay.settings.load_report_fields
     try:
         result = await (_probe_anywhere(relay, order) if order.races_addresses else _probe(relay, order))
     finally:
         if relay.settings.load_report_fields != names:  # a reload came between: the figures would be misread
-            result = Ended(i.MOOT)
+            result = Ended(AttemptStatus.NOT_STARTED)
         relay.tell(relay.engine.load_probe_ended, order.endpoint_id, result.status, result.report)
 
 
 async def _probe_anywhere(relay: DialHost, order: StartLoadProbe) -> Ended:
-    result = Ended(i.TIMEOUT)
+    result = Ended(AttemptStatus.TIMEOUT)
     with anyio.move_on_after(relay.limits.probe_us / 1e6):
         result = await _ask_anywhere(relay, order)
     return result
@@ -92,16 +91,16 @@
 
 async def _probe(relay: DialHost, order: StartLoadProbe) -> Ended:
     limits = relay.limits
-    result = Ended(i.CONNECT_FAILED)
+    result = Ended(AttemptStatus.CONNECT_FAILED)
     endpoint: Transport | None = None
 
     def held_up(_: LocalError) -> None:
         nonlocal result
-        result = Ended(i.MOOT)  # says nothing of the backend
+        result = Ended(AttemptStatus.NOT_STARTED)  # says nothing of the backend
 
     def under_way() -> None:
         nonlocal result
-        result = Ended(i.CONNECT_FAILED)
+        result = Ended(AttemptStatus.CONNECT_FAILED)
 
     try:
         with anyio.move_on_after(limits.probe_us / 1e6):
@@ -113,12 +112,12 @@
                     held_up,
                     under_way,
                 )
-            result = Ended(i.TIMEOUT)
+            result = Ended(AttemptStatus.TIMEOUT)
             result = await _ask(relay, order.endpoint_id, endpoint)
     except TimeoutError:
         pass
     except OSError:
-        result = Ended(i.RESET) if result.status == i.TIMEOUT else result
+        result = Ended(AttemptStatus.RESET) if result.status == AttemptStatus.TIMEOUT else result
     finally:
         if endpoint is not None:
             endpoint.close()
--- a/gannetweir/net/ports.py
+++ b/gannetweir/net/ports.py
@@ -6,9 +6,9 @@
 from typing import Any, Protocol
 
 from gannetweir.core import Engine
-from gannetweir.interface import Settings
 from gannetweir.limits import Limits
 from gannetweir.net.transport import Spawn
+from gannetweir.placement.settings import Settings
 
 
 class Host(Protocol):
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -18,7 +18,6 @@
 
 from gannetweir import core as e
 from gannetweir.config import Address, Config, ConfigError, address
-from gannetweir.interface import Settings
 from gannetweir.limits import Limits
 from gannetweir.net.admin import AdminListener
 from gannetweir.net.client_connection import ClientConnectionDriver
@@ -32,6 +31,7 @@
 from gannetweir.net.transport import DescriptorCount, Transport, tune
 from gannetweir.observability.logs import FORMS, PLAIN, Log
 from gannetweir.observability.standard_error import standard_error
+from gannetweir.placement.settings import Settings
 from gannetweir.process_handover.handover import Handover
 from gannetweir.proto.client_connection import FirstLine, rejection
 from gannetweir.proto.endpoint_watch import read_known
--- a/gannetweir/net/upstream_connection.py
+++ b/gannetweir/net/upstream_connection.py
@@ -8,13 +8,13 @@
 
 import anyio
 
-from gannetweir import interface as i
 from gannetweir.core import OpenUpstream
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.descriptors import DescriptorBudget
 from gannetweir.net.errors import PAUSE_S, LocalError, is_shortage, wait_writable
 from gannetweir.net.ports import DialHost
 from gannetweir.net.transport import DescriptorCount, Transport, tcp_socket
+from gannetweir.placement.events import AttemptStatus
 from gannetweir.proto.upstream_connection import CameUp, Ended, LoadTold, ServerLine, UpstreamConnection
 
 if TYPE_CHECKING:
@@ -207,7 +207,7 @@
         # the descriptor is given back before the next flow may start
         self.close()
         order = self.order
-        reset = reset or event.status == i.ERROR
+        reset = reset or event.status == AttemptStatus.ERROR
         self.relay.tell(
             self.relay.engine.upstream_ended,
             order.request_id,
--- a/gannetweir/observability/counters.py
+++ b/gannetweir/observability/counters.py
@@ -6,17 +6,17 @@
 
 import orjson
 
-from gannetweir import interface as i
-
-OUTCOMES = {
-    i.OK: "ok",
-    i.ERROR: "error",
-    i.FULL: "full",
-    i.TIMEOUT: "timeout",
-    i.CONNECT_FAILED: "connect_failed",
-    i.RESET: "reset",
-    i.CANCELLED: "cancelled",
-    i.MOOT: "moot",
+from gannetweir.placement.events import AttemptStatus
+
+OUTCOMES: dict[int, str] = {
+    AttemptStatus.OK: "ok",
+    AttemptStatus.ERROR: "error",
+    AttemptStatus.FULL: "full",
+    AttemptStatus.TIMEOUT: "timeout",
+    AttemptStatus.CONNECT_FAILED: "connect_failed",
+    AttemptStatus.RESET: "reset",
+    AttemptStatus.CANCELLED: "cancelled",
+    AttemptStatus.NOT_STARTED: "moot",
 }
 
 
--- a/gannetweir/observability/trace.py
+++ b/gannetweir/observability/trace.py
@@ -10,9 +10,11 @@
 
 import orjson
 
-from gannetweir import interface as i
 from gannetweir.core.request_log import RequestEvent
 from gannetweir.observability.standard_error import LineWriter, StandardError
+from gannetweir.placement.actions import Action, SetTimer
+from gannetweir.placement.events import Event, TimerExpired
+from gannetweir.placement.settings import Settings
 
 READER_MS = 20  # a reader that has no room for so long ends the trace
 
@@ -20,7 +22,7 @@
 class Trace:
     """Writes each line to `file` at once. What can't be written ends the trace, not the relay."""
 
-    def __init__(self, relay: str, settings: i.Settings, file: LineWriter) -> None:
+    def __init__(self, relay: str, settings: Settings, file: LineWriter) -> None:
         self.relay, self.file = relay, file
         self.on = True
         self._write(
@@ -33,11 +35,11 @@
             }
         )
 
-    def __call__(self, now_us: int, event: i.Event, actions: Sequence[i.Action]) -> None:
+    def __call__(self, now_us: int, event: Event, actions: Sequence[Action]) -> None:
         """One event and its actions. A timer that led to nothing but the next timer is left out."""
-        if isinstance(event, i.TimerExpired) and all(isinstance(a, i.SetTimer) for a in actions):
+        if isinstance(event, TimerExpired) and all(isinstance(a, SetTimer) for a in actions):
             return
-        said = [[type(a).__name__, a] for a in actions if not isinstance(a, i.SetTimer)]
+        said = [[type(a).__name__, a] for a in actions if not isinstance(a, SetTimer)]
         self._write({"t": now_us, "n": self.relay, "on": type(event).__name__, "is": event, "do": said})
 
     def request(self, event: RequestEvent) -> None:
--- a/gannetweir/placement/balancer.py
+++ b/gannetweir/placement/balancer.py
@@ -7,8 +7,37 @@
 from itertools import chain, islice
 from typing import Any
 
-from gannetweir import interface as i
+from gannetweir.placement.actions import (
+    Action,
+    FailRequest,
+    MigrateConnection,
+    ProbeLoad,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
 from gannetweir.placement.endpoint_state import Draw, Flight, Flights, Logs, Node, Pools, Table, Walk
+from gannetweir.placement.events import (
+    NOT_EXECUTED,
+    AttemptEnded,
+    AttemptStatus,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionMetric,
+    ConnectionResumed,
+    EndpointId,
+    EndpointListUpdate,
+    EndpointState,
+    Event,
+    LoadProbeResult,
+    MetricKind,
+    RequestArrived,
+    RequestFlag,
+    TimerExpired,
+    UpdateKind,
+)
+from gannetweir.placement.settings import Settings
 
 FRESH_US = 1_000_000  # reports are up to about a second old when read; a fill does not outlive another
 MEMORY_US = 20_000_000  # table entries older than this no longer describe the fleet
@@ -39,9 +68,9 @@
 class Balancer:
     """One gateway's decisions: pure, no clock, no input or output."""
 
-    def __init__(self, settings: i.Settings, seed: int, now_us: int) -> None:
-        self.rng, self.out = random.Random(seed), list[i.Action]()
-        self.nodes: dict[i.EndpointId, Node] = {}
+    def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
+        self.rng, self.out = random.Random(seed), list[Action]()
+        self.nodes: dict[EndpointId, Node] = {}
         self.pools, self.table, self.flights, self.logs = Pools(), Table(), Flights(), Logs()
         self.ready, self.drawn, self.draw = self.pools.all, list[Node](), Draw()  # drawn: who answered last
         self.walks, self.later = dict[int, Walk](), dict[int, int]()  # with one; when to try again
@@ -55,28 +84,28 @@
             0,
             0,
         )
-        self.first: list[i.Action] = [i.SetTimer(TICK, self.rng.randrange(TICK_US) + 1)]
+        self.first: list[Action] = [SetTimer(TICK, self.rng.randrange(TICK_US) + 1)]
         if settings.polls_endpoint_list:
             spread = min(settings.poll_interval_us / 4, ASK_US * settings.relay_count, ROUND_US)
-            self.first.append(i.SetTimer(ASK, int(spread * self.rng.random()) + 1))
+            self.first.append(SetTimer(ASK, int(spread * self.rng.random()) + 1))
         self.configure(settings)
         self.on: dict[type, Any] = {
-            i.EndpointListUpdate: self._list,
-            i.ConnectionMetric: self._note,
-            i.TimerExpired: self._timer,
+            EndpointListUpdate: self._list,
+            ConnectionMetric: self._note,
+            TimerExpired: self._timer,
         }
         self.on |= {
-            i.RequestArrived: self._request,
-            i.ConnectionResumed: self._resumed,
-            i.ConnectionEstablished: self._established,
+            RequestArrived: self._request,
+            ConnectionResumed: self._resumed,
+            ConnectionEstablished: self._established,
         }
         self.on |= {
-            i.AttemptEnded: self._outcome,
-            i.ClientDisconnected: self._gone,
-            i.LoadProbeResult: self._probed,
+            AttemptEnded: self._outcome,
+            ClientDisconnected: self._gone,
+            LoadProbeResult: self._probed,
         }
 
-    def configure(self, settings: i.Settings) -> None:
+    def configure(self, settings: Settings) -> None:
         """Decide by these settings from now on. What is known of servers and connections stays."""
         self.s = settings
         self.worth = max(c.priority_weight for c in settings.classes) or 1.0
@@ -86,7 +115,7 @@
         self.probes = settings.load_probes_enabled and self.at_x >= 0
         self.near = settings.cross_zone_cost > 0 and len(settings.zone_names) > 1
 
-    def handle(self, event: i.Event, now_us: int) -> list[i.Action]:
+    def handle(self, event: Event, now_us: int) -> list[Action]:
         """Take one event, return the actions in the order in which they are to be carried out."""
         self.out, self.first = self.first, []
         self.on.get(type(event), lambda *_: None)(event, now_us)
@@ -94,8 +123,8 @@
 
     # ---- the server list
 
-    def _list(self, event: i.EndpointListUpdate, now: int) -> None:
-        if event.kind == i.LIST_FAILED:  # the old list holds; ask again, later each time, up to a round
+    def _list(self, event: EndpointListUpdate, now: int) -> None:
+        if event.kind == UpdateKind.FAILED:  # the old list holds; ask again, later each time, up to a round
             left = max(0, ROUND_US - (now - self.ask_us if self.asking else 0))
             wait = min(self.s.poll_interval_us, AGAIN_US << min(self.ask_fails, 4), left)
             self.subscribed, self.asking, self.ask_fails = (
@@ -103,33 +132,33 @@
                 False,
                 self.ask_fails + 1,
             )
-            self.out.append(i.SetTimer(ASK, int(wait * self.rng.uniform(0.5, 1.0)) + 1))
+            self.out.append(SetTimer(ASK, int(wait * self.rng.uniform(0.5, 1.0)) + 1))
             return
-        if event.kind != i.LIST_CACHED and self.asking:
+        if event.kind != UpdateKind.CACHED and self.asking:
             self.subscribed, self.asking, self.ask_fails = True, False, 0
-        if event.kind != i.LIST_DELTA:
+        if event.kind != UpdateKind.DELTA:
             listed = {entry.endpoint_id for entry in event.entries}
             for node in [n for n in self.nodes.values() if n.id not in listed]:
-                self._leave(node, i.GONE)
+                self._leave(node, EndpointState.REMOVED)
         for entry in event.entries:
             node = self.nodes.setdefault(entry.endpoint_id, Node.of(entry))
             if entry.started_us != node.started_us:
                 self.table.drop(node)
                 self.draw.end_fill(node)  # a draw from before the start knew a warm one
                 node.restart(entry.started_us)
-            if entry.state != i.READY:
+            if entry.state != EndpointState.READY:
                 self._leave(node, entry.state)
-            elif node.state != i.READY:
-                node.state, node.zone, node.cell = i.READY, entry.zone, entry.cell
+            elif node.state != EndpointState.READY:
+                node.state, node.zone, node.cell = EndpointState.READY, entry.zone, entry.cell
                 self.pools.add(node)
-            if node.state == i.READY and node.warmth(now, self.s) < 1.0:
+            if node.state == EndpointState.READY and node.warmth(now, self.s) < 1.0:
                 self.cold[node] = None
         if self.draw.target is None:
             self._draw_ahead(now)
 
     def _leave(self, node: Node, state: int) -> None:
         """Draining or gone: nothing new from this moment on, whatever grace is stated."""
-        if node.state == i.READY:
+        if node.state == EndpointState.READY:
             self.pools.remove(node)
             self.drawn = []
             self.table.drop(node)
@@ -142,7 +171,7 @@
         """Subscribe where the list must be asked; an answer that never comes must not end the asking."""
         if not self.subscribed and not (self.asking and now - self.ask_us < 2 * ROUND_US):
             self.asking, self.ask_us = True, now
-            self.out.append(i.WatchEndpoints(1))
+            self.out.append(WatchEndpoints(1))
 
     # ---- PACKING
 
@@ -253,7 +282,7 @@
             flight.wait_us = now + min(
                 int(flight.cls.latency_objective_us / 3), (flight.deadline_us - now) // 2
             )
-            self.out.append(i.SetTimer(HELD, flight.wait_us - now))
+            self.out.append(SetTimer(HELD, flight.wait_us - now))
 
     def _walk(self, rid: int, flight: Flight, now: int) -> Node | None:
         """A group's draws begin where it stands, or in the own zone; they go on where the group belongs."""
@@ -266,7 +295,9 @@
         own = self.pools.first(flight.group, 1, self.cold, self.s.zone) if self.near else []
         here = [n for n in held if not self.near or n.zone == self.s.zone]
         path = chain(turns, here, own, held, first, self.pools.order(flight.group))
-        free = (n for n in path if n not in walk.looked and n.out_until <= now and n.state == i.READY)
+        free = (
+            n for n in path if n not in walk.looked and n.out_until <= now and n.state == EndpointState.READY
+        )
         fit = (n for n in free if all_cold or n not in self.cold or n in turns)
         for node in islice(fit, max(0, LOOKS - len(walk.looked))):
             walk.looked.append(node)
@@ -292,7 +323,7 @@
             self._hold(flight, now)
             self.walks[rid] = Walk(list(flight.tried))
             return HELD_BACK
-        return walk.spare if walk.spare and walk.spare.state == i.READY else None
+        return walk.spare if walk.spare and walk.spare.state == EndpointState.READY else None
 
     def _fits(self, node: Node, flight: Flight, held: bool, most: float) -> bool:
         """Is there room, also for a group that is new there? The server pays for each."""
@@ -301,18 +332,18 @@
 
     # ---- requests
 
-    def _flight(self, event: i.RequestArrived | i.ConnectionResumed, due_us: int) -> Flight:
-        hint = event.load_hint if event.flags & i.HINT_VALID else 0
-        back = event.flags & i.RETURNED > 0
+    def _flight(self, event: RequestArrived | ConnectionResumed, due_us: int) -> Flight:
+        hint = event.load_hint if event.flags & RequestFlag.LOAD_HINT_VALID else 0
+        back = event.flags & RequestFlag.RETURNED > 0
         cls = self.s.classes[event.class_index if event.class_index < len(self.s.classes) else -1]
         group = event.group if self.s.groups_enabled else 0
         return self.flights.setdefault(event.request_id, Flight(cls, event.tenant, group, due_us, hint, back))
 
-    def _request(self, event: i.RequestArrived, now: int) -> None:
+    def _request(self, event: RequestArrived, now: int) -> None:
         flight = self._flight(event, now + event.time_budget_us)
         keep, self.last_us = math.exp((self.last_us - now) / THROTTLE_US), now
         self.asked, self.took = self.asked * keep + 1.0, self.took * keep
-        again = event.flags & i.CLIENT_RETRY > 0  # it tells of a failure, at whichever gateway
+        again = event.flags & RequestFlag.CLIENT_RETRY > 0  # it tells of a failure, at whichever gateway
         most = (1.0 + 2.0 * flight.cls.priority_weight / self.worth) * self.took + FEW / (1 + 3 * again)
         # Where most set-ups fail, abandoned tries keep it so. After a while one passes whatever the chance.
         if stop := now < self.let_us and self.rng.random() < 1.0 - most / (self.asked - 0.5 * again):
@@ -357,7 +388,7 @@
         node.placed = [p for p in node.placed if now - p[0] < REPORT_US] + [(now, size)]
         if node.known:  # until the next report, this placement is known to nobody else
             self.table.enter(node, node.x + 1.0, node.x0 + self._need(node, size))
-        self.out.append(i.StartAttempt(rid, node.id, max(1, cls.attempt_timeout_us or timeout)))
+        self.out.append(StartAttempt(rid, node.id, max(1, cls.attempt_timeout_us or timeout)))
 
     def _size(self, flight: Flight) -> float:
         return flight.hint / self.hint_mean if flight.hint and self.hint_mean else 1.0
@@ -386,9 +417,9 @@
             flight.ran_node is None or flight.cls.is_idempotent_everywhere
         )  # trying again is known to do no harm
         wait = int(self.s.max_retry_after_us * self.rng.uniform(*ADVICE)) * self.s.sends_retry_after
-        self.out.append(i.RejectRequest(rid, wait) if refuse else i.FailRequest(rid))
+        self.out.append(RejectRequest(rid, wait) if refuse else FailRequest(rid))
 
-    def _resumed(self, event: i.ConnectionResumed, now: int) -> None:
+    def _resumed(self, event: ConnectionResumed, now: int) -> None:
         node = self.nodes.get(event.endpoint_id)
         flight = self._flight(event, now)
         flight.opened, flight.attempts, flight.node, self.start_us = True, 1, node, 0  # none came before
@@ -398,7 +429,7 @@
             node.probed_us = 0
             self.draw.end_fill(node)
 
-    def _established(self, event: i.ConnectionEstablished, now: int) -> None:
+    def _established(self, event: ConnectionEstablished, now: int) -> None:
         flight = self.flights.get(event.request_id)
         if flight is not None and not flight.opened and flight.node is not None:
             flight.opened, flight.home, flight.node.strikes = True, None, 0
@@ -409,12 +440,12 @@
                 SLOW, int(2 * event.elapsed_us / max(1.0, flight.cls.latency_objective_us)).bit_length()
             )
 
-    def _gone(self, event: i.ClientDisconnected, now: int) -> None:
+    def _gone(self, event: ClientDisconnected, now: int) -> None:
         flight, _ = self.flights.pop(event.request_id, None), self.walks.pop(event.request_id, None)
         if flight is not None and flight.node is not None:
             flight.node.conns.pop(event.request_id, None)
 
-    def _outcome(self, event: i.AttemptEnded, now: int) -> None:
+    def _outcome(self, event: AttemptEnded, now: int) -> None:
         flight = self.flights.get(event.request_id)
         if flight is None or event.attempt != flight.attempts - 1:
             return
@@ -424,24 +455,26 @@
             self.ended += flight.opened
             del self.flights[event.request_id]
             return
-        if flight.ran_node is None and event.status not in i.NEVER_RAN:
+        if flight.ran_node is None and event.status not in NOT_EXECUTED:
             flight.ran_node, flight.ran_us = node, flight.sent_us
-        if event.status in (i.ERROR, i.RESET) or event.address_fault:
+        if event.status in (AttemptStatus.ERROR, AttemptStatus.RESET) or event.address_fault:
             # So servers end what they can't use of a client's: at fault only once another has taken it.
             flight.accused += [node] * (not event.address_fault)
         else:
             self.bad += (1.0 - self.bad) / 8
-            self.slow = min(SLOW, self.slow + (event.status == i.TIMEOUT))
+            self.slow = min(SLOW, self.slow + (event.status == AttemptStatus.TIMEOUT))
             self.took = max(0.0, self.took - (flight.attempts == 1))
-            if event.status in (i.TIMEOUT, i.CONNECT_FAILED):
+            if event.status in (AttemptStatus.TIMEOUT, AttemptStatus.CONNECT_FAILED):
                 self._set_aside(node, now)
         self.draw.end_fill(node)  # refused or failed: a fresh draw places this one
         flight.tried = [n for n in flight.tried if n is not node or not event.address_fault]  # by another way
-        stop = event.status in (i.MOOT, i.CANCELLED) or self.bad > 0.5  # more tries add to the load
+        stop = (
+            event.status in (AttemptStatus.NOT_STARTED, AttemptStatus.CANCELLED) or self.bad > 0.5
+        )  # more tries add to the load
         wait = 0 if stop else flight.cls.backoff_us(flight.attempts, flight.sent_us, now, self.rng.random)
         if 0 < wait < flight.deadline_us - now:  # else no time is left for it: answered at once
             self.later[event.request_id] = now + wait
-            self.out.append(i.SetTimer(HELD, wait))
+            self.out.append(SetTimer(HELD, wait))
         else:
             (self._finish if stop or wait else self._send)(event.request_id, flight, now)
 
@@ -449,7 +482,7 @@
 
     def _set_aside(self, node: Node, now: int) -> bool:
         """A hung server's count looks ordinary: time-outs are the evidence. Back after growing waits."""
-        if node.state != i.READY or node.out_until > now:
+        if node.state != EndpointState.READY or node.out_until > now:
             return node.out_until > now
         aside = sum(n.out_until > now for n in self.ready)
         if 3 * (aside + 1) > len(self.ready):  # many at once have a shared cause (store, overload)
@@ -461,26 +494,28 @@
         self.out += self.logs.line("set aside", f"strike {node.strikes}, {aside + 1} in all", now)
         return True
 
-    def _probed(self, event: i.LoadProbeResult, now: int) -> None:
+    def _probed(self, event: LoadProbeResult, now: int) -> None:
         node = self.nodes.get(event.endpoint_id)
         if node is None:
             return
         if drawn := node is self.draw.awaiting:
             self.draw.awaiting = None
         if (
-            event.status == i.OK
+            event.status == AttemptStatus.OK
             and 0 <= self.at_x < len(r := event.load_report)
             and all(map(math.isfinite, r))
         ):
             node.seen_us = now
-            if node.state == i.READY:
+            if node.state == EndpointState.READY:
                 self.drawn = [node] if drawn else self.drawn
                 x0 = r[self.at_x0] if 0 <= self.at_x0 < len(r) else 0.0
                 self._enter(node, max(0.0, r[self.at_x]), max(0.0, x0), now)
                 self._relieve(node, now)
-        elif event.status in (i.TIMEOUT, i.CONNECT_FAILED) and self._set_aside(node, now):
-            self.out.extend(i.MigrateConnection(rid) for rid in node.conns if self.flights[rid].opened)
-        ready = node.state == i.READY and node.out_until <= now
+        elif event.status in (AttemptStatus.TIMEOUT, AttemptStatus.CONNECT_FAILED) and self._set_aside(
+            node, now
+        ):
+            self.out.extend(MigrateConnection(rid) for rid in node.conns if self.flights[rid].opened)
+        ready = node.state == EndpointState.READY and node.out_until <= now
         if drawn and ready:
             self._settle(node, now)  # an answer without a report counts as a look, or looks would never end
         elif drawn and (self.draw.waiting or self.draw.target is None):
@@ -498,21 +533,21 @@
         late = [load for _, load in node.placed] + [1.0] * lacks
         if lacks:  # the next one may know them, and what is overloaded from the start is to be relieved soon
             node.probed_us = 0
-            self.out.append(i.SetTimer(HELD, TICK_US // 4))
+            self.out.append(SetTimer(HELD, TICK_US // 4))
         if late:
             self.table.enter(node, x + len(late), x0 + self._need(node, sum(late)))
 
     def _probe(self, node: Node, now: int) -> None:
         node.probed_us = now
-        self.out.append(i.ProbeLoad(node.id))
+        self.out.append(ProbeLoad(node.id))
 
-    def _note(self, event: i.ConnectionMetric, now: int) -> None:
+    def _note(self, event: ConnectionMetric, now: int) -> None:
         node, flight = self.nodes.get(event.endpoint_id), self.flights.get(event.request_id)
         if node is None or flight is None or not math.isfinite(event.value):
             return
-        if event.kind == i.NOTE_LOAD:
+        if event.kind == MetricKind.LOAD:
             flight.hint = max(0.0, event.value)
-        elif event.kind == i.NOTE_DELAY and event.value * 1000 >= min(
+        elif event.kind == MetricKind.MESSAGE_DELAY and event.value * 1000 >= min(
             self.s.message_latency_objectives_us, default=1e5
         ):
             self.late |= node.known and node.x0 < self.limit and now - node.seen_us < 4 * FRESH_US
@@ -538,7 +573,7 @@
         if own and (not own[0].known or now - own[0].seen_us > 2 * FRESH_US):
             self._probe(own[0], now)
         elif own and own[0].out_until <= now and self._fits(own[0], flight, False, NEW):
-            self.out.append(i.MigrateConnection(rid))
+            self.out.append(MigrateConnection(rid))
 
     def _relieve(self, node: Node, now: int) -> None:
         """Past its capacity a server serves nobody: move off the excess."""
@@ -553,14 +588,14 @@
             if mean <= self.limit and mean + self._need(node, self._size(flight)) >= node.x0:
                 continue
             if self.rng.random() < (excess / flight.hint if flight.hint else part):
-                self.out.append(i.MigrateConnection(rid))
+                self.out.append(MigrateConnection(rid))
                 excess = max(0.0, excess - flight.hint)
 
-    def _timer(self, event: i.TimerExpired, now: int) -> None:
+    def _timer(self, event: TimerExpired, now: int) -> None:
         if event.token == ASK:
             self._ask(now)
         elif event.token == TICK:
-            self.out.append(i.SetTimer(TICK, TICK_US))
+            self.out.append(SetTimer(TICK, TICK_US))
             self.table.age(now - MEMORY_US)
             if loads := [f.hint for f in self.flights.values() if f.hint]:
                 self.hint_mean = sum(loads) / len(loads)
--- a/gannetweir/placement/endpoint_state.py
+++ b/gannetweir/placement/endpoint_state.py
@@ -7,18 +7,20 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
-from gannetweir import interface as i
+from gannetweir.placement.actions import WriteLog
+from gannetweir.placement.events import EndpointEntry, EndpointId, EndpointState
+from gannetweir.placement.settings import RequestClass, Settings
 
 
 @dataclass(slots=True, eq=False)
 class Node:
     """What this gateway knows of one server."""
 
-    id: i.EndpointId
+    id: EndpointId
     zone: int
     cell: int
     started_us: int
-    state: int = i.GONE
+    state: int = EndpointState.REMOVED
     known: bool = False  # x and x0 are from a report
     x: float = 0.0  # open connections, own placements since the report included
     x0: float = 0.0  # load over capacity, likewise
@@ -33,14 +35,14 @@
     conns: dict[int, None] = field(default_factory=dict)  # own attempts and connections; a dict keeps order
 
     @classmethod
-    def of(cls, entry: i.EndpointEntry) -> Node:
+    def of(cls, entry: EndpointEntry) -> Node:
         """A server that is new to the list."""
         place = zlib.crc32(str(entry.endpoint_id).encode())
         return cls(
             entry.endpoint_id, entry.zone, entry.cell, entry.started_us, place=place, kind=entry.machine_type
         )
 
-    def warmth(self, now_us: int, s: i.Settings) -> float:
+    def warmth(self, now_us: int, s: Settings) -> float:
         """The share of its capacity that it has for certain, by the stated rule of cold servers."""
         age = now_us - self.started_us
         if not self.started_us or age >= s.slow_start_window_us:
@@ -59,7 +61,7 @@
 class Flight:
     """A request that is owed an answer, or a connection that stands."""
 
-    cls: i.RequestClass
+    cls: RequestClass
     tenant: int
     group: int
     deadline_us: int
@@ -144,12 +146,12 @@
     def __init__(self) -> None:
         self.last: dict[str, int] = {}
 
-    def line(self, kind: str, text: str, now_us: int) -> list[i.WriteLog]:
+    def line(self, kind: str, text: str, now_us: int) -> list[WriteLog]:
         """The line, if its time has come."""
         if now_us - self.last.get(kind, now_us - self.AGAIN_US) < self.AGAIN_US:
             return []
         self.last[kind] = now_us
-        return [i.WriteLog(f"{kind}: {text}")]
+        return [WriteLog(f"{kind}: {text}")]
 
 
 class Table:
--- /dev/null
+++ b/gannetweir/placement/events.py
@@ -0,0 +1,195 @@
+"""The events that a balancer is given: list updates, requests, outcomes of attempts, load reports, timers.
+
+Times are integer microseconds. Endpoint ids are opaque hashable values, request ids integers; both come back
+unchanged in the actions. Field order is the order of the simulator's wire records, which `wire.py` relies on.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Hashable
+from dataclasses import dataclass
+from enum import IntEnum
+from typing import TypeAlias
+
+EndpointId: TypeAlias = Hashable
+
+
+class AttemptStatus(IntEnum):
+    """How an attempt or a load probe ended. The values are those of the simulator's wire."""
+
+    OK = 10
+    ERROR = 20  # the endpoint answered with an error
+    FULL = 30  # the endpoint rejected it: nothing was executed
+    TIMEOUT = 40
+    CONNECT_FAILED = 50  # the request's last byte was never written
+    RESET = 60
+    CANCELLED = 70
+    NOT_STARTED = 80  # the relay could not begin it
+
+
+NOT_EXECUTED = frozenset({AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED})
+
+
+class EndpointState(IntEnum):
+    """The state of a listed endpoint. Only a ready one gets new attempts."""
+
+    REMOVED = 0
+    READY = 1
+    DRAINING = 2
+
+
+class UpdateKind(IntEnum):
+    """What an update of the endpoint list is."""
+
+    SNAPSHOT = 0  # the complete list
+    FAILED = 1  # polling for the list has failed: no list
+    DELTA = 2  # changes to the list
+    CACHED = 3  # a complete list that this process knew before, such as the one of its start
+
+
+class RequestFlag(IntEnum):
+    """Bits of a request's flags."""
+
+    LOAD_HINT_VALID = 1
+    CLIENT_RETRY = 2  # the client marks this as its own retry
+    MID_FLOW = 8
+    RETURNED = 16  # its connection was broken or migrated
+
+
+class MetricKind(IntEnum):
+    """What a measurement of an open connection is of."""
+
+    LOAD = 1
+    MESSAGE_DELAY = 2  # in milliseconds
+
+
+@dataclass(slots=True)
+class EndpointEntry:
+    """One line of a server list."""
+
+    endpoint_id: EndpointId
+    zone: int = 0
+    machine_type: int = 0
+    cell: int = 0
+    state: int = EndpointState.READY
+    weight: float = 1.0
+    started_us: int = 0
+
+
+@dataclass(slots=True)
+class EndpointListUpdate:
+    """A whole list, changes to it, or word that asking for it failed."""
+
+    kind: int
+    version: int
+    entries: list[EndpointEntry]
+
+
+@dataclass(slots=True)
+class RequestArrived:
+    """A client wants a connection; one final answer is owed."""
+
+    request_id: int
+    class_index: int = 0
+    tenant: int = 0
+    key: int = 0
+    time_budget_us: int = 0
+    load_hint: int = 0
+    group: int = 0
+    flags: int = 0
+
+
+@dataclass(slots=True)
+class ConnectionResumed:
+    """A connection that was already open through this instance when it started."""
+
+    request_id: int
+    load_hint: int
+    time_budget_us: int
+    group: int
+    key: int
+    tenant: int
+    endpoint_id: EndpointId
+    flags: int = 0
+    class_index: int = 0
+
+
+@dataclass(slots=True)
+class ConnectionEstablished:
+    """The connection stands."""
+
+    request_id: int
+    attempt: int
+    endpoint_id: EndpointId
+    elapsed_us: int
+
+
+@dataclass(slots=True)
+class AttemptEnded:
+    """An attempt ended; `closed` says that the request did too. `report` follows `report_names`."""
+
+    request_id: int
+    attempt: int
+    status: int
+    closed: int
+    endpoint_id: EndpointId
+    elapsed_us: int
+    load_report: tuple[float, ...] = ()
+    address_fault: bool = False  # the way there failed, not the server
+
+
+@dataclass(slots=True)
+class ClientDisconnected:
+    """The client left; nothing more is owed."""
+
+    request_id: int
+
+
+@dataclass(slots=True)
+class LoadProbeResult:
+    """The answer to one probe."""
+
+    endpoint_id: EndpointId
+    status: int
+    elapsed_us: int
+    load_report: tuple[float, ...] = ()
+
+
+@dataclass(slots=True)
+class ConnectionMetric:
+    """News of an open connection: its load, or how long a message takes at its server."""
+
+    request_id: int
+    attempt: int
+    endpoint_id: EndpointId
+    kind: int
+    value: float
+
+
+@dataclass(slots=True)
+class TimerExpired:
+    """A timer that the instance set has fallen due."""
+
+    token: int
+
+
+@dataclass(slots=True)
+class PeerMessage:
+    """Bytes from another instance; instances share nothing here, so they are ignored."""
+
+    sender: int
+    data: bytes
+
+
+Event = (
+    EndpointListUpdate
+    | RequestArrived
+    | ConnectionResumed
+    | ConnectionEstablished
+    | AttemptEnded
+    | ClientDisconnected
+    | LoadProbeResult
+    | ConnectionMetric
+    | TimerExpired
+    | PeerMessage
+)
--- a/gannetweir/proto/client_connection.py
+++ b/gannetweir/proto/client_connection.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from gannetweir import interface as i
 from gannetweir.limits import Limits
+from gannetweir.placement.events import RequestArrived, RequestFlag
 from gannetweir.proto.lines import END, LineError, Lines, fields_of, text_of
 
 
@@ -18,7 +18,7 @@
     head: bytes  # up to the value of `d`
     tail: bytes  # after it; all of the line where it names no `d`
     ident: str  # the client's word for the request: two that are open at once must not share it
-    wanted: i.RequestArrived  # the engine gives it its number
+    wanted: RequestArrived  # the engine gives it its number
     at: str  # the backend that holds this connection already
 
     def line(self, wait_us: int) -> bytes:
@@ -68,10 +68,10 @@
             start += len(part) + 1
         head, tail = raw[: start + 2], raw[start + 2 + len(fields["d"]) :]
     hint = _hint(fields.get("h", ""))
-    flags = 0 if math.isnan(hint) else i.HINT_VALID
-    flags |= i.CLIENT_RETRY if fields.get("r") == "1" else 0
-    flags |= i.RETURNED if fields.get("again") == "1" else 0
-    wanted = i.RequestArrived(
+    flags = 0 if math.isnan(hint) else RequestFlag.LOAD_HINT_VALID
+    flags |= RequestFlag.CLIENT_RETRY if fields.get("r") == "1" else 0
+    flags |= RequestFlag.RETURNED if fields.get("again") == "1" else 0
+    wanted = RequestArrived(
         0,
         classes[fields["c"]],
         key=_number(words[2], 16, "key"),
--- a/gannetweir/proto/control_watch.py
+++ b/gannetweir/proto/control_watch.py
@@ -19,7 +19,6 @@
 
 import orjson
 
-from gannetweir import interface as i
 from gannetweir.control.stage import ServiceTotals
 from gannetweir.control.versions import (
     DIGEST_BYTES,
@@ -35,6 +34,7 @@
     Version,
 )
 from gannetweir.limits import Limits
+from gannetweir.placement.settings import Settings
 from gannetweir.proto.endpoint_watch import Broken, EndpointListError, EndpointWatch, Heartbeat
 
 ACK_TARGET = "/control/answers"
@@ -159,7 +159,7 @@
     they may follow is for the follower to say."""
 
     def __init__(
-        self, host: str, relay: str, held: Mapping[Resource, Version], settings: i.Settings, limits: Limits
+        self, host: str, relay: str, held: Mapping[Resource, Version], settings: Settings, limits: Limits
     ) -> None:
         versions = "".join(f"&{resource}={held_text(version)}" for resource, version in held.items())
         since = held.get(Resource.MEMBERSHIP, NO_VERSION).number
--- a/gannetweir/proto/endpoint_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -9,12 +9,13 @@
 import h11
 import orjson
 
-from gannetweir import interface as i
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
+from gannetweir.placement.events import EndpointEntry, EndpointState
+from gannetweir.placement.settings import Settings
 from gannetweir.proto.lines import LineError, Lines
 
-STATES = {"Ready": i.READY, "Terminating": i.DRAINING, "Gone": i.GONE}
+STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.REMOVED}
 
 
 class EndpointListError(ValueError):
@@ -25,7 +26,7 @@
     return names.index(name) if name in names else len(names)
 
 
-def _member(data: Any, settings: i.Settings) -> ListedEndpoint:
+def _member(data: Any, settings: Settings) -> ListedEndpoint:
     state = STATES.get(data["health"])
     host, dial, born = data["host"], data.get("dial", ""), data.get("born_ms", 0)
     share, block = data.get("share", 1.0), data.get("block", 0)
@@ -39,11 +40,11 @@
         _index(settings.zone_names, data.get("site")),
         _index(settings.machine_types, data.get("class")),
     )
-    entry = i.EndpointEntry(host, zone, kind, int(block), state, float(share), max(0, int(born * 1000)))
+    entry = EndpointEntry(host, zone, kind, int(block), state, float(share), max(0, int(born * 1000)))
     return ListedEndpoint(entry, dial, tuple(dials))
 
 
-def read_pool(data: Any, settings: i.Settings) -> MembershipUpdate:
+def read_pool(data: Any, settings: Settings) -> MembershipUpdate:
     """One object of discovery's. All or nothing: half a list would end backends that still run."""
     try:
         version, whole, hosts = data["seq"], data["whole"], data["hosts"]
@@ -54,7 +55,7 @@
         raise EndpointListError(f"not a list: {type(error).__name__}: {error}") from None
 
 
-def read_known(data: dict[str, Any], settings: i.Settings) -> MembershipUpdate:
+def read_known(data: dict[str, Any], settings: Settings) -> MembershipUpdate:
     """The pool that a relay is started with; none at all is an empty one."""
     return read_pool({"seq": 0, "hosts": [], **data, "whole": True}, settings)
 
@@ -84,7 +85,7 @@
 class EndpointWatch:
     """One watch, from its request to its end."""
 
-    def __init__(self, host: str, since: int, settings: i.Settings, limits: Limits, more: str = "") -> None:
+    def __init__(self, host: str, since: int, settings: Settings, limits: Limits, more: str = "") -> None:
         """`more` follows the target's parameters; a list's watch has none."""
         self.settings = settings
         self.lines = Lines(limits.pool_line_bytes)
--- a/gannetweir/proto/load_probe.py
+++ b/gannetweir/proto/load_probe.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from gannetweir import interface as i
 from gannetweir.limits import Limits
+from gannetweir.placement.events import AttemptStatus
 from gannetweir.proto.lines import END, LineError, Lines, text_of
 from gannetweir.proto.load_report import read_report
 from gannetweir.proto.upstream_connection import Ended
@@ -23,7 +23,9 @@
         try:
             for line in self.lines.feed(data):
                 word, _, rest = text_of(line).partition(" ")
-                return Ended(i.OK if word == "PONG" else i.ERROR, read_report(rest, self.names))
+                return Ended(
+                    AttemptStatus.OK if word == "PONG" else AttemptStatus.ERROR, read_report(rest, self.names)
+                )
         except LineError:
-            return Ended(i.ERROR)
+            return Ended(AttemptStatus.ERROR)
         return None
--- a/gannetweir/proto/upstream_connection.py
+++ b/gannetweir/proto/upstream_connection.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from gannetweir import interface as i
 from gannetweir.limits import Limits
+from gannetweir.placement.events import NOT_EXECUTED, AttemptStatus
 from gannetweir.proto.lines import END, LineError, Lines, text_of
 from gannetweir.proto.load_report import read_report
 
@@ -62,7 +62,7 @@
     @property
     def may_have_run(self) -> bool:
         """Can the backend have carried out what was written so far?"""
-        return not self.unsent and self.status not in i.NEVER_RAN
+        return not self.unsent and self.status not in NOT_EXECUTED
 
     def feed(self, data: bytes) -> list[FlowEvent]:
         """Take what the backend sent."""
@@ -76,7 +76,7 @@
                     break
         except LineError:
             # neither an answer that can be read nor lines that can be passed on whole
-            events.append(self._end(i.ERROR))
+            events.append(self._end(AttemptStatus.ERROR))
         return events
 
     def _end(self, status: int, report: tuple[float, ...] = ()) -> Ended:
@@ -90,11 +90,11 @@
             self.up = True
             return [CameUp(line)]
         if word == "BUSY":
-            return [self._end(i.FULL, read_report(rest, self.names))]
+            return [self._end(AttemptStatus.FULL, read_report(rest, self.names))]
         if word == "MOVE":
-            return [self._end(i.CANCELLED)]
+            return [self._end(AttemptStatus.CANCELLED)]
         # ERR, SYNTAX, and whatever else is not a service
-        return [self._end(i.ERROR, read_report(rest, self.names))]
+        return [self._end(AttemptStatus.ERROR, read_report(rest, self.names))]
 
     def _up(self, line: bytes) -> list[FlowEvent]:
         word, _, rest = line.rstrip(END).partition(b" ")
@@ -106,12 +106,12 @@
                 return told
             return [*told, LoadTold(load)] if abs(load) < 1e15 else told  # as a hint
         if word in (b"BYE", b"MOVE") and not (word == b"MOVE" and rest):
-            self.last = i.OK if word == b"BYE" else i.CANCELLED
+            self.last = AttemptStatus.OK if word == b"BYE" else AttemptStatus.CANCELLED
             return [ServerLine(line, False)]
         return [ServerLine(line, True)]
 
     def ended(self) -> Ended:
         """The connection ended, broke, or never came up."""
         if self.unsent:  # without its last byte the backend cannot have run it
-            return self._end(i.CONNECT_FAILED)
-        return self._end(self.last or i.RESET)
+            return self._end(AttemptStatus.CONNECT_FAILED)
+        return self._end(self.last or AttemptStatus.RESET)
--- a/gannetweir/routing/route_admission.py
+++ b/gannetweir/routing/route_admission.py
@@ -6,7 +6,8 @@
 
 from dataclasses import dataclass, replace
 
-from gannetweir import interface as i
+from gannetweir.placement.events import EndpointId, RequestArrived
+from gannetweir.placement.settings import RequestClass, Settings
 from gannetweir.routing.rate_limit import Limit
 from gannetweir.routing.retry_budget import Budget
 from gannetweir.routing.routes import RouteTable
@@ -30,12 +31,12 @@
     budget: Budget | None
 
 
-def told_classes(settings: i.Settings) -> list[i.RequestClass]:
+def told_classes(settings: Settings) -> list[RequestClass]:
     """The classes as the platform names them, without what was derived from them."""
     return [c for c in settings.classes if not c.route]
 
 
-def with_routes(settings: i.Settings, rules: Rules | None) -> i.Settings:
+def with_routes(settings: Settings, rules: Rules | None) -> Settings:
     """Settings in which every class stands once as told and once more for each route, in that order."""
     told = told_classes(settings)
     derived = [timed(c, route, settings) for route in (rules.routes if rules else ()) for c in told]
@@ -45,13 +46,13 @@
 class RouteAdmission:
     """The routes, budgets and limits of one relay. `settings` are `with_routes` of the same rules."""
 
-    def __init__(self, rules: Rules, settings: i.Settings) -> None:
+    def __init__(self, rules: Rules, settings: Settings) -> None:
         self.shares: dict[str, AdmissionPermit] = {}
         self.whole = AdmissionPermit("relay", Limit(LimitRule(), 1), None)
-        self.pending: dict[i.EndpointId, int] = {}  # set-ups under way, of all routes, by server
+        self.pending: dict[EndpointId, int] = {}  # set-ups under way, of all routes, by server
         self.apply(rules, settings)
 
-    def apply(self, rules: Rules, settings: i.Settings) -> None:
+    def apply(self, rules: Rules, settings: Settings) -> None:
         """Hold to these rules from now on. What the routes of the same names hold goes on counting."""
         told = [c.name for c in told_classes(settings)]
         self.rules, self.count = rules, len(told)
@@ -67,17 +68,17 @@
         self.whole.limit = self.whole.limit.under(rules.limits, longest)
         self.whole.budget = _budget(self.whole.budget, rules.budget)
 
-    def max_attempts(self, cls: i.RequestClass, most: int) -> int:
+    def max_attempts(self, cls: RequestClass, most: int) -> int:
         """The attempts that a transaction may have made in all: its own plan's, but never more than what now
         holds for its route and class."""
         now = self.caps.get((cls.route, cls.name), most)
         return min(cls.max_attempts or most, now, most)
 
-    def class_index_for(self, wanted: i.RequestArrived) -> int:
+    def class_index_for(self, wanted: RequestArrived) -> int:
         """The number of a request's class as its route treats it."""
         return self.count * (1 + self.table.find(wanted)) + wanted.class_index
 
-    def permit_for(self, cls: i.RequestClass) -> AdmissionPermit:
+    def permit_for(self, cls: RequestClass) -> AdmissionPermit:
         """The share of the route that a class was derived for."""
         return self.shares[cls.route]
 
@@ -105,7 +106,7 @@
         self.whole.limit.give_back()
 
     def attempt_refusal(
-        self, share: AdmissionPermit, cls: i.RequestClass, server: i.EndpointId, number: int, now_us: int
+        self, share: AdmissionPermit, cls: RequestClass, server: EndpointId, number: int, now_us: int
     ) -> str:
         """Why an attempt may not start, or nothing; counts it if it may. `number` is 0 for a first try."""
         if cls.max_setups_per_endpoint and self.pending.get(server, 0) >= cls.max_setups_per_endpoint:
@@ -118,7 +119,7 @@
         self.pending[server] = self.pending.get(server, 0) + 1
         return ""
 
-    def setup_finished(self, server: i.EndpointId) -> None:
+    def setup_finished(self, server: EndpointId) -> None:
         """An attempt is no set-up any more: it stands, or it has ended."""
         left = self.pending.get(server, 0) - 1
         if left > 0:
--- a/gannetweir/routing/route_checks.py
+++ b/gannetweir/routing/route_checks.py
@@ -9,8 +9,8 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from gannetweir import interface as i
 from gannetweir.limits import Limits
+from gannetweir.placement.settings import RequestClass, Settings
 from gannetweir.routing.route_admission import told_classes
 from gannetweir.routing.routes import Reach, reach
 from gannetweir.routing.rules import (
@@ -35,7 +35,7 @@
     return f"{us / 1000:g}ms"
 
 
-def check(rules: Rules, settings: i.Settings | None, limits: Limits | None) -> list[Mistake]:
+def check(rules: Rules, settings: Settings | None, limits: Limits | None) -> list[Mistake]:
     """Every mistake, in the order of the file's lines."""
     found = list(_names(rules))
     for route in rules.routes:
@@ -114,7 +114,7 @@
         yield Mistake(line, where, found, "at most the open connections")
 
 
-def _with_settings(route: Route, settings: i.Settings, known: list[str]) -> Iterator[Mistake]:
+def _with_settings(route: Route, settings: Settings, known: list[str]) -> Iterator[Mistake]:
     where = route.title
     for name in route.match.classes:
         if name not in known:
@@ -136,7 +136,7 @@
         )
 
 
-def _class(route: Route, cls: i.RequestClass, settings: i.Settings, limits: Limits) -> Iterator[Mistake]:
+def _class(route: Route, cls: RequestClass, settings: Settings, limits: Limits) -> Iterator[Mistake]:
     """One class on one route: the hard case is a plan that fits one class and not the next."""
     where = f"{route.title}, class {cls.name}"
     if route.hedge_us:
@@ -160,7 +160,8 @@
     if told.backoff_from_attempt_start and told.retry_backoff_us and told.attempt_timeout_us:
         takes = int(told.connect_timeout_us or settings.connect_timeout_us) + told.attempt_timeout_us
         if told.retry_backoff_us[0] < takes:
-            found = f"every {ms(told.retry_backoff_us[0])}, though an attempt may take {ms(takes)}: two would overlap"
+            every = ms(told.retry_backoff_us[0])
+            found = f"every {every}, though an attempt may take {ms(takes)}: two would overlap"
             yield Mistake(route.line("wait"), f"{where}: wait", found, f"every {ms(takes)} or more")
             return
     if told.backoff_from_attempt_start and not told.attempt_timeout_us:
@@ -186,7 +187,7 @@
     yield Mistake(route.line("attempts"), where, found, allowed)
 
 
-def _dead(rules: Rules, settings: i.Settings, known: list[str], reached: Reach) -> Iterator[Mistake]:
+def _dead(rules: Rules, settings: Settings, known: list[str], reached: Reach) -> Iterator[Mistake]:
     for number, other in sorted(reached.blame.items()):
         route = rules.routes[number]
         if set(route.match.classes) - set(known):
--- a/gannetweir/routing/routes.py
+++ b/gannetweir/routing/routes.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from itertools import product
 
-from gannetweir import interface as i
+from gannetweir.placement.events import RequestArrived, RequestFlag
 from gannetweir.routing.rules import HEX_DIGITS, Match, Route
 
 Box = tuple[str, str]  # a group's and a key's prefix
@@ -43,9 +43,9 @@
                 found.setdefault((len(group), len(key), _value(group), _value(key)), number)
         return sorted({(at[0], at[1]) for at in found}), found
 
-    def find(self, wanted: i.RequestArrived) -> int:
+    def find(self, wanted: RequestArrived) -> int:
         """The number of the route that a request takes. There is always one: the default takes all."""
-        again, retry = wanted.flags & i.RETURNED > 0, wanted.flags & i.CLIENT_RETRY > 0
+        again, retry = wanted.flags & RequestFlag.RETURNED > 0, wanted.flags & RequestFlag.CLIENT_RETRY > 0
         lengths, found = self.cells[wanted.class_index, again, retry]
         best = len(self.routes) - 1
         for group, key in lengths:
--- a/gannetweir/routing/rules.py
+++ b/gannetweir/routing/rules.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from gannetweir import interface as i
+from gannetweir.placement.settings import RequestClass, Settings
 
 MOST_ATTEMPTS = 6  # of one request, whatever the settings allow: a rule of the service
 HEX_DIGITS = 16  # of a group or a key
@@ -113,7 +113,7 @@
         return f"{place}: {self.where}: {self.found}; {self.allowed}"
 
 
-def timed(base: i.RequestClass, route: Route, settings: i.Settings) -> i.RequestClass:
+def timed(base: RequestClass, route: Route, settings: Settings) -> RequestClass:
     """A class as one route treats it."""
     attempts = min(route.attempts or settings.max_attempts, settings.max_attempts)
     wait = route.wait
--- a/gannetweir/routing/schedule.py
+++ b/gannetweir/routing/schedule.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from gannetweir import interface as i
 from gannetweir.limits import Limits
+from gannetweir.placement.settings import RequestClass, Settings
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
         return self.give_up_us - self.total_us
 
 
-def give_up_us(cls: i.RequestClass) -> int:
+def give_up_us(cls: RequestClass) -> int:
     """How long the relay tries: the route's word, or else the class's."""
     return int(cls.request_timeout_us or cls.deadline_us)
 
@@ -53,12 +53,12 @@
     return min(limits.answer_margin_us, give_up // 4)
 
 
-def placing_us(cls: i.RequestClass, give_up: int) -> int:
+def placing_us(cls: RequestClass, give_up: int) -> int:
     """How long the module may hold a request for a probe's answer, over all its attempts together."""
     return min(int(cls.latency_objective_us / 3), give_up // 2)
 
 
-def schedule(cls: i.RequestClass, settings: i.Settings, limits: Limits) -> Schedule:
+def schedule(cls: RequestClass, settings: Settings, limits: Limits) -> Schedule:
     """The worst case of a class as a route treats it (`rules.timed`)."""
     give_up = give_up_us(cls)
     margin = margin_us(give_up, limits)
@@ -92,7 +92,7 @@
     return Schedule(tuple(steps), give_up, True)
 
 
-def largest_attempt_us(cls: i.RequestClass, settings: i.Settings, limits: Limits) -> int:
+def largest_attempt_us(cls: RequestClass, settings: Settings, limits: Limits) -> int:
     """The largest time-out per attempt with which the schedule fits, all else as it is; 0 if none does."""
     return _largest(
         cls.attempt_timeout_us,
@@ -100,7 +100,7 @@
     )
 
 
-def largest_attempts(cls: i.RequestClass, settings: i.Settings, limits: Limits) -> int:
+def largest_attempts(cls: RequestClass, settings: Settings, limits: Limits) -> int:
     """The same for the number of attempts."""
     return _largest(
         cls.max_attempts, lambda n: schedule(replace(cls, max_attempts=n), settings, limits).slack_us >= 0
--- a/gannetweir/wire.py
+++ b/gannetweir/wire.py
@@ -7,7 +7,31 @@
 from operator import attrgetter
 from typing import Any
 
-from gannetweir import interface as i
+from gannetweir.placement.actions import (
+    Action,
+    FailRequest,
+    MigrateConnection,
+    ProbeLoad,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+    WriteLog,
+)
+from gannetweir.placement.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionMetric,
+    ConnectionResumed,
+    EndpointEntry,
+    EndpointListUpdate,
+    Event,
+    LoadProbeResult,
+    PeerMessage,
+    RequestArrived,
+    TimerExpired,
+)
 
 HEADER = struct.Struct("<IIQ")
 REPLY_HEADER = struct.Struct("<II")
@@ -21,9 +45,9 @@
     """What was wrong with the input, and where."""
 
 
-def _list(tail: memoryview, kind: int, version: int, offset: int, count: int) -> i.EndpointListUpdate:
+def _list(tail: memoryview, kind: int, version: int, offset: int, count: int) -> EndpointListUpdate:
     part = tail_slice(tail, offset, count * ENTRY.size)
-    return i.EndpointListUpdate(kind, version, [i.EndpointEntry(*e) for e in ENTRY.iter_unpack(part)])
+    return EndpointListUpdate(kind, version, [EndpointEntry(*e) for e in ENTRY.iter_unpack(part)])
 
 
 def tail_slice(tail: memoryview, offset: int, size: int) -> memoryview:
@@ -32,49 +56,49 @@
     return tail[offset : offset + size]
 
 
-def _peer(tail: memoryview, sender: int, offset: int, size: int) -> i.PeerMessage:
-    return i.PeerMessage(sender, bytes(tail_slice(tail, offset, size)))
+def _peer(tail: memoryview, sender: int, offset: int, size: int) -> PeerMessage:
+    return PeerMessage(sender, bytes(tail_slice(tail, offset, size)))
 
 
 def _outcome(
     _t: memoryview, r: int, a: int, s: int, c: int, v: bytes, e: int, n: int, *x: float
-) -> i.AttemptEnded:
-    return i.AttemptEnded(r, a, s, c, v, e, x[:n])
+) -> AttemptEnded:
+    return AttemptEnded(r, a, s, c, v, e, x[:n])
 
 
-def _probe(_t: memoryview, server: bytes, status: int, elapsed: int, n: int, *x: float) -> i.LoadProbeResult:
-    return i.LoadProbeResult(server, status, elapsed, x[:n])
+def _probe(_t: memoryview, server: bytes, status: int, elapsed: int, n: int, *x: float) -> LoadProbeResult:
+    return LoadProbeResult(server, status, elapsed, x[:n])
 
 
-def _plain(cls: Callable[..., i.Event]) -> Callable[..., i.Event]:
+def _plain(cls: Callable[..., Event]) -> Callable[..., Event]:
     return lambda _tail, *fields: cls(*fields)
 
 
 # code: wire name, layout from byte 1 (the instance first), how the event is made
-EVENTS: dict[int, tuple[str, struct.Struct, Callable[..., i.Event]]] = {
+EVENTS: dict[int, tuple[str, struct.Struct, Callable[..., Event]]] = {
     17: ("Topology", struct.Struct("<HBIII"), _list),
-    18: ("Req", struct.Struct("<HQBHQIIQB"), _plain(i.RequestArrived)),
-    19: ("FirstByte", struct.Struct("<HQB6sI"), _plain(i.ConnectionEstablished)),
+    18: ("Req", struct.Struct("<HQBHQIIQB"), _plain(RequestArrived)),
+    19: ("FirstByte", struct.Struct("<HQB6sI"), _plain(ConnectionEstablished)),
     20: ("Verdict", struct.Struct("<HQBHB6sIBffff"), _outcome),
-    21: ("Lapsed", struct.Struct("<HQ"), _plain(i.ClientDisconnected)),
-    22: ("DeadlineHit", struct.Struct("<HQ"), _plain(i.TimerExpired)),
+    21: ("Lapsed", struct.Struct("<HQ"), _plain(ClientDisconnected)),
+    22: ("DeadlineHit", struct.Struct("<HQ"), _plain(TimerExpired)),
     23: ("Sampled", struct.Struct("<H6sHIBffff"), _probe),
     24: ("NeighbourSays", struct.Struct("<HIII"), _peer),
-    26: ("Resumed", struct.Struct("<HQIIQQH6sBB"), _plain(i.ConnectionResumed)),
-    27: ("Change", struct.Struct("<HQB6sBf"), _plain(i.ConnectionMetric)),
+    26: ("Resumed", struct.Struct("<HQIIQQH6sBB"), _plain(ConnectionResumed)),
+    27: ("Change", struct.Struct("<HQB6sBf"), _plain(ConnectionMetric)),
 }
 CREATE_LAYOUT = struct.Struct("<HQII")
 INSTANCE = struct.Struct("<H")
 
 # action: code, layout after code and instance, fields in that order
 _ACTION_TABLE: dict[type, tuple[int, str, tuple[str, ...]]] = {
-    i.StartAttempt: (16, "Q6sI", ("request_id", "endpoint_id", "timeout_us")),
-    i.RejectRequest: (17, "QI", ("request_id", "retry_after_us")),
-    i.FailRequest: (18, "Q", ("request_id",)),
-    i.SetTimer: (20, "QI", ("token", "after_us")),
-    i.ProbeLoad: (21, "6s", ("endpoint_id",)),
-    i.WatchEndpoints: (26, "B", ("enabled",)),
-    i.MigrateConnection: (28, "Q", ("request_id",)),
+    StartAttempt: (16, "Q6sI", ("request_id", "endpoint_id", "timeout_us")),
+    RejectRequest: (17, "QI", ("request_id", "retry_after_us")),
+    FailRequest: (18, "Q", ("request_id",)),
+    SetTimer: (20, "QI", ("token", "after_us")),
+    ProbeLoad: (21, "6s", ("endpoint_id",)),
+    WatchEndpoints: (26, "B", ("enabled",)),
+    MigrateConnection: (28, "Q", ("request_id",)),
 }
 
 
@@ -99,9 +123,9 @@
         self.records: list[bytes] = []
         self.tail = bytearray()
 
-    def add(self, instance: int, actions: list[i.Action]) -> None:
+    def add(self, instance: int, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, i.WriteLog):
+            if isinstance(action, WriteLog):
                 self.text(LOG, instance, action.text)
             else:
                 self.records.append(_ENCODE[type(action)](instance, action))
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -18,7 +18,6 @@
 from gannetweir.control.stage import ServiceTotals
 from gannetweir.control.versions import Ack, Entry, Nack, Reason, Resource, Slice, Version
 from gannetweir.core import Engine
-from gannetweir.interface import Settings
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.lab.scale.store import MemoryStore
 from gannetweir.limits import Limits
@@ -28,6 +27,7 @@
 from gannetweir.net.control_server import ControlServer
 from gannetweir.net.control_status import status
 from gannetweir.net.control_watch import ControlDriver
+from gannetweir.placement.settings import Settings
 from gannetweir.proto.control_calls import chunk, watch_head
 from gannetweir.proto.control_watch import (
     ControlWatch,
