--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
+from dataclasses import replace
 from typing import TypeVar
 
 from gannetweir.placement.actions import Action, ProbeLoad, StartAttempt
@@ -77,6 +78,7 @@
             )
             for n in range(servers)
         ]
+        self.listed = dict(enumerate(entries))  # an endpoint keeps its zone and cell when it comes back
         self.give(EndpointListUpdate(UpdateKind.CACHED, 1, entries))
 
     def give(self, event: Event) -> list[Action]:
@@ -110,7 +112,7 @@
         return self.give(AttemptEnded(send.request_id, attempt, status, closed, send.endpoint_id, 10_000))
 
     def mark(self, server: int, state: int, started_us: int = 0) -> list[Action]:
-        entry = EndpointEntry(server, state=state, started_us=started_us)
+        entry = replace(self.listed[server], state=state, started_us=started_us)
         return self.give(EndpointListUpdate(UpdateKind.DELTA, 2, [entry]))
 
     def pass_time(self, microseconds: int) -> None:
