--- a/gannetweir/config/__init__.py
+++ b/gannetweir/config/__init__.py
@@ -2,13 +2,13 @@
 
 from gannetweir.config.errors import ConfigError
 from gannetweir.config.loader import load
-from gannetweir.config.platform import Address, Config, address, keys_of
+from gannetweir.config.platform import Config, SocketAddress, address, keys_of
 from gannetweir.config.settings import read_settings, settings_from
 
 __all__ = [
-    "Address",
     "Config",
     "ConfigError",
+    "SocketAddress",
     "address",
     "keys_of",
     "load",
--- a/gannetweir/config/platform.py
+++ b/gannetweir/config/platform.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Address:
+class SocketAddress:
     """Where to listen or to connect; there is no DNS, so the host is a number."""
 
     host: str
@@ -33,13 +33,13 @@
     """All that a real relay is told, checked."""
 
     name: str
-    listen: Address
-    discovery: Address
+    listen: SocketAddress
+    discovery: SocketAddress
     seed: int
     settings: Settings
     limits: Limits
     known: dict[str, Any]
-    admin: Address | None = None  # the operators' door
+    admin: SocketAddress | None = None  # the operators' door
     inherited: int | None = None  # descriptor of a clients' listener that the platform holds
     shared: Path | None = None  # the folder that all processes of this relay share
     keys: frozenset[str] = frozenset()  # all that the file named
@@ -47,13 +47,13 @@
     reach: AddressRules | None = None  # and what it says of servers' addresses
 
 
-def address(text: Any, what: str) -> Address:
+def address(text: Any, what: str) -> SocketAddress:
     """`HOST:PORT`."""
     host, _, port = str(text).rpartition(":")
     # isdecimal alone admits other scripts' digits, which no peer sends
     if not host or not port.isascii() or not port.isdecimal() or not 0 <= int(port) < 65536:
         raise ConfigError(f"{what}: {text!r} is not HOST:PORT")
-    return Address(host, int(port))
+    return SocketAddress(host, int(port))
 
 
 def limits_from(data: Any, settings: Settings) -> Limits:
--- a/gannetweir/core/answer_delays.py
+++ b/gannetweir/core/answer_delays.py
@@ -6,7 +6,7 @@
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.reasons import Reason
-from gannetweir.core.request_state import PendingRequest
+from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer
 from gannetweir.limits import Limits
 from gannetweir.placement.events import AttemptStatus, ConnectionMetric, EndpointId, MetricKind
@@ -41,7 +41,7 @@
         self.context.now_us = now_us
         self._note_delay(tx, (now_us - tx.unanswered_since_us.popleft()) / 1000)
 
-    def _note_delay(self, tx: PendingRequest, delay_ms: float) -> None:
+    def _note_delay(self, tx: RequestState, delay_ms: float) -> None:
         """Late answers are told as the simulator tells them: once a second for a backend while they are over
         a third of the shortest aim, and once more when they are back under."""
         if not self.tells_delay:
--- a/gannetweir/core/answers.py
+++ b/gannetweir/core/answers.py
@@ -8,7 +8,7 @@
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.reasons import Reason, after
 from gannetweir.core.request_log import Step
-from gannetweir.core.request_state import PendingRequest
+from gannetweir.core.request_state import RequestState
 from gannetweir.placement.events import AttemptStatus, ClientDisconnected
 
 
@@ -18,7 +18,7 @@
     def __init__(self, context: EngineContext, decisions: Decisions, attempts: Attempts) -> None:
         self.context, self.decisions, self.attempts = context, decisions, attempts
 
-    def answer(self, tx: PendingRequest, answer: RejectClient | FailClient, reason: Reason) -> None:
+    def answer(self, tx: RequestState, answer: RejectClient | FailClient, reason: Reason) -> None:
         """The one final answer of a transaction that is not served."""
         self.attempts.close(tx)
         self.forget(tx)
@@ -27,7 +27,7 @@
         self.context.record_step(tx, Step.REFUSED if refused else Step.FAILED, reason)
         self.context.commands.append(answer)
 
-    def reject(self, tx: PendingRequest, retry_us: int, reason: Reason) -> None:
+    def reject(self, tx: RequestState, retry_us: int, reason: Reason) -> None:
         """Say that trying again is harmless, where it is: not once an attempt may have run of a class whose
         repeats may do harm."""
         ran = tx.may_have_executed or (tx.attempt_in_flight and tx.first_line_written)
@@ -56,7 +56,7 @@
         if tx is not None and tx.established:
             self.migrate(tx, AttemptStatus.CANCELLED, Reason.DECISION)
 
-    def fail(self, tx: PendingRequest, reason: Reason) -> None:
+    def fail(self, tx: RequestState, reason: Reason) -> None:
         """Fail a transaction that the module has not answered, and tell it so."""
         self.answer(tx, FailClient(tx.request_id), reason)
         self.decisions.dispatch(ClientDisconnected(tx.request_id))
@@ -67,7 +67,7 @@
         if tx is not None and not tx.established and not tx.attempt_in_flight:
             self.fail(tx, Reason.MODULE_FAULT)
 
-    def migrate(self, tx: PendingRequest, status: int, reason: Reason) -> None:
+    def migrate(self, tx: RequestState, status: int, reason: Reason) -> None:
         """The client is asked to come again. It hears that before its backend's side ends."""
         self.forget(tx)
         self.context.counters.add("moved")
@@ -75,14 +75,14 @@
         self.context.commands.append(MigrateClient(tx.request_id))
         self.attempts.ended(tx, status, 1)
 
-    def overdue(self, tx: PendingRequest) -> None:
+    def overdue(self, tx: RequestState) -> None:
         """The final answer is due. The flow's own time-out came first, and the module owed the answer then:
         it holds this one, or it has failed. No client may be left without an answer."""
         if not tx.established:
             self.context.counters.add("overdue")
             self.fail(tx, Reason.DEADLINE)
 
-    def forget(self, tx: PendingRequest) -> None:
+    def forget(self, tx: RequestState) -> None:
         """Drop the record, and give back what it holds of its route."""
         context = self.context
         del context.requests[tx.request_id]
--- a/gannetweir/core/attempts.py
+++ b/gannetweir/core/attempts.py
@@ -9,7 +9,7 @@
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.reasons import after
 from gannetweir.core.request_log import Step, outcome
-from gannetweir.core.request_state import PendingRequest
+from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer
 from gannetweir.placement.actions import StartAttempt
 from gannetweir.placement.events import NOT_EXECUTED, AttemptEnded, AttemptStatus, EndpointId
@@ -52,7 +52,7 @@
         wait = min(left, action.timeout_us) if action.timeout_us > 0 else left
         self.open(tx, action.endpoint_id, dial, wait)
 
-    def _cap(self, tx: PendingRequest) -> int:
+    def _cap(self, tx: RequestState) -> int:
         most = self.context.settings.max_attempts
         return (
             self.context.route_admission.max_attempts(tx.request_class, most)
@@ -60,7 +60,7 @@
             else most
         )
 
-    def _held_back(self, tx: PendingRequest, attempt: int, server: EndpointId) -> bool:
+    def _held_back(self, tx: RequestState, attempt: int, server: EndpointId) -> bool:
         """Does the route's budget or limit forbid this attempt? The module then gives up at once."""
         if self.context.route_admission is None or tx.admission_permit is None:
             return False
@@ -81,14 +81,14 @@
         tx.counts_as_setup = not reason
         return bool(reason)
 
-    def setup_finished(self, tx: PendingRequest) -> None:
+    def setup_finished(self, tx: RequestState) -> None:
         """The attempt is no set-up any more."""
         if tx.counts_as_setup:
             tx.counts_as_setup = False
             if self.context.route_admission is not None:
                 self.context.route_admission.setup_finished(tx.endpoint_id)
 
-    def open(self, tx: PendingRequest, server: EndpointId, dial: str, wait: int) -> None:
+    def open(self, tx: RequestState, server: EndpointId, dial: str, wait: int) -> None:
         """Open the flow of the next attempt, which has `wait` microseconds."""
         context = self.context
         now = context.now_us
@@ -120,7 +120,7 @@
         context.set_timer(connect, Timer.CONNECT, tx.request_id, tx.attempt)
         context.counters.add("flows")
 
-    def close(self, tx: PendingRequest) -> None:
+    def close(self, tx: RequestState) -> None:
         """Close the flow that is out, if one is."""
         if tx.attempt_in_flight:
             tx.attempt_in_flight = False
@@ -128,7 +128,7 @@
 
     def ended(
         self,
-        tx: PendingRequest,
+        tx: RequestState,
         status: int,
         closed: int,
         report: tuple[float, ...] = (),
@@ -151,7 +151,7 @@
             AttemptEnded(tx.request_id, attempt, status, closed, tx.endpoint_id, elapsed, report, fault)
         )
 
-    def _path_ended(self, tx: PendingRequest, status: int) -> bool:
+    def _path_ended(self, tx: RequestState, status: int) -> bool:
         """What an attempt's end says of its path. Is that to blame, and not the server?"""
         assert self.context.address_selector is not None and tx.address is not None
         server, path, tx.address = str(tx.endpoint_id), tx.address, None
--- a/gannetweir/core/context.py
+++ b/gannetweir/core/context.py
@@ -10,7 +10,7 @@
 from gannetweir.core.invariants import InvariantGuard, Violation
 from gannetweir.core.reasons import Reason
 from gannetweir.core.request_log import RequestEvent, RequestLog, Step
-from gannetweir.core.request_state import PendingRequest
+from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer, TimerQueue
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import EndpointList, OperatorOverrides
@@ -51,7 +51,7 @@
         self.request_log = RequestLog(self.counters, sink)
         self.guard = InvariantGuard(self.endpoint_list, self._violated)
         self.timers = TimerQueue()
-        self.requests: dict[int, PendingRequest] = {}
+        self.requests: dict[int, RequestState] = {}
         self.request_id_by_client_id: dict[str, int] = {}  # of those, by the client's id
         self.admission_closed = False  # nothing new is taken any more
 
@@ -63,7 +63,7 @@
         """Command a line for the people on call."""
         self.commands.append(WriteLogLine(text, about))
 
-    def record_step(self, tx: PendingRequest, step: Step, reason: Reason | str = "") -> None:
+    def record_step(self, tx: RequestState, step: Step, reason: Reason | str = "") -> None:
         """Record a step of a request."""
         self.request_log.add(
             self.now_us, tx.request_id, tx.client_request_id, step, tx.attempt, tx.endpoint_id, reason
@@ -81,7 +81,7 @@
             history=" ".join(map(str, history[-HISTORY:])),
         )
 
-    def request_with_attempt(self, number: int, attempt: int) -> PendingRequest | None:
+    def request_with_attempt(self, number: int, attempt: int) -> RequestState | None:
         """The transaction, if this flow is still its flow; news of a closed one is too late."""
         tx = self.requests.get(number)
         return tx if tx is not None and tx.attempt_in_flight and tx.attempt == attempt else None
--- a/gannetweir/core/draining.py
+++ b/gannetweir/core/draining.py
@@ -6,7 +6,7 @@
 from gannetweir.core.commands import Exit
 from gannetweir.core.context import EngineContext
 from gannetweir.core.reasons import Reason
-from gannetweir.core.request_state import PendingRequest
+from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer
 from gannetweir.placement.events import AttemptStatus
 
@@ -36,17 +36,17 @@
         self.move_over(self._staying(), self.context.limits.drain_moves_us, Reason.DRAIN)
         self._end_if_empty()
 
-    def _staying(self) -> list[PendingRequest]:
+    def _staying(self) -> list[RequestState]:
         return [tx for tx in self.context.requests.values() if tx.established and not tx.migration_reason]
 
-    def move_over(self, leaving: list[PendingRequest], time_us: int, reason: Reason) -> None:
+    def move_over(self, leaving: list[RequestState], time_us: int, reason: Reason) -> None:
         """Spread the moves: clients that come back all at once would be set up all at once."""
         step = time_us / max(1, len(leaving))
         for place, tx in enumerate(leaving):
             tx.migration_reason = reason
             self.context.set_timer(int(step * place), Timer.MIGRATE, tx.request_id)
 
-    def move_due(self, tx: PendingRequest) -> None:
+    def move_due(self, tx: RequestState) -> None:
         """The time of one client's move has come."""
         if tx.established:
             self.answers.migrate(tx, AttemptStatus.CANCELLED, tx.migration_reason or Reason.DRAIN)
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -18,7 +18,7 @@
 from gannetweir.core.membership_updates import MembershipUpdates
 from gannetweir.core.operator_overrides import OverrideUpdates
 from gannetweir.core.request_log import RequestEvent
-from gannetweir.core.request_state import PendingRequest
+from gannetweir.core.request_state import RequestState
 from gannetweir.core.requests import RequestIntake
 from gannetweir.core.resumption import Resumption
 from gannetweir.core.timers import Timer
@@ -233,7 +233,7 @@
         elif timer is Timer.ENDPOINT_WATCH:
             self.membership.watch_due()
 
-    def _transaction_due(self, timer: Timer, tx: PendingRequest, attempt: int) -> None:
+    def _transaction_due(self, timer: Timer, tx: RequestState, attempt: int) -> None:
         if timer is Timer.ATTEMPT:
             self.upstream_events.attempt_due(tx, attempt)
         elif timer is Timer.CONNECT:
--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -7,11 +7,11 @@
 from gannetweir.core.commands import SetEndpointWatch
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
-from gannetweir.core.request_state import PendingRequest
+from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer
 from gannetweir.core.upstream_events import UpstreamEvents
 from gannetweir.membership.endpoint_list import MembershipUpdate
-from gannetweir.placement.events import EndpointId, EndpointListUpdate, EndpointState, UpdateKind
+from gannetweir.placement.events import EndpointId, EndpointListUpdate, EndpointStatus, UpdateKind
 
 if TYPE_CHECKING:  # a relay without several addresses a server does without the code for them
     from gannetweir.addresses.rules import AddressRules
@@ -54,7 +54,7 @@
         # what was meant for the warm one before it. The way to it failed, not the server.
         self.flows.drop_unsent(self._outdated, fault=True)
 
-    def _outdated(self, tx: PendingRequest) -> bool:
+    def _outdated(self, tx: RequestState) -> bool:
         """Was its flow opened to a start of a backend that wants nothing new, or has been replaced?"""
         pool = self.context.endpoint_list
         if tx.resumed:
@@ -114,7 +114,7 @@
 
     def _tell_paths(self, server: EndpointId) -> None:
         assert self.context.address_selector is not None
-        if self.context.endpoint_list.entries[server].state == EndpointState.REMOVED:
+        if self.context.endpoint_list.entries[server].state == EndpointStatus.REMOVED:
             self.context.address_selector.forget(str(server))
         else:
             pool = self.context.endpoint_list
--- a/gannetweir/core/request_state.py
+++ b/gannetweir/core/request_state.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class PendingRequest:
+class RequestState:
     """One request of a client's, from its first line to the end of its connection."""
 
     request_id: int
--- a/gannetweir/core/requests.py
+++ b/gannetweir/core/requests.py
@@ -12,7 +12,7 @@
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.reasons import Reason
 from gannetweir.core.request_log import Step
-from gannetweir.core.request_state import PendingRequest
+from gannetweir.core.request_state import RequestState
 from gannetweir.core.resumption import Resumption
 from gannetweir.core.timers import Timer
 from gannetweir.placement.events import (
@@ -59,7 +59,7 @@
         # up on is answered at once and in time.
         margin = min(context.limits.answer_margin_us, wanted.time_budget_us // 4)
         budget = max(1, wanted.time_budget_us - margin)
-        tx = PendingRequest(self.last, now_us + budget, ident, request_class=cls)
+        tx = RequestState(self.last, now_us + budget, ident, request_class=cls)
         context.requests[tx.request_id] = tx
         context.request_id_by_client_id[ident] = tx.request_id
         context.counters.add("resumed" if at else "requests")
@@ -78,7 +78,7 @@
             self.decisions.dispatch(replace(wanted, request_id=tx.request_id, time_budget_us=budget))
         return tx.request_id
 
-    def _admitted(self, tx: PendingRequest, wanted: RequestArrived) -> bool:
+    def _admitted(self, tx: RequestState, wanted: RequestArrived) -> bool:
         """Has the route room for one more? What is over is rejected at once, with a time of its own."""
         if self.context.route_admission is None:
             return True
--- a/gannetweir/core/resumption.py
+++ b/gannetweir/core/resumption.py
@@ -8,7 +8,7 @@
 from gannetweir.core.context import EngineContext
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.reasons import Reason, after
-from gannetweir.core.request_state import PendingRequest
+from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer
 from gannetweir.placement.events import (
     NOT_EXECUTED,
@@ -28,7 +28,7 @@
         self.context, self.decisions = context, decisions
         self.attempts, self.answers = attempts, answers
 
-    def start(self, tx: PendingRequest, wanted: RequestArrived, at: EndpointId) -> None:
+    def start(self, tx: RequestState, wanted: RequestArrived, at: EndpointId) -> None:
         """Open the way to the backend `at`, or answer where that is out of use."""
         dial = self.context.endpoint_list.address_of(at)
         if not dial or self.context.endpoint_list.is_offline(at):
@@ -58,7 +58,7 @@
             )
         )
 
-    def failed(self, tx: PendingRequest, status: int) -> None:
+    def failed(self, tx: RequestState, status: int) -> None:
         """Only its own backend holds this connection: ask there again while nothing has run."""
         tx.attempt_in_flight, tx.last_status = False, status
         wait = self.context.limits.resume_retry_us
@@ -73,7 +73,7 @@
         self.answers.answer(tx, FailClient(tx.request_id), after(status))
         self.attempts.ended(tx, status, 1)
 
-    def retry(self, tx: PendingRequest) -> None:
+    def retry(self, tx: RequestState) -> None:
         """The wait after a failed try is over."""
         if tx.attempt_in_flight:
             return
--- a/gannetweir/core/upstream_events.py
+++ b/gannetweir/core/upstream_events.py
@@ -11,7 +11,7 @@
 from gannetweir.core.decisions import Decisions
 from gannetweir.core.reasons import Reason
 from gannetweir.core.request_log import Step
-from gannetweir.core.request_state import PendingRequest
+from gannetweir.core.request_state import RequestState
 from gannetweir.core.resumption import Resumption
 from gannetweir.core.timers import Timer
 from gannetweir.placement.events import AttemptStatus, ConnectionEstablished, ConnectionMetric, MetricKind
@@ -100,19 +100,19 @@
         else:
             self.attempts.ended(tx, status, 0, report)
 
-    def attempt_due(self, tx: PendingRequest, attempt: int) -> None:
+    def attempt_due(self, tx: RequestState, attempt: int) -> None:
         """An attempt's time may be up; it may also have been set anew since."""
         waits = tx.attempt_in_flight and tx.attempt == attempt and not tx.established
         if waits and self.context.now_us >= tx.attempt_deadline_us:
             self._late(tx)
 
-    def connect_due(self, tx: PendingRequest, attempt: int) -> None:
+    def connect_due(self, tx: RequestState, attempt: int) -> None:
         """A flow whose first line is not out by now never will be up."""
         waits = tx.attempt_in_flight and tx.attempt == attempt and not tx.established
         if waits and not tx.first_line_written:
             self._late(tx)
 
-    def _late(self, tx: PendingRequest) -> None:
+    def _late(self, tx: RequestState) -> None:
         """The time of an attempt is up: it is closed before anything else is sent."""
         status = AttemptStatus.TIMEOUT if tx.first_line_written else AttemptStatus.CONNECT_FAILED
         self.attempts.close(tx)
@@ -121,7 +121,7 @@
         else:  # what this machine could not begin is no fault of the backend's
             self.attempts.ended(tx, status, 0, fault=tx.connect_delayed_locally and not tx.first_line_written)
 
-    def drop_unsent(self, leaves: Callable[[PendingRequest], bool], fault: bool = False) -> None:
+    def drop_unsent(self, leaves: Callable[[RequestState], bool], fault: bool = False) -> None:
         """End the flows that would still be written to a backend which wants nothing new."""
         for tx in [
             tx
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -24,7 +24,7 @@
 from gannetweir.placement.events import (
     AttemptStatus,
     EndpointEntry,
-    EndpointState,
+    EndpointStatus,
     RequestArrived,
     RequestFlag,
 )
@@ -214,7 +214,7 @@
         entry = member.entry
         self.world.checker.told(
             str(entry.endpoint_id),
-            entry.state != EndpointState.READY,
+            entry.state != EndpointStatus.READY,
             self.world.clock.now,
             self.name,
             entry.started_us,
@@ -503,11 +503,11 @@
     def member(self, backend: Backend) -> ListedEndpoint:
         """A backend as discovery tells it."""
         state = (
-            EndpointState.REMOVED
+            EndpointStatus.REMOVED
             if backend.gone
-            else EndpointState.DRAINING
+            else EndpointStatus.DRAINING
             if backend.drains
-            else EndpointState.READY
+            else EndpointStatus.READY
         )
         entry = EndpointEntry(
             backend.name, backend.zone, backend.kind, state=state, started_us=backend.started_us
--- a/gannetweir/lab/scale/control_machine.py
+++ b/gannetweir/lab/scale/control_machine.py
@@ -18,7 +18,7 @@
 import anyio
 import anyio.abc
 
-from gannetweir.config import Address, address
+from gannetweir.config import SocketAddress, address
 from gannetweir.control.machine import ControlMachine
 from gannetweir.control.versions import Resource, Slice
 from gannetweir.lab.scale.link import answer_calls
@@ -44,7 +44,7 @@
 class FaultyServer(ControlServer):
     """Counts what it sends, and keeps it back while a fault says so."""
 
-    def __init__(self, name: str, store: MemoryStore, at: Address) -> None:
+    def __init__(self, name: str, store: MemoryStore, at: SocketAddress) -> None:
         super().__init__(name, store, at, Limits())
         self.mode, self.snapshots = ServerMode.NORMAL, 0
         self.held: dict[Transport, bytearray] = {}
@@ -105,7 +105,7 @@
 class MachineProcess:
     """Carries out the parent's commands."""
 
-    def __init__(self, tasks: anyio.abc.TaskGroup, name: str, at: Address) -> None:
+    def __init__(self, tasks: anyio.abc.TaskGroup, name: str, at: SocketAddress) -> None:
         self.tasks, self.name, self.at = tasks, name, at
         self.store = MemoryStore()
         self.server: FaultyServer | None = None
@@ -144,7 +144,7 @@
             raise ValueError(f"version {told.version} of the store came as {version.number}")
 
 
-async def run(name: str, at: Address) -> None:
+async def run(name: str, at: SocketAddress) -> None:
     """Until the parent is gone."""
     async with anyio.create_task_group() as tasks:
         await answer_calls(MachineProcess(tasks, name, at).handle)
--- a/gannetweir/lab/scale/control_relay.py
+++ b/gannetweir/lab/scale/control_relay.py
@@ -5,7 +5,7 @@
 import random
 from typing import TYPE_CHECKING
 
-from gannetweir.config import Address
+from gannetweir.config import SocketAddress
 from gannetweir.control.follower import Follower
 from gannetweir.control.versions import Entry, Resource, Version
 from gannetweir.core import SetEndpointWatch
@@ -24,7 +24,7 @@
 
     record: RelayRecord
 
-    async def _watch(self, at: Address) -> bool:
+    async def _watch(self, at: SocketAddress) -> bool:
         nacks = self.nacks
         stays = await super()._watch(at)
         if not stays:
--- a/gannetweir/lab/scale/discovery_stub.py
+++ b/gannetweir/lab/scale/discovery_stub.py
@@ -19,7 +19,7 @@
 import anyio.abc
 import orjson
 
-from gannetweir.config import Address, address
+from gannetweir.config import SocketAddress, address
 from gannetweir.lab.scale.link import answer_calls
 from gannetweir.lab.scale.messages import (
     AskServed,
@@ -114,7 +114,7 @@
 class DiscoveryStub:
     """Serves watches until its parent is gone."""
 
-    def __init__(self, tasks: anyio.abc.TaskGroup, listen: list[Address]) -> None:
+    def __init__(self, tasks: anyio.abc.TaskGroup, listen: list[SocketAddress]) -> None:
         self.tasks, self.membership, self.mode = tasks, Membership(), ServerMode.NORMAL
         self.slots: list[dict[Watch, None]] = [{} for _ in range(HEARTBEAT_SLOTS)]
         self.slot = 0
@@ -123,7 +123,7 @@
         self.listeners = [self._listen(at) for at in listen]
 
     @staticmethod
-    def _listen(at: Address) -> socket.socket:
+    def _listen(at: SocketAddress) -> socket.socket:
         listener = socket.create_server((at.host, at.port), backlog=BACKLOG)
         listener.setblocking(False)
         return listener
@@ -231,7 +231,7 @@
                     self.sent[watch.local] += watch.push(most)
 
 
-async def run(listen: list[Address]) -> None:
+async def run(listen: list[SocketAddress]) -> None:
     """Until the parent is gone."""
     async with anyio.create_task_group() as tasks:
         stub = DiscoveryStub(tasks, listen)
--- a/gannetweir/lab/scale/hollow_relay.py
+++ b/gannetweir/lab/scale/hollow_relay.py
@@ -17,7 +17,7 @@
 import orjson
 
 from gannetweir import core as e
-from gannetweir.config import Address
+from gannetweir.config import SocketAddress
 from gannetweir.lab.scale.messages import RelayRecord
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import MembershipUpdate
@@ -50,7 +50,7 @@
     settings: Settings
     limits: Limits
     seed: int
-    servers: tuple[Address, ...]  # that tell the membership
+    servers: tuple[SocketAddress, ...]  # that tell the membership
     epoch_ns: int
     known: KnownList | None = None  # what it is started with
 
@@ -113,7 +113,7 @@
         return self.config.limits
 
     @property
-    def discovery(self) -> Address:
+    def discovery(self) -> SocketAddress:
         """Where the membership is watched."""
         return self.config.servers[0]
 
--- a/gannetweir/membership/endpoint_list.py
+++ b/gannetweir/membership/endpoint_list.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field, replace
 
 from gannetweir.membership.start_times import StartTimes
-from gannetweir.placement.events import EndpointEntry, EndpointId, EndpointState
+from gannetweir.placement.events import EndpointEntry, EndpointId, EndpointStatus
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,8 +59,8 @@
     now = member.entry
     if (
         was is None
-        or was.state == EndpointState.READY
-        or now.state != EndpointState.READY
+        or was.state == EndpointStatus.READY
+        or now.state != EndpointStatus.READY
         or now.started_us > was.started_us
     ):
         return member
@@ -97,7 +97,7 @@
         if news.complete:
             listed = {member.entry.endpoint_id for member in news.endpoints}
             for server in [server for server in self.entries if server not in listed]:
-                self.entries[server] = replace(self.entries[server], state=EndpointState.REMOVED)
+                self.entries[server] = replace(self.entries[server], state=EndpointStatus.REMOVED)
         for member in news.endpoints:
             self.entries[member.entry.endpoint_id] = member.entry
             if member.address:
@@ -114,14 +114,14 @@
     def apply_overrides(self, hand: OperatorOverrides, now_us: int) -> list[EndpointEntry]:
         """Lay the operators' word over the list; the whole list as it is now seen."""
         self.overrides, self._now_us = hand, now_us
-        return [self._seen(entry) for entry in self.entries.values() if entry.state != EndpointState.REMOVED]
+        return [self._seen(entry) for entry in self.entries.values() if entry.state != EndpointStatus.REMOVED]
 
     def _seen(self, entry: EndpointEntry) -> EndpointEntry:
         """With its start on this process's clock. Out by hand is draining. One called back has started no
         earlier than the call: it restarted while it was out, and discovery may not know of that yet."""
         started_us = self.start_times.started_us(entry)
-        if entry.endpoint_id in self.overrides.offline and entry.state == EndpointState.READY:
-            return replace(entry, state=EndpointState.DRAINING, started_us=started_us)
+        if entry.endpoint_id in self.overrides.offline and entry.state == EndpointStatus.READY:
+            return replace(entry, state=EndpointStatus.DRAINING, started_us=started_us)
         called_us = self.overrides.online_since.get(str(entry.endpoint_id), 0)
         if called_us:
             back_us = self.start_times.called_back_us(entry.endpoint_id, called_us, self._now_us)
@@ -144,7 +144,7 @@
         """May something new go there, as far as discovery and the operators have told?"""
         entry = self.entries.get(server)
         return (
-            entry is not None and entry.state == EndpointState.READY and server not in self.overrides.offline
+            entry is not None and entry.state == EndpointStatus.READY and server not in self.overrides.offline
         )
 
     def started_us(self, server: EndpointId) -> int:
--- a/gannetweir/membership/start_times.py
+++ b/gannetweir/membership/start_times.py
@@ -15,7 +15,7 @@
 
 from collections.abc import Sequence
 
-from gannetweir.placement.events import EndpointEntry, EndpointId, EndpointState
+from gannetweir.placement.events import EndpointEntry, EndpointId, EndpointStatus
 
 CLOCK_SLACK_US = 1_000_000  # two clocks that are right differ by less
 
@@ -41,7 +41,7 @@
         the one may be older than the other. `warm_within_us`: the age at which a backend is warm."""
         self._learn(entries, now_us, True)
         disputed = self._disputed(entries, now_us, warm_within_us)
-        if 2 * len(disputed) > sum(entry.state == EndpointState.READY for entry in entries):
+        if 2 * len(disputed) > sum(entry.state == EndpointStatus.READY for entry in entries):
             for entry in disputed:
                 own_us = entry.started_us - (self._wall_ahead_us or 0)
                 self._started[entry.endpoint_id] = entry.started_us, own_us or -1
@@ -55,7 +55,7 @@
         wall_us = now_us + self._wall_ahead_us
         if any(entry.started_us > wall_us + CLOCK_SLACK_US for entry in entries):
             return []  # it is behind for certain
-        ready = [entry for entry in entries if entry.state == EndpointState.READY and entry.started_us]
+        ready = [entry for entry in entries if entry.state == EndpointStatus.READY and entry.started_us]
         maybe_cold = [entry for entry in ready if now_us - self.started_us(entry) < warm_within_us]
         return [entry for entry in maybe_cold if wall_us - entry.started_us >= warm_within_us]
 
--- a/gannetweir/net/admin.py
+++ b/gannetweir/net/admin.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from gannetweir.config import Address
+from gannetweir.config import SocketAddress
 from gannetweir.net.listener import open_listener
 from gannetweir.net.ports import Host
 from gannetweir.net.transport import Transport, accept, tune
@@ -27,7 +27,7 @@
 class AdminListener:
     """Accepts callers and carries out their calls; `Operations` for `proto.admin`."""
 
-    def __init__(self, relay: Operated, at: Address) -> None:
+    def __init__(self, relay: Operated, at: SocketAddress) -> None:
         self.relay, self.limits = relay, relay.limits
         self.listener = open_listener(at, self.limits)
         self.callers: dict[Transport, None] = {}  # oldest first
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -9,7 +9,7 @@
 import anyio
 import anyio.abc
 
-from gannetweir.config import Address
+from gannetweir.config import SocketAddress
 from gannetweir.control.machine import ControlMachine, Wait
 from gannetweir.control.publisher import ACK_US, BehindError, Publisher
 from gannetweir.control.rollout import Coordinator, Verdict
@@ -43,7 +43,7 @@
 class ControlServer:
     """One control machine."""
 
-    def __init__(self, name: str, store: Store, at: Address, limits: Limits) -> None:
+    def __init__(self, name: str, store: Store, at: SocketAddress, limits: Limits) -> None:
         """Listens at once; answers 503 until the store has been read. Raises `OSError` if it can't listen."""
         self.name, self.store, self.limits = name, store, limits
         self.listener = listen(at, limits)
@@ -55,10 +55,10 @@
         self.last_error = ""
 
     @property
-    def address(self) -> Address:
+    def address(self) -> SocketAddress:
         """Where it listens."""
         host, port = self.listener.getsockname()[:2]
-        return Address(host, port)
+        return SocketAddress(host, port)
 
     async def run(self) -> None:
         """Until cancelled; then its watches end."""
--- a/gannetweir/net/control_status.py
+++ b/gannetweir/net/control_status.py
@@ -5,7 +5,7 @@
 import http.client
 from collections.abc import Iterable, Iterator
 
-from gannetweir.config import Address
+from gannetweir.config import SocketAddress
 from gannetweir.control.report import StandingReport, together
 from gannetweir.control.versions import Resource
 from gannetweir.proto.control_calls import STATUS_TARGET, read_status
@@ -15,7 +15,7 @@
 MOST_STATUS_BYTES = 1 << 20
 
 
-def ask(at: Address) -> tuple[str, list[StandingReport]]:
+def ask(at: SocketAddress) -> tuple[str, list[StandingReport]]:
     """A machine's name and reports. Raises `OSError` or `PoolError`."""
     caller = http.client.HTTPConnection(at.host, at.port, timeout=ASK_S)
     try:
@@ -31,7 +31,7 @@
     return read_status(body)
 
 
-def status(machines: Iterable[Address]) -> tuple[list[str], bool]:
+def status(machines: Iterable[SocketAddress]) -> tuple[list[str], bool]:
     """The lines to print, and whether every released version is in force everywhere that could be asked."""
     lines, found, fine = list[str](), list[tuple[str, list[StandingReport]]](), True
     for at in machines:
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -16,7 +16,7 @@
 import h11
 import orjson
 
-from gannetweir.config import Address
+from gannetweir.config import SocketAddress
 from gannetweir.control.follower import Apply, Event, Follower
 from gannetweir.control.stage import ServiceTotals
 from gannetweir.control.topology import CALL_US, Reconnect
@@ -70,7 +70,7 @@
     def __init__(
         self,
         host: ControlHost,
-        machines: Mapping[str, Address],
+        machines: Mapping[str, SocketAddress],
         followers: Mapping[Resource, Follower],
         draw: Callable[[], float],
         endpoint: Callable[[socket.socket, Limits, Spawn], Transport] = Transport,
@@ -93,7 +93,7 @@
             else:
                 await anyio.sleep(self.calls.failed() / 1e6)
 
-    async def _watch(self, at: Address) -> bool:
+    async def _watch(self, at: SocketAddress) -> bool:
         """One watch. True if it ended only for the first choice's sake."""
         limits = self.host.limits
         endpoint = self.endpoint(tcp_socket(at.host), limits, self.host.spawn)
@@ -125,7 +125,7 @@
         self.bytes_written += len(data)
         endpoint.write(data)
 
-    async def _hear(self, watch: ControlWatch, data: bytes, at: Address) -> bool:
+    async def _hear(self, watch: ControlWatch, data: bytes, at: SocketAddress) -> bool:
         self.bytes_read += len(data)
         events = watch.events(data)
         for event in events:
@@ -136,7 +136,7 @@
                 await self._take(event, at)
         return bool(events)
 
-    async def _take(self, part: Slice, at: Address) -> None:
+    async def _take(self, part: Slice, at: SocketAddress) -> None:
         follower = self.followers.get(part.resource)
         if follower is None:
             return
@@ -145,7 +145,7 @@
             await anyio.lowlevel.checkpoint()  # no turn of the loop does more than one step
             self._carry_out(follower, follower.step(), at)
 
-    def _carry_out(self, follower: Follower, events: list[Event], at: Address) -> None:
+    def _carry_out(self, follower: Follower, events: list[Event], at: SocketAddress) -> None:
         for event in events:
             if isinstance(event, Apply):
                 self._apply(follower, event)
@@ -172,7 +172,7 @@
         if event.last:
             self.host.in_force(event.resource, event.version)
 
-    async def _watch_service(self, answer: Ack, at: Address) -> None:
+    async def _watch_service(self, answer: Ack, at: SocketAddress) -> None:
         """Repeat the ACK while the relay may be one of the first with this version: its totals tell."""
         for _ in range(SERVICE_REPORTS):
             if self.host.totals() is None:
@@ -180,7 +180,7 @@
             await anyio.sleep(SERVICE_REPORT_S)
             await self._answer(answer, at)
 
-    async def _answer(self, answer: Ack | Nack, at: Address) -> None:
+    async def _answer(self, answer: Ack | Nack, at: SocketAddress) -> None:
         """On a connection of its own. One that is lost is asked for again: the machine ends the watch."""
         endpoint = self.endpoint(tcp_socket(at.host), self.host.limits, self.host.spawn)
         try:
--- a/gannetweir/net/endpoint_watch.py
+++ b/gannetweir/net/endpoint_watch.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from gannetweir.config import Address
+from gannetweir.config import SocketAddress
 from gannetweir.core import SetEndpointWatch
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import MembershipUpdate
@@ -23,7 +23,7 @@
     """What the watch needs of the relay: beside whom to tell, where to ask."""
 
     @property
-    def discovery(self) -> Address: ...
+    def discovery(self) -> SocketAddress: ...
 
 
 class EndpointWatchDriver:
--- a/gannetweir/net/listener.py
+++ b/gannetweir/net/listener.py
@@ -11,7 +11,7 @@
 import anyio
 import anyio.lowlevel
 
-from gannetweir.config import Address
+from gannetweir.config import SocketAddress
 from gannetweir.limits import Limits
 from gannetweir.net.errors import PAUSE_S, PEER_OF_ACCEPT_GONE, SHORTAGE, pauses
 from gannetweir.net.ports import Host
@@ -31,7 +31,7 @@
     def log(self, text: str, **about: object) -> None: ...
 
 
-def open_listener(at: Address, limits: Limits) -> socket.socket:
+def open_listener(at: SocketAddress, limits: Limits) -> socket.socket:
     """A listener of this process's own. Waits, before anything is served, for an address not free yet.
 
     Raises `OSError` where it can't be had within `OPEN_WITHIN_S`.
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -17,7 +17,7 @@
 import anyio.lowlevel
 
 from gannetweir import core as e
-from gannetweir.config import Address, Config, ConfigError, address
+from gannetweir.config import Config, ConfigError, SocketAddress, address
 from gannetweir.limits import Limits
 from gannetweir.net.admin import AdminListener
 from gannetweir.net.client_connection import ClientConnectionDriver
@@ -130,7 +130,7 @@
         return self.config.limits
 
     @property
-    def discovery(self) -> Address:
+    def discovery(self) -> SocketAddress:
         """Where the pool is watched."""
         return self.config.discovery
 
--- a/gannetweir/net/transport.py
+++ b/gannetweir/net/transport.py
@@ -13,7 +13,7 @@
 import anyio
 import anyio.lowlevel
 
-from gannetweir.config import Address
+from gannetweir.config import SocketAddress
 from gannetweir.limits import Limits
 from gannetweir.net.errors import (
     NOT_STARTED,
@@ -65,7 +65,7 @@
     return tcp_socket(address.host), at
 
 
-def listen(at: Address, limits: Limits) -> socket.socket:
+def listen(at: SocketAddress, limits: Limits) -> socket.socket:
     """A listener of this process's own."""
     sock = tcp_socket(at.host)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/gannetweir/placement/balancer.py
+++ b/gannetweir/placement/balancer.py
@@ -17,7 +17,16 @@
     StartAttempt,
     WatchEndpoints,
 )
-from gannetweir.placement.endpoint_state import Draw, Flight, Flights, Logs, Node, Pools, Table, Walk
+from gannetweir.placement.endpoint_state import (
+    CandidateSearch,
+    EndpointState,
+    LoadReportTable,
+    LogThrottle,
+    PackingState,
+    PendingRequest,
+    PendingRequests,
+    ReadyEndpoints,
+)
 from gannetweir.placement.events import (
     NOT_EXECUTED,
     AttemptEnded,
@@ -28,7 +37,7 @@
     ConnectionResumed,
     EndpointId,
     EndpointListUpdate,
-    EndpointState,
+    EndpointStatus,
     Event,
     LoadProbeResult,
     MetricKind,
@@ -55,7 +64,7 @@
 ASK_US = 100_000  # how far apart the instances' first calls to the server list lie on average
 AGAIN_US, ROUND_US = 350_000, 3_100_000  # the first wait, then doubled; from call to call at most: fits 6 s
 PENDING = 5  # set-ups at a server at once, from this gateway
-HELD_BACK = Node(None, 0, 0, 0)  # no server: the answer to a draw is awaited
+HELD_BACK = EndpointState(None, 0, 0, 0)  # no server: the answer to a draw is awaited
 REPORT_US = 1_300_000  # age of a report when it is read: its period and its delay
 BLIND = 0.05  # load that a mean connection adds where nothing is known
 ADVICE = 0.5, 1.0  # of the longest advice on when to come again; sooner, those refused keep a rush going
@@ -70,11 +79,20 @@
 
     def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
         self.rng, self.out = random.Random(seed), list[Action]()
-        self.nodes: dict[EndpointId, Node] = {}
-        self.pools, self.table, self.flights, self.logs = Pools(), Table(), Flights(), Logs()
-        self.ready, self.drawn, self.draw = self.pools.all, list[Node](), Draw()  # drawn: who answered last
-        self.walks, self.later = dict[int, Walk](), dict[int, int]()  # with one; when to try again
-        self.cold, self.turns = dict[Node, None](), list[Node]()
+        self.nodes: dict[EndpointId, EndpointState] = {}
+        self.pools, self.table, self.flights, self.logs = (
+            ReadyEndpoints(),
+            LoadReportTable(),
+            PendingRequests(),
+            LogThrottle(),
+        )
+        self.ready, self.drawn, self.draw = (
+            self.pools.all,
+            list[EndpointState](),
+            PackingState(),
+        )  # drawn: who answered last
+        self.walks, self.later = dict[int, CandidateSearch](), dict[int, int]()  # with one; when to try again
+        self.cold, self.turns = dict[EndpointState, None](), list[EndpointState]()
         self.limit, self.slow, self.late, self.refused = LIMIT, 0, False, False
         self.asked = self.took = self.bad = self.let_us = 0.0  # recent arrivals, set-ups, share that failed
         self.start_us, self.last_us, self.hint_mean, self.lived_us, self.ended = now_us, now_us, 0.0, 0.0, 0
@@ -139,26 +157,26 @@
         if event.kind != UpdateKind.DELTA:
             listed = {entry.endpoint_id for entry in event.entries}
             for node in [n for n in self.nodes.values() if n.id not in listed]:
-                self._leave(node, EndpointState.REMOVED)
+                self._leave(node, EndpointStatus.REMOVED)
         for entry in event.entries:
-            node = self.nodes.setdefault(entry.endpoint_id, Node.of(entry))
+            node = self.nodes.setdefault(entry.endpoint_id, EndpointState.of(entry))
             if entry.started_us != node.started_us:
                 self.table.drop(node)
                 self.draw.end_fill(node)  # a draw from before the start knew a warm one
                 node.restart(entry.started_us)
-            if entry.state != EndpointState.READY:
+            if entry.state != EndpointStatus.READY:
                 self._leave(node, entry.state)
-            elif node.state != EndpointState.READY:
-                node.state, node.zone, node.cell = EndpointState.READY, entry.zone, entry.cell
+            elif node.state != EndpointStatus.READY:
+                node.state, node.zone, node.cell = EndpointStatus.READY, entry.zone, entry.cell
                 self.pools.add(node)
-            if node.state == EndpointState.READY and node.warmth(now, self.s) < 1.0:
+            if node.state == EndpointStatus.READY and node.warmth(now, self.s) < 1.0:
                 self.cold[node] = None
         if self.draw.target is None:
             self._draw_ahead(now)
 
-    def _leave(self, node: Node, state: int) -> None:
+    def _leave(self, node: EndpointState, state: int) -> None:
         """Draining or gone: nothing new from this moment on, whatever grace is stated."""
-        if node.state == EndpointState.READY:
+        if node.state == EndpointStatus.READY:
             self.pools.remove(node)
             self.drawn = []
             self.table.drop(node)
@@ -175,7 +193,7 @@
 
     # ---- PACKING
 
-    def _draw(self, pool: list[Node], now: int, skip: list[Node]) -> Node | None:
+    def _draw(self, pool: list[EndpointState], now: int, skip: list[EndpointState]) -> EndpointState | None:
         """A uniform draw among the servers that may be sent to; cold ones have turns, unless all are cold."""
         all_cold = len(self.cold) >= len(self.ready)
         for _ in range(12 if pool else 0):
@@ -203,7 +221,7 @@
         if node := node or self._draw(near, now, []) or self._draw(self.ready, now, []):
             self._look(node, now)
 
-    def _look(self, node: Node, now: int) -> None:
+    def _look(self, node: EndpointState, now: int) -> None:
         self.draw.looks += 1
         if self.probes:
             self.draw.awaiting = node
@@ -212,7 +230,7 @@
         node.x = float(len(node.conns))
         self._settle(node, now)
 
-    def _allotment(self, node: Node, now: int) -> int:
+    def _allotment(self, node: EndpointState, now: int) -> int:
         """Arrivals that fill the server to the mean, or 0 if it is not below it."""
         mean = self.table.mean_x if self.probes else len(self.flights) / max(1, len(self.ready))
         if self.at_x0 >= 0 and node.x > 0.0 and node.x0 > 0.05 * self.table.mean_x0:
@@ -226,7 +244,7 @@
         crowd = max(1.0, self.s.relay_count / max(1, len(self.ready)))
         return max(1, int((math.ceil(mean) + 1 - node.x) / crowd + self.rng.random() * (crowd > 1.0)))
 
-    def _settle(self, node: Node, now: int) -> None:
+    def _settle(self, node: EndpointState, now: int) -> None:
         """The drawn server's answer is in: it becomes the target, or the draw goes on."""
         d, fill = self.draw, self._allotment(node, now)
         if not fill and (self.s.relay_count > 1 or (self.at_x0 >= 0 and len(self.table.nodes) > 1)):
@@ -241,7 +259,7 @@
             if rid in self.flights:
                 self._send(rid, self.flights[rid], now)
 
-    def _pick(self, rid: int, flight: Flight, now: int) -> Node | None:
+    def _pick(self, rid: int, flight: PendingRequest, now: int) -> EndpointState | None:
         """The server for this arrival, or none while it waits for an answer that is on its way."""
         if flight.group and self.probes:
             return self._walk(rid, flight, now)
@@ -277,16 +295,16 @@
             self._draw_ahead(now)
         return node
 
-    def _hold(self, flight: Flight, now: int) -> None:
+    def _hold(self, flight: PendingRequest, now: int) -> None:
         if not flight.wait_us:
             flight.wait_us = now + min(
                 int(flight.cls.latency_objective_us / 3), (flight.deadline_us - now) // 2
             )
             self.out.append(SetTimer(HELD, flight.wait_us - now))
 
-    def _walk(self, rid: int, flight: Flight, now: int) -> Node | None:
+    def _walk(self, rid: int, flight: PendingRequest, now: int) -> EndpointState | None:
         """A group's draws begin where it stands, or in the own zone; they go on where the group belongs."""
-        walk = self.walks.setdefault(rid, Walk(list(flight.tried)))
+        walk = self.walks.setdefault(rid, CandidateSearch(list(flight.tried)))
         homes, all_cold = self.flights.members(flight.group), len(self.cold) >= len(self.ready)
         first = sorted(self.pools.first(flight.group, KEEP, self.cold), key=lambda n: n.zone != self.s.zone)
         held = sorted(homes, key=lambda n: (self.near and n.zone != self.s.zone, -homes[n]))
@@ -296,7 +314,7 @@
         here = [n for n in held if not self.near or n.zone == self.s.zone]
         path = chain(turns, here, own, held, first, self.pools.order(flight.group))
         free = (
-            n for n in path if n not in walk.looked and n.out_until <= now and n.state == EndpointState.READY
+            n for n in path if n not in walk.looked and n.out_until <= now and n.state == EndpointStatus.READY
         )
         fit = (n for n in free if all_cold or n not in self.cold or n in turns)
         for node in islice(fit, max(0, LOOKS - len(walk.looked))):
@@ -321,23 +339,25 @@
                 walk.spare = walk.spare or node  # never the own zone's extra place: one more to pay for
         if crowded and not late and walk.spare is None:
             self._hold(flight, now)
-            self.walks[rid] = Walk(list(flight.tried))
+            self.walks[rid] = CandidateSearch(list(flight.tried))
             return HELD_BACK
-        return walk.spare if walk.spare and walk.spare.state == EndpointState.READY else None
+        return walk.spare if walk.spare and walk.spare.state == EndpointStatus.READY else None
 
-    def _fits(self, node: Node, flight: Flight, held: bool, most: float) -> bool:
+    def _fits(self, node: EndpointState, flight: PendingRequest, held: bool, most: float) -> bool:
         """Is there room, also for a group that is new there? The server pays for each."""
         more = node.x0 + self._need(node, 1.0 + GROUP * (flight.group > 0)) * (node is not flight.home)
         return not self._full(node, flight) and (held or node in self.cold or more < most)
 
     # ---- requests
 
-    def _flight(self, event: RequestArrived | ConnectionResumed, due_us: int) -> Flight:
+    def _flight(self, event: RequestArrived | ConnectionResumed, due_us: int) -> PendingRequest:
         hint = event.load_hint if event.flags & RequestFlag.LOAD_HINT_VALID else 0
         back = event.flags & RequestFlag.RETURNED > 0
         cls = self.s.classes[event.class_index if event.class_index < len(self.s.classes) else -1]
         group = event.group if self.s.groups_enabled else 0
-        return self.flights.setdefault(event.request_id, Flight(cls, event.tenant, group, due_us, hint, back))
+        return self.flights.setdefault(
+            event.request_id, PendingRequest(cls, event.tenant, group, due_us, hint, back)
+        )
 
     def _request(self, event: RequestArrived, now: int) -> None:
         flight = self._flight(event, now + event.time_budget_us)
@@ -351,7 +371,7 @@
         self.took, self.let_us = self.took + 1.0, self.let_us if stop else now + 3 * THROTTLE_US  # a while
         (self._finish if stop else self._send)(event.request_id, flight, now)
 
-    def _send(self, rid: int, flight: Flight, now: int) -> None:
+    def _send(self, rid: int, flight: PendingRequest, now: int) -> None:
         """The next attempt, or the final answer where none is allowed or left."""
         cls, left, node = flight.cls, flight.deadline_us - now, None
         if flight.attempts < (cls.max_attempts or self.s.max_attempts) and left > 0:
@@ -390,10 +410,10 @@
             self.table.enter(node, node.x + 1.0, node.x0 + self._need(node, size))
         self.out.append(StartAttempt(rid, node.id, max(1, cls.attempt_timeout_us or timeout)))
 
-    def _size(self, flight: Flight) -> float:
+    def _size(self, flight: PendingRequest) -> float:
         return flight.hint / self.hint_mean if flight.hint and self.hint_mean else 1.0
 
-    def _need(self, node: Node, size: float) -> float:
+    def _need(self, node: EndpointState, size: float) -> float:
         """What so many mean loads add to x0 there, judged by what the others make."""
         own = node.x >= 3.0 and node.x0 > 0.0
         x, x0 = (node.x, node.x0) if own else (self.table.sum_x, self.table.sum_x0)
@@ -403,14 +423,14 @@
         unit = x0 / (x + GROUP * groups) if x0 > 0.0 and x > 0.0 else BLIND  # part of x0 is the groups'
         return size * unit
 
-    def _full(self, node: Node, flight: Flight) -> bool:
+    def _full(self, node: EndpointState, flight: PendingRequest) -> bool:
         """In overload a server that takes all serves none: past the limit refuse, the least worth first."""
         if self.at_x0 < 0 or not node.known:
             return flight.group > 0 and len(node.placed) >= 4  # a group's would all go there unseen
         limit = self.limit - 0.5 * RESERVE * (1.0 - flight.cls.priority_weight / self.worth)
         return node.x0 + 0.5 * self._need(node, self._size(flight)) * (node is not flight.home) >= limit
 
-    def _finish(self, rid: int, flight: Flight, _now: int) -> None:
+    def _finish(self, rid: int, flight: PendingRequest, _now: int) -> None:
         del self.flights[rid]
         self.took = max(0.0, self.took - (flight.attempts == 0))
         refuse = (
@@ -480,9 +500,9 @@
 
     # ---- health and load
 
-    def _set_aside(self, node: Node, now: int) -> bool:
+    def _set_aside(self, node: EndpointState, now: int) -> bool:
         """A hung server's count looks ordinary: time-outs are the evidence. Back after growing waits."""
-        if node.state != EndpointState.READY or node.out_until > now:
+        if node.state != EndpointStatus.READY or node.out_until > now:
             return node.out_until > now
         aside = sum(n.out_until > now for n in self.ready)
         if 3 * (aside + 1) > len(self.ready):  # many at once have a shared cause (store, overload)
@@ -506,7 +526,7 @@
             and all(map(math.isfinite, r))
         ):
             node.seen_us = now
-            if node.state == EndpointState.READY:
+            if node.state == EndpointStatus.READY:
                 self.drawn = [node] if drawn else self.drawn
                 x0 = r[self.at_x0] if 0 <= self.at_x0 < len(r) else 0.0
                 self._enter(node, max(0.0, r[self.at_x]), max(0.0, x0), now)
@@ -515,7 +535,7 @@
             node, now
         ):
             self.out.extend(MigrateConnection(rid) for rid in node.conns if self.flights[rid].opened)
-        ready = node.state == EndpointState.READY and node.out_until <= now
+        ready = node.state == EndpointStatus.READY and node.out_until <= now
         if drawn and ready:
             self._settle(node, now)  # an answer without a report counts as a look, or looks would never end
         elif drawn and (self.draw.waiting or self.draw.target is None):
@@ -524,7 +544,7 @@
             self.walks[rid].answer(node, ready)
             self._send(rid, self.flights[rid], now)
 
-    def _enter(self, node: Node, x: float, x0: float, now: int) -> None:
+    def _enter(self, node: EndpointState, x: float, x0: float, now: int) -> None:
         """A report is a second or two old when it is read: what came since is put on top of it."""
         self.table.enter(node, x, x0)
         node.placed = [(at, load) for at, load in node.placed if now - at < REPORT_US]
@@ -537,7 +557,7 @@
         if late:
             self.table.enter(node, x + len(late), x0 + self._need(node, sum(late)))
 
-    def _probe(self, node: Node, now: int) -> None:
+    def _probe(self, node: EndpointState, now: int) -> None:
         node.probed_us = now
         self.out.append(ProbeLoad(node.id))
 
@@ -575,7 +595,7 @@
         elif own and own[0].out_until <= now and self._fits(own[0], flight, False, NEW):
             self.out.append(MigrateConnection(rid))
 
-    def _relieve(self, node: Node, now: int) -> None:
+    def _relieve(self, node: EndpointState, now: int) -> None:
         """Past its capacity a server serves nobody: move off the excess."""
         if node.x0 <= self.limit + RESERVE or not node.conns or now - node.moved_us < 2 * FRESH_US:
             return
--- a/gannetweir/placement/endpoint_state.py
+++ b/gannetweir/placement/endpoint_state.py
@@ -8,19 +8,19 @@
 from itertools import islice
 
 from gannetweir.placement.actions import WriteLog
-from gannetweir.placement.events import EndpointEntry, EndpointId, EndpointState
+from gannetweir.placement.events import EndpointEntry, EndpointId, EndpointStatus
 from gannetweir.placement.settings import RequestClass, Settings
 
 
 @dataclass(slots=True, eq=False)
-class Node:
+class EndpointState:
     """What this gateway knows of one server."""
 
     id: EndpointId
     zone: int
     cell: int
     started_us: int
-    state: int = EndpointState.REMOVED
+    state: int = EndpointStatus.REMOVED
     known: bool = False  # x and x0 are from a report
     x: float = 0.0  # open connections, own placements since the report included
     x0: float = 0.0  # load over capacity, likewise
@@ -35,7 +35,7 @@
     conns: dict[int, None] = field(default_factory=dict)  # own attempts and connections; a dict keeps order
 
     @classmethod
-    def of(cls, entry: EndpointEntry) -> Node:
+    def of(cls, entry: EndpointEntry) -> EndpointState:
         """A server that is new to the list."""
         place = zlib.crc32(str(entry.endpoint_id).encode())
         return cls(
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Flight:
+class PendingRequest:
     """A request that is owed an answer, or a connection that stands."""
 
     cls: RequestClass
@@ -67,46 +67,50 @@
     deadline_us: int
     hint: float
     back: bool = False  # its connection was broken or moved
-    home: Node | None = None  # then where it most likely was until just now: reports there still count it
+    home: EndpointState | None = (
+        None  # then where it most likely was until just now: reports there still count it
+    )
     opened: bool = False
     attempts: int = 0
-    node: Node | None = None
+    node: EndpointState | None = None
     sent_us: int = 0
-    tried: list[Node] = field(default_factory=list)
-    accused: list[Node] = field(default_factory=list)  # failed it in a way that may be the client's fault
+    tried: list[EndpointState] = field(default_factory=list)
+    accused: list[EndpointState] = field(
+        default_factory=list
+    )  # failed it in a way that may be the client's fault
     wait_us: int = 0  # held until then, at most
-    ran_node: Node | None = None  # where the first attempt that may have run went
+    ran_node: EndpointState | None = None  # where the first attempt that may have run went
     ran_us: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class Draw:
+class PackingState:
     """The draw for arrivals without a group: the looks on the way, and what it named."""
 
-    awaiting: Node | None = None  # its probe is out
-    spare: Node | None = None  # lowest of the above-average answers of this draw
-    target: Node | None = None  # what the draw named, with what is left of its fill
+    awaiting: EndpointState | None = None  # its probe is out
+    spare: EndpointState | None = None  # lowest of the above-average answers of this draw
+    target: EndpointState | None = None  # what the draw named, with what is left of its fill
     fill: int = 0
     looks: int = 0
     answered_us: int = 0
     waiting: list[int] = field(default_factory=list)  # requests held until the answer is in
 
-    def end_fill(self, node: Node) -> None:
+    def end_fill(self, node: EndpointState) -> None:
         """Nothing more goes there before it has been drawn again."""
         self.target = None if self.target is node else self.target
         self.spare = None if self.spare is node else self.spare
 
 
 @dataclass(slots=True, eq=False)
-class Walk:
+class CandidateSearch:
     """The draws for one arrival of a group, in the group's order of servers."""
 
-    looked: list[Node]  # drawn already, or tried before
-    awaiting: Node | None = None  # its probe is out
-    answered: Node | None = None  # its probe has been answered
-    spare: Node | None = None  # first of those that would do, though one more group is much for them
+    looked: list[EndpointState]  # drawn already, or tried before
+    awaiting: EndpointState | None = None  # its probe is out
+    answered: EndpointState | None = None  # its probe has been answered
+    spare: EndpointState | None = None  # first of those that would do, though one more group is much for them
 
-    def answer(self, node: Node, ready: bool) -> None:
+    def answer(self, node: EndpointState, ready: bool) -> None:
         """The answer is in: the walk goes on from there, or past it."""
         self.awaiting = None
         if ready:
@@ -114,31 +118,31 @@
             self.looked.remove(node)
 
 
-class Flights(dict[int, Flight]):
+class PendingRequests(dict[int, PendingRequest]):
     """The requests and connections of this gateway, by id."""
 
-    def members(self, group: int) -> dict[Node, int]:
+    def members(self, group: int) -> dict[EndpointState, int]:
         """How many of a group are at each server."""
-        found: dict[Node, int] = {}
+        found: dict[EndpointState, int] = {}
         for flight in self.values():
             if flight.group == group and flight.node is not None:
                 found[flight.node] = found.get(flight.node, 0) + 1
         return found
 
-    def pending(self, node: Node) -> int:
+    def pending(self, node: EndpointState) -> int:
         """How many are being set up at a server."""
         return sum(not self[rid].opened for rid in node.conns)
 
-    def others(self, rid: int, node: Node) -> int:
+    def others(self, rid: int, node: EndpointState) -> int:
         """How many more of a request's group are at a server."""
         return sum(self[other].group == self[rid].group for other in node.conns if other != rid)
 
-    def groups(self, node: Node) -> list[int]:
+    def groups(self, node: EndpointState) -> list[int]:
         """The group of each of a server's."""
         return [self[rid].group for rid in node.conns]
 
 
-class Logs:
+class LogThrottle:
     """Log lines, rarely enough."""
 
     AGAIN_US = 10_000_000  # a kind of line comes at most this often
@@ -154,11 +158,11 @@
         return [WriteLog(f"{kind}: {text}")]
 
 
-class Table:
+class LoadReportTable:
     """The servers with an answer, oldest first; W, n and the summed loads are kept by increments."""
 
     def __init__(self) -> None:
-        self.nodes: dict[Node, None] = {}
+        self.nodes: dict[EndpointState, None] = {}
         self.sum_x = self.sum_x0 = 0.0
 
     @property
@@ -171,10 +175,10 @@
         """The mean load over capacity."""
         return self.sum_x0 / len(self.nodes) if self.nodes else 0.0
 
-    def fills(self, cold: Container[Node], least: float) -> dict[int, float]:
+    def fills(self, cold: Container[EndpointState], least: float) -> dict[int, float]:
         """The connections that load a server of each kind fully, by the reports of the warm ones, or of all
         where none is warm. A kind's mean load counts as `least` or more: near zero it tells no capacity."""
-        kinds: dict[int, list[Node]] = {}
+        kinds: dict[int, list[EndpointState]] = {}
         for node in [n for n in self.nodes if n not in cold] or self.nodes:  # a cold one's x0 is of less
             kinds.setdefault(node.kind, []).append(node)
         return {
@@ -182,7 +186,7 @@
             for kind, nodes in kinds.items()
         }
 
-    def enter(self, node: Node, x: float, x0: float) -> None:
+    def enter(self, node: EndpointState, x: float, x0: float) -> None:
         """Put new figures in; the entry becomes the newest."""
         self.drop(node)
         self.nodes[node] = None
@@ -190,7 +194,7 @@
         self.sum_x += x
         self.sum_x0 += x0
 
-    def drop(self, node: Node) -> None:
+    def drop(self, node: EndpointState) -> None:
         """Forget one server's figures."""
         if node in self.nodes:
             del self.nodes[node]
@@ -217,33 +221,33 @@
     return x ^ x >> 31
 
 
-class Pools:
+class ReadyEndpoints:
     """The ready servers: all of them, and by zone and by cell."""
 
     ORDERS = 256  # groups whose order is remembered: 2 MB of references where there are 1,024 servers
 
     def __init__(self) -> None:
-        self.all: list[Node] = []
-        self.parts: dict[tuple[str, int], list[Node]] = {}
-        self.orders: dict[int, list[Node]] = {}
+        self.all: list[EndpointState] = []
+        self.parts: dict[tuple[str, int], list[EndpointState]] = {}
+        self.orders: dict[int, list[EndpointState]] = {}
 
-    def _of(self, node: Node) -> list[list[Node]]:
+    def _of(self, node: EndpointState) -> list[list[EndpointState]]:
         keys = (("zone", node.zone), ("cell", node.cell))
         return [self.all, *(self.parts.setdefault(key, []) for key in keys)]
 
-    def add(self, node: Node) -> None:
+    def add(self, node: EndpointState) -> None:
         """A server has become ready."""
         self.orders.clear()
         for pool in self._of(node):
             pool.append(node)
 
-    def remove(self, node: Node) -> None:
+    def remove(self, node: EndpointState) -> None:
         """A server is no longer ready."""
         self.orders.clear()
         for pool in self._of(node):
             pool.remove(node)
 
-    def order(self, group: int) -> list[Node]:
+    def order(self, group: int) -> list[EndpointState]:
         """A group's order of the ready servers, the same at every gateway; sorted once for each list."""
         found = self.orders.get(group)
         if found is None:
@@ -253,11 +257,13 @@
             self.orders[group] = found
         return found
 
-    def first(self, group: int, count: int, but: Container[Node], zone: int | None = None) -> list[Node]:
+    def first(
+        self, group: int, count: int, but: Container[EndpointState], zone: int | None = None
+    ) -> list[EndpointState]:
         """The first few of a group's order, some left out, or those of one zone."""
         fit = (n for n in self.order(group) if n not in but and zone in (None, n.zone))
         return list(islice(fit, count))
 
-    def part(self, kind: str, number: int) -> list[Node]:
+    def part(self, kind: str, number: int) -> list[EndpointState]:
         """The ready servers of one zone or one cell."""
         return self.parts.get((kind, number), [])
--- a/gannetweir/placement/events.py
+++ b/gannetweir/placement/events.py
@@ -30,7 +30,7 @@
 NOT_EXECUTED = frozenset({AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED})
 
 
-class EndpointState(IntEnum):
+class EndpointStatus(IntEnum):
     """The state of a listed endpoint. Only a ready one gets new attempts."""
 
     REMOVED = 0
@@ -71,7 +71,7 @@
     zone: int = 0
     machine_type: int = 0
     cell: int = 0
-    state: int = EndpointState.READY
+    state: int = EndpointStatus.READY
     weight: float = 1.0
     started_us: int = 0
 
--- a/gannetweir/proto/endpoint_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -11,11 +11,15 @@
 
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
-from gannetweir.placement.events import EndpointEntry, EndpointState
+from gannetweir.placement.events import EndpointEntry, EndpointStatus
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.lines import LineError, Lines
 
-STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.REMOVED}
+STATES = {
+    "Ready": EndpointStatus.READY,
+    "Terminating": EndpointStatus.DRAINING,
+    "Gone": EndpointStatus.REMOVED,
+}
 
 
 class EndpointListError(ValueError):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,7 @@
     EndpointEntry,
     EndpointId,
     EndpointListUpdate,
-    EndpointState,
+    EndpointStatus,
     Event,
     LoadProbeResult,
     RequestArrived,
@@ -72,7 +72,7 @@
                 (places or {}).get(n, 0),
                 0,
                 (cells or {}).get(n, 0),
-                EndpointState.READY,
+                EndpointStatus.READY,
                 1.0,
                 (starts or {}).get(n, 0),
             )
--- a/tests/place.py
+++ b/tests/place.py
@@ -13,7 +13,7 @@
 import anyio
 import pytest
 
-from gannetweir.config import Address, Config, ConfigError
+from gannetweir.config import Config, ConfigError, SocketAddress
 from gannetweir.limits import Limits
 from gannetweir.net.relay import Relay
 from tests.helpers import settings
@@ -93,10 +93,10 @@
             polls_endpoint_list=True,
             max_attempts=2,
         )
-        discovery = Address(*self.discovery.getsockname())
+        discovery = SocketAddress(*self.discovery.getsockname())
         known = {"seq": 1, "hosts": [host]}
-        self.door = Address("127.0.0.1", self.free_port())
-        self.file = Config("n0", Address(*at), discovery, 7, s, Limits(**limits), known, self.door)
+        self.door = SocketAddress("127.0.0.1", self.free_port())
+        self.file = Config("n0", SocketAddress(*at), discovery, 7, s, Limits(**limits), known, self.door)
         if shared is not None:
             self.file = replace(self.file, inherited=os.dup(self.front.fileno()), shared=shared)
         self.relay = Relay(self.file, self.read_again)
@@ -106,7 +106,7 @@
         with bound() as sock:
             return int(sock.getsockname()[1])
 
-    async def call(self, line: str, answer: str, door: Address | None = None) -> None:
+    async def call(self, line: str, answer: str, door: SocketAddress | None = None) -> None:
         at = door or self.door
         await self.client()  # it listens by now
         caller = Peer(socket.create_connection((at.host, at.port)))
--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -16,7 +16,7 @@
     AttemptStatus,
     EndpointEntry,
     EndpointId,
-    EndpointState,
+    EndpointStatus,
     RequestArrived,
 )
 from gannetweir.placement.settings import RequestClass
@@ -189,13 +189,13 @@
         for server in some:
             was = self.entries[server]
             state = self.rng.choice(
-                [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED]
+                [EndpointStatus.READY, EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED]
             )
             start = self.now - self.rng.randrange(30_000_000) if self.rng.random() < 0.3 else was.started_us
             self.entries[server] = replace(was, state=state, started_us=start)
         whole = self.rng.random() < 0.3
         told = (
-            [s for s in self.entries if whole and self.entries[s].state != EndpointState.REMOVED]
+            [s for s in self.entries if whole and self.entries[s].state != EndpointStatus.REMOVED]
             if whole
             else some
         )
@@ -245,7 +245,7 @@
                 getattr(self, type(command).__name__)(command, client)
 
     def may_send(self, server: EndpointId) -> bool:
-        return self.entries[str(server)].state == EndpointState.READY and server not in self.hand
+        return self.entries[str(server)].state == EndpointStatus.READY and server not in self.hand
 
     def start(self, server: EndpointId) -> int:
         return self.entries[str(server)].started_us
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -4,7 +4,7 @@
 
 from gannetweir.lab.experiments.herd import plan_of, play
 from gannetweir.lab.model.checker import Cold
-from gannetweir.placement.events import EndpointEntry, EndpointListUpdate, EndpointState, UpdateKind
+from gannetweir.placement.events import EndpointEntry, EndpointListUpdate, EndpointStatus, UpdateKind
 from tests.helpers import SECOND, Gateway
 
 SLOW, FAST = 0, 1
@@ -92,7 +92,7 @@
         g = Gateway(4, seed=seed, load_probes_enabled=False, load_report_source="none", relay_count=50)
         target = g.balancer.draw.target
         assert target is not None
-        g.mark(target.id, EndpointState.READY, g.now)  # it starts anew without having left the list
+        g.mark(target.id, EndpointStatus.READY, g.now)  # it starts anew without having left the list
         for _ in range(8):
             g.arrive()
         assert target.id not in [send.endpoint_id for send in g.sent]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,7 +10,7 @@
 import orjson
 import pytest
 
-from gannetweir.config import Address, ConfigError, load
+from gannetweir.config import ConfigError, SocketAddress, load
 from gannetweir.limits import Limits
 from gannetweir.placement.actions import RejectRequest
 from gannetweir.placement.balancer import Balancer
@@ -86,8 +86,10 @@
     assert (plain.admin, plain.inherited, plain.shared) == (None, None, None)
     env = environment(tmp_path, {"admin_addr": "127.0.0.1:7"}) | {"TMPDIR": str(tmp_path)}
     config = load(env | {"RELAY_INHERITED_FD": "3"})
-    assert config.admin == Address("127.0.0.1", 7) and config.inherited == 3 and config.shared == tmp_path
-    assert load(env | {"RELAY_ADMIN_ADDR": "127.0.0.1:8"}).admin == Address("127.0.0.1", 8)
+    assert (
+        config.admin == SocketAddress("127.0.0.1", 7) and config.inherited == 3 and config.shared == tmp_path
+    )
+    assert load(env | {"RELAY_ADMIN_ADDR": "127.0.0.1:8"}).admin == SocketAddress("127.0.0.1", 8)
     with pytest.raises(ConfigError, match="RELAY_INHERITED_FD"):
         load(env | {"RELAY_INHERITED_FD": "three"})
 
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -13,7 +13,7 @@
 import orjson
 import pytest
 
-from gannetweir.config import Address
+from gannetweir.config import SocketAddress
 from gannetweir.control.follower import Follower
 from gannetweir.control.stage import ServiceTotals
 from gannetweir.control.versions import Ack, Entry, Nack, Reason, Resource, Slice, Version
@@ -184,13 +184,13 @@
         self.store.put(M, {"a": host("a"), "b": host("b")})
         self.store.put(S, {"categories": canonical([{"name": "chat"}])})
         self.store.release(S, 1)
-        self.machines: dict[str, Address] = {}
+        self.machines: dict[str, SocketAddress] = {}
         self.scopes: dict[str, anyio.CancelScope] = {}
         self.servers: dict[str, ControlServer] = {}
         self.drivers: dict[str, ControlDriver] = {}
 
     def start(self, name: str) -> None:
-        at = self.machines.get(name, Address("127.0.0.1", 0))
+        at = self.machines.get(name, SocketAddress("127.0.0.1", 0))
         server = ControlServer(name, self.store, at, Limits())
         self.machines[name], self.servers[name] = server.address, server
         self.scopes[name] = scope = anyio.CancelScope()
@@ -270,7 +270,7 @@
             plane.tasks.start_soon(trickle)
             probe = plane.relay("r0")
             first = plane.drivers["r0"].calls.order[0]
-            plane.machines[first] = Address(*silent.getsockname()[:2])
+            plane.machines[first] = SocketAddress(*silent.getsockname()[:2])
             await probe.reaches(M, 1)
             assert plane.drivers["r0"].calls.machine != first
             silent.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 
-from gannetweir.config import Address
+from gannetweir.config import SocketAddress
 from gannetweir.core import StartLoadProbe
 from gannetweir.limits import Limits
 from gannetweir.net.load_probes import run_probe
@@ -209,7 +209,7 @@
     old.send(HEAD + BEAT)
     await place.until(lambda: place.relay.pool.answered)
     discovery = bound()
-    place.hup(discovery=Address(*discovery.getsockname()))
+    place.hup(discovery=SocketAddress(*discovery.getsockname()))
     new = await place.watcher(discovery, 0)
     new.send(HEAD + told(9))
     old.send(told(8))  # both are read in one turn, the new one first
@@ -344,13 +344,13 @@
     old.send(HEAD + BEAT)
     await place.until(lambda: place.relay.pool.answered)
     live = bound()
-    nowhere = Address("127.0.0.1", place.free_port())
+    nowhere = SocketAddress("127.0.0.1", place.free_port())
     place.hup(discovery=nowhere)
     await place.until(lambda: place.relay.engine.counters.counts["pool_failures"] == 1)
     old.send(told(7))  # nobody answers there: the old one still counts
     await place.until(lambda: place.relay.engine.endpoint_list.version == 7)
     place.hup(discovery=nowhere)  # the same again, and on at once
-    place.hup(discovery=Address(*live.getsockname()))
+    place.hup(discovery=SocketAddress(*live.getsockname()))
     new = await place.watcher(live, 0)
     old.send(told(8))
     await place.until(lambda: place.relay.engine.endpoint_list.version == 8)
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -14,11 +14,11 @@
 import pytest
 
 from gannetweir import core as e
-from gannetweir.config import Address
+from gannetweir.config import SocketAddress
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
 from gannetweir.placement import balancer as brain
-from gannetweir.placement.events import AttemptStatus, EndpointEntry, EndpointState
+from gannetweir.placement.events import AttemptStatus, EndpointEntry, EndpointStatus
 from tests.helpers import SECOND, settings
 from tests.place import BEAT, HEAD, QUICK, Peer, Place, Play, anyio_backend, bound, played  # noqa: F401
 from tests.scenario import CLASSES, play
@@ -30,7 +30,7 @@
 RELAYS = 200
 
 
-def ready(host: str, state: int = EndpointState.READY) -> ListedEndpoint:
+def ready(host: str, state: int = EndpointStatus.READY) -> ListedEndpoint:
     return ListedEndpoint(EndpointEntry(host, state=state), "127.0.0.1:1")
 
 
@@ -47,7 +47,7 @@
 
     def answer(self) -> MembershipUpdate:
         return (
-            MembershipUpdate(9, False, [ready("b1", EndpointState.DRAINING)])
+            MembershipUpdate(9, False, [ready("b1", EndpointStatus.DRAINING)])
             if self.drains
             else MembershipUpdate(1, False)
         )
@@ -111,7 +111,7 @@
 
     def heard(self) -> bool:
         node = self.engine.balancer.nodes["b1"]
-        return not self.engine.endpoint_list.accepts_requests("b1") and node.state == EndpointState.DRAINING
+        return not self.engine.endpoint_list.accepts_requests("b1") and node.state == EndpointStatus.DRAINING
 
 
 def watching(rng: random.Random, back_us: int, begin: int, **changes: object) -> Relay:
@@ -288,7 +288,7 @@
     old, new = await place.watcher(place.discovery, 1), bound()
     old.send(HEAD + BEAT)
     await place.until(lambda: place.relay.pool.answered)
-    place.hup(discovery=Address(*new.getsockname()))
+    place.hup(discovery=SocketAddress(*new.getsockname()))
     hung: list[Peer] = []
     for count in range(3):  # no word from the new one: the old one is heard all the time
         hung.append(await place.watcher(new, 0))
@@ -307,7 +307,7 @@
     old, new = await place.watcher(place.discovery, 1), bound()
     old.send(HEAD + told(42, False, "Terminating"))
     await place.until(lambda: place.relay.engine.endpoint_list.version == 42)
-    place.hup(discovery=Address(*new.getsockname()))
+    place.hup(discovery=SocketAddress(*new.getsockname()))
     peer = await place.watcher(new, 0)
     peer.send(HEAD + told(41, True, "Ready"))
     await place.until(lambda: place.relay.engine.endpoint_list.version == 41)
--- a/tests/test_drivers_that_fail.py
+++ b/tests/test_drivers_that_fail.py
@@ -15,7 +15,7 @@
 import orjson
 import pytest
 
-from gannetweir.config import Address, load
+from gannetweir.config import SocketAddress, load
 from gannetweir.limits import Limits
 from gannetweir.net import listener
 from gannetweir.net import relay as relay_module
@@ -178,7 +178,7 @@
     with socket.socket() as held:
         held.bind(("127.0.0.1", 0))
         held.listen()
-        at = Address(*held.getsockname())
+        at = SocketAddress(*held.getsockname())
         waits: list[float] = []
 
         def ends_meanwhile(seconds: float) -> None:
@@ -202,5 +202,5 @@
         held.bind(("127.0.0.1", 0))
         held.listen()
         with pytest.raises(OSError, match="in use"):
-            listener.open_listener(Address(*held.getsockname()), Limits())
+            listener.open_listener(SocketAddress(*held.getsockname()), Limits())
     assert listener.OPEN_WITHIN_S <= now[0] - 100.0 < 10.0
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -12,7 +12,7 @@
     ClientDisconnected,
     ConnectionResumed,
     EndpointId,
-    EndpointState,
+    EndpointStatus,
     LoadProbeResult,
     RequestFlag,
     TimerExpired,
@@ -116,7 +116,7 @@
     for _ in range(5):
         place(g, 1)
     assert len(asked) == 6
-    g.mark(3, EndpointState.DRAINING)
+    g.mark(3, EndpointStatus.DRAINING)
     place(g, 1)
     assert len(asked) == 11
 
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -12,7 +12,7 @@
 from gannetweir.lab.model.world import Relay, World
 from gannetweir.membership.endpoint_list import MembershipUpdate
 from gannetweir.placement import endpoint_state as records
-from gannetweir.placement.endpoint_state import Node
+from gannetweir.placement.endpoint_state import EndpointState
 
 
 @pytest.mark.parametrize("day", DAYS)
@@ -34,7 +34,7 @@
 
 
 def test_a_fleet_that_takes_cold_servers_for_warm_ones_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Node, "warmth", lambda *_: 1.0)
+    monkeypatch.setattr(EndpointState, "warmth", lambda *_: 1.0)
     monkeypatch.setattr(Backend, "able", lambda backend: backend.capacity)  # and their reports say the same
     monkeypatch.setattr(records, "spread", lambda _group, place: place)  # all groups begin at the same
     assert ": cold: " in broken("join")
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,7 +8,7 @@
 
 from gannetweir.core.invariants import InvariantGuard, Rule, Violation
 from gannetweir.membership.endpoint_list import EndpointList, ListedEndpoint, MembershipUpdate
-from gannetweir.placement.events import EndpointEntry, EndpointState
+from gannetweir.placement.events import EndpointEntry, EndpointStatus
 from gannetweir.placement.settings import RequestClass
 from tests.scenario import World
 
@@ -38,7 +38,7 @@
         self.guard.attempt_over(1, attempt, ran)
 
     def drains(self, server: str) -> None:
-        entry = EndpointEntry(server, state=EndpointState.DRAINING)
+        entry = EndpointEntry(server, state=EndpointStatus.DRAINING)
         self.pool.apply(MembershipUpdate(2, False, [ListedEndpoint(entry, "127.0.0.1:1")]), 1)
 
     def failed(self, cls: RequestClass, server: str, now_us: int = 1000) -> None:
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -12,7 +12,7 @@
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import EndpointList, ListedEndpoint, MembershipUpdate
 from gannetweir.placement.actions import StartAttempt
-from gannetweir.placement.events import EndpointEntry, EndpointState, TimerExpired
+from gannetweir.placement.events import EndpointEntry, EndpointStatus, TimerExpired
 from gannetweir.proto.endpoint_watch import Broken, EndpointWatch
 from tests.helpers import Gateway, of, settings
 from tests.scenario import play
@@ -149,7 +149,7 @@
     pool.apply(MembershipUpdate(2, True, [ListedEndpoint(entry, "127.0.0.1:1") for entry in entries[2:]]), 1)
     assert copied == ["s0", "s1"] and list(pool.entries) == [entry.endpoint_id for entry in entries]
     assert [pool.entries[f"s{n}"].state for n in range(3)] == [
-        EndpointState.REMOVED,
-        EndpointState.REMOVED,
-        EndpointState.READY,
+        EndpointStatus.REMOVED,
+        EndpointStatus.REMOVED,
+        EndpointStatus.READY,
     ]
--- a/tests/test_pool_watch.py
+++ b/tests/test_pool_watch.py
@@ -9,7 +9,7 @@
 
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import MembershipUpdate
-from gannetweir.placement.events import EndpointEntry, EndpointState
+from gannetweir.placement.events import EndpointEntry, EndpointStatus
 from gannetweir.proto.endpoint_watch import Broken, EndpointWatch, Heartbeat, read_known
 from tests.helpers import settings
 
@@ -46,7 +46,7 @@
     news, *beats = found
     assert isinstance(news, MembershipUpdate) and (news.version, news.complete) == (43, False)
     (member,) = news.endpoints
-    assert member.entry == EndpointEntry("s-1", 1, 1, 3, EndpointState.DRAINING, 1.5, 1700000000123000)
+    assert member.entry == EndpointEntry("s-1", 1, 1, 3, EndpointStatus.DRAINING, 1.5, 1700000000123000)
     assert member.address == "10.1.0.18:8080"
     assert beats == [Heartbeat(), Heartbeat()]
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -28,7 +28,7 @@
     ConnectionResumed,
     EndpointEntry,
     EndpointListUpdate,
-    EndpointState,
+    EndpointStatus,
     LoadProbeResult,
     MetricKind,
     PeerMessage,
@@ -174,14 +174,14 @@
     assert of(g.arrive(), RejectRequest)
     g = Gateway(1)
     assert of(g.arrive(), StartAttempt)
-    g.mark(0, EndpointState.DRAINING)
+    g.mark(0, EndpointStatus.DRAINING)
     actions = g.arrive()
     timers = of(actions, SetTimer)
     g.pass_time(timers[0].after_us if timers else 0)
     assert of(actions + (g.give(TimerExpired(timers[0].token)) if timers else []), RejectRequest)
 
 
-@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
+@pytest.mark.parametrize("state", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
 def test_nothing_goes_to_a_draining_or_removed_server(state: int) -> None:
     g = Gateway(3, seed=2)  # one with which the draws after the 50th send name all
     g.mark(1, state)
@@ -189,7 +189,7 @@
         g.arrive()
         g.pass_time(100_000)
     assert {s.endpoint_id for s in g.sent} == {0, 2}
-    g.mark(1, EndpointState.READY)
+    g.mark(1, EndpointStatus.READY)
     for _ in range(50):
         g.arrive()
         g.pass_time(100_000)
@@ -516,7 +516,7 @@
     cls = {"repeatable": REPEATABLE, "once": ONCE}.get(kind) or keyed(kind)
     part = {n: n % 2 for n in range(6)}
     g = Gateway(6, classes=[cls], places=part, cells=part, load_probes_enabled=probes)
-    state = dict.fromkeys(range(6), EndpointState.READY)
+    state = dict.fromkeys(range(6), EndpointStatus.READY)
     owed: dict[int, int] = {}  # request: deadline
     out: dict[int, StartAttempt] = {}
     ran: dict[int, tuple[int, int]] = {}  # request: server and time of the first attempt that may have run
@@ -531,7 +531,7 @@
                 assert (
                     a.request_id in owed
                     and a.request_id not in out
-                    and state[a.endpoint_id] == EndpointState.READY
+                    and state[a.endpoint_id] == EndpointStatus.READY
                 )
                 assert a.timeout_us > 0
                 if a.request_id in ran and kind != "repeatable":
@@ -587,12 +587,12 @@
             del owed[rid]
         elif what == 6:
             server = pick % 6
-            state[server] = EndpointState.DRAINING if pick % 4 else EndpointState.REMOVED
+            state[server] = EndpointStatus.DRAINING if pick % 4 else EndpointStatus.REMOVED
             check(g.mark(server, state[server]))
         elif what == 7:
             server = pick % 6
-            state[server] = EndpointState.READY
-            check(g.mark(server, EndpointState.READY))
+            state[server] = EndpointStatus.READY
+            check(g.mark(server, EndpointStatus.READY))
         elif what == 8 and owed:
             rid = sorted(owed)[pick % len(owed)]
             if rid not in out:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -33,7 +33,7 @@
     ConnectionResumed,
     EndpointEntry,
     EndpointListUpdate,
-    EndpointState,
+    EndpointStatus,
     Event,
     LoadProbeResult,
     MetricKind,
@@ -144,8 +144,8 @@
         UpdateKind.CACHED,
         41,
         [
-            EndpointEntry(SERVER, 0, 0, 0, EndpointState.READY, 1.0, 0),
-            EndpointEntry(OTHER, 1, 0, 0, EndpointState.DRAINING, 1.5, 6100000),
+            EndpointEntry(SERVER, 0, 0, 0, EndpointStatus.READY, 1.0, 0),
+            EndpointEntry(OTHER, 1, 0, 0, EndpointStatus.DRAINING, 1.5, 6100000),
         ],
     )
     assert decode(record(24, "0300 02000000 00000000 04000000"), b"hi 7") == PeerMessage(2, b"hi 7")
