--- a/gannetweir/addresses/address_selector.py
+++ b/gannetweir/addresses/address_selector.py
@@ -101,7 +101,8 @@
         self, server: str, now_us: int, probe: bool = False, skip: Collection[Address] = ()
     ) -> list[Address]:
         """The addresses of a server, the first to be tried first. One that is due to be tried again goes
-        first, and is not offered to the next ones while it is tried."""
+        first, and is not offered to the next ones while it is tried.
+        """
         paths = [p for p in self.known.get(server, {}).values() if p.address not in skip]
         sound = self._in_turn([p for p in paths if not p.broken()])
         quick = min((p.connect_us for p in sound if p.connect_us), default=0.0)
@@ -180,14 +181,16 @@
 
     def overtaken(self, server: str, address: Address, waited_us: int, now_us: int) -> None:
         """A connect that began earlier was not up when another won. That is a fault where it had had much
-        longer than it ever takes, or than the one that won was given."""
+        longer than it ever takes, or than the one that won was given.
+        """
         path = self._path(server, address)
         if path is not None and waited_us > max(self.rules.fallback_us, 4 * path.connect_us) * 0.95:
             self._strike(path, now_us)
 
     def answered(self, server: str, address: Address, now_us: int, took_us: int = 0) -> None:
         """The server has said something on this path: it is sound. `took_us` is a probe's time, which tells
-        paths apart that connect alike; set-ups depend on too much else."""
+        paths apart that connect alike; set-ups depend on too much else.
+        """
         if (path := self._path(server, address)) is not None:
             path.strikes, path.rest_until_us, path.good_us = 0, 0, now_us
             if took_us > 0:
@@ -196,7 +199,8 @@
     def unanswered(self, server: str, address: Address, now_us: int) -> bool:
         """The line was out and nothing came, or an end did. Is it the path's fault, and not the server's? So
         it is held where another path is sound: the server has answered there lately, or has not been asked.
-        Should that one fail as well, none is left that is sound, and the failure is the server's."""
+        Should that one fail as well, none is left that is sound, and the failure is the server's.
+        """
         path = self._path(server, address)
         if path is None:
             return False
--- a/gannetweir/addresses/rules.py
+++ b/gannetweir/addresses/rules.py
@@ -37,7 +37,8 @@
 
     def addresses(self, server: str, dial: str = "", dials: Sequence[str] = ()) -> tuple[Address, ...]:
         """All addresses of a server, in the order told, each once. What can't be read is left out: one bad
-        literal in a list must not cost the others."""
+        literal in a list must not cost the others.
+        """
         rule = next((r for r in self.servers if r.name == server or fnmatchcase(server, r.name)), None)
         told = [text.replace(HOST, server) for text in rule.addresses] if rule is not None else []
         told += [*dials, dial] if rule is None or rule.dial else []
--- a/gannetweir/config/kdl.py
+++ b/gannetweir/config/kdl.py
@@ -40,7 +40,8 @@
 
 def read(text: str, lines: bool = True) -> list[Node]:
     """The top nodes of a document, or `KdlError`. Bounded: size, line length and depth are checked first. The
-    lines cost as much as all the rest, so a start reads without them, and once more with them to complain."""
+    lines cost as much as all the rest, so a start reads without them, and once more with them to complain.
+    """
     if len(text.encode("utf-8", "surrogatepass")) > MOST_BYTES:
         raise KdlError(f"over {MOST_BYTES} bytes")
     for number, line in enumerate(text.split("\n"), 1):
--- a/gannetweir/config/loader.py
+++ b/gannetweir/config/loader.py
@@ -11,7 +11,8 @@
 def load(env: Mapping[str, str], standing: Config | None = None) -> Config:
     """Read the platform's configuration, and the operators' file if the environment names one: both are right
     together, or it is a `ConfigError` and nothing of either is taken. `standing` is the one that a reload
-    replaces."""
+    replaces.
+    """
     config = load_platform(env, standing)
     operators = env.get("RELAY_OPERATORS")
     return with_operators(config, operators) if operators else config
--- a/gannetweir/config/operators.py
+++ b/gannetweir/config/operators.py
@@ -427,7 +427,8 @@
 ) -> tuple[Rules, AddressRules | None]:
     """A file's rules, checked with the platform's settings where they are given; `OperatorsError` otherwise,
     with all mistakes and their lines. Without `lines` the rules of a good file do not know theirs. The file's
-    name is put in by `load_rules`."""
+    name is put in by `load_rules`.
+    """
     reader = _Reader()
     try:
         rules = reader.rules(read(text, lines))
--- a/gannetweir/config/platform.py
+++ b/gannetweir/config/platform.py
@@ -115,7 +115,8 @@
     """Read the environment and the file that it names; `ConfigError` for what is wrong. At a reload, with a
     configuration that stands, the file goes before the environment, which is still the start's and would hide
     what the new file says. And it must name all that the standing one named: what it lacks would silently
-    become a default."""
+    become a default.
+    """
     path = env.get("RELAY_CONFIG", "")
     if not path:
         raise ConfigError("RELAY_CONFIG: not set")
--- a/gannetweir/config/settings.py
+++ b/gannetweir/config/settings.py
@@ -74,7 +74,8 @@
 
 def check_settings(settings: Settings) -> None:
     """What would leave every request without an answer, what no fleet can have, or two classes without a name
-    of their own."""
+    of their own.
+    """
     over_0: dict[str, float] = {
         "limits.max-attempts": settings.max_attempts,
         "limits.connect-timeout-us": settings.connect_timeout_us,
--- a/gannetweir/control/publisher.py
+++ b/gannetweir/control/publisher.py
@@ -121,7 +121,8 @@
 
     def reach_back(self, held: Version, changes: Iterable[Change]) -> None:
         """The store's changes after an earlier version: a relay that holds it then gets a delta, where this
-        machine started after it. Changes that do not lead to the log's oldest version are left out."""
+        machine started after it. Changes that do not lead to the log's oldest version are left out.
+        """
         self.log.prepend(held, changes)
 
     # ---- relays
--- a/gannetweir/control/store.py
+++ b/gannetweir/control/store.py
@@ -27,7 +27,8 @@
 
     def since(self, resource: Resource, version: Version) -> Iterable[Change] | None:
         """The changes after a version, in their order; None where the log does not reach back to it, or it is
-        of another epoch. Raises `OSError`."""
+        of another epoch. Raises `OSError`.
+        """
 
     def released(self, resource: Resource) -> int:
         """The number up to which all relays may have the resource. Raises `OSError`."""
--- a/gannetweir/control/token_bucket.py
+++ b/gannetweir/control/token_bucket.py
@@ -11,7 +11,8 @@
 
 class TokenBucket:
     """Fills at a steady rate up to its burst. A message may go once there is anything in it, and is then
-    charged whole: the bucket goes under zero by at most one message."""
+    charged whole: the bucket goes under zero by at most one message.
+    """
 
     def __init__(self, now_us: int, rate_bytes_s: int = RATE_BYTES_S, burst_bytes: int = BURST_BYTES) -> None:
         self.rate, self.burst = rate_bytes_s, burst_bytes
--- a/gannetweir/control/topology.py
+++ b/gannetweir/control/topology.py
@@ -1,5 +1,6 @@
 """Which control machine a relay asks: rendezvous hashing, so that a machine's loss moves only its own relays,
-and moves them evenly over all others."""
+and moves them evenly over all others.
+"""
 
 from __future__ import annotations
 
--- a/gannetweir/control/version_log.py
+++ b/gannetweir/control/version_log.py
@@ -54,7 +54,8 @@
 
     def prepend(self, base: Version, changes: Iterable[Change]) -> bool:
         """Reach back to `base` by the changes that lead from it to the oldest version here. False, and all is
-        as it was, if they do not lead there or are more than a log may keep."""
+        as it was, if they do not lead there or are more than a log may keep.
+        """
         earlier = [change for change in changes if change.version.number <= self.oldest.number]
         size = self.size + sum(len(change.entries) for change in earlier)
         if not earlier or earlier[-1].version != self.oldest or base.number >= earlier[0].version.number:
--- a/gannetweir/control/versions.py
+++ b/gannetweir/control/versions.py
@@ -49,7 +49,8 @@
 @dataclass(frozen=True, slots=True)
 class Version:
     """One state of a resource. `epoch` is the store's incarnation, raised whenever it is created anew or
-    restored, and 0 where it is not known; numbers rise within an epoch; `digest` is the content's."""
+    restored, and 0 where it is not known; numbers rise within an epoch; `digest` is the content's.
+    """
 
     epoch: int
     number: int
--- a/gannetweir/core/answer_delays.py
+++ b/gannetweir/core/answer_delays.py
@@ -43,7 +43,8 @@
 
     def _note_delay(self, tx: RequestState, delay_ms: float) -> None:
         """Late answers are told as the simulator tells them: once a second for a backend while they are over
-        a third of the shortest aim, and once more when they are back under."""
+        a third of the shortest aim, and once more when they are back under.
+        """
         if not self.tells_delay:
             return
         last = self.late.get(tx.endpoint_id)
--- a/gannetweir/core/answers.py
+++ b/gannetweir/core/answers.py
@@ -29,7 +29,8 @@
 
     def reject(self, tx: RequestState, retry_us: int, reason: Reason) -> None:
         """Say that trying again is harmless, where it is: not once an attempt may have run of a class whose
-        repeats may do harm."""
+        repeats may do harm.
+        """
         ran = tx.may_have_executed or (tx.attempt_in_flight and tx.first_line_written)
         answer = (
             FailClient(tx.request_id)
@@ -77,7 +78,8 @@
 
     def overdue(self, tx: RequestState) -> None:
         """The final answer is due. The flow's own time-out came first, and the module owed the answer then:
-        it holds this one, or it has failed. No client may be left without an answer."""
+        it holds this one, or it has failed. No client may be left without an answer.
+        """
         if not tx.established:
             self.context.counters.add("overdue")
             self.fail(tx, Reason.DEADLINE)
--- a/gannetweir/core/attempts.py
+++ b/gannetweir/core/attempts.py
@@ -135,7 +135,8 @@
         fault: bool = False,
     ) -> None:
         """Tell the module how an attempt ended (`closed` 0), or the connection that it became (1). `fault`:
-        the way to the server is to blame."""
+        the way to the server is to blame.
+        """
         tx.attempt_in_flight, tx.may_have_executed, tx.last_status = (
             False,
             tx.may_have_executed or status not in NOT_EXECUTED,
--- a/gannetweir/core/draining.py
+++ b/gannetweir/core/draining.py
@@ -20,7 +20,8 @@
 
     def start(self, now_us: int, replaced: bool = False) -> None:
         """SIGTERM: go on as before while clients still come, then move every client, then end. Where another
-        process takes the new clients already (`replaced`), the moves begin at once and have more time."""
+        process takes the new clients already (`replaced`), the moves begin at once and have more time.
+        """
         if self.started_us:
             return
         self.context.now_us = self.started_us = now_us
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -106,7 +106,8 @@
 
     def _bind_calls(self) -> None:
         """The drivers' calls that one concern takes whole are its own methods: no line or request pays for a
-        call in between. What each one does stands with the method."""
+        call in between. What each one does stands with the method.
+        """
         self.request_opened = self.request_intake.open
         self.client_disconnected = self.request_intake.client_left
         self.client_line_forwarded = self.answer_delays.client_line
@@ -176,7 +177,8 @@
         reach: AddressRules | None = None,
     ) -> None:
         """A new configuration holds from now on. What stands goes on by its plan, but not past a lower cap on
-        attempts, and what is due stays due. A keeper that stood before has taken the new rules already."""
+        attempts, and what is due stays due. A keeper that stood before has taken the new rules already.
+        """
         self.context.now_us = now_us
         self.context.route_admission = keeper
         self.context.counters.add("reloads")
@@ -253,7 +255,8 @@
 
     def drain(self, now_us: int, replaced: bool = False) -> None:
         """SIGTERM: go on as before while clients still come, then move every client, then end. Where another
-        process takes the new clients already (`replaced`), the moves begin at once and have more time."""
+        process takes the new clients already (`replaced`), the moves begin at once and have more time.
+        """
         self.draining.start(now_us, replaced)
 
     def _end(self) -> None:
--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -93,7 +93,8 @@
 
     def watch_pushed(self) -> None:
         """A pushed list counts as told whether or not it is watched, from a relay's first moment on. So it is
-        not the module's to ask for: the watch is opened at once, and again whenever it has ended."""
+        not the module's to ask for: the watch is opened at once, and again whenever it has ended.
+        """
         if not self.context.settings.polls_endpoint_list:
             self.watch(True)
 
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -22,7 +22,8 @@
 
     def apply(self, hand: OperatorOverrides, now_us: int) -> None:
         """The operators have left backends out, or called them back. From here on nothing starts at one that
-        is out, and its clients are moved before it restarts."""
+        is out, and its clients are moved before it restarts.
+        """
         self.context.now_us = now_us
         out = self.context.endpoint_list.overrides.newly_offline(hand)
         self.context.counters.add("hand_changes")
--- a/gannetweir/core/requests.py
+++ b/gannetweir/core/requests.py
@@ -43,7 +43,8 @@
 
     def open(self, wanted: RequestArrived, at: EndpointId, now_us: int, ident: str = "") -> int:
         """A client's first line is in: a new transaction, or one resumed at a backend. Its number, or 0 if
-        another client's open transaction has this id: sent on, it would be a second copy of that one."""
+        another client's open transaction has this id: sent on, it would be a second copy of that one.
+        """
         context = self.context
         context.now_us = now_us
         if ident and ident in context.request_id_by_client_id:
--- a/gannetweir/lab/emulator/attempts.py
+++ b/gannetweir/lab/emulator/attempts.py
@@ -93,7 +93,8 @@
 
     def ended(self, number: int, sock: socket.socket) -> None:
         """The attempt on this connection was answered or given up; call it before an answer is written.
-        Nothing, if that is known."""
+        Nothing, if that is known.
+        """
         for attempt in self.seen.get(number, []):
             if attempt.sock is sock and attempt.end is None:
                 now = now_ms()
--- a/gannetweir/lab/emulator/push_node.py
+++ b/gannetweir/lab/emulator/push_node.py
@@ -155,7 +155,8 @@
     @staticmethod
     def _fill(door: Door, sock: socket.socket) -> None:
         """A queue that is full and never emptied: a connect to it gets no answer, as to a black hole. A Unix
-        socket has no such state; there a full queue refuses."""
+        socket has no such state; there a full queue refuses.
+        """
         sock.listen(0)
         for _ in range(4):
             filler = socket.socket(sock.family)
--- a/gannetweir/lab/emulator/yard.py
+++ b/gannetweir/lab/emulator/yard.py
@@ -268,7 +268,8 @@
         beat_s: float = 2.0,
     ) -> str:
         """One client's connection from its first line to its end; its answer. A rejected one comes again as
-        it was told, `retries` times. `MOVE` and breaks bring it back."""
+        it was told, `retries` times. `MOVE` and breaks bring it back.
+        """
         name, give_up_ms, _, _ = CLASSES[cls]
         self.requests += 1
         number = self.requests
@@ -304,7 +305,8 @@
 
     async def _stay(self, stream: anyio.abc.ByteStream, node: str, life_s: float, beat_s: float) -> str:
         """Live for so long, with a line now and then. `up` at the end of it, `moved` if told so before, `cut`
-        if the connection ended without a word."""
+        if the connection ended without a word.
+        """
         self.open[node] += 1
         try:
             with anyio.move_on_after(life_s):
@@ -391,7 +393,8 @@
 
     async def lines_in(self) -> tuple[int, int]:
         """First lines that came in at the nodes, and that the relays have written whole: each counts its own,
-        so a line that was sent twice, lost or made up shows."""
+        so a line that was sent twice, lost or made up shows.
+        """
         counted = sum([await relay.counters() for relay in self.relays], Counter[str]())
         delivered = sum(sum(node.deliveries.values()) for node in self.nodes.values())
         return delivered, counted["flows"] - counted["attempts.connect_failed"]
--- a/gannetweir/lab/experiments/results.py
+++ b/gannetweir/lab/experiments/results.py
@@ -122,7 +122,8 @@
 
 def compare(one: Path, other: Path) -> list[list[str]]:
     """Every figure of both, and whether they differ beyond noise: by more than twice the standard error of
-    the difference of their means (Welch). With one seed a side nothing can be said of noise."""
+    the difference of their means (Welch). With one seed a side nothing can be said of noise.
+    """
     first, second = load(one), load(other)
     rows = []
     for variant in [v for v in first if v in second]:
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -621,7 +621,8 @@
 
     def _front(self, rng: random.Random) -> Relay:
         """A relay for a client. The front sees that one drains by its next ping, and only some seconds later
-        that one has died."""
+        that one has died.
+        """
         relay = rng.choice(self.relays)
         for _ in range(20):
             drains = relay.drains_us and self.clock.now > relay.drains_us + 300_000
--- a/gannetweir/lab/scale/child.py
+++ b/gannetweir/lab/scale/child.py
@@ -28,7 +28,8 @@
 
 def usage(pid: int) -> Usage:
     """Read from /proc; `OSError` if the process is gone. The processor time is its main thread's, and the
-    processes here have no other; it is exact, where `stat` counts in steps of 10 ms."""
+    processes here have no other; it is exact, where `stat` counts in steps of 10 ms.
+    """
     schedule = Path(f"/proc/{pid}/schedstat").read_text().split()
     pages = Path(f"/proc/{pid}/statm").read_text().split()
     return Usage(int(schedule[0]), int(pages[1]) * PAGE_BYTES)
--- a/gannetweir/lab/scale/distribution.py
+++ b/gannetweir/lab/scale/distribution.py
@@ -33,7 +33,8 @@
 
 def free_port(hosts: list[str]) -> int:
     """A port that is free on each of these addresses. Not one that the kernel gives to connecting sockets: a
-    relay that connects to a dead server's port from that very port would reach itself."""
+    relay that connects to a dead server's port from that very port would reach itself.
+    """
     for port in random.sample(PORTS, 200):
         try:
             for host in hosts:
@@ -48,7 +49,8 @@
 @dataclass(slots=True)
 class Store:
     """The store of record, which holds whatever happens to servers: the membership, its version, and when
-    each change was made (CLOCK_MONOTONIC, nanoseconds)."""
+    each change was made (CLOCK_MONOTONIC, nanoseconds).
+    """
 
     zones: int
     version: int = 1
@@ -141,7 +143,8 @@
 
 class Direct:
     """Today's way: one discovery, which each relay watches directly. It has an address more for each true
-    relay, so that what it sends to each can be told apart."""
+    relay, so that what it sends to each can be told apart.
+    """
 
     def __init__(self, store: Store, true_relays: int = 0) -> None:
         self.store = store
--- a/gannetweir/lab/scale/events.py
+++ b/gannetweir/lab/scale/events.py
@@ -1,5 +1,6 @@
 """What an event asks of the fleet: clients that come again, set-ups, store calls, and when all is in
-force."""
+force.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +35,8 @@
 
 def events(load: Load, processes: int) -> list[Event]:
     """A relay's restart, a zone's loss and return, an hour's cut, a control machine's death, a backend's
-    end."""
+    end.
+    """
     whole_kb, entry_kb = load.list_bytes() / 1e3, load.entry_bytes() / 1e3
     rate_kb = t.CONTROL_BYTES_S / 1e3
     start_s = load.record["start.time"].at(load.a.backends) / 1e3
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -1,5 +1,6 @@
 """What one change costs discovery, or a control machine, by the relays that watch it; and one probe a
-relay."""
+relay.
+"""
 
 from __future__ import annotations
 
--- a/gannetweir/lab/scale/fleet_figures.py
+++ b/gannetweir/lab/scale/fleet_figures.py
@@ -36,7 +36,8 @@
 
 def in_force_ns(record: RelayRecord, version: int) -> int | None:
     """When a relay first had a version or a later one; None if it never did. Versions only grow: a relay that
-    is restarted holds none until it has a list, which is no older."""
+    is restarted holds none until it has a list, which is no older.
+    """
     at = bisect_left(record.versions, version)
     return record.applied_ns[at] if at < len(record.versions) else None
 
@@ -67,7 +68,8 @@
     records: Sequence[RelayRecord], version: int, fault_ended_ns: int, begin_ns: int, end_ns: int
 ) -> float:
     """Seconds from a fault's end until the last relay had the version that was the newest then; and for the
-    relays that were started from `begin_ns` to `end_ns`, from each start to its first list. -1: never."""
+    relays that were started from `begin_ns` to `end_ns`, from each start to its first list. -1: never.
+    """
     last = 0
     for record in records:
         waits = [(in_force_ns(record, version), fault_ended_ns)]
@@ -84,7 +86,8 @@
 
 def most_in_window(received: Mapping[int, int], begin: int, end: int, window: int = WINDOW_S) -> int:
     """The most bytes in any `window` seconds, of those that came from second `begin` to before `end`. Windows
-    slide by a second."""
+    slide by a second.
+    """
     most = 0
     for first in range(begin, max(begin + 1, end - window + 1)):
         last = min(end, first + window)
--- a/gannetweir/lab/scale/fleet_run.py
+++ b/gannetweir/lab/scale/fleet_run.py
@@ -24,7 +24,8 @@
 @dataclass(slots=True)
 class PhaseFigures:
     """What one phase showed. Milliseconds are from a change until it is in force on a relay; kilobytes are
-    1,000 bytes, received by one relay; shares are of one core."""
+    1,000 bytes, received by one relay; shares are of one core.
+    """
 
     name: str
     fault: str
--- a/gannetweir/lab/scale/fleets.py
+++ b/gannetweir/lab/scale/fleets.py
@@ -1,5 +1,6 @@
 """Probes as a fleet grows: whole fleets on virtual time, the same backends and clients for any number of
-relays."""
+relays.
+"""
 
 from __future__ import annotations
 
--- a/gannetweir/lab/scale/flips.py
+++ b/gannetweir/lab/scale/flips.py
@@ -69,7 +69,8 @@
 
 def edge(ratio: Callable[[float], float], low: float, high: float) -> float | None:
     """Where a ratio crosses 1 between two sizes, by bisection in equal factors; None if it does not, or if it
-    needs a fit that was refused."""
+    needs a fit that was refused.
+    """
     try:
         within = ratio(low) <= 1.0
         if within == (ratio(high) <= 1.0):
--- a/gannetweir/lab/scale/hollow_host.py
+++ b/gannetweir/lab/scale/hollow_host.py
@@ -28,7 +28,8 @@
 
 class HollowHost:
     """The relays of one process. Each has a connection, an engine, a list and a record of its own; the event
-    loop, the settings of a zone and the code are shared."""
+    loop, the settings of a zone and the code are shared.
+    """
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self.tasks, self.clock = tasks, Clock()
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -1,5 +1,6 @@
 """What a list of backends costs a relay: on the wire, to read, in the module, in memory, and as one long
-turn."""
+turn.
+"""
 
 from __future__ import annotations
 
--- a/gannetweir/lab/scale/messages.py
+++ b/gannetweir/lab/scale/messages.py
@@ -41,7 +41,8 @@
 @dataclass(slots=True)
 class RestartRelays:
     """End those of these relays that are here, and start them again, without a list or with the one that each
-    had; answered at once."""
+    had; answered at once.
+    """
 
     relays: list[int]
     known: bool = False
--- a/gannetweir/lab/scale/model.py
+++ b/gannetweir/lab/scale/model.py
@@ -98,7 +98,8 @@
 
     def processes(self, sorted_order: bool = True) -> int | None:
         """The fewest processes that carry a relay machine's load, each within its share of a core; none at
-        all if what every process pays for itself leaves too little."""
+        all if what every process pays for itself leaves too little.
+        """
         shared = self.setups_core(sorted_order) + self.standing_core()
         for count in range(1, MOST_PROCESSES + 1):
             own = count * self.probing_core(count)
--- a/gannetweir/lab/scale/module.py
+++ b/gannetweir/lab/scale/module.py
@@ -1,5 +1,6 @@
 """What the decisions cost: a placement, news of one backend, upkeep, by backends and by standing
-connections."""
+connections.
+"""
 
 from __future__ import annotations
 
--- a/gannetweir/lab/scale/page.py
+++ b/gannetweir/lab/scale/page.py
@@ -159,7 +159,8 @@
 
 def text(record: Record) -> str:
     """The whole page; `FitRefusedError` if a list's bytes on the wire have no fit, on which most of it
-    rests."""
+    rests.
+    """
     middle = Assumptions()
     load = Load(record, middle)
     parts = [
--- a/gannetweir/lab/scale/peer.py
+++ b/gannetweir/lab/scale/peer.py
@@ -22,7 +22,8 @@
 
 class Backend(asyncio.Protocol):
     """Serves every first line, reports its load, returns any other line; `PUSH n us` asks for lines
-    unasked."""
+    unasked.
+    """
 
     transport: asyncio.Transport
 
@@ -76,7 +77,8 @@
 
 async def serve_proxy(port: int, backend: int) -> None:
     """Copy bytes between each client and a connection of its own to the backend, until the process is
-    ended."""
+    ended.
+    """
     limits = Limits()
     listener = tcp_socket("127.0.0.1")
     listener.bind(("127.0.0.1", port))
--- a/gannetweir/lab/scale/processes.py
+++ b/gannetweir/lab/scale/processes.py
@@ -1,5 +1,6 @@
 """Measured processes on loopback: a real relay, a backend, a copying proxy; their processor time and
-memory."""
+memory.
+"""
 
 from __future__ import annotations
 
--- a/gannetweir/lab/scale/relays.py
+++ b/gannetweir/lab/scale/relays.py
@@ -1,5 +1,6 @@
 """What a real relay costs on loopback, beside a proxy that only copies: set-ups, standing connections,
-lines."""
+lines.
+"""
 
 from __future__ import annotations
 
--- a/gannetweir/lab/scale/roles.py
+++ b/gannetweir/lab/scale/roles.py
@@ -51,7 +51,8 @@
 @dataclass(frozen=True, slots=True)
 class Row:
     """One load under some assumptions. A value of None needs a fit that was refused, or was not measured; a
-    budget of None is not told."""
+    budget of None is not told.
+    """
 
     role: str
     what: str
@@ -81,7 +82,8 @@
 
 def rows(load: Load) -> list[Row]:
     """Every load of every role, under the load's assumptions. Where no number of processes carries a machine,
-    the figures are those of one process."""
+    the figures are those of one process.
+    """
     from gannetweir.lab.scale.role_loads import ROLES
 
     processes = load.processes() or 1
--- a/gannetweir/lab/scale/run.py
+++ b/gannetweir/lab/scale/run.py
@@ -1,5 +1,6 @@
 """The capacity run: measures groups of costs, with a bar, keeps the record, writes the page and the
-charts."""
+charts.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +21,8 @@
 
 def chosen(names: str) -> list[str]:
     """The groups that a comma-separated list names, all for an empty one; `ValueError` for an unknown
-    name."""
+    name.
+    """
     wanted = [name.strip() for name in names.split(",") if name.strip()]
     unknown = [name for name in wanted if name not in GROUPS]
     if unknown:
@@ -41,7 +43,8 @@
 
 def capacity(only: str = "", page_only: bool = False, keep: str | None = None) -> int:
     """Measure, unless only the page is wanted, and write record, charts and page. `OSError` if a page is
-    wanted and there is no record, `ValueError` for an unknown group."""
+    wanted and there is no record, `ValueError` for an unknown group.
+    """
     folder = Path(keep) if keep else KEPT
     page = folder / PAGE.name if keep else PAGE
     groups = chosen(only)
--- a/gannetweir/lab/scale/slopes.py
+++ b/gannetweir/lab/scale/slopes.py
@@ -111,7 +111,8 @@
 
     def at(self, size: float) -> float:
         """The measured median at a measured size, else the line's value. Where the fit is refused, between
-        measured sizes; beyond them `FitRefusedError`."""
+        measured sizes; beyond them `FitRefusedError`.
+        """
         points = sorted((sample.size, sample.median) for sample in (*self.samples, self.check))
         for measured, value in points:
             if measured == size:
--- a/gannetweir/lab/scale/store.py
+++ b/gannetweir/lab/scale/store.py
@@ -59,7 +59,8 @@
 
     def restore(self, number: int) -> Version:
         """The store is lost and comes back from a copy of that version's membership: another epoch, one more
-        version, so that nothing of what was lost is taken for this."""
+        version, so that nothing of what was lost is taken for this.
+        """
         old = self.logs[Resource.MEMBERSHIP].between(0, number)
         self._begin(self.epoch + 1)
         return self.put(Resource.MEMBERSHIP, old)
--- a/gannetweir/lab/soak/proxy.py
+++ b/gannetweir/lab/soak/proxy.py
@@ -60,7 +60,8 @@
 
 class Link:
     """One connection through the proxy, and the attempt on it if it carries one. What a relay sends is read
-    at once, whatever is wrong with the way: its times are the network's, not the fault's."""
+    at once, whatever is wrong with the way: its times are the network's, not the fault's.
+    """
 
     def __init__(self, proxy: Proxy, backend: str, near: Connection, far: Connection) -> None:
         self.proxy, self.backend, self.near, self.far = proxy, backend, near, far
--- a/gannetweir/lab/soak/records.py
+++ b/gannetweir/lab/soak/records.py
@@ -1,5 +1,6 @@
 """What the processes of a soak write down, a JSON line each. Times are microseconds of the monotonic clock,
-which all processes of one machine share."""
+which all processes of one machine share.
+"""
 
 from __future__ import annotations
 
--- a/gannetweir/lab/soak/run.py
+++ b/gannetweir/lab/soak/run.py
@@ -366,7 +366,8 @@
 
     async def _finish(self) -> None:
         """All relays are told to end while clients still come, as at a release. Nobody takes over a shared
-        listener here, so its clients go elsewhere first."""
+        listener here, so its clients go elsewhere first.
+        """
         for relay in self.relays:
             if relay.listener is not None:
                 self._withdraw(relay)
--- a/gannetweir/limits.py
+++ b/gannetweir/limits.py
@@ -68,7 +68,8 @@
 
     def within(self, patience_us: float) -> Limits:
         """The same, with a drain that is over before SIGKILL: that comes once the clients' longest deadline,
-        or 3 s, and 0.7 s more have passed."""
+        or 3 s, and 0.7 s more have passed.
+        """
         kill_us = int(min(patience_us, 3_000_000)) + 700_000
         linger_us = min(self.linger_us, kill_us // 4)
         end_us = min(self.drain_end_us, kill_us - linger_us - 100_000)
--- a/gannetweir/membership/endpoint_list.py
+++ b/gannetweir/membership/endpoint_list.py
@@ -1,5 +1,6 @@
 """The pool: discovery's list of backends, as the engine holds it, and what the operators laid over it by
-hand. Knows nothing of how either came."""
+hand. Knows nothing of how either came.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +44,8 @@
 
     def with_override(self, server: str, out: bool, now_us: int) -> OperatorOverrides:
         """After one more call. One that says what holds already changes nothing: a second call back would
-        make a backend cold that has warmed up since."""
+        make a backend cold that has warmed up since.
+        """
         if out == (server in self.offline):
             return self
         if out:
@@ -55,7 +57,8 @@
 
 def _not_back(was: EndpointEntry | None, member: ListedEndpoint) -> ListedEndpoint:
     """What an older list says of a backend: it may take away, but not bring back a start that was told to
-    drain or to be gone."""
+    drain or to be gone.
+    """
     now = member.entry
     if (
         was is None
@@ -86,7 +89,8 @@
         self, news: MembershipUpdate, now_us: int, known: bool = False, warm_within_us: int = 0
     ) -> list[EndpointEntry]:
         """Apply news; what the module is to hear of it. An entry without an address keeps the one it had.
-        `known`: it is what the process was started with, and may be old. `warm_within_us`: the settings'."""
+        `known`: it is what the process was started with, and may be old. `warm_within_us`: the settings'.
+        """
         self._now_us = now_us
         first, self._heard = not self._heard, self._heard or not known
         self.version, before = news.version, self.entries
@@ -118,7 +122,8 @@
 
     def _seen(self, entry: EndpointEntry) -> EndpointEntry:
         """With its start on this process's clock. Out by hand is draining. One called back has started no
-        earlier than the call: it restarted while it was out, and discovery may not know of that yet."""
+        earlier than the call: it restarted while it was out, and discovery may not know of that yet.
+        """
         started_us = self.start_times.started_us(entry)
         if entry.endpoint_id in self.overrides.offline and entry.state == EndpointStatus.READY:
             return replace(entry, state=EndpointStatus.DRAINING, started_us=started_us)
--- a/gannetweir/membership/start_times.py
+++ b/gannetweir/membership/start_times.py
@@ -25,7 +25,8 @@
 
     def __init__(self, wall_ahead_us: int | None = None) -> None:
         """`wall_ahead_us`: how far the wall clock was ahead of the own one at the start of the process; None:
-        there is none to ask."""
+        there is none to ask.
+        """
         self._wall_ahead_us = wall_ahead_us
         self._latest_us = 0  # the latest start that was told, on discovery's clock
         self._told_us = 0  # when that was told, on the own clock
@@ -38,7 +39,8 @@
 
     def learn_first(self, entries: Sequence[EndpointEntry], now_us: int, warm_within_us: int) -> None:
         """The whole list that the process was started with, or discovery's first one. All is worked out anew:
-        the one may be older than the other. `warm_within_us`: the age at which a backend is warm."""
+        the one may be older than the other. `warm_within_us`: the age at which a backend is warm.
+        """
         self._learn(entries, now_us, True)
         disputed = self._disputed(entries, now_us, warm_within_us)
         if 2 * len(disputed) > sum(entry.state == EndpointStatus.READY for entry in entries):
@@ -87,5 +89,6 @@
 
     def called_back_us(self, server: EndpointId, called_us: int, now_us: int) -> int:
         """When operators called a backend back. The time is of a process of this machine, so of the same
-        clock; one that lies ahead is of an earlier boot, and counts from when it was first seen here."""
+        clock; one that lies ahead is of an earlier boot, and counts from when it was first seen here.
+        """
         return self._called_back.setdefault((server, called_us), min(called_us, now_us))
--- a/gannetweir/net/client_connection.py
+++ b/gannetweir/net/client_connection.py
@@ -91,7 +91,8 @@
     def look(self) -> None:
         """Take in what the client has sent by now, before an attempt for it begins. Its end may have come
         since the loop last asked the kernel, which on a busy loop is long ago, or lie behind other bytes.
-        What may come before an answer is bounded, and so are these reads."""
+        What may come before an answer is bounded, and so are these reads.
+        """
         while self.virtual.phase is Phase.HELD:
             try:
                 data = self.client.received()
@@ -185,7 +186,8 @@
 
     def turn_away(self, late: bool = False) -> None:
         """No first line is taken from it any more. One may be on its way: so this end is never without an
-        answer, and the close waits until what comes has been read."""
+        answer, and the close waits until what comes has been read.
+        """
         if self.virtual.phase is Phase.FIRST:
             self._end(self.virtual.fail() if late else self.virtual.reject(self.limits.reject_retry_us))
 
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -210,7 +210,8 @@
 
     def _reach_back(self, machine: ControlMachine, held: Mapping[Resource, Version]) -> None:
         """A machine that has just started knows no version before its start, while its relays hold one. The
-        store is asked once for each such version: whole lists for all relays would take far longer."""
+        store is asked once for each such version: whole lists for all relays would take far longer.
+        """
         for resource, publisher in machine.publishers.items():
             version = held.get(resource)
             if version is None or not publisher.lacks(version):
--- a/gannetweir/net/descriptors.py
+++ b/gannetweir/net/descriptors.py
@@ -87,7 +87,8 @@
     def make(self, at_any_cost: bool = False) -> bool:
         """The same, and if none is free, somebody gives way. `at_any_cost`: a request's attempt is worth more
         than any connection that was answered, has not been heard or has left, whatever it still sends or has
-        to read; else it would take what is kept for the watch and the probes."""
+        to read; else it would take what is kept for the watch and the probes.
+        """
         if self.free():
             return True
         if any(race.give_way() for race in list(self.racing)):
@@ -108,7 +109,8 @@
     def _giving_way(self) -> Iterator[ClientConnection]:
         """Who has been answered goes first, then who was answered a ping and stayed. Of those that still owe
         their first line not the oldest: true clients may take 2 s for it, and in a crowd all would lose their
-        place just before. The latest go, though none that has only come, since most write at once."""
+        place just before. The latest go, though none that has only come, since most write at once.
+        """
         yield from list(self.ending)
         yield from list(self.asked)
         settled = anyio.current_time() - self.limits().settle_us / 1e6
--- a/gannetweir/net/dialer.py
+++ b/gannetweir/net/dialer.py
@@ -29,7 +29,8 @@
 
     async def connect(self) -> tuple[Transport, Address]:
         """The connection that won. `OSError` if all addresses failed, or it was stopped. What did not win is
-        closed by then, also when this is cancelled."""
+        closed by then, also when this is cancelled.
+        """
         if self.ledger is not None:  # a probe's are kept for it: they have nothing to give
             self.host.racing[self] = None
         whole = False
--- a/gannetweir/net/listener.py
+++ b/gannetweir/net/listener.py
@@ -86,7 +86,8 @@
 
     async def empty_queue(self, within_s: float) -> None:
         """Take in all that waits in the queue. An accept that fails says nothing of those behind it: it is
-        made again until the queue is empty, or the time is over."""
+        made again until the queue is empty, or the time is over.
+        """
         with anyio.move_on_after(within_s):
             while True:
                 try:
--- a/gannetweir/net/load_probes.py
+++ b/gannetweir/net/load_probes.py
@@ -21,7 +21,8 @@
 
 async def _ask(relay: Host, server: EndpointId, endpoint: Transport) -> Ended:
     """The question, and its answer. A backend that was told to leave while the connect was under way is not
-    asked any more: it may have come up late, and a probe is work as well."""
+    asked any more: it may have come up late, and a probe is work as well.
+    """
     if not relay.engine.endpoint_list.accepts_requests(server):
         return Ended(AttemptStatus.NOT_STARTED)
     call = ProbeCall(relay.settings.load_report_fields, relay.limits)
@@ -35,7 +36,8 @@
 
 async def _ask_anywhere(relay: DialHost, order: StartLoadProbe) -> Ended:
     """Over one of a server's addresses after another: an answer on any is the server's. A path that is silent
-    has its share of the time, no more."""
+    has its share of the time, no more.
+    """
     from gannetweir.net.dialer import Dialer  # only where a server has several
 
     paths, server = relay.engine.address_selector, str(order.endpoint_id)
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -44,7 +44,8 @@
 class Clock:
     """The clock of a relay: microseconds of the machine's monotonic clock. Every deadline, wait and age is a
     span of real time; the wall clock may be stepped. It is asked at the start alone, where nothing else tells
-    the ages of a fleet, and for the time stamps of log lines."""
+    the ages of a fleet, and for the time stamps of log lines.
+    """
 
     def __init__(self) -> None:
         self.base = 0  # nanoseconds that are added
@@ -332,7 +333,8 @@
 
     def drain(self) -> None:
         """SIGTERM. Where the platform holds the listener no client is lost by not accepting it here: the
-        process that replaces this one does. Elsewhere the front still sends clients for a while."""
+        process that replaces this one does. Elsewhere the front still sends clients for a while.
+        """
         replaced = self.config.inherited is not None
         if replaced:
             self.listener.stop()
@@ -377,7 +379,8 @@
 
     async def _leave(self) -> None:
         """Whoever has not said what it wants is rejected, those in the listener's queue as well: to end the
-        process now would reset them, and all that have not read their last answer."""
+        process now would reset them, and all that have not read their last answer.
+        """
         linger_s = self.limits.linger_us / 1e6
         with anyio.move_on_after(linger_s):
             if not self.listener.inherited:  # else the queue is the next process's
@@ -417,7 +420,8 @@
 
 def _within_descriptors(config: Config) -> Config:
     """The same, held to the descriptors that this process may have: what is kept for the watch and the probes
-    must not lie beyond them."""
+    must not lie beyond them.
+    """
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if allowed == resource.RLIM_INFINITY or allowed >= config.limits.sockets:
         return config
@@ -437,7 +441,8 @@
     traced: bool = False,
 ) -> None:
     """Run one relay in this process until it has drained. `log_form` is one of `logs.FORMS`; `traced` writes
-    all that the module hears and answers to standard error."""
+    all that the module hears and answers to standard error.
+    """
     if log_form not in FORMS:
         raise ConfigError(f"--log: {log_form[:40]!r} is none of {', '.join(FORMS)}")
     relay = Relay(config, read_again, log_form, traced)
--- a/gannetweir/net/transport.py
+++ b/gannetweir/net/transport.py
@@ -51,7 +51,8 @@
 
 def socket_to(address: Path) -> tuple[socket.socket, Any]:
     """A non-blocking socket for an address of any family, and what to connect it to. `OSError` where the
-    interface of a link-local address is not there."""
+    interface of a link-local address is not there.
+    """
     from gannetweir.addresses.address import UNIX, V6  # only where a server has several
 
     if address.family == UNIX:
@@ -96,7 +97,8 @@
 
 async def connect(sock: socket.socket, address: Any, under_way: Callable[[], None] = lambda: None) -> None:
     """Open a connection. `OSError` if it is refused or breaks; `LocalError` if nothing has left this machine.
-    A Unix socket whose queue is full refuses. `under_way` is called once the connect has left."""
+    A Unix socket whose queue is full refuses. `under_way` is called once the connect has left.
+    """
     code = sock.connect_ex(address)
     if code in NOT_STARTED and not (code == errno.EAGAIN and sock.family == socket.AF_UNIX):
         raise LocalError(code, os.strerror(code))
@@ -156,7 +158,8 @@
 
     def received(self) -> bytes | None:
         """What has come by now: `None` if nothing, empty at its end, `OSError` if it broke or was closed
-        here. At most `Limits.read_bytes` at once; never waits."""
+        here. At most `Limits.read_bytes` at once; never waits.
+        """
         if self.closed:
             raise OSError(errno.EBADF, "closed here")
         try:
@@ -171,7 +174,8 @@
 
     async def discard(self, waste: bytearray) -> int:
         """Read what came next and forget it; 0 at the end. A close over unread bytes would be a reset, which
-        can cost the peer the answer that was written before."""
+        can cost the peer the answer that was written before.
+        """
         while True:
             if self.closed:
                 raise OSError(errno.EBADF, "closed here")
@@ -200,7 +204,8 @@
 
     def close_now(self, waste: bytearray) -> None:
         """End in good order and give the descriptor back at once. What has come by now is read: a close over
-        unread bytes is a reset. A last answer that could not be sent is tried some times more."""
+        unread bytes is a reset. A last answer that could not be sent is tried some times more.
+        """
         for _ in range(LAST_TRIES):
             if not self.unsent:
                 break
--- a/gannetweir/net/upstream_connection.py
+++ b/gannetweir/net/upstream_connection.py
@@ -96,7 +96,8 @@
 
     async def _dial(self) -> socket.socket:
         """The one address that discovery told. What fails on this machine is tried again until the connect's
-        time is over: it says nothing of the backend, and none has heard of this attempt."""
+        time is over: it says nothing of the backend, and none has heard of this attempt.
+        """
         at = self.relay.dial(self.order.address)
 
         def open_socket() -> tuple[socket.socket, tuple[str, int]]:
@@ -124,7 +125,8 @@
 
     def _still_wanted(self) -> None:
         """Nothing is dialled or written for a flow that was closed meanwhile: its client has left, or the
-        next attempt is under way. `OSError` then. The client is asked once more: its end may be unread."""
+        next attempt is under way. `OSError` then. The client is asked once more: its end may be unread.
+        """
         if not self.closed:
             self.session.look()
         if self.closed:
--- a/gannetweir/observability/standard_error.py
+++ b/gannetweir/observability/standard_error.py
@@ -75,7 +75,8 @@
 
 def standard_error() -> LineWriter | TextIO:
     """This process's standard error; where the program that embeds the relay has put something else in its
-    place, that."""
+    place, that.
+    """
     if sys.stderr is not sys.__stderr__ or sys.stderr is None:
         return sys.stderr
     try:
--- a/gannetweir/placement/actions.py
+++ b/gannetweir/placement/actions.py
@@ -1,6 +1,7 @@
 """The actions that a balancer answers with, carried out by the engine in their order.
 
-Times are integer microseconds."""
+Times are integer microseconds.
+"""
 
 from __future__ import annotations
 
--- a/gannetweir/placement/endpoint_state.py
+++ b/gannetweir/placement/endpoint_state.py
@@ -177,7 +177,8 @@
 
     def fills(self, cold: Container[EndpointState], least: float) -> dict[int, float]:
         """The connections that load a server of each kind fully, by the reports of the warm ones, or of all
-        where none is warm. A kind's mean load counts as `least` or more: near zero it tells no capacity."""
+        where none is warm. A kind's mean load counts as `least` or more: near zero it tells no capacity.
+        """
         kinds: dict[int, list[EndpointState]] = {}
         for node in [n for n in self.nodes if n not in cold] or self.nodes:  # a cold one's x0 is of less
             kinds.setdefault(node.kind, []).append(node)
@@ -213,7 +214,8 @@
 
 def spread(group: int, place: int) -> int:
     """The rank of a server in a group's order. A crc of both is linear: groups that began at one server then
-    went on to the same next one, and a few servers came first for many groups. This mixes (splitmix64)."""
+    went on to the same next one, and a few servers came first for many groups. This mixes (splitmix64).
+    """
     most = (1 << 64) - 1
     x = (group + place * 0x9E3779B97F4A7C15) & most
     x = ((x ^ x >> 30) * 0xBF58476D1CE4E5B9) & most
--- a/gannetweir/placement/settings.py
+++ b/gannetweir/placement/settings.py
@@ -1,6 +1,7 @@
 """What one balancer is configured with: request classes and the settings of the fleet.
 
-Times are integer microseconds."""
+Times are integer microseconds.
+"""
 
 from __future__ import annotations
 
--- a/gannetweir/process_handover/handover.py
+++ b/gannetweir/process_handover/handover.py
@@ -63,7 +63,8 @@
     def _announce(self) -> None:
         """Say that this process lives. A lock ends with its holder, however that ends; a process number could
         be another's by now. The file gets its name once it is locked: the other process would take it for one
-        that was left behind."""
+        that was left behind.
+        """
         descriptor, name = tempfile.mkstemp(".starting", dir=self.folder)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -194,7 +195,8 @@
 
     def _write(self, hand: OperatorOverrides) -> None:
         """Whole, and on disk, or not at all: the other process may read at any moment, this one be killed,
-        and the machine go down. The lock is held, so the part's name is this process's alone."""
+        and the machine go down. The lock is held, so the part's name is this process's alone.
+        """
         assert self.folder is not None
         part = self.folder / f"{self.out}.part"
         try:
--- a/gannetweir/proto/control_watch.py
+++ b/gannetweir/proto/control_watch.py
@@ -156,7 +156,8 @@
 
 class ControlWatch(EndpointWatch):
     """One watch of a control machine, from its request to its end. Slices come in the sender's order; what
-    they may follow is for the follower to say."""
+    they may follow is for the follower to say.
+    """
 
     def __init__(
         self, host: str, relay: str, held: Mapping[Resource, Version], settings: Settings, limits: Limits
--- a/gannetweir/proto/endpoint_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -103,7 +103,8 @@
 
     def feed(self, data: bytes) -> list[WatchEvent]:
         """News and beats in their order, and at the end what broke the watch. Empty data is the end of the
-        connection."""
+        connection.
+        """
         found: list[WatchEvent] = []
         try:
             self.http.receive_data(data)
@@ -151,7 +152,8 @@
     def _news(self, news: MembershipUpdate) -> MembershipUpdate:
         """An older list than what was told would bring back what is gone. The first answer to a call may
         begin again, though: from a discovery that has lost its count it is the whole list. It may as well be
-        a late copy of an old one, so the pool is told that it is older."""
+        a late copy of an old one, so the pool is told that it is older.
+        """
         older = news.version < self.version
         if older and not (news.complete and not self.told):
             raise EndpointListError(f"version {news.version} after {self.version}")
--- a/gannetweir/proto/lines.py
+++ b/gannetweir/proto/lines.py
@@ -20,7 +20,8 @@
 
     def feed(self, data: bytes) -> Iterator[bytes]:
         """The lines that are whole now. One over the limit is an error as soon as that is certain, and after
-        the lines before it."""
+        the lines before it.
+        """
         if b"\n" not in data:
             self.rest += data
         else:
--- a/gannetweir/proto/load_report.py
+++ b/gannetweir/proto/load_report.py
@@ -21,7 +21,8 @@
 
 def read_report(text: str, names: list[str]) -> tuple[float, ...]:
     """The figures named in the settings, or nothing where one is missing, is no number or is past all that a
-    backend can hold: sums over all backends are kept, and one such figure would drown the others for good."""
+    backend can hold: sums over all backends are kept, and one such figure would drown the others for good.
+    """
     try:
         found = {NAMES.get(name, name): float(value) for name, value in fields_of(text).items()}
     except (LineError, ValueError):
--- a/gannetweir/routing/retry_budget.py
+++ b/gannetweir/routing/retry_budget.py
@@ -43,7 +43,8 @@
 
     def under(self, rule: BudgetRule) -> Budget:
         """This budget under another rule. With another window the parts mean something else: it starts anew,
-        but counts what was spent, or a reload in a rush would hand out a whole window's worth again."""
+        but counts what was spent, or a reload in a rush would hand out a whole window's worth again.
+        """
         if rule.window_us == self.rule.window_us:
             self.rule = rule
             return self
--- a/gannetweir/routing/route_admission.py
+++ b/gannetweir/routing/route_admission.py
@@ -70,7 +70,8 @@
 
     def max_attempts(self, cls: RequestClass, most: int) -> int:
         """The attempts that a transaction may have made in all: its own plan's, but never more than what now
-        holds for its route and class."""
+        holds for its route and class.
+        """
         now = self.caps.get((cls.route, cls.name), most)
         return min(cls.max_attempts or most, now, most)
 
@@ -84,7 +85,8 @@
 
     def admit(self, share: AdmissionPermit, first: bool, now_us: int, draw: float) -> Refusal | None:
         """May one more transaction begin? Counts it if so. `first` is false for what the client marks as its
-        retry: that earns no further attempts, or retries would pay for retries."""
+        retry: that earns no further attempts, or retries would pay for retries.
+        """
         for held in (share, self.whole):
             if reason := held.limit.refuses(now_us):
                 where = "the relay" if held is self.whole else f"route {held.name}"
--- a/gannetweir/routing/routes.py
+++ b/gannetweir/routing/routes.py
@@ -76,7 +76,8 @@
 @dataclass(frozen=True, slots=True)
 class Reach:
     """Which routes some request of a class takes, and for each other route who takes its requests before it
-    (-1: there are none to take: no such class, no groups here, or no marks of clients' retries)."""
+    (-1: there are none to take: no such class, no groups here, or no marks of clients' retries).
+    """
 
     alive: Mapping[str, frozenset[int]]
     blame: Mapping[int, int]
@@ -126,7 +127,8 @@
     """Do these boxes together leave nothing of this one? One that meets it but does not hold it splits it, a
     digit at a time; a piece that nothing meets ends the search: the work is bounded by the boxes given.
 
-    A group's prefix never takes a request without a group, so it can't cover a box that names none."""
+    A group's prefix never takes a request without a group, so it can't cover a box that names none.
+    """
     met = [other for other in by if _meets(box, other) and (box[0] or not other[0])]
     if any(box[0].startswith(group) and box[1].startswith(key) for group, key in met):
         return True
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -295,7 +295,8 @@
     **limits: int,
 ) -> World:
     """Play one scenario from the start; `files` are operators' files, the one named `start` among them. A
-    `pushed` list is watched unasked."""
+    `pushed` list is watched unasked.
+    """
     world = World(backends, files, pushed, **limits)
     world.play(script)
     return world
--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -1,5 +1,6 @@
 """The engine under events in any order, stale ones too: what it owes holds whatever crosses. A seed is a day
-that can be played again."""
+that can be played again.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -1,6 +1,7 @@
 """No attempt begins for a client that has left. The client ends its side in the turn of the loop in which the
 relay decides to try: the end is in the kernel, but the loop has not been told of it. That is what a long turn
-(a whole list, a rush of other clients) looks like, without one."""
+(a whole list, a rush of other clients) looks like, without one.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -1,5 +1,6 @@
 """The protocol at close range: first lines in single bytes, answers after their time, a start on the address
-of a killed relay, and the lines of one read handed on with one write."""
+of a killed relay, and the lines of one read handed on with one write.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,6 @@
 """Two events that cross, in either order: what the relay owes all the same. In scenarios, and on sockets
-where the order is certain: what is sent together is read together, since test and relay share one loop."""
+where the order is certain: what is sent together is read together, since test and relay share one loop.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,5 +1,6 @@
 """Idle clients may take every descriptor that is theirs, and none that is kept: the watch on discovery, the
-probes and the flows of true requests have theirs at once."""
+probes and the flows of true requests have theirs at once.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_drivers_that_fail.py
+++ b/tests/test_drivers_that_fail.py
@@ -68,7 +68,8 @@
 
 async def a_late_loop_is_no_failed_connect(place: Place) -> None:
     """The loop is held up between the order of an attempt and its first turn, for longer than a connect may
-    take. Everything it waits for has come by then."""
+    take. Everything it waits for has come by then.
+    """
     relay = place.relay
     client = await place.client()
     open_flow = relay.engine.attempts.open
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -351,7 +351,8 @@
 @given(st.integers(0, 5), st.integers(0, 10_000))
 def test_whatever_comes_when_one_connection_wins_and_all_others_are_closed(count: int, seed: int) -> None:
     """Every order of connects, failures, wakes, ends and late news: at most one is ever won, each that began
-    is either the winner, failed by itself, or closed, and an end is told once."""
+    is either the winner, failed by itself, or closed, and an end is told once.
+    """
     rng, order = random.Random(seed), addresses(count)
     race, now = Race(order, [rng.choice([0, 10, 50]) for _ in order]), 0
     begun: list[Address] = []
--- a/tests/test_reproductions.py
+++ b/tests/test_reproductions.py
@@ -79,7 +79,8 @@
     offset_s: float, tmp_path: Path
 ) -> None:
     """A backend starts, then the relay, with its clock off. Hardly any of 140 requests in its first second
-    goes to the cold one: a sixth would, were it taken for warm."""
+    goes to the cold one: a sixth would, were it taken for warm.
+    """
 
     async def start_anew(soak: Soak) -> None:
         await soak.restart_backend("b0", 0.0, signal.SIGKILL)
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -107,7 +107,8 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_no_window_holds_more_than_its_share(seed: int) -> None:
     """Whatever comes when: further attempts of one window never pass the share of the first tries of one and
-    a tenth (parts end at once), or the floor."""
+    a tenth (parts end at once), or the floor.
+    """
     rng = random.Random(seed)
     rule = BudgetRule(rng.choice([0.05, 0.2, 0.5]), rng.choice([1, 10]) * SECOND, rng.choice([1, 5]))
     budget, now = Budget(rule), 1_700_000_000 * SECOND
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -56,7 +56,8 @@
 
 def hurt(world: World, rng: random.Random) -> None:
     """Draw faults for a day of 30 s: failing, refusing, silent, slow, draining and vanishing backends, a slow
-    store, reloads in the middle."""
+    store, reloads in the middle.
+    """
     names = sorted(world.backends)
     for _ in range(rng.randint(4, 10)):
         backend = world.backends[rng.choice(names)]
@@ -210,7 +211,8 @@
 
 def test_the_sum_of_the_check_is_the_worst_that_happens() -> None:
     """Drawn files that are accepted, in a world where each connect takes all but a millisecond, no first line
-    is answered and no probe either. Nothing is answered after the sum, and the sum is reached."""
+    is answered and no probe either. Nothing is answered after the sum, and the sum is reached.
+    """
     rng, told = random.Random(11), SMALL.settings()
     reached = []
     accepted = 0
--- a/tests/test_yard.py
+++ b/tests/test_yard.py
@@ -41,7 +41,8 @@
 @pytest.mark.parametrize(("faults", "where"), ALONE + PAIRS)
 def test_every_request_is_served_once_over_what_is_sound(faults: tuple[str, ...], where: str) -> None:
     """One or two of three families are broken at every node. All is served, no first line is ever out twice
-    at once, and a request that was sent again was first given up."""
+    at once, and a request that was sent again was first given up.
+    """
     families = (where,) if where else ("ipv6", "unix" if "hole" not in faults[1:] else "ipv4")
 
     async def run() -> None:
@@ -288,7 +289,8 @@
     order: str, overlaps: int, families: tuple[str, str], tmp_path: Path
 ) -> None:
     """All of a part is in the kernel before the stand-ins have their next turn, so only its order counts. An
-    end after a line is seen as such where the kernel keeps times: between two TCP connections."""
+    end after a line is seen as such where the kernel keeps times: between two TCP connections.
+    """
     checker, attempts = anyio.run(told_by_late_stand_ins, order, families, str(tmp_path))
     assert len([text for text in checker.broken if "overlap" in text]) == overlaps, checker.broken
     assert not attempts.not_judged or UNIX in families
