--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -14,14 +14,17 @@
 
 import anyio
 
-from gannetweir.core import decisions, drain, operator_overrides
+from gannetweir.core.decisions import Decisions
+from gannetweir.core.draining import Draining
+from gannetweir.core.operator_overrides import OverrideUpdates
 from gannetweir.membership.endpoint_list import EndpointList
-from gannetweir.net import flows, sessions
+from gannetweir.net.client_connection import ClientConnectionDriver
 from gannetweir.net.transport import Transport
-from gannetweir.placement import balancer as brain
+from gannetweir.net.upstream_connection import UpstreamDriver
+from gannetweir.placement.balancer import Balancer
 from gannetweir.placement.events import AttemptStatus, EndpointListUpdate, UpdateKind
 from gannetweir.placement.settings import RequestClass
-from gannetweir.proto import client_connection as virtual_server
+from gannetweir.proto.client_connection import ClientConnection, FirstLine
 
 EVERY = 7  # one of so many requests is treated wrongly
 
@@ -34,7 +37,7 @@
     """Refusals and some answers are never written."""
 
     def wrap(serve: Any) -> Any:
-        def wrong(self: sessions.ClientConnectionDriver) -> None:
+        def wrong(self: ClientConnectionDriver) -> None:
             if self.number % EVERY:
                 serve(self)
             else:
@@ -42,28 +45,28 @@
 
         return wrong
 
-    _replace(sessions.ClientConnectionDriver, "serve", wrap)
+    _replace(ClientConnectionDriver, "serve", wrap)
 
 
 def fabricated() -> None:
     """Some requests are told UP before any backend was asked."""
 
     def wrap(open_flow: Any) -> Any:
-        def wrong(self: sessions.ClientConnectionDriver, order: Any) -> None:
+        def wrong(self: ClientConnectionDriver, order: Any) -> None:
             if self.number % EVERY == 0:
                 self.client.write(b"UP made-up\r\n")
             open_flow(self, order)
 
         return wrong
 
-    _replace(sessions.ClientConnectionDriver, "open_flow", wrap)
+    _replace(ClientConnectionDriver, "open_flow", wrap)
 
 
 def overlap() -> None:
     """Some attempts are given up without being closed."""
 
     def wrap(read: Any) -> Any:
-        async def wrong(self: flows.UpstreamDriver) -> bool:
+        async def wrong(self: UpstreamDriver) -> bool:
             order = self.order
             if order.attempt == 0 and order.request_id % EVERY == 0:
                 self.told = True
@@ -73,10 +76,8 @@
 
         return wrong
 
-    _replace(flows.UpstreamDriver, "_read", wrap)
-    _replace(
-        flows.UpstreamDriver, "close", lambda close: lambda self, reset=False: setattr(self, "told", True)
-    )
+    _replace(UpstreamDriver, "_read", wrap)
+    _replace(UpstreamDriver, "close", lambda close: lambda self, reset=False: setattr(self, "told", True))
 
 
 def repeat() -> None:
@@ -89,39 +90,39 @@
     )
 
     def wrap(read: Any) -> Any:
-        async def wrong(self: flows.UpstreamDriver) -> bool:
+        async def wrong(self: UpstreamDriver) -> bool:
             if self.order.attempt == 0 and self.order.request_id % EVERY == 0:
                 return True  # as if the connection had been reset after the first line
             return bool(await read(self))
 
         return wrong
 
-    _replace(flows.UpstreamDriver, "_read", wrap)
+    _replace(UpstreamDriver, "_read", wrap)
 
 
 def altered() -> None:
     """A byte of some first lines is changed."""
 
     def wrap(line: Any) -> Any:
-        def wrong(self: virtual_server.FirstLine, wait_us: float) -> bytes:
+        def wrong(self: FirstLine, wait_us: float) -> bytes:
             return bytes(line(self, wait_us).replace(b",g=", b",g=0"))
 
         return wrong
 
-    _replace(virtual_server.FirstLine, "line", wrap)
+    _replace(FirstLine, "line", wrap)
 
 
 def draining() -> None:
     """What discovery says of a backend's leaving is not heeded."""
     EndpointList.accepts_requests = lambda self, server: server in self.entries  # type: ignore[method-assign]
     _replace(
-        decisions.Decisions,
-        "tell",
-        lambda tell: (
+        Decisions,
+        "dispatch",
+        lambda dispatch: (
             lambda self, event: (
                 None
                 if isinstance(event, EndpointListUpdate) and event.kind != UpdateKind.CACHED
-                else tell(self, event)
+                else dispatch(self, event)
             )
         ),
     )
@@ -129,27 +130,27 @@
 
 def by_hand() -> None:
     """What operators take out of use is answered, and not heeded."""
-    operator_overrides.OperatorOverrides.apply = lambda *_: None  # type: ignore[method-assign]
+    OverrideUpdates.apply = lambda *_: None  # type: ignore[method-assign]
     EndpointList.is_offline = lambda *_: False  # type: ignore[method-assign]
 
 
 def client_gone() -> None:
     """A client's end before its answer is not noticed."""
-    sessions.ClientConnectionDriver.look = lambda self: None  # type: ignore[method-assign]
+    ClientConnectionDriver.look = lambda self: None  # type: ignore[method-assign]
 
     def wrap(left: Any) -> Any:
-        def wrong(self: sessions.ClientConnectionDriver, reset: bool) -> None:
+        def wrong(self: ClientConnectionDriver, reset: bool) -> None:
             if self.flow is None or self.flow.flow.up:
                 left(self, reset)
 
         return wrong
 
-    _replace(sessions.ClientConnectionDriver, "_left", wrap)
-    _replace(flows.UpstreamDriver, "_connect", _later)
+    _replace(ClientConnectionDriver, "_left", wrap)
+    _replace(UpstreamDriver, "_connect", _later)
 
 
 def _later(connect: Any) -> Any:
-    async def wrong(self: flows.UpstreamDriver) -> None:
+    async def wrong(self: UpstreamDriver) -> None:
         await anyio.sleep(0.235)  # the connect has 0.25 s
         await connect(self)
 
@@ -158,7 +159,7 @@
 
 def cut_off() -> None:
     """Clients are moved without a word."""
-    virtual_server.ClientConnection.move = lambda self: b""  # type: ignore[method-assign]
+    ClientConnection.move = lambda self: b""  # type: ignore[method-assign]
 
 
 def held_back() -> None:
@@ -166,18 +167,18 @@
     left = [1.4]
 
     def wrap(to_client: Any) -> Any:
-        def wrong(self: sessions.ClientConnectionDriver, line: bytes) -> None:
+        def wrong(self: ClientConnectionDriver, line: bytes) -> None:
             time.sleep(left.pop() if left and b"tick 2" in line else 0.0)
             to_client(self, line)
 
         return wrong
 
-    _replace(sessions.ClientConnectionDriver, "to_client", wrap)
+    _replace(ClientConnectionDriver, "to_client", wrap)
 
 
 def exits_late() -> None:
     """SIGTERM is answered, but the process stays."""
-    drain.Drain.end = lambda self: None  # type: ignore[method-assign]
+    Draining.end = lambda self: None  # type: ignore[method-assign]
 
 
 def crash() -> None:
@@ -202,20 +203,20 @@
     """Some clients have two final answers, as the relay's own guard is told."""
 
     def wrap(note: Any) -> Any:
-        def wrong(self: sessions.ClientConnectionDriver, served: bool) -> None:
+        def wrong(self: ClientConnectionDriver, served: bool) -> None:
             note(self, served)
             if self.number % EVERY == 0:
                 note(self, served)
 
         return wrong
 
-    _replace(sessions.ClientConnectionDriver, "_note_answer", wrap)
+    _replace(ClientConnectionDriver, "_note_answer", wrap)
 
 
 def cold() -> None:
     """All goes to the backend that started last."""
-    brain.Balancer._pick = lambda self, *_: max(self.ready, key=lambda node: node.started_us)  # type: ignore[method-assign]
-    brain.Balancer._full = lambda *_: False  # type: ignore[method-assign]
+    Balancer._pick = lambda self, *_: max(self.ready, key=lambda node: node.started_us)  # type: ignore[method-assign]
+    Balancer._full = lambda *_: False  # type: ignore[method-assign]
 
 
 SABOTAGES: dict[str, Callable[[], None]] = {
