--- a/gannetweir/cli.py
+++ b/gannetweir/cli.py
@@ -126,9 +126,9 @@
         form = args["--log"] or env.get("RELAY_LOG") or "plain"
         serve(config, lambda standing: load(env, standing), form, args["--trace"])
     else:
-        from gannetweir.proto.endpoint_watch import read_known
+        from gannetweir.proto.endpoint_watch import read_cached_membership
 
-        known = read_known(config.known, config.settings)
+        known = read_cached_membership(config.known, config.settings)
         routes = f", {len(config.rules.routes)} routes" if config.rules is not None else ""
         counts = f"{len(known.endpoints)} backends known, {config.limits.clients} clients at most{routes}"
         print(f"{config.name}: {counts}")
--- a/gannetweir/lab/scale/control_costs.py
+++ b/gannetweir/lab/scale/control_costs.py
@@ -31,7 +31,7 @@
 from gannetweir.placement.settings import RequestClass, Settings
 from gannetweir.proto.control_calls import chunk
 from gannetweir.proto.control_watch import canonical, read_slice, write_compressed, write_slice
-from gannetweir.proto.endpoint_watch import read_pool
+from gannetweir.proto.endpoint_watch import read_membership
 
 SIZES = (500, 1_500, 5_000, 15_000)
 ZONES = list("abcdefghijklm")
@@ -114,7 +114,9 @@
         for event in follower.step():
             if isinstance(event, Apply):
                 hosts = [orjson.loads(entry.body or b"null") for entry in event.entries]
-                news = read_pool({"seq": event.version.number, "whole": False, "hosts": hosts}, SETTINGS)
+                news = read_membership(
+                    {"seq": event.version.number, "whole": False, "hosts": hosts}, SETTINGS
+                )
                 engine.endpoint_update_received(news, 1_000_000)
 
     for line in lines:
--- a/gannetweir/lab/scale/hollow_relay.py
+++ b/gannetweir/lab/scale/hollow_relay.py
@@ -23,7 +23,7 @@
 from gannetweir.membership.endpoint_list import MembershipUpdate
 from gannetweir.net.transport import Spawn, Transport
 from gannetweir.placement.settings import Settings
-from gannetweir.proto.endpoint_watch import read_known
+from gannetweir.proto.endpoint_watch import read_cached_membership
 
 SECOND_NS = 1_000_000_000
 
@@ -98,7 +98,7 @@
         if known is None:
             return MembershipUpdate(0, True)
         hosts = [orjson.loads(body) for body in known.members.values()]
-        return read_known({"seq": known.version, "hosts": hosts}, self.config.settings)
+        return read_cached_membership({"seq": known.version, "hosts": hosts}, self.config.settings)
 
     # ---- what a driver may know of a relay (`net.host.Host` and `net.pool_watch.Watcher`)
 
--- a/gannetweir/lab/scale/module.py
+++ b/gannetweir/lab/scale/module.py
@@ -28,7 +28,7 @@
     TimerExpired,
     UpdateKind,
 )
-from gannetweir.proto.endpoint_watch import read_pool
+from gannetweir.proto.endpoint_watch import read_membership
 
 REMEMBERED, NEW = 200, 12  # arrivals of groups whose order of backends is remembered, and is not
 CHANGES = 40  # news of one entry
@@ -161,7 +161,7 @@
 def pool(version: int, whole: bool, numbers: list[int], health: str = "Ready") -> MembershipUpdate:
     """News of some entries, as discovery would tell them."""
     hosts = [host(number) | {"health": health} for number in numbers]
-    return read_pool({"seq": version, "whole": whole, "hosts": hosts}, relay_settings())
+    return read_membership({"seq": version, "whole": whole, "hosts": hosts}, relay_settings())
 
 
 def told(engine: Engine, backends: int, odd: str = "Terminating") -> float:
--- a/gannetweir/net/admin.py
+++ b/gannetweir/net/admin.py
@@ -11,7 +11,7 @@
 from gannetweir.net.listener import open_listener
 from gannetweir.net.ports import Host
 from gannetweir.net.transport import Transport, accept, tune
-from gannetweir.proto.admin import AdminCall, RefusedError
+from gannetweir.proto.admin import AdminCall, AdminCallError
 
 
 class Operated(Host, Protocol):
@@ -83,7 +83,7 @@
     def health(self) -> str:
         """`ok` only once a client would be served here."""
         if reason := self.relay.unready():
-            raise RefusedError(reason)
+            raise AdminCallError(reason)
         return "serving"
 
     def offline(self, server: str) -> str:
@@ -97,9 +97,9 @@
     def _by_hand(self, server: str, out: bool, word: str) -> str:
         pool = self.relay.engine.endpoint_list
         if not pool.knows(server) and not pool.is_offline(server):  # it may be out since before this process
-            raise RefusedError(f"unknown backend {server[:80]}")
+            raise AdminCallError(f"unknown backend {server[:80]}")
         try:
             self.relay.call_by_hand(server, out)
         except OSError as error:  # what the other process, or the next one, can't learn of is not promised
-            raise RefusedError(f"not kept: {error.strerror}") from None
+            raise AdminCallError(f"not kept: {error.strerror}") from None
         return f"{server[:80]} {word}"
--- a/gannetweir/net/client_connection.py
+++ b/gannetweir/net/client_connection.py
@@ -12,12 +12,12 @@
 from gannetweir.proto.client_connection import (
     ClientConnection,
     ClientEvent,
+    ClientPhase,
     FirstLine,
-    LinePassed,
-    Malformed,
-    Opened,
-    Phase,
-    PingAsked,
+    LineReceived,
+    MalformedInput,
+    PingReceived,
+    RequestOpened,
 )
 
 
@@ -64,7 +64,7 @@
                 except OSError:
                     reset = True
                 self.client_ended = True
-            if self.number and self.virtual.phase in (Phase.HELD, Phase.UP):
+            if self.number and self.virtual.phase in (ClientPhase.AWAITING_ANSWER, ClientPhase.ESTABLISHED):
                 self._left(reset)
                 await self._last_words()
         finally:
@@ -73,10 +73,10 @@
     def _release(self) -> None:
         """The end of this side. One that comes without an answer, by a fault here, is told as well."""
         guard = self.relay.engine.guard
-        if self.number and self.virtual.phase in (Phase.HELD, Phase.UP):
-            self.virtual.phase = Phase.ENDED
+        if self.number and self.virtual.phase in (ClientPhase.AWAITING_ANSWER, ClientPhase.ESTABLISHED):
+            self.virtual.phase = ClientPhase.ENDED
             self.relay.tell(self.relay.engine.client_disconnected, self.number, True)
-        elif self.virtual.phase is Phase.FIRST and not self.client_ended:
+        elif self.virtual.phase is ClientPhase.AWAITING_FIRST_LINE and not self.client_ended:
             guard.released_unheard()
         guard.released(self.number)
         self.client.close()
@@ -84,7 +84,7 @@
 
     def _left(self, reset: bool) -> None:
         """The client ended its side: nothing begins for it any more."""
-        self.virtual.phase = Phase.ENDED
+        self.virtual.phase = ClientPhase.ENDED
         self.relay.engine.guard.client_ended(self.number)
         self.relay.tell(self.relay.engine.client_disconnected, self.number, reset)
 
@@ -93,7 +93,7 @@
         since the loop last asked the kernel, which on a busy loop is long ago, or lie behind other bytes.
         What may come before an answer is bounded, and so are these reads.
         """
-        while self.virtual.phase is Phase.HELD:
+        while self.virtual.phase is ClientPhase.AWAITING_ANSWER:
             try:
                 data = self.client.received()
             except OSError:
@@ -112,23 +112,25 @@
     async def _first_line(self) -> None:
         """Until it is in, or the time for it is over."""
         with anyio.move_on_after(self.limits.first_line_us / 1e6):
-            while self.virtual.phase is Phase.FIRST and (data := await self.client.read()):
+            while self.virtual.phase is ClientPhase.AWAITING_FIRST_LINE and (
+                data := await self.client.read()
+            ):
                 self._feed(data)
                 await self.client.drained()  # one that asks without end has to read its answers
             return
-        if self.virtual.phase is Phase.FIRST:
+        if self.virtual.phase is ClientPhase.AWAITING_FIRST_LINE:
             self._feed(self.client.read_now())  # it may have come in this very moment
-        if self.virtual.phase is Phase.FIRST:
+        if self.virtual.phase is ClientPhase.AWAITING_FIRST_LINE:
             self.relay.engine.counters.add("first_line_late")
             self.turn_away(late=not self.pinged)
 
     def _feed(self, data: bytes) -> None:
-        self.virtual.classes = self.relay.classes  # a reload may have brought others
+        self.virtual.class_index_by_name = self.relay.classes  # a reload may have brought others
         for event in self.virtual.feed(data):
             self._take(event)
 
     async def _read(self) -> bool:
-        while self.virtual.phase is not Phase.ENDED:
+        while self.virtual.phase is not ClientPhase.ENDED:
             if not (data := await self.client.read()):
                 return False
             self._feed(data)
@@ -150,16 +152,16 @@
             self.flow.close()
 
     def _take(self, event: ClientEvent) -> None:
-        if isinstance(event, PingAsked):
+        if isinstance(event, PingReceived):
             self.pinged = True
             self.relay.room.pinged(self)
-            self.client.write(self.virtual.pong(self.relay.engine.is_ready()))
-        elif isinstance(event, Opened):
-            self.first = event.first
-            self.relay.open(self, event.first)
-        elif isinstance(event, Malformed):
-            self._malformed(event.reason, event.owed)
-        elif isinstance(event, LinePassed) and self.flow is not None:
+            self.client.write(self.virtual.ping_answer(self.relay.engine.is_ready()))
+        elif isinstance(event, RequestOpened):
+            self.first = event.first_line
+            self.relay.open(self, event.first_line)
+        elif isinstance(event, MalformedInput):
+            self._malformed(event.reason, event.answer_owed)
+        elif isinstance(event, LineReceived) and self.flow is not None:
             self.flow.to_server(event.line)
             self.relay.tell_only(self.relay.engine.client_line_forwarded, self.number)
 
@@ -169,14 +171,14 @@
         if self.number:
             self.relay.engine.guard.client_ended(self.number)  # what it sent ends the connection
             self.relay.tell(self.relay.engine.client_disconnected, self.number, True)
-        self._end(self.virtual.fail() if owed else b"")
+        self._end(self.virtual.end_failed() if owed else b"")
 
     # ---- as the engine commands
 
     def open_flow(self, order: OpenUpstream) -> None:
         """Start an attempt."""
         assert self.first is not None
-        self.flow = UpstreamDriver(self.relay, self, order, self.first.line(order.timeout_us))
+        self.flow = UpstreamDriver(self.relay, self, order, self.first.for_endpoint(order.timeout_us))
         self.relay.spawn(self.flow.run)
 
     def close_flow(self) -> None:
@@ -188,8 +190,10 @@
         """No first line is taken from it any more. One may be on its way: so this end is never without an
         answer, and the close waits until what comes has been read.
         """
-        if self.virtual.phase is Phase.FIRST:
-            self._end(self.virtual.fail() if late else self.virtual.reject(self.limits.reject_retry_us))
+        if self.virtual.phase is ClientPhase.AWAITING_FIRST_LINE:
+            self._end(
+                self.virtual.end_failed() if late else self.virtual.end_rejected(self.limits.reject_retry_us)
+            )
 
     def evict(self) -> None:
         """Its descriptors are wanted now."""
@@ -210,17 +214,17 @@
         """The backend's answer, then the lines that came early."""
         self.client.write(self.up_line)
         self._note_answer(served=True)
-        for event in self.virtual.served():
+        for event in self.virtual.establish():
             self._take(event)
 
     def reject(self, retry_us: int) -> None:
         """Refused."""
-        self._end(self.virtual.reject(retry_us))
+        self._end(self.virtual.end_rejected(retry_us))
         self._note_answer(served=False)
 
     def fail(self) -> None:
         """Failed."""
-        self._end(self.virtual.fail())
+        self._end(self.virtual.end_failed())
         self._note_answer(served=False)
 
     def _note_answer(self, served: bool) -> None:
@@ -228,13 +232,13 @@
 
     def move(self) -> None:
         """`MOVE` first, then both sides close."""
-        self._end(self.virtual.move())
+        self._end(self.virtual.end_migrated())
         self.relay.engine.guard.may_close(self.number)
         self.close_flow()
 
     def end(self, reset: bool) -> None:
         """The backend's end, passed on in kind."""
-        self.virtual.phase = Phase.ENDED
+        self.virtual.phase = ClientPhase.ENDED
         self.relay.engine.guard.may_close(self.number)
         if reset:
             self.client.abort()
--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -11,7 +11,7 @@
 from gannetweir.config.settings import check_settings, settings_from
 from gannetweir.control.versions import Entry, Resource
 from gannetweir.placement.settings import Settings
-from gannetweir.proto.endpoint_watch import EndpointListError, read_pool
+from gannetweir.proto.endpoint_watch import EndpointListError, read_membership
 
 LEAST_MOVES_US = 200_000  # a drain whose moves have less time than this breaks connections
 
@@ -28,7 +28,9 @@
             return ""  # settings are read together
         data = orjson.loads(entry.body)
         try:
-            (member,) = read_pool({"seq": 0, "whole": False, "hosts": [data]}, self.settings()).endpoints
+            (member,) = read_membership(
+                {"seq": 0, "whole": False, "hosts": [data]}, self.settings()
+            ).endpoints
         except EndpointListError as error:
             return str(error)
         return (
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -26,7 +26,7 @@
 from gannetweir.net.transport import Spawn, Transport, connect, tcp_socket
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.control_watch import ACK_TARGET, ControlWatch, write_answer
-from gannetweir.proto.endpoint_watch import Broken, EndpointListError, read_pool
+from gannetweir.proto.endpoint_watch import EndpointListError, WatchFailed, read_membership
 
 RETURN_US = (
     60_000_000  # a watch of another machine's ends for the first choice after this, or up to twice this
@@ -129,7 +129,7 @@
         self.bytes_read += len(data)
         events = watch.events(data)
         for event in events:
-            if isinstance(event, Broken):
+            if isinstance(event, WatchFailed):
                 raise EndpointListError(event.reason)
             self.calls.succeeded()
             if isinstance(event, Slice):
@@ -165,7 +165,7 @@
                 for entry in event.entries
             ]
             data = {"seq": event.version.number, "whole": False, "hosts": hosts}
-            self.host.apply_membership(read_pool(data, self.host.settings))
+            self.host.apply_membership(read_membership(data, self.host.settings))
         elif event.last:
             held = follower.content.entries
             self.host.apply_settings({key: orjson.loads(body) for key, body in held.items()})
--- a/gannetweir/net/endpoint_watch.py
+++ b/gannetweir/net/endpoint_watch.py
@@ -16,7 +16,7 @@
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.ports import Host
 from gannetweir.net.transport import Spawn, Transport, tcp_socket
-from gannetweir.proto.endpoint_watch import Broken, EndpointListError, EndpointWatch, Heartbeat
+from gannetweir.proto.endpoint_watch import EndpointListError, EndpointWatch, Heartbeat, WatchFailed
 
 
 class Watcher(Host, Protocol):
@@ -107,7 +107,7 @@
                         data = await endpoint.read()
                     answered, events = watch.answered, watch.feed(data)
                     for event in events:
-                        if isinstance(event, Broken):
+                        if isinstance(event, WatchFailed):
                             raise EndpointListError(event.reason)
                         self._news(event, scope)
                     # A watch that is open but says nothing whole, not even its beat, is dead. Bytes alone do
--- a/gannetweir/net/load_probes.py
+++ b/gannetweir/net/load_probes.py
@@ -12,29 +12,29 @@
 from gannetweir.net.ports import DialHost, Host
 from gannetweir.net.transport import Transport, tcp_socket
 from gannetweir.placement.events import AttemptStatus, EndpointId
-from gannetweir.proto.load_probe import ProbeCall
-from gannetweir.proto.upstream_connection import Ended
+from gannetweir.proto.load_probe import LoadProbeExchange
+from gannetweir.proto.upstream_connection import AttemptEnded
 
 if TYPE_CHECKING:
     from gannetweir.addresses.address import Address
 
 
-async def _ask(relay: Host, server: EndpointId, endpoint: Transport) -> Ended:
+async def _ask(relay: Host, server: EndpointId, endpoint: Transport) -> AttemptEnded:
     """The question, and its answer. A backend that was told to leave while the connect was under way is not
     asked any more: it may have come up late, and a probe is work as well.
     """
     if not relay.engine.endpoint_list.accepts_requests(server):
-        return Ended(AttemptStatus.NOT_STARTED)
-    call = ProbeCall(relay.settings.load_report_fields, relay.limits)
-    endpoint.write(call.QUESTION)
+        return AttemptEnded(AttemptStatus.NOT_STARTED)
+    call = LoadProbeExchange(relay.settings.load_report_fields, relay.limits)
+    endpoint.write(call.REQUEST_LINE)
     answer = None
     while answer is None:
         data = await endpoint.read()
-        answer = call.feed(data) if data else Ended(AttemptStatus.RESET)
+        answer = call.feed(data) if data else AttemptEnded(AttemptStatus.RESET)
     return answer
 
 
-async def _ask_anywhere(relay: DialHost, order: StartLoadProbe) -> Ended:
+async def _ask_anywhere(relay: DialHost, order: StartLoadProbe) -> AttemptEnded:
     """Over one of a server's addresses after another: an answer on any is the server's. A path that is silent
     has its share of the time, no more.
     """
@@ -43,7 +43,7 @@
     paths, server = relay.engine.address_selector, str(order.endpoint_id)
     assert paths is not None
     tried: list[Address] = []
-    result = Ended(AttemptStatus.CONNECT_FAILED)
+    result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
     share = relay.limits.probe_us / max(1, len(paths.known.get(server, ())))
     while paths.order(server, relay.clock(), True, tried):
         endpoint: Transport | None = None
@@ -53,7 +53,7 @@
             with anyio.fail_after(share / 1e6):
                 race = paths.race(server, relay.clock(), True, tried)
                 endpoint, path = await Dialer(relay, paths, server, race, None).connect()
-                result, asked = Ended(AttemptStatus.TIMEOUT), relay.clock()
+                result, asked = AttemptEnded(AttemptStatus.TIMEOUT), relay.clock()
                 result = await _ask(relay, order.endpoint_id, endpoint)
         except (TimeoutError, OSError):
             pass
@@ -74,35 +74,35 @@
 
 async def run_probe(relay: DialHost, order: StartLoadProbe) -> None:
     """Ask one backend for its load; every probe ends in one result, whatever fails here."""
-    result = Ended(AttemptStatus.NOT_STARTED)
+    result = AttemptEnded(AttemptStatus.NOT_STARTED)
     names = relay.settings.load_report_fields
     try:
         result = await (_probe_anywhere(relay, order) if order.races_addresses else _probe(relay, order))
     finally:
         if relay.settings.load_report_fields != names:  # a reload came between: the figures would be misread
-            result = Ended(AttemptStatus.NOT_STARTED)
+            result = AttemptEnded(AttemptStatus.NOT_STARTED)
         relay.tell(relay.engine.load_probe_ended, order.endpoint_id, result.status, result.report)
 
 
-async def _probe_anywhere(relay: DialHost, order: StartLoadProbe) -> Ended:
-    result = Ended(AttemptStatus.TIMEOUT)
+async def _probe_anywhere(relay: DialHost, order: StartLoadProbe) -> AttemptEnded:
+    result = AttemptEnded(AttemptStatus.TIMEOUT)
     with anyio.move_on_after(relay.limits.probe_us / 1e6):
         result = await _ask_anywhere(relay, order)
     return result
 
 
-async def _probe(relay: DialHost, order: StartLoadProbe) -> Ended:
+async def _probe(relay: DialHost, order: StartLoadProbe) -> AttemptEnded:
     limits = relay.limits
-    result = Ended(AttemptStatus.CONNECT_FAILED)
+    result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
     endpoint: Transport | None = None
 
     def held_up(_: LocalError) -> None:
         nonlocal result
-        result = Ended(AttemptStatus.NOT_STARTED)  # says nothing of the backend
+        result = AttemptEnded(AttemptStatus.NOT_STARTED)  # says nothing of the backend
 
     def under_way() -> None:
         nonlocal result
-        result = Ended(AttemptStatus.CONNECT_FAILED)
+        result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
 
     try:
         with anyio.move_on_after(limits.probe_us / 1e6):
@@ -114,12 +114,12 @@
                     held_up,
                     under_way,
                 )
-            result = Ended(AttemptStatus.TIMEOUT)
+            result = AttemptEnded(AttemptStatus.TIMEOUT)
             result = await _ask(relay, order.endpoint_id, endpoint)
     except TimeoutError:
         pass
     except OSError:
-        result = Ended(AttemptStatus.RESET) if result.status == AttemptStatus.TIMEOUT else result
+        result = AttemptEnded(AttemptStatus.RESET) if result.status == AttemptStatus.TIMEOUT else result
     finally:
         if endpoint is not None:
             endpoint.close()
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -33,8 +33,8 @@
 from gannetweir.observability.standard_error import standard_error
 from gannetweir.placement.settings import Settings
 from gannetweir.process_handover.handover import Handover
-from gannetweir.proto.client_connection import FirstLine, rejection
-from gannetweir.proto.endpoint_watch import read_known
+from gannetweir.proto.client_connection import FirstLine, rejection_line
+from gannetweir.proto.endpoint_watch import read_cached_membership
 
 if TYPE_CHECKING:
     from gannetweir.observability.trace import Trace
@@ -67,7 +67,7 @@
         config = _within_descriptors(config)
         self.config, self.clock, self.read_again = config, Clock(), read_again
         self.handover = Handover(config.shared, f"{config.name}-{config.listen.host}-{config.listen.port}")
-        known = read_known(config.known, config.settings)
+        known = read_cached_membership(config.known, config.settings)
         trace = _trace(config) if traced else None
         self.engine = e.Engine(
             config.settings,
@@ -179,7 +179,9 @@
     def open(self, session: ClientConnectionDriver, first: FirstLine) -> None:
         """A client's first line is in. Its number must be known before the engine's commands are done."""
         self.room.opened(session)
-        session.number = self.engine.request_opened(first.wanted, first.at, self.clock(), first.ident)
+        session.number = self.engine.request_opened(
+            first.request, first.current_endpoint, self.clock(), first.client_id
+        )
         if session.number:
             self.sessions[session.number] = session
         else:  # another client's open request has this id, and must not hear of it
@@ -368,7 +370,7 @@
                 self.spawn(session.run)
             else:  # before the descriptors run out
                 self.engine.counters.add("turned_away")
-                client.write(rejection(self.config.limits.reject_retry_us))
+                client.write(rejection_line(self.config.limits.reject_retry_us))
                 client.close_now(self.waste)
 
     def leave(self) -> None:
--- a/gannetweir/net/upstream_connection.py
+++ b/gannetweir/net/upstream_connection.py
@@ -15,7 +15,13 @@
 from gannetweir.net.ports import DialHost
 from gannetweir.net.transport import DescriptorCount, Transport, tcp_socket
 from gannetweir.placement.events import AttemptStatus
-from gannetweir.proto.upstream_connection import CameUp, Ended, LoadTold, ServerLine, UpstreamConnection
+from gannetweir.proto.upstream_connection import (
+    AttemptEnded,
+    EndpointLine,
+    LoadReported,
+    UpstreamConnection,
+    UpstreamEstablished,
+)
 
 if TYPE_CHECKING:
     from gannetweir.net.dialer import Dialer
@@ -146,14 +152,14 @@
             sock = await (self._race() if self.order.races_addresses else self._dial())
             self.relay.look_at_hand()  # out by now? Then this flow was closed, and nothing is written
             begun = False
-            while self.flow.unsent:
+            while self.flow.unsent_first_line:
                 self._still_wanted()
                 if not begun:
                     begun = True
                     self._begin_writing()
                 # written here, not by the endpoint: how far it got decides what the attempt may have done
                 try:
-                    self.flow.sent(sock.send(self.flow.unsent))
+                    self.flow.first_line_sent(sock.send(self.flow.unsent_first_line))
                 except BlockingIOError:
                     await wait_writable(sock)
                 except OSError as error:
@@ -179,33 +185,33 @@
                 return False
             for event in self.flow.feed(data):
                 self._take(event)
-            if self.flow.over:
+            if self.flow.is_over:
                 return False
             await self.session.client.drained()
 
-    def _take(self, event: CameUp | ServerLine | LoadTold | Ended) -> None:
+    def _take(self, event: UpstreamEstablished | EndpointLine | LoadReported | AttemptEnded) -> None:
         number, engine = self.order.request_id, self.relay.engine
         if self.closed:
             return
-        if isinstance(event, CameUp):
+        if isinstance(event, UpstreamEstablished):
             self.session.up_line = event.line
             self.relay.tell(engine.upstream_established, number, self.order.attempt)
-        elif isinstance(event, ServerLine):
+        elif isinstance(event, EndpointLine):
             self.session.to_client(event.line)
-            if event.answer:
+            if event.may_answer:
                 self.relay.tell(engine.answer_line_received, number)
-        elif isinstance(event, LoadTold):
+        elif isinstance(event, LoadReported):
             self.relay.tell(engine.connection_load_reported, number, event.load)
         elif not self.told:
             self._ended(event, False)
 
     def _over(self, reset: bool) -> None:
-        if not self.flow.over:
-            if self.flow.up:
-                self.session.to_client(self.flow.lines.take_rest())
-            self._ended(self.flow.ended(), reset)
+        if not self.flow.is_over:
+            if self.flow.established:
+                self.session.to_client(self.flow.lines.pop_partial_line())
+            self._ended(self.flow.connection_ended(), reset)
 
-    def _ended(self, event: Ended, reset: bool) -> None:
+    def _ended(self, event: AttemptEnded, reset: bool) -> None:
         # the descriptor is given back before the next flow may start
         self.close()
         order = self.order
@@ -238,4 +244,4 @@
         if self.endpoint is not None:
             (self.endpoint.abort if reset else self.endpoint.close)()
         order = self.order
-        self.relay.engine.guard.attempt_over(order.request_id, order.attempt, self.flow.may_have_run)
+        self.relay.engine.guard.attempt_over(order.request_id, order.attempt, self.flow.may_have_executed)
--- a/gannetweir/proto/admin.py
+++ b/gannetweir/proto/admin.py
@@ -6,14 +6,14 @@
 from typing import Protocol
 
 from gannetweir.limits import Limits
-from gannetweir.proto.lines import END, LineError, Lines
+from gannetweir.proto.lines import LINE_END, LineBuffer, LineError
 
 
-class RefusedError(ValueError):
+class AdminCallError(ValueError):
     """Why a call is answered `fail`, in a few words."""
 
 
-class Operations(Protocol):
+class AdminOperations(Protocol):
     """What the calls do. Each returns what to say after `ok`, or raises `RefusedError`."""
 
     def health(self) -> str:
@@ -38,9 +38,9 @@
     """One caller's connection."""
 
     def __init__(self, limits: Limits) -> None:
-        self.lines = Lines(limits.line_bytes)
+        self.lines = LineBuffer(limits.line_bytes)
 
-    def feed(self, data: bytes, operations: Operations) -> bytes:
+    def feed(self, data: bytes, operations: AdminOperations) -> bytes:
         """The answer, once the line is whole; nothing before."""
         try:
             line = next(self.lines.feed(data), b"")
@@ -49,7 +49,7 @@
         return self._carry_out(line, operations) if line else b""
 
     @staticmethod
-    def _carry_out(line: bytes, operations: Operations) -> bytes:
+    def _carry_out(line: bytes, operations: AdminOperations) -> bytes:
         # a bare LF will do here: people type these calls
         name, *words = line.decode("ascii", "replace").split() or [""]
         count, call = CALLS.get(name, (-1, str))
@@ -57,9 +57,9 @@
             return _answer(False, f"the calls are {', '.join(n + ' ID' * c for n, (c, _) in CALLS.items())}")
         try:
             return _answer(True, call(operations, *words))
-        except RefusedError as refused:
+        except AdminCallError as refused:
             return _answer(False, str(refused))
 
 
 def _answer(done: bool, text: str) -> bytes:
-    return f"{'ok' if done else 'fail'} {text}".encode("ascii", "replace") + END
+    return f"{'ok' if done else 'fail'} {text}".encode("ascii", "replace") + LINE_END
--- a/gannetweir/proto/client_connection.py
+++ b/gannetweir/proto/client_connection.py
@@ -8,24 +8,24 @@
 
 from gannetweir.limits import Limits
 from gannetweir.placement.events import RequestArrived, RequestFlag
-from gannetweir.proto.lines import END, LineError, Lines, fields_of, text_of
+from gannetweir.proto.lines import LINE_END, LineBuffer, LineError, parse_fields, printable_text
 
 
 @dataclass(frozen=True, slots=True)
 class FirstLine:
     """An `OPEN` line as it came, and what it says."""
 
-    head: bytes  # up to the value of `d`
-    tail: bytes  # after it; all of the line where it names no `d`
-    ident: str  # the client's word for the request: two that are open at once must not share it
-    wanted: RequestArrived  # the engine gives it its number
-    at: str  # the backend that holds this connection already
+    before_deadline: bytes  # up to the value of `d`
+    after_deadline: bytes  # after it; all of the line where it names no `d`
+    client_id: str  # the client's word for the request: two that are open at once must not share it
+    request: RequestArrived  # the engine gives it its number
+    current_endpoint: str  # the backend that holds this connection already
 
-    def line(self, wait_us: int) -> bytes:
+    def for_endpoint(self, wait_us: int) -> bytes:
         """The line for a backend: `d` says how long the relay waits, all else is as it came."""
-        if not self.head:
-            return self.tail
-        return self.head + str(max(1, wait_us // 1000)).encode() + self.tail
+        if not self.before_deadline:
+            return self.after_deadline
+        return self.before_deadline + str(max(1, wait_us // 1000)).encode() + self.after_deadline
 
 
 _DECIMAL, _HEX = frozenset("0123456789"), frozenset("0123456789abcdefABCDEF")
@@ -48,11 +48,11 @@
 
 def parse_first_line(raw: bytes, classes: dict[str, int], limits: Limits) -> FirstLine:
     """Read an `OPEN` line strictly: a backend calls anything odd a line that no client sent."""
-    words = text_of(raw).split(" ")
+    words = printable_text(raw).split(" ")
     if len(words) != 4 or words[0] != "OPEN":
         raise LineError("not an OPEN line")
     _number(words[1], 16, "id")
-    fields = fields_of(words[3])
+    fields = parse_fields(words[3])
     if fields.get("c") not in classes:
         raise LineError(f"unknown class {fields.get('c', '')[:40]!r}")
     at = fields.get("at", "")
@@ -83,64 +83,64 @@
     return FirstLine(head, tail, words[1], wanted, at)
 
 
-def rejection(retry_us: int) -> bytes:
+def rejection_line(retry_us: int) -> bytes:
     """The line of a refusal, with the advice on when to come again where there is any."""
-    return (f"BUSY {-(-retry_us // 1000)}" if retry_us > 0 else "BUSY").encode() + END
+    return (f"BUSY {-(-retry_us // 1000)}" if retry_us > 0 else "BUSY").encode() + LINE_END
 
 
-class Phase(Enum):
+class ClientPhase(Enum):
     """How far a client has come."""
 
-    FIRST = 1  # its first line is awaited
-    HELD = 2  # it waits for its answer
-    UP = 3
+    AWAITING_FIRST_LINE = 1  # its first line is awaited
+    AWAITING_ANSWER = 2  # it waits for its answer
+    ESTABLISHED = 3
     ENDED = 4
 
 
 @dataclass(frozen=True, slots=True)
-class PingAsked:
+class PingReceived:
     """The front asks whether this relay is ready."""
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class RequestOpened:
     """A client wants a connection."""
 
-    first: FirstLine
+    first_line: FirstLine
 
 
 @dataclass(frozen=True, slots=True)
-class Malformed:
+class MalformedInput:
     """The client sent what cannot be served."""
 
     reason: str
-    owed: bool  # it has had no answer so far
+    answer_owed: bool  # it has had no answer so far
 
 
 @dataclass(frozen=True, slots=True)
-class LinePassed:
+class LineReceived:
     """A whole line for the backend."""
 
     line: bytes
 
 
-ClientEvent = PingAsked | Opened | Malformed | LinePassed
+ClientEvent = PingReceived | RequestOpened | MalformedInput | LineReceived
 
 
 class ClientConnection:
     """One client's connection."""
 
     def __init__(self, classes: dict[str, int], limits: Limits) -> None:
-        self.classes, self.limits = classes, limits
-        self.lines = Lines(limits.line_bytes)
-        self.phase = Phase.FIRST
-        self.pings = 0
-        self.early: list[bytes] = []  # lines that came before the answer
+        self.class_index_by_name, self.limits = classes, limits
+        self.lines = LineBuffer(limits.line_bytes)
+        self.phase = ClientPhase.AWAITING_FIRST_LINE
+        self.ping_count = 0
+        self.early_lines: list[bytes] = []  # lines that came before the answer
         self.early_bytes = 0
 
     def feed(self, data: bytes) -> list[ClientEvent]:
         """Take what the client sent."""
-        if self.phase is Phase.ENDED:
+        if self.phase is ClientPhase.ENDED:
             return []
         events: list[ClientEvent] = []
         try:
@@ -148,23 +148,23 @@
                 if event := self._line(line):
                     events.append(event)
         except LineError as error:
-            owed, self.phase = self.phase is not Phase.UP, Phase.ENDED
+            owed, self.phase = self.phase is not ClientPhase.ESTABLISHED, ClientPhase.ENDED
             # whole lines of a connection that stands still pass; a request is not begun just to be given up
-            events = [event for event in events if not isinstance(event, Opened)]
-            events.append(Malformed(str(error), owed))
+            events = [event for event in events if not isinstance(event, RequestOpened)]
+            events.append(MalformedInput(str(error), owed))
         return events
 
     def _line(self, line: bytes) -> ClientEvent | None:
-        if self.phase is Phase.FIRST:
-            if line == b"PING" + END:
-                self.pings += 1
-                if self.pings > self.limits.first_pings:
+        if self.phase is ClientPhase.AWAITING_FIRST_LINE:
+            if line == b"PING" + LINE_END:
+                self.ping_count += 1
+                if self.ping_count > self.limits.first_pings:
                     raise LineError("too many pings")
-                return PingAsked()
-            first = parse_first_line(line, self.classes, self.limits)
-            self.phase = Phase.HELD
-            return Opened(first)
-        if self.phase is Phase.HELD:
+                return PingReceived()
+            first = parse_first_line(line, self.class_index_by_name, self.limits)
+            self.phase = ClientPhase.AWAITING_ANSWER
+            return RequestOpened(first)
+        if self.phase is ClientPhase.AWAITING_ANSWER:
             # The client should wait; what it sends all the same is kept for its backend, within bounds. A
             # second command is no line of a connection's: its backend would end both.
             if line.startswith((b"OPEN ", b"PING\r")):
@@ -172,31 +172,31 @@
             self.early_bytes += len(line)
             if self.early_bytes > self.limits.buffer_bytes:
                 raise LineError("too much sent before the answer")
-            self.early.append(line)
+            self.early_lines.append(line)
             return None
-        return LinePassed(line)
+        return LineReceived(line)
 
-    def pong(self, ready: bool) -> bytes:
+    def ping_answer(self, ready: bool) -> bytes:
         """The answer to a ping."""
-        return (b"PONG" if ready else b"ERR") + END
+        return (b"PONG" if ready else b"ERR") + LINE_END
 
-    def served(self) -> list[ClientEvent]:
+    def establish(self) -> list[ClientEvent]:
         """The backend has answered; the lines that came early are now due."""
-        self.phase = Phase.UP
-        early, self.early = self.early, []
-        return [LinePassed(line) for line in early]
+        self.phase = ClientPhase.ESTABLISHED
+        early, self.early_lines = self.early_lines, []
+        return [LineReceived(line) for line in early]
 
-    def reject(self, retry_us: int) -> bytes:
+    def end_rejected(self, retry_us: int) -> bytes:
         """Refused: trying again is harmless, after that long."""
-        self.phase = Phase.ENDED
-        return rejection(retry_us)
+        self.phase = ClientPhase.ENDED
+        return rejection_line(retry_us)
 
-    def fail(self) -> bytes:
+    def end_failed(self) -> bytes:
         """Failed: nothing is promised."""
-        self.phase = Phase.ENDED
-        return b"ERR" + END
+        self.phase = ClientPhase.ENDED
+        return b"ERR" + LINE_END
 
-    def move(self) -> bytes:
+    def end_migrated(self) -> bytes:
         """Send the client away. Only whole lines go to it, so this falls between two of them."""
-        self.phase = Phase.ENDED
-        return b"MOVE" + END
+        self.phase = ClientPhase.ENDED
+        return b"MOVE" + LINE_END
--- a/gannetweir/proto/control_watch.py
+++ b/gannetweir/proto/control_watch.py
@@ -35,7 +35,7 @@
 )
 from gannetweir.limits import Limits
 from gannetweir.placement.settings import Settings
-from gannetweir.proto.endpoint_watch import Broken, EndpointListError, EndpointWatch, Heartbeat
+from gannetweir.proto.endpoint_watch import EndpointListError, EndpointWatch, Heartbeat, WatchFailed
 
 ACK_TARGET = "/control/answers"
 MOST_ANSWER_BYTES = 4_096
@@ -43,7 +43,7 @@
 # A gzip member's head, for a stream of blocks that are compressed one by one: each can go to many relays.
 _GZIP_HEAD = b"\x1f\x8b\x08\x00\x00\x00\x00\x00\x00\xff"
 
-ControlEvent = Slice | Heartbeat | Broken
+ControlEvent = Slice | Heartbeat | WatchFailed
 
 
 def canonical(value: Any) -> bytes:
@@ -172,7 +172,7 @@
         """As `feed`: slices and heartbeats in their order, and at the end what broke the watch."""
         return cast("list[ControlEvent]", self.feed(data))
 
-    def _body(self, data: bytes) -> bytes:
+    def _decode_body(self, data: bytes) -> bytes:
         if not self.begun and data:  # a gzip stream begins with a byte that no line of JSON begins with
             self.begun = True
             self.inflate = zlib.decompressobj(zlib.MAX_WBITS | 16) if data[0] == _GZIP_HEAD[0] else None
@@ -186,7 +186,7 @@
             raise EndpointListError("too much out of one read")
         return bytes(lines)
 
-    def _object(self, data: Any) -> Any:
+    def _read_event(self, data: Any) -> Any:
         return read_slice(data)
 
 
--- a/gannetweir/proto/upstream_connection.py
+++ b/gannetweir/proto/upstream_connection.py
@@ -6,112 +6,112 @@
 
 from gannetweir.limits import Limits
 from gannetweir.placement.events import NOT_EXECUTED, AttemptStatus
-from gannetweir.proto.lines import END, LineError, Lines, text_of
-from gannetweir.proto.load_report import read_report
+from gannetweir.proto.lines import LINE_END, LineBuffer, LineError, printable_text
+from gannetweir.proto.load_report import parse_load_report
 
 
 @dataclass(frozen=True, slots=True)
-class CameUp:
+class UpstreamEstablished:
     """The backend serves the connection; the line is the client's answer."""
 
     line: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class ServerLine:
+class EndpointLine:
     """A whole line for the client."""
 
     line: bytes
-    answer: bool  # it may answer a line of the client's
+    may_answer: bool  # it may answer a line of the client's
 
 
 @dataclass(frozen=True, slots=True)
-class LoadTold:
+class LoadReported:
     """The connection's load has changed."""
 
     load: float
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptEnded:
     """The flow is over."""
 
     status: int
     report: tuple[float, ...] = ()
 
 
-FlowEvent = CameUp | ServerLine | LoadTold | Ended
+UpstreamEvent = UpstreamEstablished | EndpointLine | LoadReported | AttemptEnded
 
 
 class UpstreamConnection:
     """One attempt at one backend."""
 
     def __init__(self, first_line: bytes, report_names: list[str], limits: Limits) -> None:
-        self.lines = Lines(limits.line_bytes)
-        self.names = report_names
-        self.unsent = first_line
-        self.up = False
-        self.last = 0  # how the backend said that it ends
-        self.over = False
+        self.lines = LineBuffer(limits.line_bytes)
+        self.load_report_fields = report_names
+        self.unsent_first_line = first_line
+        self.established = False
+        self.announced_status = 0  # how the backend said that it ends
+        self.is_over = False
         self.status = 0  # the outcome, once it is over
 
-    def sent(self, count: int) -> None:
+    def first_line_sent(self, count: int) -> None:
         """So many bytes of the first line were written."""
-        self.unsent = self.unsent[count:]
+        self.unsent_first_line = self.unsent_first_line[count:]
 
     @property
-    def may_have_run(self) -> bool:
+    def may_have_executed(self) -> bool:
         """Can the backend have carried out what was written so far?"""
-        return not self.unsent and self.status not in NOT_EXECUTED
+        return not self.unsent_first_line and self.status not in NOT_EXECUTED
 
-    def feed(self, data: bytes) -> list[FlowEvent]:
+    def feed(self, data: bytes) -> list[UpstreamEvent]:
         """Take what the backend sent."""
-        events: list[FlowEvent] = []
-        if self.over:
+        events: list[UpstreamEvent] = []
+        if self.is_over:
             return events
         try:
             for line in self.lines.feed(data):
-                events += self._up(line) if self.up else self._answer(line)
-                if self.over:
+                events += self._up(line) if self.established else self._answer(line)
+                if self.is_over:
                     break
         except LineError:
             # neither an answer that can be read nor lines that can be passed on whole
             events.append(self._end(AttemptStatus.ERROR))
         return events
 
-    def _end(self, status: int, report: tuple[float, ...] = ()) -> Ended:
-        self.over, self.status = True, status
-        return Ended(status, report)
+    def _end(self, status: int, report: tuple[float, ...] = ()) -> AttemptEnded:
+        self.is_over, self.status = True, status
+        return AttemptEnded(status, report)
 
-    def _answer(self, line: bytes) -> list[FlowEvent]:
-        text = text_of(line)
+    def _answer(self, line: bytes) -> list[UpstreamEvent]:
+        text = printable_text(line)
         word, _, rest = text.partition(" ")
         if word == "UP":
-            self.up = True
-            return [CameUp(line)]
+            self.established = True
+            return [UpstreamEstablished(line)]
         if word == "BUSY":
-            return [self._end(AttemptStatus.FULL, read_report(rest, self.names))]
+            return [self._end(AttemptStatus.FULL, parse_load_report(rest, self.load_report_fields))]
         if word == "MOVE":
             return [self._end(AttemptStatus.CANCELLED)]
         # ERR, SYNTAX, and whatever else is not a service
-        return [self._end(AttemptStatus.ERROR, read_report(rest, self.names))]
+        return [self._end(AttemptStatus.ERROR, parse_load_report(rest, self.load_report_fields))]
 
-    def _up(self, line: bytes) -> list[FlowEvent]:
-        word, _, rest = line.rstrip(END).partition(b" ")
+    def _up(self, line: bytes) -> list[UpstreamEvent]:
+        word, _, rest = line.rstrip(LINE_END).partition(b" ")
         if word == b"LOAD":
-            told: list[FlowEvent] = [ServerLine(line, False)]
+            told: list[UpstreamEvent] = [EndpointLine(line, False)]
             try:
                 load = float(rest)
             except ValueError:
                 return told
-            return [*told, LoadTold(load)] if abs(load) < 1e15 else told  # as a hint
+            return [*told, LoadReported(load)] if abs(load) < 1e15 else told  # as a hint
         if word in (b"BYE", b"MOVE") and not (word == b"MOVE" and rest):
-            self.last = AttemptStatus.OK if word == b"BYE" else AttemptStatus.CANCELLED
-            return [ServerLine(line, False)]
-        return [ServerLine(line, True)]
+            self.announced_status = AttemptStatus.OK if word == b"BYE" else AttemptStatus.CANCELLED
+            return [EndpointLine(line, False)]
+        return [EndpointLine(line, True)]
 
-    def ended(self) -> Ended:
+    def connection_ended(self) -> AttemptEnded:
         """The connection ended, broke, or never came up."""
-        if self.unsent:  # without its last byte the backend cannot have run it
+        if self.unsent_first_line:  # without its last byte the backend cannot have run it
             return self._end(AttemptStatus.CONNECT_FAILED)
-        return self._end(self.last or AttemptStatus.RESET)
+        return self._end(self.announced_status or AttemptStatus.RESET)
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -159,7 +159,7 @@
 
 def cut_off() -> None:
     """Clients are moved without a word."""
-    ClientConnection.move = lambda self: b""  # type: ignore[method-assign]
+    ClientConnection.end_migrated = lambda self: b""  # type: ignore[method-assign]
 
 
 def held_back() -> None:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -36,7 +36,7 @@
 from gannetweir.placement.settings import RequestClass
 from gannetweir.proto import client_connection as v
 from gannetweir.proto import upstream_connection as f
-from gannetweir.proto.endpoint_watch import EndpointWatch, read_pool
+from gannetweir.proto.endpoint_watch import EndpointWatch, read_membership
 from gannetweir.routing.route_admission import RouteAdmission, told_classes, with_routes
 from tests.helpers import settings
 
@@ -117,7 +117,7 @@
     def do_client(self, who: str, verb: str, words: str) -> None:
         classes = {c.name: n for n, c in enumerate(told_classes(self.settings))}
         machine = self.machines.setdefault(who, v.ClientConnection(classes, self.limits))
-        machine.classes = classes
+        machine.class_index_by_name = classes
         if verb in ("close", "reset"):
             if who in self.numbers:
                 self.engine.client_disconnected(self.numbers[who], verb == "reset", self.now)
@@ -129,21 +129,23 @@
             self.client_event(who, event)
 
     def client_event(self, who: str, event: v.ClientEvent) -> None:
-        if isinstance(event, v.PingAsked):
-            self.wire(who).write(self.machines[who].pong(self.engine.is_ready()))
-        elif isinstance(event, v.Opened):
-            self.firsts[who] = event.first
-            first = event.first
-            number = self.engine.request_opened(first.wanted, first.at, self.now, first.ident)
+        if isinstance(event, v.PingReceived):
+            self.wire(who).write(self.machines[who].ping_answer(self.engine.is_ready()))
+        elif isinstance(event, v.RequestOpened):
+            self.firsts[who] = event.first_line
+            first = event.first_line
+            number = self.engine.request_opened(
+                first.request, first.current_endpoint, self.now, first.client_id
+            )
             if not number:
-                self.wire(who).write(self.machines[who].fail())
+                self.wire(who).write(self.machines[who].end_failed())
                 return
             self.numbers[who] = number
-        elif isinstance(event, v.Malformed):
+        elif isinstance(event, v.MalformedInput):
             if who in self.numbers:
                 self.engine.client_disconnected(self.numbers[who], True, self.now)
-            if event.owed:
-                self.wire(who).write(self.machines[who].fail())
+            if event.answer_owed:
+                self.wire(who).write(self.machines[who].end_failed())
         else:
             self.wire(who + "/flow").write(event.line)
             self.engine.client_line_forwarded(self.numbers[who], self.now)
@@ -159,23 +161,25 @@
             if verb != "refuse":
                 self.sent(order, flow)
             del self.flows[who]
-            self.flow_event(who, order, flow.ended(), verb == "reset")
+            self.flow_event(who, order, flow.connection_ended(), verb == "reset")
 
     def sent(self, order: e.OpenUpstream, flow: f.UpstreamConnection) -> None:
-        flow.sent(len(flow.unsent))
+        flow.first_line_sent(len(flow.unsent_first_line))
         self.engine.upstream_first_line_written(order.request_id, order.attempt, self.now)
 
-    def flow_event(self, who: str, order: e.OpenUpstream, event: f.FlowEvent, reset: bool = False) -> None:
+    def flow_event(
+        self, who: str, order: e.OpenUpstream, event: f.UpstreamEvent, reset: bool = False
+    ) -> None:
         number = order.request_id
-        if isinstance(event, f.CameUp):
+        if isinstance(event, f.UpstreamEstablished):
             self.sent(order, self.flows[who][1])
             if self.engine.upstream_established(number, order.attempt, self.now):
                 self.wire(who).write(event.line)
-        elif isinstance(event, f.ServerLine):
+        elif isinstance(event, f.EndpointLine):
             self.wire(who).write(event.line)
-            if event.answer:
+            if event.may_answer:
                 self.engine.answer_line_received(number, self.now)
-        elif isinstance(event, f.LoadTold):
+        elif isinstance(event, f.LoadReported):
             self.engine.connection_load_reported(number, event.load, self.now)
         else:
             self.flows.pop(who, None)  # its descriptor is given back before the engine hears of it
@@ -191,7 +195,9 @@
 
     def do_pool(self, _who: str, verb: str, words: str) -> None:
         if verb == "send":
-            self.engine.endpoint_update_received(read_pool(orjson.loads(words), self.settings), self.now)
+            self.engine.endpoint_update_received(
+                read_membership(orjson.loads(words), self.settings), self.now
+            )
         elif verb == "again":
             watch = EndpointWatch("d:1", self.engine.endpoint_list.version, self.settings, self.limits)
             data = f"{len(words) + 1:x}\r\n{words}\n\r\n"
@@ -251,7 +257,7 @@
         client, flow = self.wire(who), self.wire(who + "/flow")
         if isinstance(command, e.OpenUpstream):
             assert who not in self.flows, "two flows of one transaction"
-            line = self.firsts[who].line(command.timeout_us)
+            line = self.firsts[who].for_endpoint(command.timeout_us)
             self.flows[who] = (
                 command,
                 f.UpstreamConnection(line, self.settings.load_report_fields, self.limits),
@@ -261,16 +267,16 @@
             self.flows.pop(who, None)
             flow.seen.append("reset" if isinstance(command, e.EndUpstream) and command.reset else "end")
         elif isinstance(command, e.StartForwarding):
-            for event in self.machines[who].served():
+            for event in self.machines[who].establish():
                 self.client_event(who, event)
         elif isinstance(command, e.RejectClient):
-            client.write(self.machines[who].reject(command.retry_after_us))
+            client.write(self.machines[who].end_rejected(command.retry_after_us))
             client.seen.append("end")
         elif isinstance(command, e.FailClient):
-            client.write(self.machines[who].fail())
+            client.write(self.machines[who].end_failed())
             client.seen.append("end")
         elif isinstance(command, e.MigrateClient):
-            client.write(self.machines[who].move())
+            client.write(self.machines[who].end_migrated())
             client.seen.append("end")
             self.flows.pop(who, None)
             flow.seen.append("end")
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -3,12 +3,12 @@
 import pytest
 
 from gannetweir.limits import Limits
-from gannetweir.proto.admin import AdminCall, RefusedError
+from gannetweir.proto.admin import AdminCall, AdminCallError
 
 
 class Desk:
     def health(self) -> str:
-        raise RefusedError("starting")
+        raise AdminCallError("starting")
 
     def offline(self, server: str) -> str:
         return f"{server} out"
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -15,7 +15,7 @@
 
 from gannetweir.net import connecting
 from gannetweir.placement.actions import Action, StartAttempt
-from gannetweir.proto.endpoint_watch import read_pool
+from gannetweir.proto.endpoint_watch import read_membership
 from tests.place import (
     QUICK,
     Peer,
@@ -72,7 +72,7 @@
 def tell_hosts(place: Place, *hosts: tuple[str, int, str]) -> None:
     """The whole list, as discovery tells it."""
     entries = [{"host": h, "dial": f"127.0.0.1:{port}", "health": health} for h, port, health in hosts]
-    news = read_pool({"seq": 7, "whole": True, "hosts": entries}, place.relay.settings)
+    news = read_membership({"seq": 7, "whole": True, "hosts": entries}, place.relay.settings)
     place.relay.tell(place.relay.engine.endpoint_update_received, news)
 
 
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -51,7 +51,7 @@
     raw = LINE.encode().decode("unicode_escape").encode()
     for count, byte in enumerate(raw[:-1], 1):
         client.sock.send(bytes([byte]))
-        await place.until(lambda count=count: len(session.virtual.lines.rest) == count)  # type: ignore[misc]
+        await place.until(lambda count=count: len(session.virtual.lines.partial_line) == count)  # type: ignore[misc]
     return client
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -15,7 +15,7 @@
 from gannetweir.placement.actions import RejectRequest
 from gannetweir.placement.balancer import Balancer
 from gannetweir.placement.events import RequestArrived
-from gannetweir.proto.client_connection import rejection
+from gannetweir.proto.client_connection import rejection_line
 
 ROOT = Path(__file__).parent.parent
 GOOD = {
@@ -60,7 +60,7 @@
 ) -> None:
     config = load(environment(tmp_path, {"settings": {"categories": [{"name": "a"}], "limits": told}}))
     assert config.limits.reject_retry_us == advice
-    assert rejection(advice) == (b"BUSY %d\r\n" % (advice // 1000) if advice else b"BUSY\r\n")
+    assert rejection_line(advice) == (b"BUSY %d\r\n" % (advice // 1000) if advice else b"BUSY\r\n")
     balancer = Balancer(config.settings, 1, 0)  # knows no server: it refuses
     advised = [
         a.retry_after_us
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -38,7 +38,7 @@
     write_answer,
     write_slice,
 )
-from gannetweir.proto.endpoint_watch import Broken, EndpointListError, Heartbeat
+from gannetweir.proto.endpoint_watch import EndpointListError, Heartbeat, WatchFailed
 from tests.helpers import settings
 from tests.test_start import START, started
 
@@ -105,7 +105,7 @@
 )
 def test_a_hostile_object_breaks_the_watch_and_tells_nothing(changes: dict[str, Any]) -> None:
     (broken,) = watch().events(watch_head(False) + chunk(orjson.dumps(GOOD | changes) + b"\n"))
-    assert isinstance(broken, Broken) and broken.reason
+    assert isinstance(broken, WatchFailed) and broken.reason
 
 
 def test_an_entry_that_is_held_takes_little_more_than_its_bytes() -> None:
@@ -119,9 +119,9 @@
 def test_what_unpacks_without_measure_breaks_the_watch() -> None:
     bomb = stream_head(True) + compressed(b" " * (64 << 20))
     (broken,) = watch().events(watch_head(True) + chunk(bomb))
-    assert isinstance(broken, Broken) and "too much" in broken.reason
+    assert isinstance(broken, WatchFailed) and "too much" in broken.reason
     (broken,) = watch().events(watch_head(True) + chunk(stream_head(True) + b"\xff\xff\xff"))
-    assert isinstance(broken, Broken) and "gzip" in broken.reason
+    assert isinstance(broken, WatchFailed) and "gzip" in broken.reason
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 from gannetweir.net.load_probes import run_probe
 from gannetweir.net.transport import Transport
 from gannetweir.placement.actions import ProbeLoad
-from gannetweir.proto.endpoint_watch import read_pool
+from gannetweir.proto.endpoint_watch import read_membership
 from tests.place import (
     BEAT,
     HEAD,
@@ -326,7 +326,7 @@
     await place.client()
     news = NEWS % ("true", HOST % (1, full.getsockname()[1], "Ready", 0))
     place.relay.tell(
-        place.relay.engine.endpoint_update_received, read_pool(orjson.loads(news), place.relay.settings)
+        place.relay.engine.endpoint_update_received, read_membership(orjson.loads(news), place.relay.settings)
     )
     clients = place.relay.ledger.open
     client = await place.client()
@@ -368,7 +368,7 @@
     (await place.client()).close()  # it runs by now
     for health in ("Terminating", "Gone"):
         relay.spawn(partial(run_probe, relay, StartLoadProbe("b1", dial)))
-        news = read_pool(orjson.loads(NEWS % ("false", HOST % (1, 1, health, 0))), relay.settings)
+        news = read_membership(orjson.loads(NEWS % ("false", HOST % (1, 1, health, 0))), relay.settings)
         relay.tell(relay.engine.endpoint_update_received, news)  # before the connect is up
         await (await place.accept()).expect("end")  # without a question
 
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -13,7 +13,7 @@
 from gannetweir.membership.endpoint_list import EndpointList, ListedEndpoint, MembershipUpdate
 from gannetweir.placement.actions import StartAttempt
 from gannetweir.placement.events import EndpointEntry, EndpointStatus, TimerExpired
-from gannetweir.proto.endpoint_watch import Broken, EndpointWatch
+from gannetweir.proto.endpoint_watch import EndpointWatch, WatchFailed
 from tests.helpers import Gateway, of, settings
 from tests.scenario import play
 from tests.test_pool_watch import HEAD, LAYOUTS, chunk
@@ -77,7 +77,7 @@
     listed[500] |= spoilt
     data = json.dumps({"seq": 7, "whole": True, "hosts": listed}).encode() + b"\n"
     broken = told(watch, data, 8192)[0]
-    assert isinstance(broken, Broken) and reason in broken.reason
+    assert isinstance(broken, WatchFailed) and reason in broken.reason
     world = play("", backends=1)
     world.engine.endpoint_watch_failed(broken.reason, world.now)
     world.play(f"""
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -8,8 +8,8 @@
 from gannetweir.limits import Limits
 from gannetweir.placement.actions import ProbeLoad, SetTimer, StartAttempt
 from gannetweir.placement.events import AttemptStatus, LoadProbeResult, TimerExpired
-from gannetweir.proto.load_report import read_report
-from gannetweir.proto.upstream_connection import LoadTold, ServerLine, UpstreamConnection
+from gannetweir.proto.load_report import parse_load_report
+from gannetweir.proto.upstream_connection import EndpointLine, LoadReported, UpstreamConnection
 from tests.helpers import SECOND, Gateway, of
 
 
@@ -179,12 +179,14 @@
 @pytest.mark.parametrize("text", ["concurrent=1e300,x0=0.5", "concurrent=3,x0=-1e308", "concurrent=3,x0=nan"])
 def test_an_absurd_report_is_none_and_drowns_no_sum(text: str) -> None:
     names = ["concurrent", "x0"]
-    assert read_report("concurrent=3,x0=0.5", names) == (3.0, 0.5) and read_report(text, names) == ()
+    assert (
+        parse_load_report("concurrent=3,x0=0.5", names) == (3.0, 0.5) and parse_load_report(text, names) == ()
+    )
     call = UpstreamConnection(b"", names, Limits())
     assert call.feed(b"UP r\r\nLOAD 7\r\nLOAD 1e300\r\n")[1:] == [
-        ServerLine(b"LOAD 7\r\n", False),
-        LoadTold(7.0),
-        ServerLine(b"LOAD 1e300\r\n", False),
+        EndpointLine(b"LOAD 7\r\n", False),
+        LoadReported(7.0),
+        EndpointLine(b"LOAD 1e300\r\n", False),
     ]
 
 
--- a/tests/test_pool_watch.py
+++ b/tests/test_pool_watch.py
@@ -10,7 +10,7 @@
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import MembershipUpdate
 from gannetweir.placement.events import EndpointEntry, EndpointStatus
-from gannetweir.proto.endpoint_watch import Broken, EndpointWatch, Heartbeat, read_known
+from gannetweir.proto.endpoint_watch import EndpointWatch, Heartbeat, WatchFailed, read_cached_membership
 from tests.helpers import settings
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -70,7 +70,7 @@
 )
 def test_a_broken_answer_breaks_the_watch_and_tells_nothing(data: bytes) -> None:
     (broken,) = watch().feed(data)
-    assert isinstance(broken, Broken) and broken.reason
+    assert isinstance(broken, WatchFailed) and broken.reason
 
 
 OTHER = NEWS.replace(b"s-1", b"s-2").replace(b'"seq":43', b'"seq":44')
@@ -94,12 +94,12 @@
     w = watch()
     found = w.feed(HEAD + chunk(NEWS)) + w.feed(rest) if apart else w.feed(HEAD + chunk(NEWS) + rest)
     news, broken = found
-    assert isinstance(news, MembershipUpdate) and news.version == 43 and isinstance(broken, Broken)
+    assert isinstance(news, MembershipUpdate) and news.version == 43 and isinstance(broken, WatchFailed)
 
 
 def test_lines_before_a_spoilt_one_in_the_same_chunk_hold() -> None:
     news, beat, broken = watch().feed(HEAD + chunk(NEWS + b"\n" + b"{]\n" + OTHER))
-    assert isinstance(news, MembershipUpdate) and beat == Heartbeat() and isinstance(broken, Broken)
+    assert isinstance(news, MembershipUpdate) and beat == Heartbeat() and isinstance(broken, WatchFailed)
 
 
 LAYOUTS: dict[str, Callable[[Any], str]] = {
@@ -129,9 +129,9 @@
 @pytest.mark.parametrize(("whole", "holds"), [(b"true", True), (b"false", False)])
 def test_an_older_first_answer_holds_only_as_the_whole_list(whole: bytes, holds: bool) -> None:
     (event,) = watch().feed(HEAD + chunk(NEWS.replace(b"false", whole).replace(b'"seq":43', b'"seq":7')))
-    assert isinstance(event, MembershipUpdate if holds else Broken)
+    assert isinstance(event, MembershipUpdate if holds else WatchFailed)
     assert not isinstance(event, MembershipUpdate) or event.older
 
 
 def test_the_known_pool_may_be_missing() -> None:
-    assert read_known({}, settings()) == MembershipUpdate(0, True, [])
+    assert read_cached_membership({}, settings()) == MembershipUpdate(0, True, [])
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -12,7 +12,7 @@
 from gannetweir import core as e
 from gannetweir.net.relay import Relay
 from gannetweir.placement.events import RequestArrived
-from gannetweir.proto.endpoint_watch import read_pool
+from gannetweir.proto.endpoint_watch import read_membership
 from tests.place import Place
 from tests.scenario import CLASSES
 
@@ -93,7 +93,7 @@
     )
     relay = Relay(replace(place.file, settings=settings, known={"seq": 1, "hosts": hosts}))
     assert len(set(placed(relay, relay.clock(), 200))) == 6
-    news = read_pool({"seq": 2, "whole": True, "hosts": hosts}, settings)
+    news = read_membership({"seq": 2, "whole": True, "hosts": hosts}, settings)
     relay.engine.endpoint_update_received(news, relay.clock())
     relay.engine.commands.clear()
     assert len(set(placed(relay, relay.clock(), 200))) == 6
