--- a/gannetweir/lab/emulator/push_node.py
+++ b/gannetweir/lab/emulator/push_node.py
@@ -19,7 +19,7 @@
 from gannetweir.addresses.address import UNIX, V6, Address, parse
 from gannetweir.lab.emulator.attempts import OpenAttempts
 from gannetweir.limits import Limits
-from gannetweir.net.transport import Spawn, Transport, accept
+from gannetweir.net.transport import Spawn, Transport, accept_connection
 
 FAULTS = ("", "refuse", "hole", "stall", "reset", "slow")
 SLOW_S = 0.15  # a slow address reads nothing for so long
@@ -182,7 +182,7 @@
     async def _accept(self, door: Door, listener: socket.socket) -> None:
         while door.listener is listener:
             try:
-                sock = await accept(listener)
+                sock = await accept_connection(listener)
             except (anyio.ClosedResourceError, ValueError):  # shut here
                 return
             except OSError as error:
--- a/gannetweir/lab/emulator/registry.py
+++ b/gannetweir/lab/emulator/registry.py
@@ -12,7 +12,7 @@
 
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.limits import Limits
-from gannetweir.net.transport import Transport, accept, tune
+from gannetweir.net.transport import Transport, accept_connection, set_low_latency
 
 
 class Registry:
@@ -46,8 +46,8 @@
         async with anyio.create_task_group() as tasks:
             try:
                 while True:
-                    sock = await accept(self.listener)
-                    tune(sock)
+                    sock = await accept_connection(self.listener)
+                    set_low_latency(sock)
                     caller = Transport(sock, Limits(), spawn_in(tasks))
                     tasks.start_soon(self._serve, caller)
             finally:
@@ -78,7 +78,7 @@
         body = orjson.dumps(self.whole())
         head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
         caller.write(head.encode() + body)
-        await caller.drained()
+        await caller.wait_drained()
 
     async def _follow(self, caller: Transport, target: str) -> None:
         since = int(target.rpartition("since=")[2] or 0)
@@ -108,4 +108,4 @@
     @staticmethod
     async def _chunk(caller: Transport, line: bytes) -> None:
         caller.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
-        await caller.drained()
+        await caller.wait_drained()
--- a/gannetweir/lab/scale/control_relay.py
+++ b/gannetweir/lab/scale/control_relay.py
@@ -62,7 +62,7 @@
         self.driver.record = relay.record
         relay.version, relay.known = lambda: self.in_force, self._known
 
-    def order(self, order: SetEndpointWatch) -> None:
+    def apply_command(self, order: SetEndpointWatch) -> None:
         """See `MembershipDriver`."""
         if order.enabled and not self.started:
             self.started = True
--- a/gannetweir/lab/scale/discovery_stub.py
+++ b/gannetweir/lab/scale/discovery_stub.py
@@ -31,7 +31,7 @@
     SetMembership,
     SetMode,
 )
-from gannetweir.net.transport import accept, tune
+from gannetweir.net.transport import accept_connection, set_low_latency
 from gannetweir.proto.control_calls import chunk
 
 HEARTBEAT_S = 2.0
@@ -153,8 +153,8 @@
 
     async def _accept(self, listener: socket.socket) -> None:
         while True:
-            sock = await accept(listener)
-            tune(sock)
+            sock = await accept_connection(listener)
+            set_low_latency(sock)
             self.tasks.start_soon(self._serve, sock)
 
     async def _serve(self, sock: socket.socket) -> None:
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -23,8 +23,8 @@
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.limits import Limits
 from gannetweir.net.load_probes import run_probe
-from gannetweir.net.ports import DialHost
-from gannetweir.net.transport import Transport, connect, tcp_socket, tune
+from gannetweir.net.ports import ConnectContext
+from gannetweir.net.transport import Transport, connect, set_low_latency, tcp_socket
 from gannetweir.placement.events import AttemptStatus, EndpointId
 from gannetweir.placement.settings import Settings
 
@@ -102,7 +102,7 @@
 def _pair(listener: socket.socket) -> tuple[socket.socket, socket.socket]:
     other = socket.create_connection(listener.getsockname())
     one, _ = listener.accept()
-    tune(one)
+    set_low_latency(one)
     return one, other
 
 
@@ -157,7 +157,7 @@
     def dial(self, text: str) -> tuple[str, int]:
         return "127.0.0.1", self.port
 
-    def tell(self, call: Callable[..., Any], *args: Any) -> Any:
+    def run_engine_call(self, call: Callable[..., Any], *args: Any) -> Any:
         return call(*args)
 
 
@@ -167,7 +167,7 @@
         asker = _Host(port, spawn_in(tasks))
         began = _clock_us()
         for _ in range(count):
-            await run_probe(cast(DialHost, asker), StartLoadProbe("b", "127.0.0.1:1", False))
+            await run_probe(cast(ConnectContext, asker), StartLoadProbe("b", "127.0.0.1:1", False))
         spent = _clock_us() - began
     if asker.engine.answers != count:
         raise OSError(f"{asker.engine.answers} of {count} probes were answered")
--- a/gannetweir/lab/scale/hollow_relay.py
+++ b/gannetweir/lab/scale/hollow_relay.py
@@ -31,7 +31,7 @@
 class MembershipDriver(Protocol):
     """What brings a relay its membership."""
 
-    def order(self, order: e.SetEndpointWatch) -> None:
+    def apply_command(self, order: e.SetEndpointWatch) -> None:
         """Start a watch in place of the one before, or only end that."""
 
 
@@ -121,7 +121,7 @@
         """Start a task that can't take the others down."""
         self.tasks.start_soon(self._guard, run)
 
-    def tell(self, call: Callable[..., Any], *args: Any) -> Any:
+    def run_engine_call(self, call: Callable[..., Any], *args: Any) -> Any:
         """Tell the engine something and do what it commands."""
         result = call(*args, self.clock())
         self._carry_out()
@@ -173,14 +173,14 @@
             self.sleep_until = self.engine.next_due()
             with anyio.move_on_after(max(0, self.sleep_until - self.clock()) / 1e6):
                 await self.wake.wait()
-            self.tell(self.engine.advance)
+            self.run_engine_call(self.engine.advance)
 
     def _carry_out(self) -> None:
         commands = self.engine.commands
         while commands:
             command = commands.popleft()
             if isinstance(command, e.SetEndpointWatch):
-                self.driver.order(command)
+                self.driver.apply_command(command)
             elif isinstance(command, e.StartLoadProbe):  # there is nothing to probe
                 self.record.unsent_probes += 1
             elif isinstance(command, e.WriteLogLine) and command.text.startswith("pool: "):
--- a/gannetweir/lab/scale/peer.py
+++ b/gannetweir/lab/scale/peer.py
@@ -15,7 +15,7 @@
 
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.limits import Limits
-from gannetweir.net.transport import Transport, accept, connect, tcp_socket, tune
+from gannetweir.net.transport import Transport, accept_connection, connect, set_low_latency, tcp_socket
 
 REPORT = b"PONG tps=1,concurrent=90000,x0=0.2\r\n"  # so many that one more makes no difference
 
@@ -68,7 +68,7 @@
     try:
         while data := await source.read():
             sink.write(data)
-            await sink.drained()
+            await sink.wait_drained()
     except OSError:
         pass
     sink.close()
@@ -93,8 +93,8 @@
             await _copy(client, server)
 
         while True:
-            sock = await accept(listener)
-            tune(sock)
+            sock = await accept_connection(listener)
+            set_low_latency(sock)
             tasks.start_soon(one, Transport(sock, limits, spawn))
 
 
--- a/gannetweir/net/admin.py
+++ b/gannetweir/net/admin.py
@@ -9,25 +9,25 @@
 
 from gannetweir.config import SocketAddress
 from gannetweir.net.listener import open_listener
-from gannetweir.net.ports import Host
-from gannetweir.net.transport import Transport, accept, tune
+from gannetweir.net.ports import DriverContext
+from gannetweir.net.transport import Transport, accept_connection, set_low_latency
 from gannetweir.proto.admin import AdminCall, AdminCallError
 
 
-class Operated(Host, Protocol):
+class AdminContext(DriverContext, Protocol):
     """What the door needs of the relay that it opens on."""
 
     def log(self, text: str, **about: object) -> None: ...
 
-    def unready(self) -> str: ...
+    def not_ready_reason(self) -> str: ...
 
-    def call_by_hand(self, server: str, out: bool) -> None: ...
+    def override_endpoint(self, server: str, out: bool) -> None: ...
 
 
 class AdminListener:
     """Accepts callers and carries out their calls; `Operations` for `proto.admin`."""
 
-    def __init__(self, relay: Operated, at: SocketAddress) -> None:
+    def __init__(self, relay: AdminContext, at: SocketAddress) -> None:
         self.relay, self.limits = relay, relay.limits
         self.listener = open_listener(at, self.limits)
         self.callers: dict[Transport, None] = {}  # oldest first
@@ -37,20 +37,20 @@
         try:
             while True:
                 try:
-                    sock = await accept(self.listener)
+                    sock = await accept_connection(self.listener)
                 except OSError as error:
                     self.relay.log(f"admin: {error.strerror}")
                     await anyio.sleep(0.02)
                     continue
                 try:
-                    self._take(sock)
+                    self._serve_caller(sock)
                 except OSError as error:  # one caller's trouble must not end the door, nor the relay
                     self.relay.log(f"admin: {error.strerror}")
         finally:
             self.listener.close()
 
-    def _take(self, sock: socket.socket) -> None:
-        tune(sock)
+    def _serve_caller(self, sock: socket.socket) -> None:
+        set_low_latency(sock)
         while len(self.callers) >= self.limits.admin_callers:
             # idle callers must not keep out the one who calls: the oldest has had the longest time for it
             oldest = next(iter(self.callers))
@@ -82,24 +82,24 @@
 
     def health(self) -> str:
         """`ok` only once a client would be served here."""
-        if reason := self.relay.unready():
+        if reason := self.relay.not_ready_reason():
             raise AdminCallError(reason)
         return "serving"
 
     def offline(self, server: str) -> str:
         """From the answer on nothing starts there; its clients are moved."""
-        return self._by_hand(server, True, "out")
+        return self._override(server, True, "out")
 
     def online(self, server: str) -> str:
         """It is used again, as one that has just started."""
-        return self._by_hand(server, False, "in use")
+        return self._override(server, False, "in use")
 
-    def _by_hand(self, server: str, out: bool, word: str) -> str:
+    def _override(self, server: str, out: bool, word: str) -> str:
         pool = self.relay.engine.endpoint_list
         if not pool.knows(server) and not pool.is_offline(server):  # it may be out since before this process
             raise AdminCallError(f"unknown backend {server[:80]}")
         try:
-            self.relay.call_by_hand(server, out)
+            self.relay.override_endpoint(server, out)
         except OSError as error:  # what the other process, or the next one, can't learn of is not promised
             raise AdminCallError(f"not kept: {error.strerror}") from None
         return f"{server[:80]} {word}"
--- a/gannetweir/net/connecting.py
+++ b/gannetweir/net/connecting.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from gannetweir.net.errors import LocalError, pauses
+from gannetweir.net.errors import LocalResourceError, backoff_delays_s
 from gannetweir.net.transport import Transport, connect
 
 OpenSocket = Callable[[], tuple[socket.socket, Any]]
@@ -20,9 +20,9 @@
 
 async def connect_endpoint(
     open_socket: OpenSocket,
-    make: Callable[[socket.socket], Transport],
-    held_up: Callable[[LocalError], None] = _nothing,
-    under_way: Callable[[], None] = _nothing,
+    make_transport: Callable[[socket.socket], Transport],
+    on_local_error: Callable[[LocalResourceError], None] = _nothing,
+    on_started: Callable[[], None] = _nothing,
 ) -> Transport:
     """Open a socket, make an endpoint of it and connect it. A `LocalError` says nothing of the peer: it is
     told to `held_up`, and all is done again after a pause, until it succeeds or the caller's time is over.
@@ -31,17 +31,17 @@
     Raises `OSError` if the connection is refused or breaks, and what `held_up` raises. The endpoint is closed
     unless it is returned.
     """
-    for pause in pauses():
+    for pause in backoff_delays_s():
         endpoint: Transport | None = None
         try:
             sock, address = open_socket()
-            endpoint = make(sock)
-            await connect(sock, address, under_way)
+            endpoint = make_transport(sock)
+            await connect(sock, address, on_started)
             return endpoint
-        except LocalError as error:
+        except LocalResourceError as error:
             if endpoint is not None:
                 endpoint.close()
-            held_up(error)
+            on_local_error(error)
         except BaseException:
             if endpoint is not None:
                 endpoint.close()
--- a/gannetweir/net/control_host.py
+++ b/gannetweir/net/control_host.py
@@ -10,7 +10,7 @@
 from gannetweir.control.versions import Resource, Version
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import MembershipUpdate
-from gannetweir.net.ports import Host
+from gannetweir.net.ports import DriverContext
 from gannetweir.net.transport import Spawn
 from gannetweir.placement.settings import Settings
 
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        relay: Host,
+        relay: DriverContext,
         name: str,
         take_settings: Callable[[Settings], None],
         in_force: Callable[[Resource, Version], None] = lambda resource, version: None,
@@ -46,7 +46,7 @@
 
     def apply_membership(self, news: MembershipUpdate) -> None:
         """To the engine, as news of discovery's."""
-        self.relay.tell(self.relay.engine.endpoint_update_received, news)
+        self.relay.run_engine_call(self.relay.engine.endpoint_update_received, news)
 
     def apply_settings(self, data: dict[str, Any]) -> None:
         """To the relay. `ConfigError` can't come: the follower's check has read them the same way."""
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -16,8 +16,14 @@
 from gannetweir.control.store import Store
 from gannetweir.control.versions import RejectedError, Resource, Slice, Version
 from gannetweir.limits import Limits
-from gannetweir.net.errors import LONGEST_PAUSE_S
-from gannetweir.net.transport import Spawn, Transport, accept, listen, tune
+from gannetweir.net.errors import MAX_BACKOFF_S
+from gannetweir.net.transport import (
+    Spawn,
+    Transport,
+    accept_connection,
+    open_listening_socket,
+    set_low_latency,
+)
 from gannetweir.proto.control_calls import (
     AnswerCall,
     CallReader,
@@ -46,7 +52,7 @@
     def __init__(self, name: str, store: Store, at: SocketAddress, limits: Limits) -> None:
         """Listens at once; answers 503 until the store has been read. Raises `OSError` if it can't listen."""
         self.name, self.store, self.limits = name, store, limits
-        self.listener = listen(at, limits)
+        self.listener = open_listening_socket(at, limits)
         self.machine: ControlMachine | None = None
         self.coordinator = Coordinator()
         self.watches: dict[str, tuple[Transport, anyio.Event]] = {}
@@ -69,9 +75,9 @@
             try:
                 while True:
                     try:
-                        self._take(await accept(self.listener), spawn)
+                        self._take(await accept_connection(self.listener), spawn)
                     except OSError:  # a shortage: others must have their turn, and time to give back
-                        await anyio.sleep(LONGEST_PAUSE_S)
+                        await anyio.sleep(MAX_BACKOFF_S)
             finally:
                 self.listener.close()
                 for endpoint in list(self.connections):
@@ -137,7 +143,7 @@
     # ---- the relays
 
     def _take(self, sock: socket.socket, spawn: Spawn) -> None:
-        tune(sock)
+        set_low_latency(sock)
         endpoint = Transport(sock, self.limits, spawn)
         if len(self.connections) >= MOST_CONNECTIONS:
             endpoint.close()
@@ -250,7 +256,7 @@
                 machine.sent(relay, len(line))
                 self._write(endpoint, line)
                 with anyio.move_on_after(ACK_US / 1e6) as stalled:
-                    await endpoint.drained()
+                    await endpoint.wait_drained()
                 if stalled.cancelled_caught:  # it reads no more
                     return
                 beat_due = anyio.current_time() + HEARTBEAT_S
--- a/gannetweir/net/dialer.py
+++ b/gannetweir/net/dialer.py
@@ -10,20 +10,31 @@
 from gannetweir.addresses.address_selector import AddressSelector
 from gannetweir.addresses.connection_race import Action, Close, Connect, Lost, Race, Wake, Won
 from gannetweir.net.connecting import connect_endpoint
-from gannetweir.net.errors import LocalError
-from gannetweir.net.ports import Racing
+from gannetweir.net.errors import LocalResourceError
+from gannetweir.net.ports import RaceContext
 from gannetweir.net.transport import DescriptorCount, Transport, socket_to
 
 
-class Dialer:
+class AddressRaceDriver:
     """One race. Each connect holds a descriptor of the ledger, and all but the oldest give way."""
 
     def __init__(
-        self, host: Racing, paths: AddressSelector, server: str, race: Race, ledger: DescriptorCount | None
+        self,
+        context: RaceContext,
+        address_selector: AddressSelector,
+        endpoint: str,
+        race: Race,
+        descriptor_count: DescriptorCount | None,
     ) -> None:
-        self.host, self.paths, self.server, self.race, self.ledger = host, paths, server, race, ledger
-        self.open: dict[Address, Transport] = {}
-        self.won: tuple[Transport, Address] | None = None
+        self.context, self.address_selector, self.endpoint, self.race, self.descriptor_count = (
+            context,
+            address_selector,
+            endpoint,
+            race,
+            descriptor_count,
+        )
+        self.transports: dict[Address, Transport] = {}
+        self.winner: tuple[Transport, Address] | None = None
         self.group: anyio.abc.TaskGroup | None = None
         self.stopped = False
 
@@ -31,38 +42,38 @@
         """The connection that won. `OSError` if all addresses failed, or it was stopped. What did not win is
         closed by then, also when this is cancelled.
         """
-        if self.ledger is not None:  # a probe's are kept for it: they have nothing to give
-            self.host.racing[self] = None
+        if self.descriptor_count is not None:  # a probe's are kept for it: they have nothing to give
+            self.context.address_races[self] = None
         whole = False
         try:
             async with anyio.create_task_group() as self.group:
-                self._do(self.race.begin(self.host.clock()))
-            whole = self.won is not None and not self.stopped
+                self._carry_out(self.race.begin(self.context.clock()))
+            whole = self.winner is not None and not self.stopped
         finally:
             self.group = None
-            self.host.racing.pop(self, None)
-            self._do(self.race.stop(self.host.clock()))
-            for endpoint in self.open.values():
-                if not whole or self.won is None or endpoint is not self.won[0]:
+            self.context.address_races.pop(self, None)
+            self._carry_out(self.race.stop(self.context.clock()))
+            for endpoint in self.transports.values():
+                if not whole or self.winner is None or endpoint is not self.winner[0]:
                     endpoint.close()
-        if self.won is None or not whole:
+        if self.winner is None or not whole:
             raise OSError("stopped" if self.stopped else "no address of the server could be connected")
-        return self.won
+        return self.winner
 
     def stop(self) -> None:
         """Give it up now: every connect is closed when this returns."""
         self.stopped = True
-        self._do(self.race.stop(self.host.clock()))
+        self._carry_out(self.race.stop(self.context.clock()))
         if self.group is not None:
             self.group.cancel_scope.cancel()
 
-    def give_way(self) -> bool:
+    def evict_one(self) -> bool:
         """A descriptor is wanted: was one given back?"""
         actions = self.race.give_way()
-        self._do(actions)
+        self._carry_out(actions)
         return bool(actions)
 
-    def _do(self, actions: list[Action]) -> None:
+    def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Connect):
                 self._begin(action.address)
@@ -70,13 +81,13 @@
                 self.group.start_soon(self._wake, action.after_us)
             elif isinstance(action, Close):
                 if action.waited_us > 0:
-                    now = self.host.clock()
-                    self.paths.overtaken(self.server, action.address, action.waited_us, now)
-                if (endpoint := self.open.pop(action.address, None)) is not None:
+                    now = self.context.clock()
+                    self.address_selector.overtaken(self.endpoint, action.address, action.waited_us, now)
+                if (endpoint := self.transports.pop(action.address, None)) is not None:
                     endpoint.close()
             elif isinstance(action, Won):
-                self.paths.connected(self.server, action.address, action.took_us)
-                self.won = self.open[action.address], action.address
+                self.address_selector.connected(self.endpoint, action.address, action.took_us)
+                self.winner = self.transports[action.address], action.address
                 if self.group is not None:
                     self.group.cancel_scope.cancel()
             elif isinstance(action, Lost) and self.group is not None:
@@ -85,34 +96,36 @@
     def _begin(self, address: Address) -> None:
         # the first connect of a flow has had its room made; a further one pushes nobody out, and does not go
         # past the limit
-        if len(self.race.out) > 1 and self.ledger is not None and not self.host.has_room():
-            self._do(self.race.give_way())
+        if len(self.race.out) > 1 and self.descriptor_count is not None and not self.context.has_capacity():
+            self._carry_out(self.race.give_way())
         elif self.group is not None:
-            self.group.start_soon(self._try, address)
+            self.group.start_soon(self._connect_or_fail, address)
 
-    async def _try(self, address: Address) -> None:
+    async def _connect_or_fail(self, address: Address) -> None:
         try:
             await self._connect(address)
         except (OSError, anyio.ClosedResourceError, ValueError):
-            if (mine := self.open.pop(address, None)) is not None:
+            if (mine := self.transports.pop(address, None)) is not None:
                 mine.close()
             if address in self.race.out:  # it failed by itself
-                now = self.host.clock()
-                self.paths.failed(self.server, address, now)
-                self._do(self.race.failed(address, now))
+                now = self.context.clock()
+                self.address_selector.failed(self.endpoint, address, now)
+                self._carry_out(self.race.failed(address, now))
             return
-        self._do(self.race.connected(address, self.host.clock()))
+        self._carry_out(self.race.connected(address, self.context.clock()))
 
     async def _connect(self, address: Address) -> None:
         """One connect; an error of this machine says nothing of the address, and is waited out."""
 
         def make(sock: socket.socket) -> Transport:
-            endpoint = self.open[address] = Transport(sock, self.host.limits, self.host.spawn, self.ledger)
-            self.race.started(address, self.host.clock())
+            endpoint = self.transports[address] = Transport(
+                sock, self.context.limits, self.context.spawn, self.descriptor_count
+            )
+            self.race.started(address, self.context.clock())
             return endpoint
 
-        def held_up(_: LocalError) -> None:
-            self.open.pop(address, None)
+        def held_up(_: LocalResourceError) -> None:
+            self.transports.pop(address, None)
             if address not in self.race.out:
                 raise OSError("given up meanwhile")
 
@@ -120,4 +133,4 @@
 
     async def _wake(self, after_us: int) -> None:
         await anyio.sleep(after_us / 1e6)
-        self._do(self.race.due(self.host.clock()))
+        self._carry_out(self.race.due(self.context.clock()))
--- a/gannetweir/net/errors.py
+++ b/gannetweir/net/errors.py
@@ -14,9 +14,9 @@
 import anyio
 
 # Out of descriptors, buffers or memory: socket(2), accept(2), send(2), recv(2), epoll_ctl(2).
-SHORTAGE = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC})
+SHORTAGE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC})
 # No local port, no route, no queue: connect(2) fails with these before anything has left the machine.
-NOT_STARTED = SHORTAGE | {
+LOCAL_CONNECT_ERRORS = SHORTAGE_ERRORS | {
     errno.EADDRNOTAVAIL,
     errno.EADDRINUSE,
     errno.ENETUNREACH,
@@ -25,7 +25,7 @@
 }
 # The connection that was to be accepted is gone, or had an error pending: accept(2) says to go on as after
 # EAGAIN. The next one in the queue may be sound.
-PEER_OF_ACCEPT_GONE = frozenset(
+ACCEPTED_PEER_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
         errno.EPROTO,
@@ -41,25 +41,25 @@
         errno.EPERM,
     }
 )
-PAUSE_S = 0.002  # before a call that met a shortage is made again
-LONGEST_PAUSE_S = 0.02
+SHORTAGE_RETRY_S = 0.002  # before a call that met a shortage is made again
+MAX_BACKOFF_S = 0.02
 
 
-class LocalError(OSError):
+class LocalResourceError(OSError):
     """A connection could not be begun, for want of something on this machine. Says nothing of the peer."""
 
 
 def is_shortage(error: OSError) -> bool:
     """Is the machine short of something that the call needs, for a moment?"""
-    return error.errno in SHORTAGE
+    return error.errno in SHORTAGE_ERRORS
 
 
-def pauses() -> Iterator[float]:
+def backoff_delays_s() -> Iterator[float]:
     """How long to wait, in seconds, before each next try of what met a `LocalError`."""
-    pause = PAUSE_S
+    pause = SHORTAGE_RETRY_S
     while True:
         yield pause
-        pause = min(2 * pause, LONGEST_PAUSE_S)
+        pause = min(2 * pause, MAX_BACKOFF_S)
 
 
 async def wait_readable(sock: socket.socket) -> None:
@@ -78,4 +78,4 @@
     except OSError as error:
         if not is_shortage(error):
             raise
-        await anyio.sleep(PAUSE_S)
+        await anyio.sleep(SHORTAGE_RETRY_S)
--- a/gannetweir/net/listener.py
+++ b/gannetweir/net/listener.py
@@ -13,20 +13,20 @@
 
 from gannetweir.config import SocketAddress
 from gannetweir.limits import Limits
-from gannetweir.net.errors import PAUSE_S, PEER_OF_ACCEPT_GONE, SHORTAGE, pauses
-from gannetweir.net.ports import Host
-from gannetweir.net.transport import accept, listen
+from gannetweir.net.errors import ACCEPTED_PEER_ERRORS, SHORTAGE_ERRORS, SHORTAGE_RETRY_S, backoff_delays_s
+from gannetweir.net.ports import DriverContext
+from gannetweir.net.transport import accept_connection, open_listening_socket
 
 # At a start the address may be held by another process, not be there yet, or the machine be short.
-_NOT_YET = SHORTAGE | {errno.EADDRINUSE, errno.EADDRNOTAVAIL}
-OPEN_WITHIN_S = 8.0  # a relay is to be ready within 10 s
-_OPEN_AGAIN_S = 0.05
+_TRANSIENT_BIND_ERRORS = SHORTAGE_ERRORS | {errno.EADDRINUSE, errno.EADDRNOTAVAIL}
+LISTEN_TIMEOUT_S = 8.0  # a relay is to be ready within 10 s
+_LISTEN_RETRY_S = 0.05
 
 
-class AcceptHost(Host, Protocol):
+class AcceptContext(DriverContext, Protocol):
     """What the listener needs of the relay."""
 
-    def take_in(self, sock: socket.socket) -> None: ...
+    def serve_client(self, sock: socket.socket) -> None: ...
 
     def log(self, text: str, **about: object) -> None: ...
 
@@ -36,21 +36,21 @@
 
     Raises `OSError` where it can't be had within `OPEN_WITHIN_S`.
     """
-    give_up = time.monotonic() + OPEN_WITHIN_S
+    give_up = time.monotonic() + LISTEN_TIMEOUT_S
     while True:
         try:
-            return listen(at, limits)
+            return open_listening_socket(at, limits)
         except OSError as error:
-            if error.errno not in _NOT_YET or time.monotonic() >= give_up:
+            if error.errno not in _TRANSIENT_BIND_ERRORS or time.monotonic() >= give_up:
                 raise
-        time.sleep(_OPEN_AGAIN_S)
+        time.sleep(_LISTEN_RETRY_S)
 
 
 class ClientListener:
     """Accepts clients. An `inherited` socket is the platform's: other processes accept from it, too."""
 
-    def __init__(self, host: AcceptHost, sock: socket.socket, inherited: bool) -> None:
-        self.host, self.sock, self.inherited = host, sock, inherited
+    def __init__(self, context: AcceptContext, sock: socket.socket, inherited: bool) -> None:
+        self.context, self.sock, self.inherited = context, sock, inherited
         self.scope: anyio.CancelScope | None = None
         self.stopped = anyio.Event()  # nothing is accepted any more
 
@@ -67,24 +67,24 @@
     async def run(self) -> None:
         """Accept until stopped."""
         with anyio.CancelScope() as self.scope:
-            pause = pauses()
+            pause = backoff_delays_s()
             while True:
                 try:
-                    sock = await accept(self.sock)
+                    sock = await accept_connection(self.sock)
                 except OSError as error:
-                    self._failed(error)
+                    self._report_failure(error)
                     await anyio.sleep(next(pause))
                     continue
-                pause = pauses()
-                self.host.take_in(sock)
+                pause = backoff_delays_s()
+                self.context.serve_client(sock)
                 await anyio.lowlevel.checkpoint()  # a rush must not keep the other tasks waiting
         self.stopped.set()
 
-    def _failed(self, error: OSError) -> None:
-        self.host.engine.counters.add("accept_failures")
-        self.host.log(f"accept: {error.strerror}")
+    def _report_failure(self, error: OSError) -> None:
+        self.context.engine.counters.add("accept_failures")
+        self.context.log(f"accept: {error.strerror}")
 
-    async def empty_queue(self, within_s: float) -> None:
+    async def drain_accept_queue(self, within_s: float) -> None:
         """Take in all that waits in the queue. An accept that fails says nothing of those behind it: it is
         made again until the queue is empty, or the time is over.
         """
@@ -95,13 +95,13 @@
                 except BlockingIOError:
                     return
                 except OSError as error:
-                    if error.errno not in PEER_OF_ACCEPT_GONE | SHORTAGE:
-                        self._failed(error)
+                    if error.errno not in ACCEPTED_PEER_ERRORS | SHORTAGE_ERRORS:
+                        self._report_failure(error)
                         return
-                    self.host.engine.counters.add("accept_failures")
-                    await anyio.sleep(PAUSE_S if error.errno in SHORTAGE else 0)
+                    self.context.engine.counters.add("accept_failures")
+                    await anyio.sleep(SHORTAGE_RETRY_S if error.errno in SHORTAGE_ERRORS else 0)
                     continue
-                self.host.take_in(sock)
+                self.context.serve_client(sock)
 
     def close(self) -> None:
         """Give the descriptor back. What is still in the queue of a socket of its own is reset."""
--- a/gannetweir/net/load_probes.py
+++ b/gannetweir/net/load_probes.py
@@ -8,8 +8,8 @@
 
 from gannetweir.core import StartLoadProbe
 from gannetweir.net.connecting import connect_endpoint
-from gannetweir.net.errors import LocalError
-from gannetweir.net.ports import DialHost, Host
+from gannetweir.net.errors import LocalResourceError
+from gannetweir.net.ports import ConnectContext, DriverContext
 from gannetweir.net.transport import Transport, tcp_socket
 from gannetweir.placement.events import AttemptStatus, EndpointId
 from gannetweir.proto.load_probe import LoadProbeExchange
@@ -19,7 +19,7 @@
     from gannetweir.addresses.address import Address
 
 
-async def _ask(relay: Host, server: EndpointId, endpoint: Transport) -> AttemptEnded:
+async def _ask(relay: DriverContext, server: EndpointId, endpoint: Transport) -> AttemptEnded:
     """The question, and its answer. A backend that was told to leave while the connect was under way is not
     asked any more: it may have come up late, and a probe is work as well.
     """
@@ -34,11 +34,11 @@
     return answer
 
 
-async def _ask_anywhere(relay: DialHost, order: StartLoadProbe) -> AttemptEnded:
+async def _ask_anywhere(relay: ConnectContext, order: StartLoadProbe) -> AttemptEnded:
     """Over one of a server's addresses after another: an answer on any is the server's. A path that is silent
     has its share of the time, no more.
     """
-    from gannetweir.net.dialer import Dialer  # only where a server has several
+    from gannetweir.net.dialer import AddressRaceDriver  # only where a server has several
 
     paths, server = relay.engine.address_selector, str(order.endpoint_id)
     assert paths is not None
@@ -52,7 +52,7 @@
         try:
             with anyio.fail_after(share / 1e6):
                 race = paths.race(server, relay.clock(), True, tried)
-                endpoint, path = await Dialer(relay, paths, server, race, None).connect()
+                endpoint, path = await AddressRaceDriver(relay, paths, server, race, None).connect()
                 result, asked = AttemptEnded(AttemptStatus.TIMEOUT), relay.clock()
                 result = await _ask(relay, order.endpoint_id, endpoint)
         except (TimeoutError, OSError):
@@ -72,7 +72,7 @@
     return result
 
 
-async def run_probe(relay: DialHost, order: StartLoadProbe) -> None:
+async def run_probe(relay: ConnectContext, order: StartLoadProbe) -> None:
     """Ask one backend for its load; every probe ends in one result, whatever fails here."""
     result = AttemptEnded(AttemptStatus.NOT_STARTED)
     names = relay.settings.load_report_fields
@@ -81,22 +81,22 @@
     finally:
         if relay.settings.load_report_fields != names:  # a reload came between: the figures would be misread
             result = AttemptEnded(AttemptStatus.NOT_STARTED)
-        relay.tell(relay.engine.load_probe_ended, order.endpoint_id, result.status, result.report)
+        relay.run_engine_call(relay.engine.load_probe_ended, order.endpoint_id, result.status, result.report)
 
 
-async def _probe_anywhere(relay: DialHost, order: StartLoadProbe) -> AttemptEnded:
+async def _probe_anywhere(relay: ConnectContext, order: StartLoadProbe) -> AttemptEnded:
     result = AttemptEnded(AttemptStatus.TIMEOUT)
     with anyio.move_on_after(relay.limits.probe_us / 1e6):
         result = await _ask_anywhere(relay, order)
     return result
 
 
-async def _probe(relay: DialHost, order: StartLoadProbe) -> AttemptEnded:
+async def _probe(relay: ConnectContext, order: StartLoadProbe) -> AttemptEnded:
     limits = relay.limits
     result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
     endpoint: Transport | None = None
 
-    def held_up(_: LocalError) -> None:
+    def held_up(_: LocalResourceError) -> None:
         nonlocal result
         result = AttemptEnded(AttemptStatus.NOT_STARTED)  # says nothing of the backend
 
--- a/gannetweir/net/ports.py
+++ b/gannetweir/net/ports.py
@@ -11,7 +11,7 @@
 from gannetweir.placement.settings import Settings
 
 
-class Host(Protocol):
+class DriverContext(Protocol):
     """The engine's ear, and a place for tasks. What a reload replaces is asked for each time, not kept."""
 
     @property
@@ -26,16 +26,16 @@
     @property
     def spawn(self) -> Spawn: ...
 
-    def tell(self, call: Callable[..., Any], *args: Any) -> Any: ...
+    def run_engine_call(self, call: Callable[..., Any], *args: Any) -> Any: ...
 
 
 class Evictable(Protocol):
     """What may give a descriptor back that is wanted elsewhere."""
 
-    def give_way(self) -> bool: ...
+    def evict_one(self) -> bool: ...
 
 
-class Racing(Protocol):
+class RaceContext(Protocol):
     """What a race between a server's addresses needs."""
 
     @property
@@ -45,14 +45,14 @@
     def spawn(self) -> Spawn: ...
 
     @property
-    def racing(self) -> dict[Evictable, None]: ...
+    def address_races(self) -> dict[Evictable, None]: ...
 
     def clock(self) -> int: ...
 
-    def has_room(self) -> bool: ...
+    def has_capacity(self) -> bool: ...
 
 
-class DialHost(Host, Racing, Protocol):
+class ConnectContext(DriverContext, RaceContext, Protocol):
     """What a driver needs that connects to servers."""
 
     def dial(self, text: str) -> tuple[str, int]: ...
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -23,12 +23,12 @@
 from gannetweir.net.client_connection import ClientConnectionDriver
 from gannetweir.net.descriptors import DescriptorBudget
 from gannetweir.net.endpoint_watch import EndpointWatchDriver
-from gannetweir.net.errors import LONGEST_PAUSE_S, is_shortage
-from gannetweir.net.listener import OPEN_WITHIN_S, ClientListener, open_listener
+from gannetweir.net.errors import MAX_BACKOFF_S, is_shortage
+from gannetweir.net.listener import LISTEN_TIMEOUT_S, ClientListener, open_listener
 from gannetweir.net.load_probes import run_probe
 from gannetweir.net.ports import Evictable
-from gannetweir.net.signals import listening
-from gannetweir.net.transport import DescriptorCount, Transport, tune
+from gannetweir.net.signals import handled_signals
+from gannetweir.net.transport import DescriptorCount, Transport, set_low_latency
 from gannetweir.observability.logs import FORMS, PLAIN, Log
 from gannetweir.observability.standard_error import standard_error
 from gannetweir.placement.settings import Settings
@@ -48,10 +48,10 @@
     """
 
     def __init__(self) -> None:
-        self.base = 0  # nanoseconds that are added
+        self.offset_ns = 0  # nanoseconds that are added
 
     def __call__(self) -> int:
-        return (self.base + time.monotonic_ns()) // 1000
+        return (self.offset_ns + time.monotonic_ns()) // 1000
 
 
 class Relay:
@@ -65,7 +65,7 @@
         traced: bool = False,
     ) -> None:
         config = _within_descriptors(config)
-        self.config, self.clock, self.read_again = config, Clock(), read_again
+        self.config, self.clock, self.reread_config = config, Clock(), read_again
         self.handover = Handover(config.shared, f"{config.name}-{config.listen.host}-{config.listen.port}")
         known = read_cached_membership(config.known, config.settings)
         trace = _trace(config) if traced else None
@@ -86,36 +86,36 @@
         dropped = partial(self.engine.counters.add, "log_lines_dropped")
         self.standard_error = standard_error()
         self.log = Log(config.name, config.limits.log_lines, log_form, self.standard_error, dropped=dropped)
-        self.classes = _told(config.settings)
-        self.sessions: dict[int, ClientConnectionDriver] = {}  # by transaction
+        self.class_index_by_name = _told(config.settings)
+        self.clients_by_request: dict[int, ClientConnectionDriver] = {}  # by transaction
         self.open_clients = 0
-        self.most_held = _most_held(config.limits)
-        self.ledger = DescriptorCount(self._tell_held)
-        self.room = DescriptorBudget(
-            self.ledger, self.handover, self.engine.counters, lambda: self.config.limits
+        self.max_descriptors = _most_held(config.limits)
+        self.descriptor_count = DescriptorCount(self._report_descriptors)
+        self.descriptor_budget = DescriptorBudget(
+            self.descriptor_count, self.handover, self.engine.counters, lambda: self.config.limits
         )
-        self.waste = bytearray(config.limits.waste_bytes)
-        self.pool = EndpointWatchDriver(self)
+        self.discard_buffer = bytearray(config.limits.waste_bytes)
+        self.endpoint_watch = EndpointWatchDriver(self)
         self.tasks: anyio.abc.TaskGroup
         self.wake = anyio.Event()
         self.sleep_until = 0
         self.listener: ClientListener
-        self.gone = anyio.Event()  # a client's connection is over
-        self.leaving = False
+        self.client_removed = anyio.Event()  # a client's connection is over
+        self.is_shutting_down = False
         self.started = False  # the loop runs
         self.on: dict[type, Callable[[Any], None]] = {
-            e.OpenUpstream: lambda c: self._at(c, lambda s: s.open_flow(c)),
-            e.CloseUpstream: lambda c: self._at(c, lambda s: s.close_flow()),
-            e.StartForwarding: lambda c: self._at(c, lambda s: s.serve()),
-            e.RejectClient: lambda c: self._last(c, lambda s: s.reject(c.retry_after_us)),
-            e.FailClient: lambda c: self._last(c, lambda s: s.fail()),
-            e.MigrateClient: lambda c: self._last(c, lambda s: s.move()),
-            e.EndClient: lambda c: self._last(c, lambda s: s.end(c.reset)),
-            e.EndUpstream: lambda c: self._last(c, lambda s: s.end_flow(c.reset)),
+            e.OpenUpstream: lambda c: self._at(c, lambda s: s.open_upstream(c)),
+            e.CloseUpstream: lambda c: self._at(c, lambda s: s.close_upstream()),
+            e.StartForwarding: lambda c: self._at(c, lambda s: s.start_forwarding()),
+            e.RejectClient: lambda c: self._last(c, lambda s: s.end_rejected(c.retry_after_us)),
+            e.FailClient: lambda c: self._last(c, lambda s: s.end_failed()),
+            e.MigrateClient: lambda c: self._last(c, lambda s: s.end_migrated()),
+            e.EndClient: lambda c: self._last(c, lambda s: s.end_as_upstream(c.reset)),
+            e.EndUpstream: lambda c: self._last(c, lambda s: s.end_upstream(c.reset)),
             e.StartLoadProbe: lambda c: self.spawn(partial(run_probe, self, c)),
-            e.SetEndpointWatch: self.pool.order,
+            e.SetEndpointWatch: self.endpoint_watch.apply_command,
             e.WriteLogLine: lambda c: self.log(c.text, **c.fields),
-            e.Exit: lambda c: self.leave(),
+            e.Exit: lambda c: self.shut_down(),
         }
 
     # ---- what the drivers may know; a reload replaces it, so none of them keeps it
@@ -136,27 +136,27 @@
         return self.config.discovery
 
     @property
-    def racing(self) -> dict[Evictable, None]:
+    def address_races(self) -> dict[Evictable, None]:
         """Races between the addresses of a server, oldest first."""
-        return self.room.racing
+        return self.descriptor_budget.address_races
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Is a descriptor free for one more client or attempt?"""
-        return self.room.free()
+        return self.descriptor_budget.has_capacity()
 
     # ---- the engine's turn
 
-    def tell(self, call: Callable[..., Any], *args: Any) -> Any:
+    def run_engine_call(self, call: Callable[..., Any], *args: Any) -> Any:
         """Tell the engine something and do what it commands."""
         result = call(*args, self.clock())
-        self.carry_out()
+        self.execute_commands()
         return result
 
-    def tell_only(self, call: Callable[..., Any], *args: Any) -> None:
+    def notify_engine(self, call: Callable[..., Any], *args: Any) -> None:
         """The same for what never leads to a command."""
         call(*args, self.clock())
 
-    def carry_out(self) -> None:
+    def execute_commands(self) -> None:
         """Do what the engine has commanded, in its order."""
         commands = self.engine.commands
         while commands:
@@ -166,43 +166,43 @@
             self.wake.set()
 
     def _at(self, command: Any, do: Callable[[ClientConnectionDriver], None]) -> None:
-        session = self.sessions.get(command.request_id)
+        session = self.clients_by_request.get(command.request_id)
         if session is not None:
             do(session)
 
     def _last(self, command: Any, do: Callable[[ClientConnectionDriver], None]) -> None:
         """The engine has ended this transaction."""
-        session = self.sessions.pop(command.request_id, None)
+        session = self.clients_by_request.pop(command.request_id, None)
         if session is not None:
             do(session)
 
-    def open(self, session: ClientConnectionDriver, first: FirstLine) -> None:
+    def open_request(self, session: ClientConnectionDriver, first: FirstLine) -> None:
         """A client's first line is in. Its number must be known before the engine's commands are done."""
-        self.room.opened(session)
-        session.number = self.engine.request_opened(
+        self.descriptor_budget.note_request(session)
+        session.request_id = self.engine.request_opened(
             first.request, first.current_endpoint, self.clock(), first.client_id
         )
-        if session.number:
-            self.sessions[session.number] = session
+        if session.request_id:
+            self.clients_by_request[session.request_id] = session
         else:  # another client's open request has this id, and must not hear of it
-            session.fail()
-        self.carry_out()
+            session.end_failed()
+        self.execute_commands()
 
-    def forget(self, session: ClientConnectionDriver) -> None:
+    def remove_client(self, session: ClientConnectionDriver) -> None:
         """A client's connection is over."""
         self.open_clients -= 1
-        self.gone.set()
-        self.sessions.pop(session.number, None)
-        self.room.forget(session)
+        self.client_removed.set()
+        self.clients_by_request.pop(session.request_id, None)
+        self.descriptor_budget.remove(session)
 
-    def _tell_held(self, count: int) -> None:
+    def _report_descriptors(self, count: int) -> None:
         self.handover.tell_held(count)
-        if count > self.most_held:
-            self.engine.guard.descriptors(count, self.most_held)
+        if count > self.max_descriptors:
+            self.engine.guard.descriptors(count, self.max_descriptors)
 
     # ---- the operators
 
-    def unready(self) -> str:
+    def not_ready_reason(self) -> str:
         """Why a client would not be served here now; nothing if it would."""
         if self.engine.drain_started_us:
             return "draining"
@@ -210,26 +210,26 @@
             return "starting"
         return "" if self.engine.is_ready() else "no backend in use"
 
-    def call_by_hand(self, server: str, out: bool) -> None:
+    def override_endpoint(self, server: str, out: bool) -> None:
         """Holds for every process of this relay, and for those to come, before it is answered."""
         self.handover.call(server, out, self.clock())
-        self.look_at_hand()
+        self.refresh_operator_overrides()
 
-    def look_at_hand(self) -> None:
+    def refresh_operator_overrides(self) -> None:
         """Take over what was called at this door or at the other process's."""
         self.handover.refresh()
         if self.handover.overrides != self.engine.endpoint_list.overrides:
             self.log(f"out by hand: {', '.join(sorted(map(str, self.handover.overrides.offline))) or 'none'}")
-            self.tell(self.engine.apply_operator_overrides, self.handover.overrides)
+            self.run_engine_call(self.engine.apply_operator_overrides, self.handover.overrides)
 
-    async def _look_round(self) -> None:
+    async def _poll_operator_overrides(self) -> None:
         while True:
             await anyio.sleep(self.config.limits.handover_us / 1e6)
             try:
                 self.handover.look_round()
             except OSError as error:  # the folder is gone, or may not be read
                 self.log(f"handover: {error.strerror}")
-            self.look_at_hand()
+            self.refresh_operator_overrides()
 
     # ---- for the drivers
 
@@ -243,14 +243,14 @@
 
     def spawn(self, run: Callable[[], Awaitable[Any]]) -> None:
         """Start a task that can't take the others down."""
-        self.tasks.start_soon(self._guard, run)
+        self.tasks.start_soon(self._run_guarded, run)
 
-    async def _guard(self, run: Callable[[], Awaitable[Any]]) -> None:
-        with self._outlived():
+    async def _run_guarded(self, run: Callable[[], Awaitable[Any]]) -> None:
+        with self._guarded():
             await run()
 
     @contextlib.contextmanager
-    def _outlived(self) -> Iterator[None]:
+    def _guarded(self) -> Iterator[None]:
         """A fault in one connection's driver, in one timer or in one signal must not end the relay."""
         try:
             yield
@@ -260,8 +260,8 @@
 
     def print_counters(self) -> None:
         """The counters and the figures of this moment."""
-        figures = {"clients": self.open_clients, "descriptors": self.ledger.open}
-        figures["descriptors_most"] = self.ledger.most
+        figures = {"clients": self.open_clients, "descriptors": self.descriptor_count.open}
+        figures["descriptors_most"] = self.descriptor_count.peak
         line = self.engine.counters.line(**figures, **self.engine.current_figures())
         with contextlib.suppress(OSError):  # nobody reads them any more: no reason to fail
             self.standard_error.write(f"{line}\n")
@@ -270,7 +270,7 @@
     def reload(self) -> None:
         """Take the new configuration whole, or keep the old one whole."""
         try:
-            config = self.read_again(self.config) if self.read_again is not None else self.config
+            config = self.reread_config(self.config) if self.reread_config is not None else self.config
             config = _within_descriptors(config)
         except (ValueError, OverflowError) as error:  # `ConfigError` is one
             self.engine.counters.add("reload_failures")
@@ -282,13 +282,13 @@
             self.log("reload: another name, listen or admin address needs a restart; they stay")
         # a client whose first line is still to come is read by the new classes
         self.config = replace(config, name=old.name, listen=old.listen, admin=old.admin)
-        self.most_held = _most_held(config.limits)
-        self.classes = _told(config.settings)
+        self.max_descriptors = _most_held(config.limits)
+        self.class_index_by_name = _told(config.settings)
         keeper = _keeper(config, self.engine.route_admission)
         new = config.settings, config.limits
-        self.tell(lambda now_us: self.engine.reload(*new, now_us, keeper, config.reach))
+        self.run_engine_call(lambda now_us: self.engine.reload(*new, now_us, keeper, config.reach))
         if config.discovery != old.discovery:
-            self.pool.move()
+            self.endpoint_watch.change_discovery()
         self.log(f"reload: done, discovery at {config.discovery.host}:{config.discovery.port}")
 
     # ---- the tasks
@@ -307,8 +307,8 @@
                 if door is not None:
                     self.tasks.start_soon(door.run)
                 if self.handover.folder is not None:
-                    self.tasks.start_soon(self._look_round)
-                self.carry_out()
+                    self.tasks.start_soon(self._poll_operator_overrides)
+                self.execute_commands()
         finally:
             self.listener.close()
             self.handover.close()
@@ -323,9 +323,9 @@
         return sock
 
     async def _signals(self) -> None:
-        with listening() as signals:
+        with handled_signals() as signals:
             async for number in signals:
-                with self._outlived():
+                with self._guarded():
                     if number == signal.SIGUSR1:
                         self.print_counters()
                     elif number == signal.SIGHUP:  # without a handler it would end the process
@@ -340,7 +340,7 @@
         replaced = self.config.inherited is not None
         if replaced:
             self.listener.stop()
-        self.tell(lambda now_us: self.engine.drain(now_us, replaced))
+        self.run_engine_call(lambda now_us: self.engine.drain(now_us, replaced))
 
     async def _timers(self) -> None:
         while True:
@@ -348,8 +348,8 @@
             self.sleep_until = self.engine.next_due()
             with anyio.move_on_after(max(0, self.sleep_until - self.clock()) / 1e6):
                 await self.wake.wait()
-            with self._outlived():
-                self.tell(self.engine.advance)
+            with self._guarded():
+                self.run_engine_call(self.engine.advance)
 
     async def _accept(self) -> None:
         while self.listener.inherited and not self.engine.endpoint_list.has_ready_endpoint():
@@ -357,29 +357,29 @@
         if not (self.engine.drain_started_us and self.listener.inherited):
             await self.listener.run()
 
-    def take_in(self, sock: socket.socket) -> None:
+    def serve_client(self, sock: socket.socket) -> None:
         """A client has been accepted. One past what may be served is read, and its request refused."""
-        with self._outlived():
-            tune(sock)
-            room = self.room.make()
-            client = Transport(sock, self.config.limits, self.spawn, self.ledger)
+        with self._guarded():
+            set_low_latency(sock)
+            room = self.descriptor_budget.make_capacity()
+            client = Transport(sock, self.config.limits, self.spawn, self.descriptor_count)
             if room:
                 self.open_clients += 1
                 session = ClientConnectionDriver(self, client)
-                self.room.came(session)
+                self.descriptor_budget.note_accepted(session)
                 self.spawn(session.run)
             else:  # before the descriptors run out
                 self.engine.counters.add("turned_away")
                 client.write(rejection_line(self.config.limits.reject_retry_us))
-                client.close_now(self.waste)
+                client.close_now(self.discard_buffer)
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """The drain is over: nothing stands any more, and the last answers are on their way."""
-        if not self.leaving:
-            self.leaving = True
-            self.spawn(self._leave)
+        if not self.is_shutting_down:
+            self.is_shutting_down = True
+            self.spawn(self._shut_down)
 
-    async def _leave(self) -> None:
+    async def _shut_down(self) -> None:
         """Whoever has not said what it wants is rejected, those in the listener's queue as well: to end the
         process now would reset them, and all that have not read their last answer.
         """
@@ -388,13 +388,13 @@
             if not self.listener.inherited:  # else the queue is the next process's
                 self.listener.stop()
                 await self.listener.stopped.wait()
-                await self.listener.empty_queue(linger_s / 2)
+                await self.listener.drain_accept_queue(linger_s / 2)
                 self.listener.close()
-            for session in list(self.room.waiting):
-                session.turn_away()
+            for session in list(self.descriptor_budget.awaiting_first_line):
+                session.close_before_request()
             while self.open_clients:
-                self.gone = anyio.Event()
-                await self.gone.wait()
+                self.client_removed = anyio.Event()
+                await self.client_removed.wait()
         self.tasks.cancel_scope.cancel()
 
 
@@ -448,11 +448,11 @@
     if log_form not in FORMS:
         raise ConfigError(f"--log: {log_form[:40]!r} is none of {', '.join(FORMS)}")
     relay = Relay(config, read_again, log_form, traced)
-    give_up = time.monotonic() + OPEN_WITHIN_S
+    give_up = time.monotonic() + LISTEN_TIMEOUT_S
     while not relay.started:
         try:
             anyio.run(relay.run)
         except OSError as error:  # the loop itself needs descriptors
             if relay.started or not is_shortage(error) or time.monotonic() >= give_up:
                 raise
-            time.sleep(LONGEST_PAUSE_S)
+            time.sleep(MAX_BACKOFF_S)
--- a/gannetweir/net/signals.py
+++ b/gannetweir/net/signals.py
@@ -16,7 +16,7 @@
 
 import anyio
 
-WANTED = signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP
+HANDLED_SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP
 
 
 class SignalQueue:
@@ -24,26 +24,28 @@
 
     def __init__(self) -> None:
         self.pending: dict[signal.Signals, None] = {}
-        self.came = anyio.Event()
-        self.soon = _from_a_handler()
+        self.arrived = anyio.Event()
+        self.call_soon = _from_a_handler()
 
     def note(self, number: int, _frame: FrameType | None) -> None:
         # Between any two steps of the program: it only notes. The call wakes the loop, also if it is asleep.
         self.pending[signal.Signals(number)] = None
-        self.soon(self._wake)
+        self.call_soon(self._wake)
 
     def _wake(self) -> None:
-        self.came.set()
-        self.came = anyio.Event()
+        self.arrived.set()
+        self.arrived = anyio.Event()
 
     async def __aiter__(self) -> AsyncIterator[signal.Signals]:
         """Each kind once for all that came of it before it is handled; the end of the relay goes first."""
         while True:
             while self.pending:
-                number = min(list(self.pending), key=WANTED.index)  # a copy: another may come meanwhile
+                number = min(
+                    list(self.pending), key=HANDLED_SIGNALS.index
+                )  # a copy: another may come meanwhile
                 del self.pending[number]
                 yield number
-            await self.came.wait()
+            await self.arrived.wait()
 
 
 def _from_a_handler() -> Callable[[Callable[[], None]], object]:
@@ -57,11 +59,11 @@
 
 
 @contextmanager
-def listening() -> Iterator[SignalQueue]:
+def handled_signals() -> Iterator[SignalQueue]:
     """Take the place of every handler, and let in what was held back since the start of the process."""
     queue = SignalQueue()
-    before = {number: signal.signal(number, queue.note) for number in WANTED}
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, WANTED)
+    before = {number: signal.signal(number, queue.note) for number in HANDLED_SIGNALS}
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
     try:
         yield queue
     finally:
--- a/gannetweir/net/transport.py
+++ b/gannetweir/net/transport.py
@@ -16,10 +16,10 @@
 from gannetweir.config import SocketAddress
 from gannetweir.limits import Limits
 from gannetweir.net.errors import (
-    NOT_STARTED,
-    PAUSE_S,
-    PEER_OF_ACCEPT_GONE,
-    LocalError,
+    ACCEPTED_PEER_ERRORS,
+    LOCAL_CONNECT_ERRORS,
+    SHORTAGE_RETRY_S,
+    LocalResourceError,
     is_shortage,
     wait_readable,
     wait_writable,
@@ -29,14 +29,14 @@
     from gannetweir.addresses.address import Address as Path
 
 Spawn = Callable[[Callable[[], Awaitable[Any]]], None]
-LAST_TRIES = 8  # to send, before a close that can't wait
+FINAL_SEND_ATTEMPTS = 8  # to send, before a close that can't wait
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 def tcp_socket(address: str) -> socket.socket:
     """A non-blocking socket without Nagle's delay. `LocalError` where this machine has none to give."""
     sock = _socket(socket.AF_INET6 if ":" in address else socket.AF_INET)
-    tune(sock)
+    set_low_latency(sock)
     return sock
 
 
@@ -45,7 +45,7 @@
         return socket.socket(family, socket.SOCK_STREAM)
     except OSError as error:
         if is_shortage(error):
-            raise LocalError(error.errno, error.strerror) from None
+            raise LocalResourceError(error.errno, error.strerror) from None
         raise
 
 
@@ -66,7 +66,7 @@
     return tcp_socket(address.host), at
 
 
-def listen(at: SocketAddress, limits: Limits) -> socket.socket:
+def open_listening_socket(at: SocketAddress, limits: Limits) -> socket.socket:
     """A listener of this process's own."""
     sock = tcp_socket(at.host)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -75,7 +75,7 @@
     return sock
 
 
-async def accept(listener: socket.socket) -> socket.socket:
+async def accept_connection(listener: socket.socket) -> socket.socket:
     """The next connection, as it comes. One whose peer has gone is passed over; `OSError` in a shortage."""
     while True:
         try:
@@ -83,26 +83,26 @@
         except BlockingIOError:
             await wait_readable(listener)
         except OSError as error:
-            if error.errno not in PEER_OF_ACCEPT_GONE:
+            if error.errno not in ACCEPTED_PEER_ERRORS:
                 raise
             await anyio.lowlevel.checkpoint()
 
 
-def tune(sock: socket.socket) -> None:
+def set_low_latency(sock: socket.socket) -> None:
     """Lines are small and wanted at once."""
     sock.setblocking(False)
     with contextlib.suppress(OSError):  # a connection that can't be tuned is served all the same
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-async def connect(sock: socket.socket, address: Any, under_way: Callable[[], None] = lambda: None) -> None:
+async def connect(sock: socket.socket, address: Any, on_started: Callable[[], None] = lambda: None) -> None:
     """Open a connection. `OSError` if it is refused or breaks; `LocalError` if nothing has left this machine.
     A Unix socket whose queue is full refuses. `under_way` is called once the connect has left.
     """
     code = sock.connect_ex(address)
-    if code in NOT_STARTED and not (code == errno.EAGAIN and sock.family == socket.AF_UNIX):
-        raise LocalError(code, os.strerror(code))
-    under_way()
+    if code in LOCAL_CONNECT_ERRORS and not (code == errno.EAGAIN and sock.family == socket.AF_UNIX):
+        raise LocalResourceError(code, os.strerror(code))
+    on_started()
     if code in (errno.EINPROGRESS, errno.EINTR):  # an interrupted connect goes on, too
         await wait_writable(sock)
         code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -113,50 +113,54 @@
 class DescriptorCount:
     """The descriptors that clients and their flows hold."""
 
-    def __init__(self, tell: Callable[[int], None] | None = None) -> None:
-        self.open, self.tell = 0, tell
-        self.most = 0  # at once, so far
+    def __init__(self, on_change: Callable[[int], None] | None = None) -> None:
+        self.open, self.on_change = 0, on_change
+        self.peak = 0  # at once, so far
 
     def add(self, count: int) -> None:
         """So many more, or fewer."""
         self.open += count
-        self.most = max(self.most, self.open)
-        if self.tell is not None:
-            self.tell(self.open)
+        self.peak = max(self.peak, self.open)
+        if self.on_change is not None:
+            self.on_change(self.open)
 
 
 class Transport:
     """Reading, writing and the two ways to end."""
 
     def __init__(
-        self, sock: socket.socket, limits: Limits, spawn: Spawn, ledger: DescriptorCount | None = None
+        self,
+        sock: socket.socket,
+        limits: Limits,
+        spawn: Spawn,
+        descriptor_count: DescriptorCount | None = None,
     ) -> None:
-        self.sock, self.limits, self.spawn, self.ledger = sock, limits, spawn, ledger
-        if ledger is not None:
-            ledger.add(1)
+        self.sock, self.limits, self.spawn, self.descriptor_count = sock, limits, spawn, descriptor_count
+        if descriptor_count is not None:
+            descriptor_count.add(1)
         self.unsent = bytearray()
         self.flushing = self.finishing = self.closed = False
-        self.short = False  # the last read failed for want of memory or buffers
-        self.at_once = 0  # reads in a row that had not to wait
-        self.others_first = False  # the next read lets every other task have a turn before it
-        self.room = anyio.Event()
+        self.hit_shortage = False  # the last read failed for want of memory or buffers
+        self.reads_without_waiting = 0  # reads in a row that had not to wait
+        self.yields_before_read = False  # the next read lets every other task have a turn before it
+        self.unsent_shrank = anyio.Event()
 
     async def read(self) -> bytes:
         """What came next; empty at its end, `OSError` if it broke or was closed here."""
-        if self.others_first:
+        if self.yields_before_read:
             # before the read, not after it: bytes in hand over a pause could be overtaken by `received`
-            self.others_first = False
+            self.yields_before_read = False
             await anyio.lowlevel.checkpoint()
-        while (data := self.received()) is None:
-            self.at_once = 0
+        while (data := self.read_nowait()) is None:
+            self.reads_without_waiting = 0
             await self._readable()
-        self.at_once += 1
-        if len(data) == self.limits.read_bytes or self.at_once > self.limits.reads_at_once:
+        self.reads_without_waiting += 1
+        if len(data) == self.limits.read_bytes or self.reads_without_waiting > self.limits.reads_at_once:
             # a peer that sends without a pause always has more: the others get their turn all the same
-            self.at_once, self.others_first = 0, True
+            self.reads_without_waiting, self.yields_before_read = 0, True
         return data
 
-    def received(self) -> bytes | None:
+    def read_nowait(self) -> bytes | None:
         """What has come by now: `None` if nothing, empty at its end, `OSError` if it broke or was closed
         here. At most `Limits.read_bytes` at once; never waits.
         """
@@ -169,10 +173,10 @@
         except OSError as error:
             if not is_shortage(error):
                 raise
-            self.short = True  # the connection stands: the read is made again
+            self.hit_shortage = True  # the connection stands: the read is made again
             return None
 
-    async def discard(self, waste: bytearray) -> int:
+    async def discard(self, discard_buffer: bytearray) -> int:
         """Read what came next and forget it; 0 at the end. A close over unread bytes would be a reset, which
         can cost the peer the answer that was written before.
         """
@@ -180,50 +184,50 @@
             if self.closed:
                 raise OSError(errno.EBADF, "closed here")
             try:
-                count = self.sock.recv_into(waste)
+                count = self.sock.recv_into(discard_buffer)
             except (BlockingIOError, InterruptedError):
                 await self._readable()
                 continue
             except OSError as error:
                 if not is_shortage(error):
                     raise
-                await anyio.sleep(PAUSE_S)
+                await anyio.sleep(SHORTAGE_RETRY_S)
                 continue
             await anyio.lowlevel.checkpoint()
             return count
 
     async def _readable(self) -> None:
-        if self.short:
-            self.short = False
-            await anyio.sleep(PAUSE_S)
+        if self.hit_shortage:
+            self.hit_shortage = False
+            await anyio.sleep(SHORTAGE_RETRY_S)
             return
         try:
             await wait_readable(self.sock)
         except (anyio.ClosedResourceError, ValueError):
             raise OSError(errno.EBADF, "closed here") from None
 
-    def close_now(self, waste: bytearray) -> None:
+    def close_now(self, discard_buffer: bytearray) -> None:
         """End in good order and give the descriptor back at once. What has come by now is read: a close over
         unread bytes is a reset. A last answer that could not be sent is tried some times more.
         """
-        for _ in range(LAST_TRIES):
+        for _ in range(FINAL_SEND_ATTEMPTS):
             if not self.unsent:
                 break
             with contextlib.suppress(OSError):
                 del self.unsent[: self.sock.send(self.unsent)]
         self.finishing = True
-        self._shut()
+        self._shutdown_writes()
         with contextlib.suppress(OSError):
-            self.sock.recv_into(waste)
+            self.sock.recv_into(discard_buffer)
         self.close()
 
-    def read_now(self) -> bytes:
+    def read_available(self) -> bytes:
         """What has come by now, if anything."""
         with contextlib.suppress(OSError):
-            return self.received() or b""
+            return self.read_nowait() or b""
         return b""
 
-    def speaks(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Has the peer sent something that was not read yet, or ended?"""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -263,33 +267,33 @@
                 except OSError as error:
                     if not is_shortage(error):
                         raise
-                    await anyio.sleep(PAUSE_S)
+                    await anyio.sleep(SHORTAGE_RETRY_S)
                 if len(self.unsent) <= self.limits.buffer_bytes:
-                    self._make_room()
+                    self._wake_writers()
         except (OSError, anyio.ClosedResourceError):
             self.unsent.clear()
         finally:
             self.flushing = False
-            self._make_room()
+            self._wake_writers()
         if self.finishing:
-            self._shut()
+            self._shutdown_writes()
 
-    def _make_room(self) -> None:
-        self.room.set()
-        self.room = anyio.Event()
+    def _wake_writers(self) -> None:
+        self.unsent_shrank.set()
+        self.unsent_shrank = anyio.Event()
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Back-pressure: returns once little enough waits here."""
         while len(self.unsent) > self.limits.buffer_bytes and not self.closed:
-            await self.room.wait()
+            await self.unsent_shrank.wait()
 
     def finish(self) -> None:
         """End in good order once all is sent."""
         self.finishing = True
         if not self.unsent:
-            self._shut()
+            self._shutdown_writes()
 
-    def _shut(self) -> None:
+    def _shutdown_writes(self) -> None:
         if not self.closed:
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
@@ -305,9 +309,9 @@
         """Give the descriptor back now; whoever waits on it is woken first."""
         if not self.closed:
             self.closed = True
-            if self.ledger is not None:
-                self.ledger.add(-1)
+            if self.descriptor_count is not None:
+                self.descriptor_count.add(-1)
             anyio.notify_closing(self.sock)
             with contextlib.suppress(OSError):  # the descriptor is given back whatever close(2) says
                 self.sock.close()
-            self._make_room()
+            self._wake_writers()
--- a/tests/place.py
+++ b/tests/place.py
@@ -177,7 +177,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(place.relay.run)
         await play(place)
-        place.relay.tell(place.relay.engine.drain)
+        place.relay.run_engine_call(place.relay.engine.drain)
     printed = capsys.readouterr().err
     assert "Traceback" not in printed
     assert printed.count('"pool_version":') == lines
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -73,7 +73,7 @@
     """The whole list, as discovery tells it."""
     entries = [{"host": h, "dial": f"127.0.0.1:{port}", "health": health} for h, port, health in hosts]
     news = read_membership({"seq": 7, "whole": True, "hosts": entries}, place.relay.settings)
-    place.relay.tell(place.relay.engine.endpoint_update_received, news)
+    place.relay.run_engine_call(place.relay.engine.endpoint_update_received, news)
 
 
 def two_backends(place: Place) -> None:
@@ -119,7 +119,7 @@
     two_backends(at.place)
     relay = at.place.relay
     waits = [replace(CLASSES[0], retry_backoff_us=[20_000, 20_000])]
-    relay.tell(relay.engine.reload, replace(relay.settings, classes=waits), relay.limits)
+    relay.run_engine_call(relay.engine.reload, replace(relay.settings, classes=waits), relay.limits)
     at.client.send(LINE)
     server = await at.place.accept()
     await server.expect("OPEN 0a")
@@ -144,10 +144,10 @@
         load_report_source="probe",
         load_report_fields=["concurrent", "x0"],
     )
-    relay.tell(relay.engine.reload, settings, relay.limits)
+    relay.run_engine_call(relay.engine.reload, settings, relay.limits)
     relay.config = replace(relay.config, settings=settings)
     tell_hosts(at.place, ("b1", at.place.backend.getsockname()[1], "Ready"))
-    relay.clock.base += 2_000_000_000  # what was known of it is stale: it has to be asked first
+    relay.clock.offset_ns += 2_000_000_000  # what was known of it is stale: it has to be asked first
     at.client.send(LINE)
     asked = await at.place.accept()
     await asked.expect("STATS")
@@ -167,7 +167,7 @@
         sock.connect_ex(full.getsockname())
     tell_hosts(at.place, ("b1", full.getsockname()[1], "Ready"))
     at.client.send(LINE)
-    await at.place.until(lambda: at.place.relay.ledger.open == 2)  # its connect is under way
+    await at.place.until(lambda: at.place.relay.descriptor_count.open == 2)  # its connect is under way
     at.leave_after("endpoint_update_received")
     port = at.place.backend.getsockname()[1]
     tell_hosts(at.place, ("b1", port, "Gone"), *((f"s{n}", port, "Ready") for n in range(1024)))
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -36,12 +36,12 @@
     loop = asyncio.get_running_loop()
     now = loop.time
     loop.time = lambda: now() + seconds  # type: ignore[method-assign]
-    place.relay.clock.base += int(seconds * 1e9)
+    place.relay.clock.offset_ns += int(seconds * 1e9)
 
 
 async def session_of(place: Place) -> ClientConnectionDriver:
-    await place.until(lambda: bool(place.relay.room.waiting))
-    return next(iter(place.relay.room.waiting))
+    await place.until(lambda: bool(place.relay.descriptor_budget.awaiting_first_line))
+    return next(iter(place.relay.descriptor_budget.awaiting_first_line))
 
 
 async def in_single_bytes(place: Place) -> Peer:
@@ -51,7 +51,7 @@
     raw = LINE.encode().decode("unicode_escape").encode()
     for count, byte in enumerate(raw[:-1], 1):
         client.sock.send(bytes([byte]))
-        await place.until(lambda count=count: len(session.virtual.lines.partial_line) == count)  # type: ignore[misc]
+        await place.until(lambda count=count: len(session.protocol.lines.partial_line) == count)  # type: ignore[misc]
     return client
 
 
@@ -80,7 +80,9 @@
     client.send(LINE)
     server = await place.accept()
     await server.expect("OPEN 0a")
-    place.relay.clock.base += 400_000_000  # the client's time is over, and the timers have not had their turn
+    place.relay.clock.offset_ns += (
+        400_000_000  # the client's time is over, and the timers have not had their turn
+    )
     server.send(r"UP late\r\n")
     await client.expect("UP late")  # the one final answer
     place.relay.wake.set()
@@ -97,10 +99,10 @@
         server = await place.accept()
         await server.expect("OPEN 0a")
         server.send(said[:2])  # half of its answer is in
-        place.relay.clock.base += 400_000_000
+        place.relay.clock.offset_ns += 400_000_000
         place.relay.wake.set()
         await client.expect("BUSY")
-        await place.until(lambda: place.relay.ledger.open <= 1)
+        await place.until(lambda: place.relay.descriptor_count.open <= 1)
         with contextlib.suppress(ConnectionError):  # it may know of its end by now
             server.send(said[2:])
         await client.expect("end")
@@ -116,7 +118,7 @@
         client.send(rf"OPEN {ident} 0b c=plain,d=2000\r\n")
         first = await place.accept()
         await first.expect(f"OPEN {ident}")
-        place.relay.clock.base += 600_000_000  # the attempt's time is over
+        place.relay.clock.offset_ns += 600_000_000  # the attempt's time is over
         place.relay.wake.set()
         first.send(r"UP late\r\n")  # in the turn in which it is given up
         second = await place.accept()
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -152,7 +152,7 @@
         self.versions: dict[Resource, int] = {}
         self.event = anyio.Event()
 
-    def tell(self, call: Callable[..., Any], *args: Any) -> Any:
+    def run_engine_call(self, call: Callable[..., Any], *args: Any) -> Any:
         return call(*args, 1_000_000)
 
     @property
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -208,7 +208,7 @@
 async def the_old_address_speaks_once_more(place: Place) -> None:
     old = await place.watcher(place.discovery, 1)
     old.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.pool.answered)
+    await place.until(lambda: place.relay.endpoint_watch.has_answered)
     discovery = bound()
     place.hup(discovery=SocketAddress(*discovery.getsockname()))
     new = await place.watcher(discovery, 0)
@@ -239,14 +239,14 @@
 async def a_first_line_as_its_client_gives_way(place: Place) -> None:
     standing = await served(place, "0c")
     silent = [await place.client() for _ in range(2)]
-    await place.until(lambda: len(place.relay.room.waiting) == 2)
-    for session, client in zip(list(place.relay.room.waiting), silent, strict=True):
+    await place.until(lambda: len(place.relay.descriptor_budget.awaiting_first_line) == 2)
+    for session, client in zip(list(place.relay.descriptor_budget.awaiting_first_line), silent, strict=True):
 
         def speaks(client: Peer = client) -> bool:
             client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")  # just after it was looked at
             return False
 
-        session.client.speaks = speaks  # type: ignore[method-assign]
+        session.client.has_unread_input = speaks  # type: ignore[method-assign]
     last = await place.client()
     await silent[0].expect("BUSY 250")
     await silent[0].expect("end")  # no reset, which could take the answer along
@@ -261,7 +261,7 @@
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
     late = await place.accept()
     await late.expect("OPEN 0a 0b c=plain,d=500")
-    place.relay.clock.base += 600_000_000  # the attempt's time is over: the timer goes first
+    place.relay.clock.offset_ns += 600_000_000  # the attempt's time is over: the timer goes first
     place.relay.wake.set()
     late.send(r"UP late\r\n")
     await late.expect("reset")  # abandoned over what it has just said
@@ -325,16 +325,16 @@
         sock.connect_ex(full.getsockname())
     await place.client()
     news = NEWS % ("true", HOST % (1, full.getsockname()[1], "Ready", 0))
-    place.relay.tell(
+    place.relay.run_engine_call(
         place.relay.engine.endpoint_update_received, read_membership(orjson.loads(news), place.relay.settings)
     )
-    clients = place.relay.ledger.open
+    clients = place.relay.descriptor_count.open
     client = await place.client()
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
-    await place.until(lambda: place.relay.ledger.open == clients + 2)  # its connect is under way
+    await place.until(lambda: place.relay.descriptor_count.open == clients + 2)  # its connect is under way
     client.finish()
     await client.expect("end")
-    await place.until(lambda: place.relay.ledger.open == clients)
+    await place.until(lambda: place.relay.descriptor_count.open == clients)
     assert place.relay.engine.counters.counts["flows"] == 1
     for sock in (full, *held):
         sock.close()
@@ -343,7 +343,7 @@
 async def discovery_moves_to_where_nobody_listens(place: Place) -> None:
     old = await place.watcher(place.discovery, 1)
     old.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.pool.answered)
+    await place.until(lambda: place.relay.endpoint_watch.has_answered)
     live = bound()
     nowhere = SocketAddress("127.0.0.1", place.free_port())
     place.hup(discovery=nowhere)
@@ -369,7 +369,7 @@
     for health in ("Terminating", "Gone"):
         relay.spawn(partial(run_probe, relay, StartLoadProbe("b1", dial)))
         news = read_membership(orjson.loads(NEWS % ("false", HOST % (1, 1, health, 0))), relay.settings)
-        relay.tell(relay.engine.endpoint_update_received, news)  # before the connect is up
+        relay.run_engine_call(relay.engine.endpoint_update_received, news)  # before the connect is up
         await (await place.accept()).expect("end")  # without a question
 
 
@@ -385,7 +385,7 @@
     await place.until(lambda: relay.engine.counters.counts["driver_faults"] > 0)
     relay.engine.advance = advance  # type: ignore[method-assign]
     relay.engine.counters.counts["driver_faults"] = 0
-    relay.read_again = fails  # type: ignore[assignment]
+    relay.reread_config = fails  # type: ignore[assignment]
     place.hup()
     await place.until(lambda: relay.engine.counters.counts["driver_faults"] == 1)
     client.send(r"still here\r\n")
@@ -399,9 +399,9 @@
     rests, silent = await place.client(), await place.client()
     rests.send(r"PING\r\n")
     await rests.expect("PONG")
-    await place.until(lambda: len(place.relay.room.waiting) == 2)
+    await place.until(lambda: len(place.relay.descriptor_budget.awaiting_first_line) == 2)
     place.relay.engine.drain_started_us, place.relay.engine.admission_closed = place.relay.clock(), True
-    place.relay.tell(lambda now_us: place.relay.engine._end())
+    place.relay.run_engine_call(lambda now_us: place.relay.engine._end())
     # from here on: what no task has had a turn to read, on a connection and in the listener's queue
     rests.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
     at = place.relay.config.listen
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -40,13 +40,13 @@
 def watch_the_ledger(place: Place) -> list[int]:
     """The most that clients and flows have held at once."""
     most = [0]
-    add = place.relay.ledger.add
+    add = place.relay.descriptor_count.add
 
     def seen(count: int) -> None:
         add(count)
-        most[0] = max(most[0], place.relay.ledger.open)
+        most[0] = max(most[0], place.relay.descriptor_count.open)
 
-    place.relay.ledger.add = seen  # type: ignore[method-assign]
+    place.relay.descriptor_count.add = seen  # type: ignore[method-assign]
     return most
 
 
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -272,7 +272,7 @@
     assert failures(place) == 1
     again = await place.watcher(place.discovery, 1)
     again.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.pool.answered)
+    await place.until(lambda: place.relay.endpoint_watch.has_answered)
 
 
 async def half_an_answer(place: Place) -> None:
@@ -287,7 +287,7 @@
 async def the_new_address_hangs(place: Place) -> None:
     old, new = await place.watcher(place.discovery, 1), bound()
     old.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.pool.answered)
+    await place.until(lambda: place.relay.endpoint_watch.has_answered)
     place.hup(discovery=SocketAddress(*new.getsockname()))
     hung: list[Peer] = []
     for count in range(3):  # no word from the new one: the old one is heard all the time
--- a/tests/test_drivers_that_fail.py
+++ b/tests/test_drivers_that_fail.py
@@ -57,7 +57,7 @@
     engine = place.relay.engine
     watcher = await place.watcher(place.discovery, 1)
     watcher.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.pool.answered)
+    await place.until(lambda: place.relay.endpoint_watch.has_answered)
     engine.endpoint_update_received = once(engine.endpoint_update_received, RuntimeError("a fault of ours"))
     watcher.send(told(7))
     again = await place.watcher(place.discovery, 1)
@@ -118,7 +118,7 @@
     place.relay.dial = once(real, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
     for number in (1, 2):
         engine.load_probes.start("b1")
-        place.relay.carry_out()
+        place.relay.execute_commands()
         if number == 2:
             server = await place.accept()
             await server.expect("STATS")
@@ -155,7 +155,7 @@
 async def a_client_whose_driver_fails(place: Place) -> None:
     """Its request is given back at once, its backend's side ends, and the guard tells that it was cut off."""
     client, server = await served(place)
-    (session,) = place.relay.sessions.values()
+    (session,) = place.relay.clients_by_request.values()
     session.client.read = once(session.client.read, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
     client.send(r"one\r\ntwo\r\n")
     await server.expect("one")
@@ -204,4 +204,4 @@
         held.listen()
         with pytest.raises(OSError, match="in use"):
             listener.open_listener(SocketAddress(*held.getsockname()), Limits())
-    assert listener.OPEN_WITHIN_S <= now[0] - 100.0 < 10.0
+    assert listener.LISTEN_TIMEOUT_S <= now[0] - 100.0 < 10.0
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -46,7 +46,7 @@
     clients = [await place.client() for _ in range(3)]
 
     def not_before_the_end(sock: socket.socket) -> tuple[socket.socket, object]:
-        if sock is relay.listener.sock and not relay.leaving:
+        if sock is relay.listener.sock and not relay.is_shutting_down:
             raise BlockingIOError
         return real(sock)
 
@@ -54,8 +54,8 @@
     clients += [await place.client() for _ in range(3)]
     for number, client in enumerate(clients):
         client.send(OPEN.format(f"a{number}"))
-    calls.fail("accept", FOR_A_MOMENT, lambda sock: relay.leaving)
-    relay.tell(relay.engine.drain)
+    calls.fail("accept", FOR_A_MOMENT, lambda sock: relay.is_shutting_down)
+    relay.run_engine_call(relay.engine.drain)
     for client in clients[3:]:
         await client.expect("BUSY")
         await client.expect("end")
@@ -71,7 +71,7 @@
         server.send(r"a line\r\n")
         await client.expect("a line")
     calls.left["send"].append(errno.ENOBUFS)
-    place.relay.tell(place.relay.engine.drain)
+    place.relay.run_engine_call(place.relay.engine.drain)
     await client.expect("MOVE")
     await client.expect("end")
 
@@ -140,7 +140,7 @@
     client, server = await served(place)
     calls.fail_new_sockets([errno.ENFILE] * 15)
     place.relay.engine.load_probes.start("b1")
-    place.relay.carry_out()
+    place.relay.execute_commands()
     counts = place.relay.engine.counters.counts
     await place.until(lambda: counts["probes.moot"] == 1)
     assert place.relay.engine.balancer.nodes["b1"].out_until == 0
@@ -187,7 +187,7 @@
         clients.append(await place.client())
         await place.until(lambda: not calls.left["send"])
     await anyio.sleep(0)
-    assert place.relay.ledger.most <= room + 1  # the one that has just been accepted
+    assert place.relay.descriptor_count.peak <= room + 1  # the one that has just been accepted
     for client in clients[:3]:
         await client.expect("BUSY")
         await client.expect("end")
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -22,7 +22,7 @@
 from gannetweir.core import Engine
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
-from gannetweir.net.dialer import Dialer
+from gannetweir.net.dialer import AddressRaceDriver
 from gannetweir.placement.events import EndpointEntry
 from tests.helpers import settings
 
@@ -421,10 +421,14 @@
     assert paths.order("a", 0)[0].family == "unix"
     async with anyio.create_task_group() as tasks:
         host = SimpleNamespace(
-            limits=Limits(), spawn=tasks.start_soon, racing={}, clock=lambda: 0, has_room=lambda: True
+            limits=Limits(),
+            spawn=tasks.start_soon,
+            address_races={},
+            clock=lambda: 0,
+            has_capacity=lambda: True,
         )
         with without_rights():
-            endpoint, address = await Dialer(host, paths, "a", paths.race("a", 0), None).connect()
+            endpoint, address = await AddressRaceDriver(host, paths, "a", paths.race("a", 0), None).connect()
         assert address.family == "ipv4" and paths.order("a", 0)[0] == address  # the other one has failed
         endpoint.close()
     for sock in (closed, other):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -157,7 +157,7 @@
     client, server = await served(place)
     old = await place.watcher(place.discovery, 1)
     old.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.pool.answered)
+    await place.until(lambda: place.relay.endpoint_watch.has_answered)
     moved = [bound(), bound()]
     place.hup(discovery=SocketAddress(*moved[0].getsockname()))
     silent = await place.watcher(moved[0], 0)
@@ -167,7 +167,7 @@
     new = await place.watcher(moved[1], 0)
     await silent.expect("end")
     old.close()  # as it does after a while; no failure, for the new one is under way
-    await place.until(lambda: place.relay.pool.last is None)
+    await place.until(lambda: place.relay.endpoint_watch.replaced_scope is None)
     new.send(HEAD + told(9))
     await place.until(lambda: place.relay.engine.endpoint_list.version == 9)
     assert not place.relay.engine.counters.counts["pool_failures"]
@@ -228,7 +228,7 @@
     for _ in range(2):
         await place.call(r"ONLINE b1\r\n", "ok b1 in use")
     await served(place, "0c")
-    place.relay.tell(place.relay.engine.drain)
+    place.relay.run_engine_call(place.relay.engine.drain)
     await place.call(r"HEALTH\r\n", "fail draining")
 
 
@@ -241,7 +241,7 @@
         await place.until(
             lambda: hasattr(new, "listener") and new.listener.accepting and bool(place.relay.handover.others)
         )
-        assert new.handover.others_hold() == place.relay.ledger.open >= 2
+        assert new.handover.others_hold() == place.relay.descriptor_count.open >= 2
         await place.call(r"HEALTH\r\n", "ok", door)
         await place.call(r"OFFLINE b1\r\n", "ok b1 out", door)
         waiting = await place.client()
@@ -261,7 +261,7 @@
 
 async def drains(place: Place) -> None:
     client, server = await served(place)
-    place.relay.tell(place.relay.engine.drain)
+    place.relay.run_engine_call(place.relay.engine.drain)
     await client.expect("MOVE")
     await client.expect("end")
     await server.expect("end")
@@ -283,7 +283,7 @@
             server.send(line * 8)
             sent += 8
             await anyio.sleep(0)
-    (session,) = place.relay.sessions.values()
+    (session,) = place.relay.clients_by_request.values()
     assert len(session.client.unsent) <= 2 * place.relay.config.limits.buffer_bytes + 8192
     client.close()
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -109,9 +109,9 @@
         clock.offset_s = offset_s
         relays.append(relay_with_a_cold_backend(tmp_path, born=False, port=1))
     for out in (True, False):
-        relays[0].call_by_hand("b1", out)
+        relays[0].override_endpoint("b1", out)
     for relay in relays:
-        relay.look_at_hand()
+        relay.refresh_operator_overrides()
         now = relay.clock()
         assert "b1" not in set(placed(relay, now))
         later = now + WARM_US + 1_100_000
--- a/tests/test_yard.py
+++ b/tests/test_yard.py
@@ -19,7 +19,7 @@
 from gannetweir.lab.emulator.yard import Yard, YardPlan
 from gannetweir.lab.model.checker import Checker
 from gannetweir.limits import Limits
-from gannetweir.net.dialer import Dialer
+from gannetweir.net.dialer import AddressRaceDriver
 from gannetweir.net.transport import DescriptorCount, Spawn
 
 FAMILIES = ("unix", "ipv6", "ipv4")
@@ -122,12 +122,12 @@
                 node.set_fault(text, "hole")
 
             class Host:
-                limits, racing, room = Limits(), dict[Dialer, None](), True
+                limits, address_races, room = Limits(), dict[AddressRaceDriver, None](), True
 
                 def clock(self) -> int:
                     return int(anyio.current_time() * 1e6)
 
-                def has_room(self) -> bool:
+                def has_capacity(self) -> bool:
                     return self.room
 
                 @property
@@ -135,10 +135,10 @@
                     return lambda run: tasks.start_soon(run)
 
             host = Host()
-            dialer = Dialer(host, paths, "a", paths.race("a", host.clock()), ledger)
+            dialer = AddressRaceDriver(host, paths, "a", paths.race("a", host.clock()), ledger)
             lost: list[OSError] = []
 
-            async def dial(which: Dialer) -> None:
+            async def dial(which: AddressRaceDriver) -> None:
                 try:
                     await which.connect()
                 except OSError as error:
@@ -148,10 +148,10 @@
             with anyio.fail_after(2.0):
                 while ledger.open < 2:
                     await anyio.sleep(0.005)
-            assert list(host.racing) == [dialer] and dialer.give_way() and ledger.open == 1
-            assert not dialer.give_way() and not lost
+            assert list(host.address_races) == [dialer] and dialer.evict_one() and ledger.open == 1
+            assert not dialer.evict_one() and not lost
             host.room = False  # nothing more begins beside the one that is out
-            other = Dialer(host, paths, "a", paths.race("a", host.clock()), ledger)
+            other = AddressRaceDriver(host, paths, "a", paths.race("a", host.clock()), ledger)
             tasks.start_soon(dial, other)
             await anyio.sleep(0.2)
             assert ledger.open == 2 and len(other.race.out) == 1
@@ -162,7 +162,7 @@
             dialer.stop()
             assert ledger.open == 0
             await anyio.sleep(0.05)
-            assert len(lost) == 1 and not host.racing
+            assert len(lost) == 1 and not host.address_races
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
@@ -172,13 +172,13 @@
     """What a dialer needs of the relay, with a clock that moves only when told."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
-        self.limits, self.racing, self.now_us = Limits(), dict[Dialer, None](), 1
+        self.limits, self.address_races, self.now_us = Limits(), dict[AddressRaceDriver, None](), 1
         self.spawn: Spawn = spawn_in(tasks)
 
     def clock(self) -> int:
         return self.now_us
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         return True
 
     async def pass_50_ms(self) -> None:
@@ -203,7 +203,7 @@
             async def taken(times: int) -> set[str]:
                 found = set()
                 for _ in range(times):
-                    endpoint, at = await Dialer(
+                    endpoint, at = await AddressRaceDriver(
                         host, paths, "a", paths.race("a", 1), DescriptorCount()
                     ).connect()
                     endpoint.close()
