--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -38,28 +38,28 @@
 
     def wrap(serve: Any) -> Any:
         def wrong(self: ClientConnectionDriver) -> None:
-            if self.number % EVERY:
+            if self.request_id % EVERY:
                 serve(self)
             else:
-                self.virtual.served()
+                self.protocol.establish()
 
         return wrong
 
-    _replace(ClientConnectionDriver, "serve", wrap)
+    _replace(ClientConnectionDriver, "start_forwarding", wrap)
 
 
 def fabricated() -> None:
     """Some requests are told UP before any backend was asked."""
 
-    def wrap(open_flow: Any) -> Any:
+    def wrap(open_upstream: Any) -> Any:
         def wrong(self: ClientConnectionDriver, order: Any) -> None:
-            if self.number % EVERY == 0:
+            if self.request_id % EVERY == 0:
                 self.client.write(b"UP made-up\r\n")
-            open_flow(self, order)
+            open_upstream(self, order)
 
         return wrong
 
-    _replace(ClientConnectionDriver, "open_flow", wrap)
+    _replace(ClientConnectionDriver, "open_upstream", wrap)
 
 
 def overlap() -> None:
@@ -67,17 +67,21 @@
 
     def wrap(read: Any) -> Any:
         async def wrong(self: UpstreamDriver) -> bool:
-            order = self.order
+            order = self.command
             if order.attempt == 0 and order.request_id % EVERY == 0:
-                self.told = True
+                self.end_reported = True
                 ended = self.relay.engine.upstream_ended
-                self.relay.tell(ended, order.request_id, order.attempt, AttemptStatus.RESET, (), True)
+                self.relay.run_engine_call(
+                    ended, order.request_id, order.attempt, AttemptStatus.RESET, (), True
+                )
             return bool(await read(self))
 
         return wrong
 
     _replace(UpstreamDriver, "_read", wrap)
-    _replace(UpstreamDriver, "close", lambda close: lambda self, reset=False: setattr(self, "told", True))
+    _replace(
+        UpstreamDriver, "close", lambda close: lambda self, reset=False: setattr(self, "end_reported", True)
+    )
 
 
 def repeat() -> None:
@@ -91,7 +95,7 @@
 
     def wrap(read: Any) -> Any:
         async def wrong(self: UpstreamDriver) -> bool:
-            if self.order.attempt == 0 and self.order.request_id % EVERY == 0:
+            if self.command.attempt == 0 and self.command.request_id % EVERY == 0:
                 return True  # as if the connection had been reset after the first line
             return bool(await read(self))
 
@@ -109,7 +113,7 @@
 
         return wrong
 
-    _replace(FirstLine, "line", wrap)
+    _replace(FirstLine, "for_endpoint", wrap)
 
 
 def draining() -> None:
@@ -136,16 +140,16 @@
 
 def client_gone() -> None:
     """A client's end before its answer is not noticed."""
-    ClientConnectionDriver.look = lambda self: None  # type: ignore[method-assign]
+    ClientConnectionDriver.read_pending_input = lambda self: None  # type: ignore[method-assign]
 
     def wrap(left: Any) -> Any:
         def wrong(self: ClientConnectionDriver, reset: bool) -> None:
-            if self.flow is None or self.flow.flow.up:
+            if self.upstream is None or self.upstream.protocol.established:
                 left(self, reset)
 
         return wrong
 
-    _replace(ClientConnectionDriver, "_left", wrap)
+    _replace(ClientConnectionDriver, "_report_disconnect", wrap)
     _replace(UpstreamDriver, "_connect", _later)
 
 
@@ -173,7 +177,7 @@
 
         return wrong
 
-    _replace(ClientConnectionDriver, "to_client", wrap)
+    _replace(ClientConnectionDriver, "write_to_client", wrap)
 
 
 def exits_late() -> None:
@@ -205,7 +209,7 @@
     def wrap(note: Any) -> Any:
         def wrong(self: ClientConnectionDriver, served: bool) -> None:
             note(self, served)
-            if self.number % EVERY == 0:
+            if self.request_id % EVERY == 0:
                 note(self, served)
 
         return wrong
