--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -78,9 +78,9 @@
         self._wire(seed, trace)
         self.context.set_timer(limits.watchdog_us, Timer.WATCHDOG)
         if reach is not None:
-            self.membership.choose_addresses(reach)
+            self.membership.apply_address_rules(reach)
         self.membership.apply(UpdateKind.CACHED, known)
-        self.membership.watch_pushed()
+        self.membership.watch_if_pushed()
 
     def _wire(self, seed: int, trace: Trace | None) -> None:
         """Make the concerns; each knows those that it calls, and none knows the engine."""
@@ -121,7 +121,7 @@
         self.connection_load_reported = self.upstream_events.load_reported
         self.load_probe_ended = self.load_probes.ended
         self.endpoint_update_received = self.membership.update
-        self.endpoint_watch_failed = self.membership.failed
+        self.endpoint_watch_failed = self.membership.watch_failed
         self.apply_operator_overrides = self.overrides.apply
         self.next_due = self.context.timers.next_due
 
@@ -186,9 +186,9 @@
         self.context.settings, self.context.limits = settings, limits
         self.answer_delays.configure(settings, limits)
         if asked:
-            self.membership.watch_pushed()  # if it is so from now on
+            self.membership.watch_if_pushed()  # if it is so from now on
         if reach is not None or self.context.address_selector is not None:
-            self.membership.choose_addresses(reach)
+            self.membership.apply_address_rules(reach)
         self.balancer.configure(settings)
 
     # ---- the module
@@ -207,7 +207,7 @@
         elif isinstance(action, ProbeLoad):
             self.load_probes.start(action.endpoint_id)
         elif isinstance(action, WatchEndpoints):
-            self.membership.watch(bool(action.enabled))
+            self.membership.set_watch(bool(action.enabled))
         elif isinstance(action, WriteLog):
             self.context.log(action.text)
 
@@ -233,7 +233,7 @@
         elif timer is Timer.DRAIN_END:
             self._end()
         elif timer is Timer.ENDPOINT_WATCH:
-            self.membership.watch_due()
+            self.membership.watch_timer_expired()
 
     def _transaction_due(self, timer: Timer, tx: RequestState, attempt: int) -> None:
         if timer is Timer.ATTEMPT:
--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -21,84 +21,87 @@
     """Keeps the pool as discovery tells it, and the module informed."""
 
     def __init__(
-        self, context: EngineContext, decisions: Decisions, flows: UpstreamEvents, seed: int
+        self, context: EngineContext, decisions: Decisions, upstream_events: UpstreamEvents, seed: int
     ) -> None:
-        self.context, self.decisions, self.flows = context, decisions, flows
+        self.context, self.decisions, self.upstream_events = context, decisions, upstream_events
         self.seed = seed
-        self.watch_fails = 0  # in a row, where the list is pushed
+        self.consecutive_watch_failures = 0  # in a row, where the list is pushed
 
-    def update(self, news: MembershipUpdate, now_us: int) -> None:
+    def update(self, update: MembershipUpdate, now_us: int) -> None:
         """Discovery has told something."""
         self.context.now_us = now_us
         self.context.counters.add("pool_news")
-        self.watch_fails = 0
-        self.apply(UpdateKind.SNAPSHOT if news.complete else UpdateKind.DELTA, news)
+        self.consecutive_watch_failures = 0
+        self.apply(UpdateKind.SNAPSHOT if update.complete else UpdateKind.DELTA, update)
 
-    def apply(self, kind: int, news: MembershipUpdate) -> None:
+    def apply(self, kind: int, update: MembershipUpdate) -> None:
         """Apply a list or its changes, tell the module, and end what must not reach a backend any more."""
-        warm_us = int(self.context.settings.slow_start_window_us)
-        seen = self.context.endpoint_list.apply(news, self.context.now_us, kind == UpdateKind.CACHED, warm_us)
+        slow_start_window_us = int(self.context.settings.slow_start_window_us)
+        effective_entries = self.context.endpoint_list.apply(
+            update, self.context.now_us, kind == UpdateKind.CACHED, slow_start_window_us
+        )
         if self.context.address_selector is not None:  # of a whole list also those that it lacks
             for server in (
                 self.context.endpoint_list.entries
-                if news.complete
-                else [m.entry.endpoint_id for m in news.endpoints]
+                if update.complete
+                else [m.entry.endpoint_id for m in update.endpoints]
             ):
-                self._tell_paths(server)
+                self._update_addresses(server)
         elif any(
-            member.more_addresses for member in news.endpoints
+            member.additional_addresses for member in update.endpoints
         ):  # this discovery tells several addresses
-            self.choose_addresses(None)
-        self.decisions.dispatch(EndpointListUpdate(kind, news.version, seen))
+            self.apply_address_rules(None)
+        self.decisions.dispatch(EndpointListUpdate(kind, update.version, effective_entries))
         # A connect may outlast the grace of a drain, and one that comes up late could reach a new start with
         # what was meant for the warm one before it. The way to it failed, not the server.
-        self.flows.drop_unsent(self._outdated, fault=True)
+        self.upstream_events.drop_unsent(self._targets_stale_endpoint, fault=True)
 
-    def _outdated(self, tx: RequestState) -> bool:
+    def _targets_stale_endpoint(self, request: RequestState) -> bool:
         """Was its flow opened to a start of a backend that wants nothing new, or has been replaced?"""
-        pool = self.context.endpoint_list
-        if tx.resumed:
+        endpoint_list = self.context.endpoint_list
+        if request.resumed:
             return False
         return (
-            not pool.accepts_requests(tx.endpoint_id)
-            or pool.started_us(tx.endpoint_id) != tx.endpoint_started_us
+            not endpoint_list.accepts_requests(request.endpoint_id)
+            or endpoint_list.started_us(request.endpoint_id) != request.endpoint_started_us
         )
 
-    def failed(self, reason: str, now_us: int) -> None:
+    def watch_failed(self, reason: str, now_us: int) -> None:
         """A watch ended or never began: the last pool holds."""
         self.context.now_us = now_us
         self.context.counters.add("pool_failures")
         self.context.log(f"pool: {reason}")
         if not self.context.settings.polls_endpoint_list:
             self.context.set_timer(
-                self.context.limits.pool_push_retry_us if self.watch_fails else 0, Timer.ENDPOINT_WATCH
+                self.context.limits.pool_push_retry_us if self.consecutive_watch_failures else 0,
+                Timer.ENDPOINT_WATCH,
             )
-            self.watch_fails += 1
+            self.consecutive_watch_failures += 1
             return
-        self._ask_again()
+        self._report_failed_poll()
 
-    def _ask_again(self) -> None:
+    def _report_failed_poll(self) -> None:
         self.decisions.dispatch(EndpointListUpdate(UpdateKind.FAILED, self.context.endpoint_list.version, []))
 
-    def watch_due(self) -> None:
+    def watch_timer_expired(self) -> None:
         """The wait before the next watch is over."""
         if self.context.settings.polls_endpoint_list:  # since a reload: the module takes over
-            self._ask_again()
+            self._report_failed_poll()
         else:
-            self.watch_pushed()
+            self.watch_if_pushed()
 
-    def watch(self, on: bool) -> None:
+    def set_watch(self, enabled: bool) -> None:
         """Start a watch, or end it, as the module says."""
-        self.context.commands.append(SetEndpointWatch(on, self.context.endpoint_list.version))
+        self.context.commands.append(SetEndpointWatch(enabled, self.context.endpoint_list.version))
 
-    def watch_pushed(self) -> None:
+    def watch_if_pushed(self) -> None:
         """A pushed list counts as told whether or not it is watched, from a relay's first moment on. So it is
         not the module's to ask for: the watch is opened at once, and again whenever it has ended.
         """
         if not self.context.settings.polls_endpoint_list:
-            self.watch(True)
+            self.set_watch(True)
 
-    def choose_addresses(self, rules: AddressRules | None) -> None:
+    def apply_address_rules(self, rules: AddressRules | None) -> None:
         """Choose the ways to servers by these rules from now on; without any, by discovery's list."""
         from gannetweir.addresses.address_selector import (
             AddressSelector,  # only where a server has several addresses
@@ -111,14 +114,16 @@
             return
         self.context.address_selector = AddressSelector(rules, self.seed, self.context.limits.connect_us)
         for server in self.context.endpoint_list.entries:
-            self._tell_paths(server)
+            self._update_addresses(server)
 
-    def _tell_paths(self, server: EndpointId) -> None:
+    def _update_addresses(self, endpoint_id: EndpointId) -> None:
         assert self.context.address_selector is not None
-        if self.context.endpoint_list.entries[server].state == EndpointStatus.REMOVED:
-            self.context.address_selector.forget(str(server))
+        if self.context.endpoint_list.entries[endpoint_id].state == EndpointStatus.REMOVED:
+            self.context.address_selector.forget(str(endpoint_id))
         else:
-            pool = self.context.endpoint_list
+            endpoint_list = self.context.endpoint_list
             self.context.address_selector.tell(
-                str(server), pool.address_of(server), pool.more_addresses.get(server, ())
+                str(endpoint_id),
+                endpoint_list.address_of(endpoint_id),
+                endpoint_list.additional_addresses.get(endpoint_id, ()),
             )
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -15,23 +15,31 @@
     """Takes backends out of use and back."""
 
     def __init__(
-        self, context: EngineContext, decisions: Decisions, flows: UpstreamEvents, draining: Draining
+        self,
+        context: EngineContext,
+        decisions: Decisions,
+        upstream_events: UpstreamEvents,
+        draining: Draining,
     ) -> None:
         self.context, self.decisions = context, decisions
-        self.flows, self.draining = flows, draining
+        self.upstream_events, self.draining = upstream_events, draining
 
-    def apply(self, hand: OperatorOverrides, now_us: int) -> None:
+    def apply(self, overrides: OperatorOverrides, now_us: int) -> None:
         """The operators have left backends out, or called them back. From here on nothing starts at one that
         is out, and its clients are moved before it restarts.
         """
         self.context.now_us = now_us
-        out = self.context.endpoint_list.overrides.newly_offline(hand)
+        newly_offline = self.context.endpoint_list.overrides.newly_offline(overrides)
         self.context.counters.add("hand_changes")
         # told as the list that is known already: as news it would pass for the answer to a watch
-        pool = self.context.endpoint_list
+        endpoint_list = self.context.endpoint_list
         self.decisions.dispatch(
-            EndpointListUpdate(UpdateKind.CACHED, pool.version, pool.apply_overrides(hand, now_us))
+            EndpointListUpdate(
+                UpdateKind.CACHED, endpoint_list.version, endpoint_list.apply_overrides(overrides, now_us)
+            )
         )
-        self.flows.drop_unsent(lambda tx: tx.endpoint_id in out)
-        here = [tx for tx in self.context.requests.values() if tx.endpoint_id in out and tx.established]
-        self.draining.move_over(here, self.context.limits.hand_moves_us, Reason.OPERATORS)
+        self.upstream_events.drop_unsent(lambda tx: tx.endpoint_id in newly_offline)
+        established = [
+            tx for tx in self.context.requests.values() if tx.endpoint_id in newly_offline and tx.established
+        ]
+        self.draining.move_over(established, self.context.limits.hand_moves_us, Reason.OPERATORS)
--- a/gannetweir/membership/start_times.py
+++ b/gannetweir/membership/start_times.py
@@ -28,28 +28,32 @@
         there is none to ask.
         """
         self._wall_ahead_us = wall_ahead_us
-        self._latest_us = 0  # the latest start that was told, on discovery's clock
-        self._told_us = 0  # when that was told, on the own clock
-        self._started: dict[EndpointId, tuple[int, int]] = {}  # of each backend: its start on either clock
-        self._called_back: dict[tuple[EndpointId, int], int] = {}
-
-    def learn(self, entries: Sequence[EndpointEntry], now_us: int) -> None:
+        self._latest_start_us = 0  # the latest start that was told, on discovery's clock
+        self._latest_reported_us = 0  # when that was told, on the own clock
+        self._start_times: dict[
+            EndpointId, tuple[int, int]
+        ] = {}  # of each backend: its start on either clock
+        self._online_since_us: dict[tuple[EndpointId, int], int] = {}
+
+    def record(self, entries: Sequence[EndpointEntry], now_us: int) -> None:
         """A list has come. Starts that are known already keep their time."""
-        self._learn(entries, now_us, False)
+        self._convert(entries, now_us, False)
 
-    def learn_first(self, entries: Sequence[EndpointEntry], now_us: int, warm_within_us: int) -> None:
+    def record_first_snapshot(
+        self, entries: Sequence[EndpointEntry], now_us: int, slow_start_window_us: int
+    ) -> None:
         """The whole list that the process was started with, or discovery's first one. All is worked out anew:
         the one may be older than the other. `warm_within_us`: the age at which a backend is warm.
         """
-        self._learn(entries, now_us, True)
-        disputed = self._disputed(entries, now_us, warm_within_us)
+        self._convert(entries, now_us, True)
+        disputed = self._warm_by_wall_clock(entries, now_us, slow_start_window_us)
         if 2 * len(disputed) > sum(entry.state == EndpointStatus.READY for entry in entries):
             for entry in disputed:
                 own_us = entry.started_us - (self._wall_ahead_us or 0)
-                self._started[entry.endpoint_id] = entry.started_us, own_us or -1
+                self._start_times[entry.endpoint_id] = entry.started_us, own_us or -1
 
-    def _disputed(
-        self, entries: Sequence[EndpointEntry], now_us: int, warm_within_us: int
+    def _warm_by_wall_clock(
+        self, entries: Sequence[EndpointEntry], now_us: int, slow_start_window_us: int
     ) -> list[EndpointEntry]:
         """The backends that may be cold by what was told, and are warm by the wall clock."""
         if self._wall_ahead_us is None:
@@ -58,37 +62,37 @@
         if any(entry.started_us > wall_us + CLOCK_SLACK_US for entry in entries):
             return []  # it is behind for certain
         ready = [entry for entry in entries if entry.state == EndpointStatus.READY and entry.started_us]
-        maybe_cold = [entry for entry in ready if now_us - self.started_us(entry) < warm_within_us]
-        return [entry for entry in maybe_cold if wall_us - entry.started_us >= warm_within_us]
-
-    def _learn(self, entries: Sequence[EndpointEntry], now_us: int, again: bool) -> None:
-        told = [entry for entry in entries if entry.started_us]
-        latest_us = max((entry.started_us for entry in told), default=0)
-        if latest_us > self._discovery_now(now_us):
-            self._latest_us, self._told_us = latest_us, now_us
-        for entry in told:
-            known_us, _ = self._started.get(entry.endpoint_id, (0, 0))
-            if again or known_us != entry.started_us:
-                self._started[entry.endpoint_id] = (
+        warming_up = [entry for entry in ready if now_us - self.started_us(entry) < slow_start_window_us]
+        return [entry for entry in warming_up if wall_us - entry.started_us >= slow_start_window_us]
+
+    def _convert(self, entries: Sequence[EndpointEntry], now_us: int, recompute: bool) -> None:
+        reported = [entry for entry in entries if entry.started_us]
+        latest_us = max((entry.started_us for entry in reported), default=0)
+        if latest_us > self._discovery_clock_us(now_us):
+            self._latest_start_us, self._latest_reported_us = latest_us, now_us
+        for entry in reported:
+            known_us, _ = self._start_times.get(entry.endpoint_id, (0, 0))
+            if recompute or known_us != entry.started_us:
+                self._start_times[entry.endpoint_id] = (
                     entry.started_us,
-                    self._on_own_clock(entry.started_us, now_us),
+                    self._to_own_clock(entry.started_us, now_us),
                 )
 
-    def _discovery_now(self, now_us: int) -> int:
+    def _discovery_clock_us(self, now_us: int) -> int:
         """A moment that discovery's clock has reached for certain; 0 before any start was told."""
-        return self._latest_us + now_us - self._told_us if self._latest_us else 0
+        return self._latest_start_us + now_us - self._latest_reported_us if self._latest_start_us else 0
 
-    def _on_own_clock(self, started_us: int, now_us: int) -> int:
-        age_us = self._discovery_now(now_us) - started_us
+    def _to_own_clock(self, started_us: int, now_us: int) -> int:
+        age_us = self._discovery_clock_us(now_us) - started_us
         return (now_us - age_us) or -1  # 0 means long ago
 
     def started_us(self, entry: EndpointEntry) -> int:
         """When a backend started, on the own clock; 0: long ago."""
-        started_us, own_us = self._started.get(entry.endpoint_id, (0, 0))
+        started_us, own_us = self._start_times.get(entry.endpoint_id, (0, 0))
         return own_us if entry.started_us and started_us == entry.started_us else 0
 
-    def called_back_us(self, server: EndpointId, called_us: int, now_us: int) -> int:
+    def online_since_us(self, endpoint_id: EndpointId, override_us: int, now_us: int) -> int:
         """When operators called a backend back. The time is of a process of this machine, so of the same
         clock; one that lies ahead is of an earlier boot, and counts from when it was first seen here.
         """
-        return self._called_back.setdefault((server, called_us), min(called_us, now_us))
+        return self._online_since_us.setdefault((endpoint_id, override_us), min(override_us, now_us))
--- a/gannetweir/net/admin.py
+++ b/gannetweir/net/admin.py
@@ -96,7 +96,8 @@
 
     def _override(self, server: str, out: bool, word: str) -> str:
         pool = self.relay.engine.endpoint_list
-        if not pool.knows(server) and not pool.is_offline(server):  # it may be out since before this process
+        # it may be offline since before this process
+        if not pool.was_listed(server) and not pool.is_offline(server):
             raise AdminCallError(f"unknown backend {server[:80]}")
         try:
             self.relay.override_endpoint(server, out)
--- a/gannetweir/net/endpoint_watch.py
+++ b/gannetweir/net/endpoint_watch.py
@@ -87,7 +87,7 @@
                 and news.version < engine.endpoint_list.version
             ):
                 # another count, or a list from before what the old address told: no drain may be undone by it
-                news = replace(news, older=True)
+                news = replace(news, is_stale=True)
             self.has_answered, self.discovery_changed = True, False
             self._cancel_replaced()
             if isinstance(news, Heartbeat):  # in place of news: the pool is what it was
--- a/gannetweir/proto/endpoint_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -163,4 +163,4 @@
         if older and not (news.complete and not self.has_updated):
             raise EndpointListError(f"version {news.version} after {self.version}")
         self.version, self.has_updated = news.version, True
-        return replace(news, older=True) if older else news
+        return replace(news, is_stale=True) if older else news
--- a/tests/test_pool_watch.py
+++ b/tests/test_pool_watch.py
@@ -130,7 +130,7 @@
 def test_an_older_first_answer_holds_only_as_the_whole_list(whole: bytes, holds: bool) -> None:
     (event,) = watch().feed(HEAD + chunk(NEWS.replace(b"false", whole).replace(b'"seq":43', b'"seq":7')))
     assert isinstance(event, MembershipUpdate if holds else WatchFailed)
-    assert not isinstance(event, MembershipUpdate) or event.older
+    assert not isinstance(event, MembershipUpdate) or event.is_stale
 
 
 def test_the_known_pool_may_be_missing() -> None:
