--- a/gannetweir/core/context.py
+++ b/gannetweir/core/context.py
@@ -13,7 +13,8 @@
 from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer, TimerQueue
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import EndpointList, OperatorOverrides
+from gannetweir.membership.endpoint_list import EndpointList
+from gannetweir.membership.operator_overrides import OperatorOverrides
 from gannetweir.observability.counters import Counters
 from gannetweir.placement.settings import Settings
 
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -24,7 +24,8 @@
 from gannetweir.core.timers import Timer
 from gannetweir.core.upstream_events import UpstreamEvents
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import MembershipUpdate, OperatorOverrides
+from gannetweir.membership.membership_update import MembershipUpdate
+from gannetweir.membership.operator_overrides import OperatorOverrides
 from gannetweir.placement.actions import (
     Action,
     FailRequest,
--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -10,7 +10,7 @@
 from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer
 from gannetweir.core.upstream_events import UpstreamEvents
-from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.placement.events import EndpointId, EndpointListUpdate, EndpointStatus, UpdateKind
 
 if TYPE_CHECKING:  # a relay without several addresses a server does without the code for them
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -7,7 +7,7 @@
 from gannetweir.core.draining import Draining
 from gannetweir.core.reasons import Reason
 from gannetweir.core.upstream_events import UpstreamEvents
-from gannetweir.membership.endpoint_list import OperatorOverrides
+from gannetweir.membership.operator_overrides import OperatorOverrides
 from gannetweir.placement.events import EndpointListUpdate, UpdateKind
 
 
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -20,7 +20,7 @@
 from gannetweir.lab.model.checker import Checker, Cold
 from gannetweir.lab.model.clock import VirtualClock
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
+from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.events import (
     AttemptStatus,
     EndpointEntry,
--- a/gannetweir/lab/scale/control_costs.py
+++ b/gannetweir/lab/scale/control_costs.py
@@ -26,7 +26,7 @@
 from gannetweir.control.versions import NO_VERSION, Content, Entry, Resource, Slice, Version
 from gannetweir.core import Engine
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.net.control_check import RelayCheck
 from gannetweir.placement.settings import RequestClass, Settings
 from gannetweir.proto.control_calls import chunk
--- a/gannetweir/lab/scale/hollow_relay.py
+++ b/gannetweir/lab/scale/hollow_relay.py
@@ -20,7 +20,7 @@
 from gannetweir.config import SocketAddress
 from gannetweir.lab.scale.messages import RelayRecord
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.net.transport import Spawn, Transport
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.endpoint_watch import read_cached_membership
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -18,7 +18,7 @@
 from gannetweir.lab.scale.measure import Named, Step, Sweep, elapsed_ms, processor_us, sweep
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.placement.events import EndpointListUpdate, UpdateKind
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.endpoint_watch import EndpointWatch
--- a/gannetweir/lab/scale/module.py
+++ b/gannetweir/lab/scale/module.py
@@ -12,7 +12,7 @@
 from gannetweir.lab.scale.measure import Named, Step, Sweep, elapsed_ms, processor_us, sweep
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.placement.actions import ProbeLoad, StartAttempt
 from gannetweir.placement.balancer import TICK, TICK_US, Balancer
 from gannetweir.placement.events import (
--- a/gannetweir/membership/endpoint_list.py
+++ b/gannetweir/membership/endpoint_list.py
@@ -4,58 +4,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from dataclasses import dataclass, field, replace
+from dataclasses import replace
 
+from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
+from gannetweir.membership.operator_overrides import OperatorOverrides
 from gannetweir.membership.start_times import StartTimes
 from gannetweir.placement.events import EndpointEntry, EndpointId, EndpointStatus
 
 
-@dataclass(frozen=True, slots=True)
-class ListedEndpoint:
-    """One backend: what the module learns of it, and where this relay reaches it."""
-
-    entry: EndpointEntry
-    address: str
-    additional_addresses: tuple[str, ...] = ()  # more addresses, where an installation's discovery tells them
-
-
-@dataclass(frozen=True, slots=True)
-class MembershipUpdate:
-    """The whole pool or changes to it."""
-
-    version: int
-    complete: bool
-    endpoints: list[ListedEndpoint] = field(default_factory=list)
-    is_stale: bool = False  # than what was told before, by the same discovery's count
-
-
-@dataclass(frozen=True, slots=True)
-class OperatorOverrides:
-    """What the operators said: the backends that are out, and when others were called back."""
-
-    offline: frozenset[EndpointId] = frozenset()
-    online_since: Mapping[str, int] = field(default_factory=dict)
-
-    def newly_offline(self, later: OperatorOverrides) -> set[EndpointId]:
-        """What has gone out from this to a later state, also if it was called back since."""
-        recalled = {s for s, at in later.online_since.items() if at != self.online_since.get(s)}
-        return (set(later.offline) | recalled) - self.offline
-
-    def with_override(self, endpoint_id: str, offline: bool, now_us: int) -> OperatorOverrides:
-        """After one more call. One that says what holds already changes nothing: a second call back would
-        make a backend cold that has warmed up since.
-        """
-        if offline == (endpoint_id in self.offline):
-            return self
-        if offline:
-            return OperatorOverrides(
-                self.offline | {endpoint_id},
-                {s: at for s, at in self.online_since.items() if s != endpoint_id},
-            )
-        return OperatorOverrides(self.offline - {endpoint_id}, {**self.online_since, endpoint_id: now_us})
-
-
 def _without_stale_readiness(known: EndpointEntry | None, listed: ListedEndpoint) -> ListedEndpoint:
     """What an older list says of a backend: it may take away, but not bring back a start that was told to
     drain or to be gone.
--- a/gannetweir/net/control_host.py
+++ b/gannetweir/net/control_host.py
@@ -9,7 +9,7 @@
 from gannetweir.control.stage import ServiceTotals
 from gannetweir.control.versions import Resource, Version
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.net.ports import DriverContext
 from gannetweir.net.transport import Spawn
 from gannetweir.placement.settings import Settings
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -22,7 +22,7 @@
 from gannetweir.control.topology import CALL_US, Reconnect
 from gannetweir.control.versions import Ack, Nack, Reason, Resource, Slice, Version
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.net.transport import Spawn, Transport, connect, tcp_socket
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.control_watch import ACK_TARGET, ControlWatch, write_answer
--- a/gannetweir/net/endpoint_watch.py
+++ b/gannetweir/net/endpoint_watch.py
@@ -12,7 +12,7 @@
 from gannetweir.config import SocketAddress
 from gannetweir.core import SetEndpointWatch
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.ports import DriverContext
 from gannetweir.net.transport import Spawn, Transport, tcp_socket
--- a/gannetweir/process_handover/handover.py
+++ b/gannetweir/process_handover/handover.py
@@ -19,7 +19,7 @@
 
 import orjson
 
-from gannetweir.membership.endpoint_list import OperatorOverrides
+from gannetweir.membership.operator_overrides import OperatorOverrides
 
 _COUNT = struct.Struct("<I")
 READ_WITHIN_S = 6.0  # a set of backends out that can't be read at the start
--- a/gannetweir/proto/endpoint_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -10,7 +10,7 @@
 import orjson
 
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
+from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.events import EndpointEntry, EndpointStatus
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.lines import LineBuffer, LineError
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -30,7 +30,7 @@
 from gannetweir import core as e
 from gannetweir.config.operators import read_rules
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
+from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.actions import Action
 from gannetweir.placement.events import AttemptStatus, EndpointEntry, Event
 from gannetweir.placement.settings import RequestClass
--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -11,7 +11,7 @@
 
 from gannetweir import core as e
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
+from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.events import (
     NOT_EXECUTED,
     AttemptStatus,
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -10,7 +10,7 @@
 
 from gannetweir import core as e
 from gannetweir.config import ConfigError, load
-from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
+from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.actions import Action
 from gannetweir.placement.events import (
     AttemptStatus,
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -21,7 +21,7 @@
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.lab.scale.store import MemoryStore
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.net.control_check import RelayCheck
 from gannetweir.net.control_host import EngineHost
 from gannetweir.net.control_server import ControlServer
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -16,7 +16,7 @@
 from gannetweir import core as e
 from gannetweir.config import SocketAddress
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
+from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement import balancer as brain
 from gannetweir.placement.events import AttemptStatus, EndpointEntry, EndpointStatus
 from tests.helpers import SECOND, settings
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -10,7 +10,7 @@
 from gannetweir.lab.model.backends import Backend
 from gannetweir.lab.model.checker import Checker
 from gannetweir.lab.model.world import Relay, World
-from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.placement import endpoint_state as records
 from gannetweir.placement.endpoint_state import EndpointState
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -7,7 +7,8 @@
 import pytest
 
 from gannetweir.core.invariants import InvariantGuard, Rule, Violation
-from gannetweir.membership.endpoint_list import EndpointList, ListedEndpoint, MembershipUpdate
+from gannetweir.membership.endpoint_list import EndpointList
+from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.events import EndpointEntry, EndpointStatus
 from gannetweir.placement.settings import RequestClass
 from tests.scenario import World
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -10,7 +10,8 @@
 from gannetweir.config import keys_of
 from gannetweir.lab.experiments.trial import MOST_NODES, MOST_RELAYS
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import EndpointList, ListedEndpoint, MembershipUpdate
+from gannetweir.membership.endpoint_list import EndpointList
+from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.actions import StartAttempt
 from gannetweir.placement.events import EndpointEntry, EndpointStatus, TimerExpired
 from gannetweir.proto.endpoint_watch import EndpointWatch, WatchFailed
--- a/tests/test_pool_watch.py
+++ b/tests/test_pool_watch.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import MembershipUpdate
+from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.placement.events import EndpointEntry, EndpointStatus
 from gannetweir.proto.endpoint_watch import EndpointWatch, Heartbeat, WatchFailed, read_cached_membership
 from tests.helpers import settings
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -21,7 +21,7 @@
 from gannetweir.config.operators import OperatorsError, read_file
 from gannetweir.core import Engine
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
+from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.net.dialer import AddressRaceDriver
 from gannetweir.placement.events import EndpointEntry
 from tests.helpers import settings
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -7,7 +7,7 @@
 
 from gannetweir.core import Engine, SetEndpointWatch
 from gannetweir.limits import Limits
-from gannetweir.membership.endpoint_list import ListedEndpoint, MembershipUpdate
+from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.observability.trace import Trace
 from gannetweir.placement.events import ClientDisconnected, EndpointEntry, RequestArrived
 from tests.helpers import SECOND, settings
