--- a/gannetweir/membership/operator_overrides.py
+++ b/gannetweir/membership/operator_overrides.py
@@ -1,4 +1,4 @@
-"""The operators' overrides: which endpoints they took offline, and when others came back online."""
+"""The operators' overrides: which endpoints they have taken offline, and when others came back."""
 
 from __future__ import annotations
 
@@ -10,25 +10,33 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorOverrides:
-    """What the operators said: the backends that are out, and when others were called back."""
+    """The state of all overrides; a value, replaced as a whole by each call of an operator."""
 
     offline: frozenset[EndpointId] = frozenset()
-    online_since: Mapping[str, int] = field(default_factory=dict)
+    online_since: Mapping[str, int] = field(
+        default_factory=dict
+    )  # monotonic time in microseconds, by endpoint
 
     def newly_offline(self, later: OperatorOverrides) -> set[EndpointId]:
-        """What has gone out from this to a later state, also if it was called back since."""
-        recalled = {s for s, at in later.online_since.items() if at != self.online_since.get(s)}
+        """Endpoints taken offline between this state and a later one, those back online since included."""
+        recalled = {
+            endpoint_id
+            for endpoint_id, online_us in later.online_since.items()
+            if online_us != self.online_since.get(endpoint_id)
+        }
         return (set(later.offline) | recalled) - self.offline
 
     def with_override(self, endpoint_id: str, offline: bool, now_us: int) -> OperatorOverrides:
-        """After one more call. One that says what holds already changes nothing: a second call back would
-        make a backend cold that has warmed up since.
+        """The state after one more call. A call that asks for the present state returns this same value: a
+        second call online would restart the slow start of an endpoint that has warmed up since the first.
         """
         if offline == (endpoint_id in self.offline):
             return self
-        if offline:
-            return OperatorOverrides(
-                self.offline | {endpoint_id},
-                {s: at for s, at in self.online_since.items() if s != endpoint_id},
-            )
-        return OperatorOverrides(self.offline - {endpoint_id}, {**self.online_since, endpoint_id: now_us})
+        if not offline:
+            return OperatorOverrides(self.offline - {endpoint_id}, {**self.online_since, endpoint_id: now_us})
+        others_online_since = {
+            other_id: online_us
+            for other_id, online_us in self.online_since.items()
+            if other_id != endpoint_id
+        }
+        return OperatorOverrides(self.offline | {endpoint_id}, others_online_since)
