--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -1,4 +1,4 @@
-"""Discovery's list: updates to it, the watch on a pushed one, the addresses that it tells of each server."""
+"""Membership in the engine: updates of the endpoint list, the watch for it, and the addresses it lists."""
 
 from __future__ import annotations
 
@@ -13,51 +13,53 @@
 from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.placement.events import EndpointId, EndpointListUpdate, EndpointStatus, UpdateKind
 
-if TYPE_CHECKING:  # a relay without several addresses a server does without the code for them
+if TYPE_CHECKING:  # loaded only where an endpoint has several addresses
     from gannetweir.addresses.rules import AddressRules
 
 
 class MembershipUpdates:
-    """Keeps the pool as discovery tells it, and the module informed."""
+    """Applies membership updates to the endpoint list, and notifies the balancer of them.
+
+    Owns the watch's count of failures; the endpoint list and the address selector belong to the context.
+    """
 
     def __init__(
         self, context: EngineContext, decisions: Decisions, upstream_events: UpstreamEvents, seed: int
     ) -> None:
-        self.context, self.decisions, self.upstream_events = context, decisions, upstream_events
+        """`seed`: for the address selector's random numbers."""
+        self.context = context
+        self.decisions = decisions
+        self.upstream_events = upstream_events
         self.seed = seed
-        self.consecutive_watch_failures = 0  # in a row, where the list is pushed
+        self.consecutive_watch_failures = 0  # counted only where discovery pushes the list
 
     def update(self, update: MembershipUpdate, now_us: int) -> None:
-        """Discovery has told something."""
+        """Discovery, or the control plane, has sent an update."""
         self.context.now_us = now_us
         self.context.counters.add("pool_news")
         self.consecutive_watch_failures = 0
         self.apply(UpdateKind.SNAPSHOT if update.complete else UpdateKind.DELTA, update)
 
-    def apply(self, kind: int, update: MembershipUpdate) -> None:
-        """Apply a list or its changes, tell the module, and end what must not reach a backend any more."""
-        slow_start_window_us = int(self.context.settings.slow_start_window_us)
+    def apply(self, kind: UpdateKind, update: MembershipUpdate) -> None:
+        """Apply an update, notify the balancer, and close the attempts that must not be sent any more."""
         effective_entries = self.context.endpoint_list.apply(
-            update, self.context.now_us, kind == UpdateKind.CACHED, slow_start_window_us
+            update,
+            self.context.now_us,
+            from_cache=kind == UpdateKind.CACHED,
+            slow_start_window_us=int(self.context.settings.slow_start_window_us),
         )
-        if self.context.address_selector is not None:  # of a whole list also those that it lacks
-            for server in (
-                self.context.endpoint_list.entries
-                if update.complete
-                else [m.entry.endpoint_id for m in update.endpoints]
-            ):
-                self._update_addresses(server)
-        elif any(
-            member.additional_addresses for member in update.endpoints
-        ):  # this discovery tells several addresses
+        if self.context.address_selector is not None:
+            self._update_listed_addresses(update)
+        elif any(listed.additional_addresses for listed in update.endpoints):
             self.apply_address_rules(None)
         self.decisions.dispatch(EndpointListUpdate(kind, update.version, effective_entries))
-        # A connect may outlast the grace of a drain, and one that comes up late could reach a new start with
-        # what was meant for the warm one before it. The way to it failed, not the server.
+        # A connect may outlast the grace period of a drain. One that is established late could reach a new
+        # start of the endpoint with what was meant for the warmed-up one before it. The path is at fault, not
+        # the endpoint.
         self.upstream_events.drop_unsent(self._targets_stale_endpoint, fault=True)
 
     def _targets_stale_endpoint(self, request: RequestState) -> bool:
-        """Was its flow opened to a start of a backend that wants nothing new, or has been replaced?"""
+        """Whether the attempt goes to an endpoint that is no longer ready, or to an earlier start of it."""
         endpoint_list = self.context.endpoint_list
         if request.resumed:
             return False
@@ -67,45 +69,49 @@
         )
 
     def watch_failed(self, reason: str, now_us: int) -> None:
-        """A watch ended or never began: the last pool holds."""
+        """A watch has ended or could not be opened: the last known list stays in force. A pushed list is
+        watched again, at once after the first failure and then after a pause; a polled one is the balancer's
+        to poll again.
+        """
         self.context.now_us = now_us
         self.context.counters.add("pool_failures")
         self.context.log(f"pool: {reason}")
-        if not self.context.settings.polls_endpoint_list:
-            self.context.set_timer(
-                self.context.limits.pool_push_retry_us if self.consecutive_watch_failures else 0,
-                Timer.ENDPOINT_WATCH,
-            )
-            self.consecutive_watch_failures += 1
+        if self.context.settings.polls_endpoint_list:
+            self._report_failed_poll()
             return
-        self._report_failed_poll()
+        pause_us = self.context.limits.pool_push_retry_us if self.consecutive_watch_failures else 0
+        self.context.set_timer(pause_us, Timer.ENDPOINT_WATCH)
+        self.consecutive_watch_failures += 1
 
     def _report_failed_poll(self) -> None:
+        """Notify the balancer, which decides when the list is polled again."""
         self.decisions.dispatch(EndpointListUpdate(UpdateKind.FAILED, self.context.endpoint_list.version, []))
 
     def watch_timer_expired(self) -> None:
-        """The wait before the next watch is over."""
-        if self.context.settings.polls_endpoint_list:  # since a reload: the module takes over
+        """The pause before the next watch is over."""
+        if self.context.settings.polls_endpoint_list:  # since a reload: now the balancer decides
             self._report_failed_poll()
         else:
             self.watch_if_pushed()
 
     def set_watch(self, enabled: bool) -> None:
-        """Start a watch, or end it, as the module says."""
+        """Command the driver to open a watch, or to close it."""
         self.context.commands.append(SetEndpointWatch(enabled, self.context.endpoint_list.version))
 
     def watch_if_pushed(self) -> None:
-        """A pushed list counts as told whether or not it is watched, from a relay's first moment on. So it is
-        not the module's to ask for: the watch is opened at once, and again whenever it has ended.
+        """Open the watch where discovery pushes the list. There a change counts as known to the relay from
+        its first moment on, watched or not. So the balancer is not asked: the watch is opened at once, and
+        again whenever it has ended.
         """
         if not self.context.settings.polls_endpoint_list:
             self.set_watch(True)
 
     def apply_address_rules(self, rules: AddressRules | None) -> None:
-        """Choose the ways to servers by these rules from now on; without any, by discovery's list."""
-        from gannetweir.addresses.address_selector import (
-            AddressSelector,  # only where a server has several addresses
-        )
+        """Select among the endpoints' addresses by these rules from now on; without any rules, among those
+        that discovery lists.
+        """
+        # Imported only here: a relay without several addresses an endpoint starts without this code.
+        from gannetweir.addresses.address_selector import AddressSelector
         from gannetweir.addresses.rules import AddressRules
 
         rules = rules or AddressRules()
@@ -113,17 +119,24 @@
             self.context.address_selector.take(rules, self.context.limits.connect_us)
             return
         self.context.address_selector = AddressSelector(rules, self.seed, self.context.limits.connect_us)
-        for server in self.context.endpoint_list.entries:
-            self._update_addresses(server)
+        for endpoint_id in self.context.endpoint_list.entries:
+            self._update_addresses(endpoint_id)
+
+    def _update_listed_addresses(self, update: MembershipUpdate) -> None:
+        """Update the address selector: after a snapshot for all endpoints, as it removes those it lacks."""
+        if update.complete:
+            for endpoint_id in self.context.endpoint_list.entries:
+                self._update_addresses(endpoint_id)
+            return
+        for listed in update.endpoints:
+            self._update_addresses(listed.entry.endpoint_id)
 
     def _update_addresses(self, endpoint_id: EndpointId) -> None:
-        assert self.context.address_selector is not None
-        if self.context.endpoint_list.entries[endpoint_id].state == EndpointStatus.REMOVED:
-            self.context.address_selector.forget(str(endpoint_id))
-        else:
-            endpoint_list = self.context.endpoint_list
-            self.context.address_selector.tell(
-                str(endpoint_id),
-                endpoint_list.address_of(endpoint_id),
-                endpoint_list.additional_addresses.get(endpoint_id, ()),
-            )
+        endpoint_list = self.context.endpoint_list
+        address_selector = self.context.address_selector
+        assert address_selector is not None
+        if endpoint_list.entries[endpoint_id].state == EndpointStatus.REMOVED:
+            address_selector.forget(str(endpoint_id))
+            return
+        additional_addresses = endpoint_list.additional_addresses.get(endpoint_id, ())
+        address_selector.tell(str(endpoint_id), endpoint_list.address_of(endpoint_id), additional_addresses)
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -1,4 +1,4 @@
-"""The operators' word on single backends, over discovery's."""
+"""The operators' overrides in the engine: endpoints that they take offline or bring back online."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class OverrideUpdates:
-    """Takes backends out of use and back."""
+    """Applies the operators' overrides to the endpoint list, to attempts and to established connections.
+
+    Owns nothing: the overrides in force are the endpoint list's.
+    """
 
     def __init__(
         self,
@@ -21,25 +24,28 @@
         upstream_events: UpstreamEvents,
         draining: Draining,
     ) -> None:
-        self.context, self.decisions = context, decisions
-        self.upstream_events, self.draining = upstream_events, draining
+        self.context = context
+        self.decisions = decisions
+        self.upstream_events = upstream_events
+        self.draining = draining
 
     def apply(self, overrides: OperatorOverrides, now_us: int) -> None:
-        """The operators have left backends out, or called them back. From here on nothing starts at one that
-        is out, and its clients are moved before it restarts.
+        """Apply overrides: from now on nothing is sent to an endpoint that is offline, and the clients of one
+        that has just been taken offline are migrated, spread over a time that ends before it is restarted.
         """
         self.context.now_us = now_us
-        newly_offline = self.context.endpoint_list.overrides.newly_offline(overrides)
-        self.context.counters.add("hand_changes")
-        # told as the list that is known already: as news it would pass for the answer to a watch
         endpoint_list = self.context.endpoint_list
+        newly_offline = endpoint_list.overrides.newly_offline(overrides)
+        self.context.counters.add("hand_changes")
+        # As a cached list: the balancer would take a snapshot or a delta for the answer to its watch.
+        effective_entries = endpoint_list.apply_overrides(overrides, now_us)
         self.decisions.dispatch(
-            EndpointListUpdate(
-                UpdateKind.CACHED, endpoint_list.version, endpoint_list.apply_overrides(overrides, now_us)
-            )
+            EndpointListUpdate(UpdateKind.CACHED, endpoint_list.version, effective_entries)
         )
-        self.upstream_events.drop_unsent(lambda tx: tx.endpoint_id in newly_offline)
+        self.upstream_events.drop_unsent(lambda request: request.endpoint_id in newly_offline)
         established = [
-            tx for tx in self.context.requests.values() if tx.endpoint_id in newly_offline and tx.established
+            request
+            for request in self.context.requests.values()
+            if request.endpoint_id in newly_offline and request.established
         ]
         self.draining.move_over(established, self.context.limits.hand_moves_us, Reason.OPERATORS)
