--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The machine's wall clock may be wrong or be stepped; what is cold is told by the monotonic clock alone."""
+"""The machine's wall clock may be wrong or be stepped; slow start follows the monotonic clock alone."""
 
 from __future__ import annotations
 
@@ -16,38 +16,43 @@
 from tests.place import Place
 from tests.scenario import CLASSES
 
-TRUE_S = 1_700_000_000
+WALL_AHEAD_S = 1_700_000_000
 HOUR_S = 3600
 OFFSETS_S = (0, HOUR_S, -HOUR_S, 5, -5)
-WARM_US = 10_000_000
-COLD = "b0"
+SLOW_START_WINDOW_US = 10_000_000
+NEW_ENDPOINT = "b0"
 
 
 class WallClock:
-    """`time.time_ns`: true time, which is `TRUE_S` ahead of the monotonic clock here, off by so much."""
+    """Replaces `time.time_ns`: `WALL_AHEAD_S` ahead of the monotonic clock, and wrong by `offset_s`."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.offset_s, monotonic = 0, time.monotonic_ns
-        true_ns = TRUE_S * 1_000_000_000
+        self.offset_s = 0
+        monotonic = time.monotonic_ns
+        true_ns = WALL_AHEAD_S * 1_000_000_000
         monkeypatch.setattr(time, "time_ns", lambda: monotonic() + true_ns + self.offset_s * 1_000_000_000)
 
 
-def relay_with_a_cold_backend(shared: Path | None = None, born: bool = True, port: int = 0) -> Relay:
-    """Six backends, of which one has just started, by the clock of the machine that lists it."""
+def relay_with_six_endpoints(
+    shared: Path | None = None, has_new_endpoint: bool = True, port: int = 0
+) -> Relay:
+    """A relay with six endpoints. One has just started (`has_new_endpoint`), by the clock of discovery."""
     place = Place()
-    hosts = [{"host": f"b{n}", "dial": f"127.0.0.1:{n + 1}", "health": "Ready"} for n in range(6)]
-    if born:
-        hosts[0]["born_ms"] = time.monotonic_ns() // 1_000_000 + TRUE_S * 1000
+    hosts: list[dict[str, str | int]] = [
+        {"host": f"b{n}", "dial": f"127.0.0.1:{n + 1}", "health": "Ready"} for n in range(6)
+    ]
+    if has_new_endpoint:
+        hosts[0]["born_ms"] = time.monotonic_ns() // 1_000_000 + WALL_AHEAD_S * 1000
     if port:  # processes that share a folder serve one address
         place.file = replace(place.file, listen=replace(place.file.listen, port=port))
     settings = replace(
-        place.file.settings, classes=CLASSES, slow_start_window_us=WARM_US, groups_enabled=False
+        place.file.settings, classes=CLASSES, slow_start_window_us=SLOW_START_WINDOW_US, groups_enabled=False
     )
     return Relay(replace(place.file, settings=settings, known={"seq": 1, "hosts": hosts}, shared=shared))
 
 
-def placed(relay: Relay, now_us: int, count: int = 60) -> Iterator[str]:
-    """Where requests of this moment go."""
+def endpoints_chosen(relay: Relay, now_us: int, count: int = 60) -> Iterator[str]:
+    """The endpoints to which requests that arrive at this time are sent."""
     for _ in range(count):
         relay.engine.request_opened(RequestArrived(0, time_budget_us=2_000_000), None, now_us)
     commands = relay.engine.commands
@@ -57,24 +62,26 @@
     commands.clear()
 
 
-def test_a_backend_that_has_just_started_is_cold_whatever_the_wall_clock_says(
+def test_an_endpoint_that_has_just_started_is_in_slow_start_whatever_the_wall_clock_says(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = WallClock(monkeypatch)
     for clock.offset_s in OFFSETS_S:
-        relay = relay_with_a_cold_backend()
+        relay = relay_with_six_endpoints()
         now = relay.clock()
-        assert COLD not in set(placed(relay, now)), f"{clock.offset_s} s"
-        later = now + WARM_US + 1_100_000
+        assert NEW_ENDPOINT not in set(endpoints_chosen(relay, now)), f"{clock.offset_s} s"
+        later = now + SLOW_START_WINDOW_US + 1_100_000
         relay.engine.advance(later)
-        assert COLD in set(placed(relay, later, 300)), f"cold for good: {clock.offset_s} s"
+        assert NEW_ENDPOINT in set(endpoints_chosen(relay, later, 300)), (
+            f"slow start never ends: {clock.offset_s} s"
+        )
 
 
 @pytest.mark.parametrize("offset_s", [0, 5, -5])
-def test_a_fleet_that_was_started_together_long_ago_is_warm_at_a_start(
+def test_a_fleet_started_together_long_ago_has_warmed_up_when_a_relay_starts(
     monkeypatch: pytest.MonkeyPatch, offset_s: int
 ) -> None:
-    """Five of six started within 2 s of one another, an hour ago: all are used from the first request on."""
+    """Five of six started within 2 s of one another, an hour ago: all get requests from the first one on."""
     clock = WallClock(monkeypatch)
     clock.offset_s = offset_s
     born_ms = (time.time_ns() // 1_000_000) - (HOUR_S + offset_s) * 1000
@@ -89,17 +96,17 @@
     ]
     place = Place()
     settings = replace(
-        place.file.settings, classes=CLASSES, slow_start_window_us=WARM_US, groups_enabled=False
+        place.file.settings, classes=CLASSES, slow_start_window_us=SLOW_START_WINDOW_US, groups_enabled=False
     )
     relay = Relay(replace(place.file, settings=settings, known={"seq": 1, "hosts": hosts}))
-    assert len(set(placed(relay, relay.clock(), 200))) == 6
-    news = read_membership({"seq": 2, "whole": True, "hosts": hosts}, settings)
-    relay.engine.endpoint_update_received(news, relay.clock())
+    assert len(set(endpoints_chosen(relay, relay.clock(), 200))) == 6
+    update = read_membership({"seq": 2, "whole": True, "hosts": hosts}, settings)
+    relay.engine.endpoint_update_received(update, relay.clock())
     relay.engine.commands.clear()
-    assert len(set(placed(relay, relay.clock(), 200))) == 6
+    assert len(set(endpoints_chosen(relay, relay.clock(), 200))) == 6
 
 
-def test_a_backend_called_back_by_hand_is_cold_for_its_time_at_both_processes(
+def test_an_endpoint_back_online_is_in_slow_start_for_its_time_at_both_processes(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     """The wall clock is stepped between the starts of two processes that share a folder."""
@@ -107,14 +114,14 @@
     relays = []
     for offset_s in (HOUR_S, 0, -HOUR_S):
         clock.offset_s = offset_s
-        relays.append(relay_with_a_cold_backend(tmp_path, born=False, port=1))
-    for out in (True, False):
-        relays[0].override_endpoint("b1", out)
+        relays.append(relay_with_six_endpoints(tmp_path, has_new_endpoint=False, port=1))
+    for offline in (True, False):
+        relays[0].override_endpoint("b1", offline)
     for relay in relays:
         relay.refresh_operator_overrides()
         now = relay.clock()
-        assert "b1" not in set(placed(relay, now))
-        later = now + WARM_US + 1_100_000
+        assert "b1" not in set(endpoints_chosen(relay, now))
+        later = now + SLOW_START_WINDOW_US + 1_100_000
         relay.engine.advance(later)
-        assert "b1" in set(placed(relay, later, 300))
+        assert "b1" in set(endpoints_chosen(relay, later, 300))
         relay.handover.close()
