--- a/gannetweir/net/descriptors.py
+++ b/gannetweir/net/descriptors.py
@@ -93,8 +93,8 @@
     def has_capacity(self) -> bool:
         """Is a descriptor free for one more client or attempt?"""
         limits, held = self.current_limits(), self.descriptor_count.open
-        if self.handover.others:  # during an upgrade the limits hold for both together
-            held += self.handover.others_hold() + limits.spare_sockets
+        if self.handover.peers:  # during an upgrade the limits hold for both together
+            held += self.handover.count_peer_descriptors() + limits.spare_sockets
         return held < limits.client_sockets
 
     def make_capacity(self, for_request: bool = False) -> bool:
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -76,7 +76,7 @@
             known,
             self.clock(),
             self.handover.overrides,
-            replaces=bool(self.handover.others),
+            replaces=bool(self.handover.peers),
             keeper=_keeper(config, None),
             reach=config.reach,
             trace=trace,
@@ -196,7 +196,7 @@
         self.descriptor_budget.remove(session)
 
     def _report_descriptors(self, count: int) -> None:
-        self.handover.tell_held(count)
+        self.handover.report_descriptor_count(count)
         if count > self.max_descriptors:
             self.engine.guard.descriptors(count, self.max_descriptors)
 
@@ -212,12 +212,12 @@
 
     def override_endpoint(self, server: str, out: bool) -> None:
         """Holds for every process of this relay, and for those to come, before it is answered."""
-        self.handover.call(server, out, self.clock())
+        self.handover.set_override(server, out, self.clock())
         self.refresh_operator_overrides()
 
     def refresh_operator_overrides(self) -> None:
         """Take over what was called at this door or at the other process's."""
-        self.handover.refresh()
+        self.handover.refresh_overrides()
         if self.handover.overrides != self.engine.endpoint_list.overrides:
             self.log(f"out by hand: {', '.join(sorted(map(str, self.handover.overrides.offline))) or 'none'}")
             self.run_engine_call(self.engine.apply_operator_overrides, self.handover.overrides)
@@ -226,7 +226,7 @@
         while True:
             await anyio.sleep(self.config.limits.handover_us / 1e6)
             try:
-                self.handover.look_round()
+                self.handover.refresh_peers()
             except OSError as error:  # the folder is gone, or may not be read
                 self.log(f"handover: {error.strerror}")
             self.refresh_operator_overrides()
--- a/gannetweir/process_handover/handover.py
+++ b/gannetweir/process_handover/handover.py
@@ -23,24 +23,29 @@
 
 _COUNT = struct.Struct("<I")
 READ_WITHIN_S = 6.0  # a set of backends out that can't be read at the start
-LOCK_TRIES, LOCK_PAUSE_S = 20, 0.001  # the lock is held for one small write
+LOCK_ATTEMPTS, LOCK_PAUSE_S = 20, 0.001  # the lock is held for one small write
 _UNUSABLE = frozenset({errno.ENOENT, errno.ENOTDIR, errno.EACCES, errno.EPERM, errno.EROFS})  # for good
 
 
 class Handover:
     """This process's place in the folder. Without a folder it shares nothing and is always alone."""
 
-    def __init__(self, folder: Path | None = None, name: str = "") -> None:
+    def __init__(self, folder: Path | None = None, relay_name: str = "") -> None:
         # other relays may have the same folder where it is not private
-        stem = "gannetweir-" + re.sub(r"[^0-9A-Za-z.-]", "_", name)
-        self.folder, self.out, self.lock, self.alive = folder, stem + ".out", stem + ".lock", f".{stem}.alive"
+        stem = "gannetweir-" + re.sub(r"[^0-9A-Za-z.-]", "_", relay_name)
+        self.folder, self.override_file_name, self.lock_file_name, self.liveness_suffix = (
+            folder,
+            stem + ".out",
+            stem + ".lock",
+            f".{stem}.alive",
+        )
         self.overrides = OperatorOverrides()
-        self.held = 0  # descriptors of the other processes, when last looked at
-        self.others: list[Path] = []
-        self.seen: tuple[int, int, int] | None = None  # the file that `hand` was read from
-        self.life: Path | None = None
-        self.life_fd = -1
-        self.unsynced = False  # a call was renamed into place, but the folder could not be synced
+        self.peer_descriptor_count = 0  # descriptors of the other processes, when last looked at
+        self.peers: list[Path] = []
+        self.last_read: tuple[int, int, int] | None = None  # the file that `hand` was read from
+        self.liveness_file: Path | None = None
+        self.liveness_descriptor = -1
+        self.is_sync_pending = False  # a call was renamed into place, but the folder could not be synced
         if folder is not None:
             self._begin()
 
@@ -53,7 +58,7 @@
                 return
         # A folder that fails for a moment is tried again at the next look round; what is out holds already.
         with contextlib.suppress(OSError):
-            self.look_round()
+            self.refresh_peers()
         give_up = time.monotonic() + READ_WITHIN_S
         while not self._read_set() and time.monotonic() < give_up:
             time.sleep(
@@ -69,22 +74,22 @@
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             os.write(descriptor, _COUNT.pack(0))
-            life = Path(name.removesuffix(".starting") + self.alive)
+            life = Path(name.removesuffix(".starting") + self.liveness_suffix)
             os.rename(name, life)
         except OSError:
             os.close(descriptor)
             with contextlib.suppress(OSError):
                 os.unlink(name)
             raise
-        self.life_fd, self.life = descriptor, life
+        self.liveness_descriptor, self.liveness_file = descriptor, life
 
     @contextlib.contextmanager
     def _lock(self) -> Iterator[None]:
         """`BlockingIOError` where another process holds it for long: a stopped one must not stop this one."""
         assert self.folder is not None
-        fd = os.open(self.folder / self.lock, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        fd = os.open(self.folder / self.lock_file_name, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            for tries_left in reversed(range(LOCK_TRIES)):
+            for tries_left in reversed(range(LOCK_ATTEMPTS)):
                 try:
                     fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
                     break
@@ -98,18 +103,18 @@
 
     # ---- who lives
 
-    def look_round(self) -> bool:
+    def refresh_peers(self) -> bool:
         """Find the other processes that live, and clear away what ended ones left. Is this one alone?"""
         if self.folder is None:
             return True
-        if self.life is None:
+        if self.liveness_file is None:
             self._announce()
-        if self.unsynced:
+        if self.is_sync_pending:
             self._sync_folder()
-        files = [p for p in self.folder.glob("*" + self.alive) if p != self.life]
-        self.others = [path for path in files if not self._stale(path)]
-        self.held = sum(map(self._count, self.others))
-        return not self.others
+        files = [p for p in self.folder.glob("*" + self.liveness_suffix) if p != self.liveness_file]
+        self.peers = [path for path in files if not self._stale(path)]
+        self.peer_descriptor_count = sum(map(self._count, self.peers))
+        return not self.peers
 
     def _stale(self, path: Path) -> bool:
         try:
@@ -135,31 +140,31 @@
             return int(_COUNT.unpack(path.read_bytes()[: _COUNT.size])[0])
         return 0
 
-    def tell_held(self, count: int) -> None:
+    def report_descriptor_count(self, count: int) -> None:
         """Descriptors held here, for the other process to plan with."""
-        if self.life_fd >= 0:
+        if self.liveness_descriptor >= 0:
             with contextlib.suppress(OSError):  # no client is lost because this can't be told
-                os.pwrite(self.life_fd, _COUNT.pack(count), 0)
+                os.pwrite(self.liveness_descriptor, _COUNT.pack(count), 0)
 
-    def others_hold(self) -> int:
+    def count_peer_descriptors(self) -> int:
         """Descriptors held there, as of now."""
-        if self.others:
-            self.held = sum(map(self._count, self.others))
-        return self.held
+        if self.peers:
+            self.peer_descriptor_count = sum(map(self._count, self.peers))
+        return self.peer_descriptor_count
 
     def close(self) -> None:
         """This process is no longer one of them."""
-        if self.life is not None:
+        if self.liveness_file is not None:
             with contextlib.suppress(
                 OSError
             ):  # its lock ends with the descriptor: the next process clears it
-                self.life.unlink(missing_ok=True)
-            os.close(self.life_fd)
-            self.life, self.life_fd = None, -1
+                self.liveness_file.unlink(missing_ok=True)
+            os.close(self.liveness_descriptor)
+            self.liveness_file, self.liveness_descriptor = None, -1
 
     # ---- backends out by hand
 
-    def refresh(self) -> bool:
+    def refresh_overrides(self) -> bool:
         """Read what is out if that has changed; has it? A file that can't be read changes nothing."""
         before = self.overrides
         self._read_set()
@@ -170,41 +175,41 @@
         if self.folder is None:
             return True
         try:
-            stat = os.stat(self.folder / self.out)
+            stat = os.stat(self.folder / self.override_file_name)
             seen = stat.st_ino, stat.st_mtime_ns, stat.st_size
-            if seen != self.seen:
-                self.overrides = _read((self.folder / self.out).read_bytes())
-                self.seen = seen
+            if seen != self.last_read:
+                self.overrides = _read((self.folder / self.override_file_name).read_bytes())
+                self.last_read = seen
         except (FileNotFoundError, ValueError):  # none yet, or what no process of this program wrote
             return True
         except OSError:
             return False
         return True
 
-    def call(self, server: str, out: bool, now_us: int) -> None:
+    def set_override(self, endpoint_id: str, offline: bool, now_us: int) -> None:
         """Leave a backend out, or use it again; when this returns it holds for every process here."""
         if self.folder is None:
-            self.overrides = self.overrides.with_override(server, out, now_us)
+            self.overrides = self.overrides.with_override(endpoint_id, offline, now_us)
             return
         with self._lock():
-            self.refresh()
-            hand = self.overrides.with_override(server, out, now_us)
+            self.refresh_overrides()
+            hand = self.overrides.with_override(endpoint_id, offline, now_us)
             if hand != self.overrides:
                 self._write(hand)
-            self.refresh()
+            self.refresh_overrides()
 
     def _write(self, hand: OperatorOverrides) -> None:
         """Whole, and on disk, or not at all: the other process may read at any moment, this one be killed,
         and the machine go down. The lock is held, so the part's name is this process's alone.
         """
         assert self.folder is not None
-        part = self.folder / f"{self.out}.part"
+        part = self.folder / f"{self.override_file_name}.part"
         try:
             with part.open("wb") as file:
                 file.write(orjson.dumps({"out": sorted(map(str, hand.offline)), "back": hand.online_since}))
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(part, self.folder / self.out)
+            os.replace(part, self.folder / self.override_file_name)
         except OSError:
             with contextlib.suppress(OSError):
                 part.unlink(missing_ok=True)
@@ -214,12 +219,12 @@
     def _sync_folder(self) -> None:
         """The new name lasts. What holds for the processes holds already; a failure is made good later."""
         assert self.folder is not None
-        self.unsynced = True
+        self.is_sync_pending = True
         with contextlib.suppress(OSError):
             fd = os.open(self.folder, os.O_RDONLY | os.O_CLOEXEC)
             try:
                 os.fsync(fd)
-                self.unsynced = False
+                self.is_sync_pending = False
             finally:
                 os.close(fd)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,51 +17,53 @@
 
 def test_a_call_at_either_holds_in_both(tmp_path: Path) -> None:
     one, two = Handover(tmp_path, "n0"), Handover(tmp_path, "n0")
-    one.call("a", True, 1)
-    two.call("b", True, 2)
-    assert one.refresh() and not one.refresh()
+    one.set_override("a", True, 1)
+    two.set_override("b", True, 2)
+    assert one.refresh_overrides() and not one.refresh_overrides()
     assert one.overrides == two.overrides and one.overrides.offline == {"a", "b"}
-    two.call("a", False, 3)
-    two.call("a", False, 9)
-    assert one.refresh() and one.overrides.offline == {"b"} and one.overrides.online_since == {"a": 3}
+    two.set_override("a", False, 3)
+    two.set_override("a", False, 9)
+    assert (
+        one.refresh_overrides() and one.overrides.offline == {"b"} and one.overrides.online_since == {"a": 3}
+    )
     assert Handover(tmp_path, "n0").overrides == one.overrides  # the next one has it from its start
     assert not Handover(tmp_path, "n1").overrides.offline  # another relay's folder may be the same
 
 
 def test_who_lives_and_what_they_hold(tmp_path: Path) -> None:
     one = Handover(tmp_path, "n0")
-    assert one.look_round()
+    assert one.refresh_peers()
     two = Handover(tmp_path, "n0")
-    two.tell_held(70)
-    assert not one.look_round() and one.others_hold() == 70
-    two.tell_held(71)
-    assert one.others_hold() == 71
+    two.report_descriptor_count(70)
+    assert not one.refresh_peers() and one.count_peer_descriptors() == 70
+    two.report_descriptor_count(71)
+    assert one.count_peer_descriptors() == 71
     two.close()
-    assert one.others_hold() == 0 and one.look_round()
+    assert one.count_peer_descriptors() == 0 and one.refresh_peers()
 
 
 def test_what_ended_processes_left_is_cleared_away(tmp_path: Path) -> None:
     left = tmp_path / "x.gannetweir-n0.alive"
     left.write_bytes(b"\x01")
     one = Handover(tmp_path, "n0")
-    assert one.look_round() and not left.exists()
+    assert one.refresh_peers() and not left.exists()
 
 
 @pytest.mark.parametrize("raw", BROKEN)
 def test_a_half_written_set_is_no_crash_and_changes_nothing(tmp_path: Path, raw: bytes) -> None:
     one = Handover(tmp_path, "n0")
-    one.call("a", True, 1)
-    (tmp_path / one.out).write_bytes(raw)
-    assert not one.refresh() and one.overrides.offline == {"a"}
+    one.set_override("a", True, 1)
+    (tmp_path / one.override_file_name).write_bytes(raw)
+    assert not one.refresh_overrides() and one.overrides.offline == {"a"}
     assert not Handover(tmp_path, "n0").overrides.offline
-    one.call("b", True, 1)
+    one.set_override("b", True, 1)
     assert Handover(tmp_path, "n0").overrides.offline == {"a", "b"}
 
 
 def test_without_a_folder_a_relay_is_alone(tmp_path: Path) -> None:
     for one in (Handover(), Handover(tmp_path / "none", "n0")):
-        one.call("a", True, 1)
-        assert one.overrides.offline == {"a"} and one.look_round() and not one.others_hold()
+        one.set_override("a", True, 1)
+        assert one.overrides.offline == {"a"} and one.refresh_peers() and not one.count_peer_descriptors()
         one.close()
 
 
@@ -82,16 +84,16 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     first = Handover(tmp_path, "n0")
-    first.call("a", True, 1)
+    first.set_override("a", True, 1)
     for name, owner in (("mkstemp", tempfile), ("write", os), ("rename", os)):
         with monkeypatch.context() as patch:
             patch.setattr(owner, name, failing(getattr(owner, name), errno.ENOSPC))
             one = Handover(tmp_path, "n0")  # it can't say that it lives
             assert one.overrides.offline == {"a"}, name  # and still knows what is out
-            one.look_round()
-            assert not first.look_round(), name  # and says so once it can
+            one.refresh_peers()
+            assert not first.refresh_peers(), name  # and says so once it can
             one.close()
-    assert first.look_round()
+    assert first.refresh_peers()
 
 
 @pytest.mark.parametrize("name", ["fsync", "replace"])
@@ -101,9 +103,9 @@
     one = Handover(tmp_path, "n0")
     monkeypatch.setattr(os, name, failing(getattr(os, name), errno.EIO))
     with pytest.raises(OSError):
-        one.call("a", True, 1)
+        one.set_override("a", True, 1)
     assert not one.overrides.offline and not Handover(tmp_path, "n0").overrides.offline
-    one.call("a", True, 1)
+    one.set_override("a", True, 1)
     assert one.overrides.offline == Handover(tmp_path, "n0").overrides.offline == {"a"}
 
 
@@ -111,16 +113,16 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     one, two = Handover(tmp_path, "n0"), Handover(tmp_path, "n0")
-    assert two.life is not None
+    assert two.liveness_file is not None
     monkeypatch.setattr(os, "open", failing(os.open, errno.EMFILE))
-    assert not one.look_round() and one.others == [two.life]
+    assert not one.refresh_peers() and one.peers == [two.liveness_file]
 
 
 def test_a_kill_in_a_write_leaves_no_more_than_one_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     one = Handover(tmp_path, "n0")
-    one.call("a", True, 1)
+    one.set_override("a", True, 1)
 
     class KilledError(BaseException):
         """As a SIGKILL: nothing is cleared away."""
@@ -132,18 +134,18 @@
         patch.setattr(os, "replace", killed)
         for server in "bcd":
             with pytest.raises(KilledError):
-                one.call(server, True, 1)
+                one.set_override(server, True, 1)
     assert len(list(tmp_path.glob("*.part"))) <= 1
     assert Handover(tmp_path, "n0").overrides.offline == {"a"}
 
 
 def test_a_lock_that_another_process_holds_refuses_the_call(tmp_path: Path) -> None:
     one = Handover(tmp_path, "n0")
-    with (tmp_path / one.lock).open("w") as held:
+    with (tmp_path / one.lock_file_name).open("w") as held:
         fcntl.flock(held, fcntl.LOCK_EX)
         with pytest.raises(BlockingIOError):
-            one.call("a", True, 1)
-    one.call("a", True, 1)
+            one.set_override("a", True, 1)
+    one.set_override("a", True, 1)
     assert one.overrides.offline == {"a"}
 
 
@@ -151,13 +153,13 @@
     one = Handover(tmp_path, "n0")
     monkeypatch.setattr(Path, "unlink", failing(Path.unlink, errno.EIO))
     one.close()
-    assert Handover(tmp_path, "n0").look_round()
+    assert Handover(tmp_path, "n0").refresh_peers()
 
 
 def test_a_set_that_can_not_be_read_at_the_start_is_read_before_anything_is_served(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    Handover(tmp_path, "n0").call("a", True, 1)
+    Handover(tmp_path, "n0").set_override("a", True, 1)
     for name in ("stat", "read_bytes"):
         owner: Any = os if name == "stat" else Path
         with monkeypatch.context() as patch:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -239,9 +239,9 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(new.run)
         await place.until(
-            lambda: hasattr(new, "listener") and new.listener.accepting and bool(place.relay.handover.others)
+            lambda: hasattr(new, "listener") and new.listener.accepting and bool(place.relay.handover.peers)
         )
-        assert new.handover.others_hold() == place.relay.descriptor_count.open >= 2
+        assert new.handover.count_peer_descriptors() == place.relay.descriptor_count.open >= 2
         await place.call(r"HEALTH\r\n", "ok", door)
         await place.call(r"OFFLINE b1\r\n", "ok b1 out", door)
         waiting = await place.client()
@@ -253,7 +253,7 @@
         place.relay.drain()
         for n in range(8):  # the old one accepts none of these
             again, _ = await served(place, f"1{n}")
-        await place.until(lambda: not new.handover.others)
+        await place.until(lambda: not new.handover.peers)
         assert new.engine.counters.counts["served"] >= 8
         new.drain()
         await again.expect("MOVE")
