--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,121 +1,181 @@
 """What two processes of one relay share, and what is left of one that ended."""
 
+import contextlib
 import errno
 import fcntl
 import os
 import tempfile
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from pathlib import Path
-from typing import Any
+from typing import ParamSpec, TypeVar
 
 import pytest
 
 from gannetweir.process_handover.handover import Handover
 
-BROKEN = [b"", b"{", b"[]", b'{"out":1,"back":{}}', b'{"out":["a"],"back":{"b":"x"}}', b'{"out":["a"']
+Parameters = ParamSpec("Parameters")
+Result = TypeVar("Result")
+
+# The names of the shared files of a relay named n0; processes of other releases of this program know them.
+OVERRIDE_FILE = "gannetweir-n0.out"
+LOCK_FILE = "gannetweir-n0.lock"
+LIVENESS_FILES = "*.gannetweir-n0.alive"
+
+MALFORMED_FILES = {
+    "empty": b"",
+    "cut short in the object": b"{",
+    "a list": b"[]",
+    "offline is a number": b'{"out":1,"back":{}}',
+    "a time is a string": b'{"out":["a"],"back":{"b":"x"}}',
+    "cut short after a part": b'{"out":["a"]',
+}
+
+
+def failing_first(
+    call: Callable[Parameters, Result], error: int, times: int = 1
+) -> Callable[Parameters, Result]:
+    """A call that fails the first `times` times, then works."""
+    failures = [error] * times
+
+    def wrapped(*args: Parameters.args, **named: Parameters.kwargs) -> Result:
+        if failures:
+            code = failures.pop()
+            raise OSError(code, os.strerror(code))
+        return call(*args, **named)
+
+    return wrapped
 
 
-def test_a_call_at_either_holds_in_both(tmp_path: Path) -> None:
+@contextlib.contextmanager
+def locked(path: Path) -> Iterator[None]:
+    """A file whose lock another process holds."""
+    with path.open("r+b") as file:
+        fcntl.flock(file, fcntl.LOCK_EX)
+        yield
+
+
+def test_an_override_set_by_either_process_holds_in_both(tmp_path: Path) -> None:
     one, two = Handover(tmp_path, "n0"), Handover(tmp_path, "n0")
     one.set_override("a", True, 1)
     two.set_override("b", True, 2)
-    assert one.refresh_overrides() and not one.refresh_overrides()
-    assert one.overrides == two.overrides and one.overrides.offline == {"a", "b"}
+    assert one.refresh_overrides()
+    assert not one.refresh_overrides()
+    assert one.overrides == two.overrides
+    assert one.overrides.offline == {"a", "b"}
     two.set_override("a", False, 3)
     two.set_override("a", False, 9)
-    assert (
-        one.refresh_overrides() and one.overrides.offline == {"b"} and one.overrides.online_since == {"a": 3}
-    )
+    assert one.refresh_overrides()
+    assert one.overrides.offline == {"b"}
+    assert one.overrides.online_since == {"a": 3}
     assert Handover(tmp_path, "n0").overrides == one.overrides  # the next one has it from its start
     assert not Handover(tmp_path, "n1").overrides.offline  # another relay's folder may be the same
 
 
-def test_who_lives_and_what_they_hold(tmp_path: Path) -> None:
+def test_files_of_earlier_releases_are_read_and_written_in_the_same_form(tmp_path: Path) -> None:
+    (tmp_path / OVERRIDE_FILE).write_bytes(b'{"out":["a","b"],"back":{"c":12345678}}')
+    (tmp_path / LOCK_FILE).write_bytes(b"")
+    peer_file = tmp_path / "tmpk3x0_q9z.gannetweir-n0.alive"
+    peer_file.write_bytes(b"\x46\x00\x00\x00")
+    with locked(peer_file):
+        one = Handover(tmp_path, "n0")
+        assert one.overrides.offline == {"a", "b"}
+        assert one.overrides.online_since == {"c": 12345678}
+        assert one.peers == [peer_file]
+        assert one.count_peer_descriptors() == 70
+        (own_file,) = set(tmp_path.glob(LIVENESS_FILES)) - {peer_file}
+        assert own_file.read_bytes() == b"\x00\x00\x00\x00"
+        one.report_descriptor_count(258)
+        assert own_file.read_bytes() == b"\x02\x01\x00\x00"
+        one.set_override("a", False, 23456789)
+    assert (tmp_path / OVERRIDE_FILE).read_bytes() == b'{"out":["b"],"back":{"c":12345678,"a":23456789}}'
+    assert (tmp_path / LOCK_FILE).read_bytes() == b""
+    one.close()
+    assert {path.name for path in tmp_path.iterdir()} == {OVERRIDE_FILE, LOCK_FILE, peer_file.name}
+
+
+def test_processes_know_their_living_peers_and_the_descriptors_of_those(tmp_path: Path) -> None:
     one = Handover(tmp_path, "n0")
     assert one.refresh_peers()
     two = Handover(tmp_path, "n0")
     two.report_descriptor_count(70)
-    assert not one.refresh_peers() and one.count_peer_descriptors() == 70
+    assert not one.refresh_peers()
+    assert one.count_peer_descriptors() == 70
     two.report_descriptor_count(71)
     assert one.count_peer_descriptors() == 71
     two.close()
-    assert one.count_peer_descriptors() == 0 and one.refresh_peers()
+    assert one.count_peer_descriptors() == 0
+    assert one.refresh_peers()
 
 
-def test_what_ended_processes_left_is_cleared_away(tmp_path: Path) -> None:
-    left = tmp_path / "x.gannetweir-n0.alive"
-    left.write_bytes(b"\x01")
+def test_what_ended_processes_left_is_removed(tmp_path: Path) -> None:
+    abandoned = tmp_path / "x.gannetweir-n0.alive"
+    abandoned.write_bytes(b"\x01")
     one = Handover(tmp_path, "n0")
-    assert one.refresh_peers() and not left.exists()
+    assert one.refresh_peers()
+    assert not abandoned.exists()
 
 
-@pytest.mark.parametrize("raw", BROKEN)
-def test_a_half_written_set_is_no_crash_and_changes_nothing(tmp_path: Path, raw: bytes) -> None:
+@pytest.mark.parametrize("content", MALFORMED_FILES.values(), ids=MALFORMED_FILES.keys())
+def test_a_malformed_file_of_overrides_changes_nothing(tmp_path: Path, content: bytes) -> None:
     one = Handover(tmp_path, "n0")
     one.set_override("a", True, 1)
-    (tmp_path / one.override_file_name).write_bytes(raw)
-    assert not one.refresh_overrides() and one.overrides.offline == {"a"}
+    (tmp_path / OVERRIDE_FILE).write_bytes(content)
+    assert not one.refresh_overrides()
+    assert one.overrides.offline == {"a"}
     assert not Handover(tmp_path, "n0").overrides.offline
     one.set_override("b", True, 1)
     assert Handover(tmp_path, "n0").overrides.offline == {"a", "b"}
 
 
-def test_without_a_folder_a_relay_is_alone(tmp_path: Path) -> None:
+def test_without_a_usable_folder_a_process_is_alone(tmp_path: Path) -> None:
     for one in (Handover(), Handover(tmp_path / "none", "n0")):
         one.set_override("a", True, 1)
-        assert one.overrides.offline == {"a"} and one.refresh_peers() and not one.count_peer_descriptors()
+        assert one.overrides.offline == {"a"}
+        assert one.refresh_peers()
+        assert not one.count_peer_descriptors()
         one.close()
 
 
-def failing(call: Callable[..., Any], error: int, times: int = 1) -> Callable[..., Any]:
-    """A call that fails so many times, then works."""
-    left = [error] * times
-
-    def wrapped(*args: Any, **named: Any) -> Any:
-        if left:
-            code = left.pop()
-            raise OSError(code, os.strerror(code))
-        return call(*args, **named)
-
-    return wrapped
-
-
-def test_a_folder_that_fails_for_a_moment_keeps_what_was_taken_on(
+def test_a_folder_that_fails_for_a_moment_loses_no_override_and_no_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     first = Handover(tmp_path, "n0")
     first.set_override("a", True, 1)
     for name, owner in (("mkstemp", tempfile), ("write", os), ("rename", os)):
         with monkeypatch.context() as patch:
-            patch.setattr(owner, name, failing(getattr(owner, name), errno.ENOSPC))
-            one = Handover(tmp_path, "n0")  # it can't say that it lives
-            assert one.overrides.offline == {"a"}, name  # and still knows what is out
+            patch.setattr(owner, name, failing_first(getattr(owner, name), errno.ENOSPC))
+            one = Handover(tmp_path, "n0")  # its announcement fails at first
+            assert one.overrides.offline == {"a"}, name
             one.refresh_peers()
-            assert not first.refresh_peers(), name  # and says so once it can
+            assert not first.refresh_peers(), name
             one.close()
     assert first.refresh_peers()
 
 
 @pytest.mark.parametrize("name", ["fsync", "replace"])
-def test_a_call_that_can_not_be_kept_changes_nothing_and_the_next_one_is(
+def test_an_override_that_can_not_be_written_changes_nothing_and_the_next_one_is_written(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str
 ) -> None:
     one = Handover(tmp_path, "n0")
-    monkeypatch.setattr(os, name, failing(getattr(os, name), errno.EIO))
-    with pytest.raises(OSError):
+    monkeypatch.setattr(os, name, failing_first(getattr(os, name), errno.EIO))
+    with pytest.raises(OSError, match=os.strerror(errno.EIO)):
         one.set_override("a", True, 1)
-    assert not one.overrides.offline and not Handover(tmp_path, "n0").overrides.offline
+    assert not one.overrides.offline
+    assert not Handover(tmp_path, "n0").overrides.offline
     one.set_override("a", True, 1)
     assert one.overrides.offline == Handover(tmp_path, "n0").overrides.offline == {"a"}
 
 
-def test_a_process_that_can_not_be_looked_at_is_not_taken_for_dead(
+def test_a_process_whose_file_can_not_be_opened_is_not_taken_for_ended(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    one, two = Handover(tmp_path, "n0"), Handover(tmp_path, "n0")
-    assert two.liveness_file is not None
-    monkeypatch.setattr(os, "open", failing(os.open, errno.EMFILE))
-    assert not one.refresh_peers() and one.peers == [two.liveness_file]
+    one = Handover(tmp_path, "n0")
+    one_files = set(tmp_path.glob(LIVENESS_FILES))
+    _two = Handover(tmp_path, "n0")
+    monkeypatch.setattr(os, "open", failing_first(os.open, errno.EMFILE))
+    assert not one.refresh_peers()
+    assert set(one.peers) == set(tmp_path.glob(LIVENESS_FILES)) - one_files
+    assert len(one.peers) == 1
 
 
 def test_a_kill_in_a_write_leaves_no_more_than_one_file(
@@ -127,41 +187,43 @@
     class KilledError(BaseException):
         """As a SIGKILL: nothing is cleared away."""
 
-    def killed(*_: object) -> None:
+    def kill(*_: object) -> None:
         raise KilledError
 
     with monkeypatch.context() as patch:
-        patch.setattr(os, "replace", killed)
-        for server in "bcd":
+        patch.setattr(os, "replace", kill)
+        for endpoint_id in "bcd":
             with pytest.raises(KilledError):
-                one.set_override(server, True, 1)
+                one.set_override(endpoint_id, True, 1)
     assert len(list(tmp_path.glob("*.part"))) <= 1
     assert Handover(tmp_path, "n0").overrides.offline == {"a"}
 
 
-def test_a_lock_that_another_process_holds_refuses_the_call(tmp_path: Path) -> None:
+def test_an_override_is_refused_while_another_process_keeps_the_lock(tmp_path: Path) -> None:
     one = Handover(tmp_path, "n0")
-    with (tmp_path / one.lock_file_name).open("w") as held:
-        fcntl.flock(held, fcntl.LOCK_EX)
-        with pytest.raises(BlockingIOError):
-            one.set_override("a", True, 1)
+    (tmp_path / LOCK_FILE).touch()
+    with locked(tmp_path / LOCK_FILE), pytest.raises(BlockingIOError) as refused:
+        one.set_override("a", True, 1)
+    assert refused.value.strerror == os.strerror(errno.EAGAIN)  # what operators are answered
     one.set_override("a", True, 1)
     assert one.overrides.offline == {"a"}
 
 
-def test_an_end_that_can_not_clear_away_is_an_end(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_process_whose_file_can_not_be_removed_still_counts_as_ended(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     one = Handover(tmp_path, "n0")
-    monkeypatch.setattr(Path, "unlink", failing(Path.unlink, errno.EIO))
+    monkeypatch.setattr(Path, "unlink", failing_first(Path.unlink, errno.EIO))
     one.close()
     assert Handover(tmp_path, "n0").refresh_peers()
 
 
-def test_a_set_that_can_not_be_read_at_the_start_is_read_before_anything_is_served(
+def test_overrides_that_can_not_be_read_at_the_start_are_read_before_anything_is_served(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     Handover(tmp_path, "n0").set_override("a", True, 1)
-    for name in ("stat", "read_bytes"):
-        owner: Any = os if name == "stat" else Path
+    owners: dict[str, object] = {"stat": os, "read_bytes": Path}
+    for name, owner in owners.items():
         with monkeypatch.context() as patch:
-            patch.setattr(owner, name, failing(getattr(owner, name), errno.EIO, 3))
+            patch.setattr(owner, name, failing_first(getattr(owner, name), errno.EIO, 3))
             assert Handover(tmp_path, "n0").overrides.offline == {"a"}, name
