--- a/gannetweir/process_handover/__init__.py
+++ b/gannetweir/process_handover/__init__.py
@@ -1,1 +1,1 @@
-"""What two processes of one relay share during an upgrade, in a folder on this machine."""
+"""What two processes of one relay share during an upgrade, as files in a folder of this machine."""
