--- a/gannetweir/adapter.py
+++ b/gannetweir/adapter.py
@@ -7,7 +7,7 @@
 from typing import BinaryIO
 
 from gannetweir import wire
-from gannetweir.config import ConfigError, read_settings
+from gannetweir.config import ConfigError, parse_settings_json
 from gannetweir.placement.balancer import Balancer
 
 
@@ -38,7 +38,7 @@
             instance, seed, offset, length = wire.CREATE_LAYOUT.unpack_from(body, at + 1)
             text = bytes(wire.tail_slice(tail, offset, length))
             try:
-                self.instances[instance] = Balancer(read_settings(text), seed, now_us)
+                self.instances[instance] = Balancer(parse_settings_json(text), seed, now_us)
                 self.faulted.discard(instance)
             except ConfigError as error:
                 self.faulted.add(instance)
--- a/gannetweir/addresses/address.py
+++ b/gannetweir/addresses/address.py
@@ -9,9 +9,9 @@
 import re
 from dataclasses import dataclass
 
-V4, V6, UNIX = "ipv4", "ipv6", "unix"
-FAMILIES = (UNIX, V6, V4)
-MOST_PATH = 107  # bytes of a Unix socket's path: `sun_path` holds 108 with its end
+IPV4, IPV6, UNIX = "ipv4", "ipv6", "unix"
+FAMILIES = (UNIX, IPV6, IPV4)
+MAX_SOCKET_PATH_BYTES = 107  # bytes of a Unix socket's path: `sun_path` holds 108 with its end
 _SCOPE = re.compile(r"[A-Za-z0-9_.:-]{1,15}")
 _PORT = re.compile(r"[1-9][0-9]{0,4}")
 
@@ -33,10 +33,10 @@
         if self.family == UNIX:
             return f"unix:{self.host}"
         scope = f"%{self.scope}" if self.scope else ""
-        return f"[{self.host}{scope}]:{self.port}" if self.family == V6 else f"{self.host}:{self.port}"
+        return f"[{self.host}{scope}]:{self.port}" if self.family == IPV6 else f"{self.host}:{self.port}"
 
 
-def parse(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Read a literal; `AddressError` says what is allowed in its place."""
     if text.startswith("unix:"):
         return _unix(text.removeprefix("unix:"))
@@ -53,7 +53,7 @@
         raise AddressError("a number for a host, as 10.1.0.18:8080: there is no DNS") from None
     if number.is_unspecified or number.is_multicast or host == "255.255.255.255":
         raise AddressError("the address of one machine")
-    return Address(V4, str(number), int(port))
+    return Address(IPV4, str(number), int(port))
 
 
 def _v6(host: str, port: int) -> Address:
@@ -68,14 +68,14 @@
         raise AddressError("an interface with a link-local address, as [fe80::18%eth0]:8080, and only there")
     if number.ipv4_mapped is not None:
         raise AddressError("the IPv4 address itself")
-    return Address(V6, str(number), port, scope)
+    return Address(IPV6, str(number), port, scope)
 
 
 def _unix(path: str) -> Address:
     if not path.startswith("/") or "\0" in path or path.endswith("/"):
         raise AddressError("unix: with the whole path of a socket, as unix:/run/push/a.sock")
-    if len(path.encode("utf-8", "surrogateescape")) > MOST_PATH:
-        raise AddressError(f"a path of at most {MOST_PATH} bytes")
+    if len(path.encode("utf-8", "surrogateescape")) > MAX_SOCKET_PATH_BYTES:
+        raise AddressError(f"a path of at most {MAX_SOCKET_PATH_BYTES} bytes")
     parts = [part for part in path.split("/") if part and part != "."]
     if ".." in parts:
         raise AddressError("a path without ..")
--- a/gannetweir/addresses/connection_race.py
+++ b/gannetweir/addresses/connection_race.py
@@ -13,14 +13,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Connect:
+class StartConnect:
     """Begin a connect."""
 
     address: Address
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
+class CloseConnection:
     """End a connect or a connection at once. `waited_us` is how long it had not come up, or -1 if it had."""
 
     address: Address
@@ -28,97 +28,101 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
+class SetTimer:
     """Call `due` after so long, unless something else has come first."""
 
     after_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Won:
+class RaceWon:
     """The line goes here, and nowhere else."""
 
     address: Address
-    took_us: int
+    connect_time_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class RaceLost:
     """No address could be connected: one outcome for all of them."""
 
 
-Action = Connect | Close | Wake | Won | Lost
+RaceAction = StartConnect | CloseConnection | SetTimer | RaceWon | RaceLost
 
 
-class Race:
+class ConnectionRace:
     """Fed what became of each connect; says what to do next."""
 
     def __init__(self, order: Sequence[Address], delays_us: Sequence[int]) -> None:
-        self.left = list(zip(order, delays_us, strict=True))
-        self.out: dict[Address, int] = {}  # when each connect that is out began
-        self.next_us = 0  # when the next one begins at the latest; 0: none is left
+        self.remaining = list(zip(order, delays_us, strict=True))
+        self.started_us: dict[Address, int] = {}  # when each connect that is out began
+        self.next_attempt_us = 0  # when the next one begins at the latest; 0: none is left
         self.winner: Address | None = None
-        self.over = False
+        self.is_finished = False
 
-    def begin(self, now_us: int) -> list[Action]:
+    def start(self, now_us: int) -> list[RaceAction]:
         """The first connect."""
-        return self._next(now_us)
+        return self._start_next_attempt(now_us)
 
-    def _next(self, now_us: int) -> list[Action]:
-        if not self.left:
-            self.next_us = 0
-            if self.out:
+    def _start_next_attempt(self, now_us: int) -> list[RaceAction]:
+        if not self.remaining:
+            self.next_attempt_us = 0
+            if self.started_us:
                 return []
-            self.over = True
-            return [Lost()]
-        address, delay = self.left.pop(0)
-        self.out[address] = now_us
-        self.next_us = now_us + delay if self.left else 0
-        return [Connect(address), *([Wake(delay)] if self.left else [])]
-
-    def started(self, address: Address, now_us: int) -> None:
+            self.is_finished = True
+            return [RaceLost()]
+        address, delay = self.remaining.pop(0)
+        self.started_us[address] = now_us
+        self.next_attempt_us = now_us + delay if self.remaining else 0
+        return [StartConnect(address), *([SetTimer(delay)] if self.remaining else [])]
+
+    def attempt_started(self, address: Address, now_us: int) -> None:
         """The connect is being made only now: what it waited for its turn here is not the path's time."""
-        if address in self.out:
-            self.out[address] = now_us
+        if address in self.started_us:
+            self.started_us[address] = now_us
 
-    def due(self, now_us: int) -> list[Action]:
+    def timer_expired(self, now_us: int) -> list[RaceAction]:
         """The clock has come to a `Wake`."""
-        if self.over or not self.next_us or now_us < self.next_us:
+        if self.is_finished or not self.next_attempt_us or now_us < self.next_attempt_us:
             return []
-        return self._next(now_us)
+        return self._start_next_attempt(now_us)
 
-    def failed(self, address: Address, now_us: int) -> list[Action]:
+    def attempt_failed(self, address: Address, now_us: int) -> list[RaceAction]:
         """A connect was refused or broke: the next one begins at once."""
-        if self.over or self.out.pop(address, None) is None:
+        if self.is_finished or self.started_us.pop(address, None) is None:
             return []
-        return self._next(now_us)
+        return self._start_next_attempt(now_us)
 
-    def connected(self, address: Address, now_us: int) -> list[Action]:
+    def attempt_connected(self, address: Address, now_us: int) -> list[RaceAction]:
         """A connect is up: it wins if it is the first."""
-        begun = self.out.pop(address, None)
-        if self.over or begun is None:
-            return [Close(address, -1)] if address != self.winner else []
-        self.over, self.winner = True, address
-        closes: list[Action] = [Close(other, now_us - since) for other, since in self.out.items()]
-        self.out.clear()
-        return [*closes, Won(address, now_us - begun)]
-
-    def give_way(self) -> list[Action]:
+        begun = self.started_us.pop(address, None)
+        if self.is_finished or begun is None:
+            return [CloseConnection(address, -1)] if address != self.winner else []
+        self.is_finished, self.winner = True, address
+        closes: list[RaceAction] = [
+            CloseConnection(other, now_us - since) for other, since in self.started_us.items()
+        ]
+        self.started_us.clear()
+        return [*closes, RaceWon(address, now_us - begun)]
+
+    def cancel_all_but_oldest(self) -> list[RaceAction]:
         """A descriptor is wanted: all connects but the oldest end, and no other begins beside it."""
-        if self.over or len(self.out) < 2:
+        if self.is_finished or len(self.started_us) < 2:
             return []
-        rest = list(self.out)[1:]
+        rest = list(self.started_us)[1:]
         for address in rest:
-            self.left.append((address, 0))  # should the oldest fail, they have their turn again
-            del self.out[address]
-        self.next_us = 0
-        return [Close(address, 0) for address in rest]
+            self.remaining.append((address, 0))  # should the oldest fail, they have their turn again
+            del self.started_us[address]
+        self.next_attempt_us = 0
+        return [CloseConnection(address, 0) for address in rest]
 
-    def stop(self, now_us: int) -> list[Action]:
+    def cancel(self, now_us: int) -> list[RaceAction]:
         """It is given up from outside."""
-        if self.over:
+        if self.is_finished:
             return []
-        self.over = True
-        closes: list[Action] = [Close(address, now_us - since) for address, since in self.out.items()]
-        self.out.clear()
+        self.is_finished = True
+        closes: list[RaceAction] = [
+            CloseConnection(address, now_us - since) for address, since in self.started_us.items()
+        ]
+        self.started_us.clear()
         return closes
--- a/gannetweir/cli.py
+++ b/gannetweir/cli.py
@@ -49,7 +49,7 @@
 import sys
 from typing import Any
 
-from gannetweir.config import ConfigError, load
+from gannetweir.config import ConfigError, load_config
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -85,10 +85,10 @@
 
 
 def _control_status(machines: list[str]) -> int:
-    from gannetweir.config.platform import address
+    from gannetweir.config.platform import parse_socket_address
     from gannetweir.net.control_status import status  # only where it is asked for
 
-    lines, fine = status([address(text, "MACHINE") for text in machines])
+    lines, fine = status([parse_socket_address(text, "MACHINE") for text in machines])
     print("\n".join(lines))
     return 0 if fine else 1
 
@@ -119,17 +119,17 @@
     env = dict(os.environ)
     if args["--operators"]:
         env["RELAY_OPERATORS"] = args["--operators"]
-    config = load(env)
+    config = load_config(env)
     if args["serve"]:
         from gannetweir.net.relay import serve
 
         form = args["--log"] or env.get("RELAY_LOG") or "plain"
-        serve(config, lambda standing: load(env, standing), form, args["--trace"])
+        serve(config, lambda standing: load_config(env, standing), form, args["--trace"])
     else:
         from gannetweir.proto.endpoint_watch import read_cached_membership
 
-        known = read_cached_membership(config.known, config.settings)
-        routes = f", {len(config.rules.routes)} routes" if config.rules is not None else ""
+        known = read_cached_membership(config.known_endpoints, config.settings)
+        routes = f", {len(config.routing_rules.routes)} routes" if config.routing_rules is not None else ""
         counts = f"{len(known.endpoints)} backends known, {config.limits.clients} clients at most{routes}"
         print(f"{config.name}: {counts}")
     return 0
--- a/gannetweir/config/kdl.py
+++ b/gannetweir/config/kdl.py
@@ -14,9 +14,9 @@
 
 import ckdl
 
-MOST_BYTES = 1 << 20
-MOST_LINE = 2000  # characters; ckdl takes time that grows with the square of a number's digits
-MOST_DEPTH = 16
+MAX_DOCUMENT_BYTES = 1 << 20
+MAX_LINE_CHARACTERS = 2000  # characters; ckdl takes time that grows with the square of a number's digits
+MAX_NODE_DEPTH = 16
 
 
 class KdlError(ValueError):
@@ -32,33 +32,33 @@
     """One node: its name, its values, and where it begins."""
 
     name: str
-    args: list[Any]
-    props: dict[str, Any]
+    arguments: list[Any]
+    properties: dict[str, Any]
     children: list[Node] = field(default_factory=list)
     line: int = 0
 
 
-def read(text: str, lines: bool = True) -> list[Node]:
+def parse_document(text: str, with_lines: bool = True) -> list[Node]:
     """The top nodes of a document, or `KdlError`. Bounded: size, line length and depth are checked first. The
     lines cost as much as all the rest, so a start reads without them, and once more with them to complain.
     """
-    if len(text.encode("utf-8", "surrogatepass")) > MOST_BYTES:
-        raise KdlError(f"over {MOST_BYTES} bytes")
+    if len(text.encode("utf-8", "surrogatepass")) > MAX_DOCUMENT_BYTES:
+        raise KdlError(f"over {MAX_DOCUMENT_BYTES} bytes")
     for number, line in enumerate(text.split("\n"), 1):
-        if len(line) > MOST_LINE:
-            raise KdlError(f"a line of {len(line)} characters; at most {MOST_LINE}", number)
+        if len(line) > MAX_LINE_CHARACTERS:
+            raise KdlError(f"a line of {len(line)} characters; at most {MAX_LINE_CHARACTERS}", number)
     starts: list[tuple[str, int]] = []
-    if lines or _braces(text) > MOST_DEPTH:
+    if with_lines or _braces(text) > MAX_NODE_DEPTH:
         starts, deepest = _scan(text)
-        if deepest > MOST_DEPTH:
-            raise KdlError(f"nodes within nodes {deepest} deep; at most {MOST_DEPTH}")
+        if deepest > MAX_NODE_DEPTH:
+            raise KdlError(f"nodes within nodes {deepest} deep; at most {MAX_NODE_DEPTH}")
     try:
         document = ckdl.parse(text, version=2)
     except (ckdl.ParseError, ValueError, OverflowError) as error:
         raise KdlError(f"not KDL: {error}", _line_of_error(text)) from None
     found = iter(starts)
     nodes = [_node(node, found) for node in document.nodes]
-    if not lines or next(found, None) is not None or any(node.line < 0 for node in _all(nodes)):
+    if not with_lines or next(found, None) is not None or any(node.line < 0 for node in _all(nodes)):
         for node in _all(nodes):
             node.line = 0
     return nodes
--- a/gannetweir/config/loader.py
+++ b/gannetweir/config/loader.py
@@ -5,27 +5,29 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from gannetweir.config.platform import Config, load_platform
+from gannetweir.config.platform import Config, load_platform_config
 
 
-def load(env: Mapping[str, str], standing: Config | None = None) -> Config:
+def load_config(env: Mapping[str, str], previous: Config | None = None) -> Config:
     """Read the platform's configuration, and the operators' file if the environment names one: both are right
     together, or it is a `ConfigError` and nothing of either is taken. `standing` is the one that a reload
     replaces.
     """
-    config = load_platform(env, standing)
+    config = load_platform_config(env, previous)
     operators = env.get("RELAY_OPERATORS")
-    return with_operators(config, operators) if operators else config
+    return add_operators_file(config, operators) if operators else config
 
 
-def with_operators(config: Config, path: str) -> Config:
+def add_operators_file(config: Config, path: str) -> Config:
     """A configuration with the operators' file laid over it: both are right together, or an error."""
     # Only where it is switched on: a relay without an operators' file does without the code for one.
-    from gannetweir.config.operators import load_file
-    from gannetweir.routing.route_admission import with_routes
+    from gannetweir.config.operators import load_operators_file
+    from gannetweir.routing.route_admission import with_routed_classes
 
-    told = config.known.get("hosts")
+    told = config.known_endpoints.get("hosts")
     entries = told if isinstance(told, list) else []
     hosts = [str(host.get("host")) for host in entries if isinstance(host, dict)]
-    rules, reach = load_file(path, config.settings, config.limits, hosts=hosts)
-    return replace(config, settings=with_routes(config.settings, rules), rules=rules, reach=reach)
+    rules, reach = load_operators_file(path, config.settings, config.limits, endpoint_names=hosts)
+    return replace(
+        config, settings=with_routed_classes(config.settings, rules), routing_rules=rules, address_rules=reach
+    )
--- a/gannetweir/config/operators.py
+++ b/gannetweir/config/operators.py
@@ -1,6 +1,6 @@
-"""The operators' file: KDL in, `Rules` out, and every mistake of types, units and names with its line.
+"""The operators' file: KDL in, `RoutingRules` out, and every mistake of types, units and names with its line.
 
-Loaded only where a file is named. docs/operators-file.md describes the form, `timing.check` judges it.
+Loaded only where a file is named. docs/operators-file.md describes the form, `route_checks` judges it.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 from typing import Any
 
 from gannetweir.addresses.address import FAMILIES
-from gannetweir.addresses.rules import AddressRules, ServerRule
-from gannetweir.addresses.rules import check as check_reach
+from gannetweir.addresses.rules import AddressRules, EndpointRule
+from gannetweir.addresses.rules import check_address_rules as check_reach
 from gannetweir.config.errors import ConfigError
 from gannetweir.config.files import read_bytes
-from gannetweir.config.kdl import KdlError, Node, read
+from gannetweir.config.kdl import KdlError, Node, parse_document
 from gannetweir.limits import Limits
 from gannetweir.placement.settings import Settings
-from gannetweir.routing.route_checks import check
+from gannetweir.routing.route_checks import check_routing_rules
 from gannetweir.routing.rules import (
     HEX_DIGITS,
-    BudgetRule,
-    LimitRule,
-    Match,
+    BackoffRule,
+    ConnectionLimitRule,
     Mistake,
+    RetryBudgetRule,
     Route,
-    Rules,
-    WaitRule,
+    RouteMatch,
+    RoutingRules,
 )
 
 VERSION = 1
@@ -39,7 +39,7 @@
 _LONGEST_US = 3_600_000_000
 
 
-class OperatorsError(ConfigError):
+class OperatorsFileError(ConfigError):
     """All that is wrong with an operators' file, a line each."""
 
     def __init__(self, mistakes: list[Mistake], file: str) -> None:
@@ -54,7 +54,7 @@
     """What would be allowed."""
 
 
-def duration(value: Any) -> int:
+def parse_duration_us(value: Any) -> int:
     """`"250ms"`, `"2s"`, `"1.5s"`, `"10m"`, `"900us"`: microseconds, over 0."""
     match = _DURATION.fullmatch(value) if isinstance(value, str) else None
     if match is None:
@@ -143,7 +143,8 @@
 
 
 BUDGET = Form(
-    props=(("share", share), ("window", duration), ("floor", count)), needed=("share", "window", "floor")
+    props=(("share", share), ("window", parse_duration_us), ("floor", count)),
+    needed=("share", "window", "floor"),
 )
 RELAY_LIMITS = Form(props=(("open", count), ("setups-per-second", rate), ("burst", count)))
 LIMITS = Form(props=(*RELAY_LIMITS.props, ("setups-at-backend", count)))
@@ -156,24 +157,24 @@
 }
 WAIT = Form(
     word("fixed", "exponential", "every"),
-    props=(("first", duration), ("max", duration), ("jitter", word("none", "full"))),
+    props=(("first", parse_duration_us), ("max", parse_duration_us), ("jitter", word("none", "full"))),
     needed=("first",),
 )
 TIMING = {
-    "give-up": Form(duration),
-    "connect": Form(duration),
-    "attempt": Form(duration),
+    "give-up": Form(parse_duration_us),
+    "connect": Form(parse_duration_us),
+    "attempt": Form(parse_duration_us),
     "attempts": Form(count),
     "wait": WAIT,
     "retry-on": Form(word("never-ran", "may-have-run")),
-    "hedge": Form(props=(("after", duration),), needed=("after",)),
+    "hedge": Form(props=(("after", parse_duration_us),), needed=("after",)),
     "retry-budget": BUDGET,
     "limits": LIMITS,
 }
 REACH = {
     "prefer": Form(word(*FAMILIES), many=True),
-    "fallback": Form(duration),
-    "mend": Form(duration),
+    "fallback": Form(parse_duration_us),
+    "mend": Form(parse_duration_us),
 }
 SERVER = {"address": Form(text, many=True), "dial": Form(flag)}
 TOP = ("gannetweir", "relay", "reach", "server", "route", "default")
@@ -212,24 +213,28 @@
         """The values and named values of a node that has no children."""
         if node.children:
             self.wrong(node, where, "found a block", "no block here")
-        if form.value is None and node.args:
-            self.wrong(node, where, f"found {_shown(node.args[0])}", "named values only, as name=value")
-        elif form.value is not None and (not node.args or (len(node.args) > 1 and not form.many)):
-            self.wrong(node, where, f"{len(node.args)} values", "one or more" if form.many else "one value")
+        if form.value is None and node.arguments:
+            self.wrong(node, where, f"found {_shown(node.arguments[0])}", "named values only, as name=value")
+        elif form.value is not None and (not node.arguments or (len(node.arguments) > 1 and not form.many)):
+            self.wrong(
+                node, where, f"{len(node.arguments)} values", "one or more" if form.many else "one value"
+            )
         values = []
         if form.value is not None:
-            values = [v for arg in node.args if (v := self.value(node, where, form.value, arg)) is not None]
+            values = [
+                v for arg in node.arguments if (v := self.value(node, where, form.value, arg)) is not None
+            ]
         if form.many and len(set(map(str, values))) < len(values):
             self.wrong(node, where, "the same value twice", "each value once")
         kinds, props = dict(form.props), {}
-        for key, given in node.props.items():
+        for key, given in node.properties.items():
             if key not in kinds:
                 allowed = f"one of {', '.join(kinds)}" if kinds else "no named values here"
                 self.wrong(node, where, f"unknown name {key!r}", allowed)
             elif (v := self.value(node, f"{where} {key}", kinds[key], given)) is not None:
                 props[key] = v
         for key in form.needed:
-            if key not in node.props:
+            if key not in node.properties:
                 self.wrong(node, where, f"{key} is missing", f"{', '.join(form.needed)}")
         return values, props
 
@@ -247,11 +252,11 @@
 
     # ---- the document
 
-    def rules(self, nodes: list[Node]) -> Rules:
+    def rules(self, nodes: list[Node]) -> RoutingRules:
         """The whole of it; what has mistakes is left out."""
         routes: list[Route] = []
         default: Route | None = None
-        budget, limits, lines = None, LimitRule(), dict[str, int]()
+        budget, limits, lines = None, ConnectionLimitRule(), dict[str, int]()
         seen: set[str] = set()
         for node in nodes:
             if node.name not in TOP:
@@ -277,7 +282,9 @@
             else:
                 if default is not None:
                     self.wrong(node, "route", "after the default, which takes all", "the default last")
-                named = self.value(node, "route", name, node.args[0] if len(node.args) == 1 else None)
+                named = self.value(
+                    node, "route", name, node.arguments[0] if len(node.arguments) == 1 else None
+                )
                 if named in ("default", "relay"):
                     self.wrong(node, "route", f"the name {named!r}", "a name of its own")
                 routes.append(self.route(node, named or f"#{len(routes) + 1}"))
@@ -288,39 +295,41 @@
             self.mistakes.append(Mistake(0, "gannetweir", "missing", allowed))
         if default is not None:
             routes.append(default)
-        return Rules(tuple(routes), budget, limits, lines)
+        return RoutingRules(tuple(routes), budget, limits, lines)
 
     def ways(self, node: Node) -> None:
         """How servers with several addresses are reached."""
-        if node.args or node.props:
+        if node.arguments or node.properties:
             self.wrong(node, "reach", "found values", "a block only")
         found = self.block(node, "reach", REACH)
         got = {key: self.node(child, f"reach {key}", REACH[key])[0] for key, child in found.items()}
         base = self.reach or AddressRules()
         self.reach = replace(
             base,
-            prefer=tuple(got.get("prefer") or base.prefer),
-            fallback_us=(got.get("fallback") or [base.fallback_us])[0],
-            mend_us=(got.get("mend") or [base.mend_us])[0],
+            family_preference=tuple(got.get("prefer") or base.family_preference),
+            connection_attempt_delay_us=(got.get("fallback") or [base.connection_attempt_delay_us])[0],
+            max_backoff_us=(got.get("mend") or [base.max_backoff_us])[0],
         )
 
     def server(self, node: Node) -> None:
         """The addresses of a server, or of all that a pattern means."""
-        named = self.value(node, "server", text, node.args[0] if len(node.args) == 1 else None)
+        named = self.value(node, "server", text, node.arguments[0] if len(node.arguments) == 1 else None)
         where = f"server {named}" if named else "server"
-        if node.props:
+        if node.properties:
             self.wrong(node, where, "found values", "its name only")
         found = self.block(node, where, SERVER)
         got = {key: self.node(child, f"{where} {key}", SERVER[key])[0] for key, child in found.items()}
-        rule = ServerRule(
+        rule = EndpointRule(
             named or "", tuple(got.get("address") or ()), (got.get("dial") or [True])[0], node.line
         )
         base = self.reach or AddressRules()
-        self.reach = replace(base, servers=(*base.servers, rule) if named else base.servers)
+        self.reach = replace(
+            base, endpoint_rules=(*base.endpoint_rules, rule) if named else base.endpoint_rules
+        )
 
-    def relay(self, node: Node) -> tuple[BudgetRule | None, LimitRule, dict[str, int]]:
+    def relay(self, node: Node) -> tuple[RetryBudgetRule | None, ConnectionLimitRule, dict[str, int]]:
         """What holds for all routes together."""
-        if node.args or node.props:
+        if node.arguments or node.properties:
             self.wrong(node, "relay", "found values", "a block only")
         found = self.block(node, "relay", {"retry-budget": BUDGET, "limits": RELAY_LIMITS})
         lines = {key: child.line for key, child in found.items()}
@@ -329,7 +338,7 @@
     def route(self, node: Node, named: str) -> Route:
         """One route or the default."""
         where = named if named == "default" else f"route {named}"
-        if node.props or (named == "default" and node.args):
+        if node.properties or (named == "default" and node.arguments):
             self.wrong(node, where, "found values", "its name only" if named != "default" else "a block only")
         forms = TIMING if named == "default" else {"match": Form()} | TIMING
         found = self.block(node, where, forms)
@@ -341,35 +350,35 @@
                 values, _ = self.node(found[key], f"{where} {key}", TIMING[key])
                 one[key] = values[0] if values else None
         hedge = self.node(found["hedge"], f"{where} hedge", TIMING["hedge"])[1] if "hedge" in found else {}
-        match = self.match(found["match"], where) if "match" in found else Match()
+        match = self.match(found["match"], where) if "match" in found else RouteMatch()
         return Route(
             named,
             match,
-            give_up_us=one.get("give-up") or 0,
-            connect_us=one.get("connect") or 0,
-            attempt_us=one.get("attempt") or 0,
-            attempts=one.get("attempts") or 0,
-            wait=self.wait(found["wait"], f"{where} wait") if "wait" in found else None,
-            again=one.get("retry-on") or "",
-            hedge_us=hedge.get("after", 0),
-            budget=self.budget(found, where),
+            request_timeout_us=one.get("give-up") or 0,
+            connect_timeout_us=one.get("connect") or 0,
+            attempt_timeout_us=one.get("attempt") or 0,
+            max_attempts=one.get("attempts") or 0,
+            backoff=self.wait(found["wait"], f"{where} wait") if "wait" in found else None,
+            retry_on=one.get("retry-on") or "",
+            hedge_after_us=hedge.get("after", 0),
+            retry_budget=self.budget(found, where),
             limits=self.limits(found, where, LIMITS),
             lines={"": node.line, "name": node.line}
             | _lines(found.values())
             | _lines(found["match"].children if "match" in found else ()),
         )
 
-    def match(self, node: Node, where: str) -> Match:
+    def match(self, node: Node, where: str) -> RouteMatch:
         """What a route takes."""
         where = f"{where} match"
-        if node.args or node.props:
+        if node.arguments or node.properties:
             self.wrong(node, where, "found values", "a block only")
         found = self.block(node, where, MATCH)
         if not node.children:
             self.wrong(node, where, "empty", "what the route takes; what takes all is the default")
         got = {key: self.node(child, f"{where} {key}", MATCH[key])[0] for key, child in found.items()}
         again, retry = ((got.get(key) or [None])[0] for key in ("again", "retry"))
-        return Match(
+        return RouteMatch(
             tuple(got.get("class", ())),
             tuple(got.get("group-prefix", ())),
             tuple(got.get("key-prefix", ())),
@@ -377,7 +386,7 @@
             retry,
         )
 
-    def wait(self, node: Node, where: str) -> WaitRule | None:
+    def wait(self, node: Node, where: str) -> BackoffRule | None:
         """The waits between attempts."""
         values, props = self.node(node, where, WAIT)
         if not values or "first" not in props:
@@ -387,23 +396,23 @@
         if values[0] == "every" and props.get("jitter") == "full":
             self.wrong(node, where, 'jitter "full"', 'no jitter with "every": it would let attempts overlap')
             return None
-        return WaitRule(values[0], props["first"], props.get("max", 0), props.get("jitter") == "full")
+        return BackoffRule(values[0], props["first"], props.get("max", 0), props.get("jitter") == "full")
 
-    def budget(self, found: dict[str, Node], where: str) -> BudgetRule | None:
+    def budget(self, found: dict[str, Node], where: str) -> RetryBudgetRule | None:
         """A retry budget, if one is stated whole."""
         if "retry-budget" not in found:
             return None
         _, props = self.node(found["retry-budget"], f"{where} retry-budget", BUDGET)
-        return BudgetRule(props["share"], props["window"], props["floor"]) if len(props) == 3 else None
+        return RetryBudgetRule(props["share"], props["window"], props["floor"]) if len(props) == 3 else None
 
-    def limits(self, found: dict[str, Node], where: str, form: Form) -> LimitRule:
+    def limits(self, found: dict[str, Node], where: str, form: Form) -> ConnectionLimitRule:
         """Limits, as far as they are stated."""
         if "limits" not in found:
-            return LimitRule()
+            return ConnectionLimitRule()
         _, props = self.node(found["limits"], f"{where} limits", form)
-        if not props and not found["limits"].props:
+        if not props and not found["limits"].properties:
             self.wrong(found["limits"], f"{where} limits", "empty", f"one of {', '.join(dict(form.props))}")
-        return LimitRule(
+        return ConnectionLimitRule(
             props.get("open", 0),
             props.get("setups-per-second", 0.0),
             props.get("burst", 0),
@@ -411,29 +420,29 @@
         )
 
 
-def read_rules(
-    text: str, settings: Settings | None = None, limits: Limits | None = None, lines: bool = False
-) -> Rules:
+def parse_routing_rules(
+    text: str, settings: Settings | None = None, limits: Limits | None = None, with_lines: bool = False
+) -> RoutingRules:
     """The timing of `read_file`."""
-    return read_file(text, settings, limits, lines)[0]
+    return parse_operators_file(text, settings, limits, with_lines)[0]
 
 
-def read_file(
+def parse_operators_file(
     text: str,
     settings: Settings | None = None,
     limits: Limits | None = None,
-    lines: bool = False,
-    hosts: Sequence[str] = (),
-) -> tuple[Rules, AddressRules | None]:
+    with_lines: bool = False,
+    endpoint_names: Sequence[str] = (),
+) -> tuple[RoutingRules, AddressRules | None]:
     """A file's rules, checked with the platform's settings where they are given; `OperatorsError` otherwise,
     with all mistakes and their lines. Without `lines` the rules of a good file do not know theirs. The file's
-    name is put in by `load_rules`.
+    name is put in by `load_operators_file`.
     """
     reader = _Reader()
     try:
-        rules = reader.rules(read(text, lines))
+        rules = reader.rules(parse_document(text, with_lines))
     except KdlError as error:
-        raise OperatorsError([Mistake(error.line, "file", str(error), "a KDL document")], "") from None
+        raise OperatorsFileError([Mistake(error.line, "file", str(error), "a KDL document")], "") from None
     # what could not be read is left out of the rules: sums over it, and who is reached, would mislead
     lacking = tuple(
         f"{route.title}, "
@@ -442,34 +451,36 @@
     )
     mistakes = reader.mistakes + [
         m
-        for m in check(rules, settings, limits)
+        for m in check_routing_rules(rules, settings, limits)
         if not lacking or not (m.where.startswith(lacking) or m.found.startswith("never reached"))
     ]
     if reader.reach is not None:
         connect_us = int(settings.connect_timeout_us) if settings is not None else 0
-        mistakes += [Mistake(*problem) for problem in check_reach(reader.reach, hosts, connect_us)]
-    if mistakes and not lines:
-        return read_file(text, settings, limits, True, hosts)  # to complain with the lines
+        mistakes += [Mistake(*problem) for problem in check_reach(reader.reach, endpoint_names, connect_us)]
+    if mistakes and not with_lines:
+        return parse_operators_file(
+            text, settings, limits, True, endpoint_names
+        )  # to complain with the lines
     if mistakes:
-        raise OperatorsError(sorted(mistakes, key=lambda m: m.line), "")
+        raise OperatorsFileError(sorted(mistakes, key=lambda m: m.line), "")
     return rules, reader.reach
 
 
-def load_rules(
-    path: str, settings: Settings | None = None, limits: Limits | None = None, lines: bool = False
-) -> Rules:
-    """The timing of `load_file`."""
-    return load_file(path, settings, limits, lines)[0]
+def load_routing_rules(
+    path: str, settings: Settings | None = None, limits: Limits | None = None, with_lines: bool = False
+) -> RoutingRules:
+    """The timing of `load_operators_file`."""
+    return load_operators_file(path, settings, limits, with_lines)[0]
 
 
-def load_file(
+def load_operators_file(
     path: str,
     settings: Settings | None = None,
     limits: Limits | None = None,
-    lines: bool = False,
-    hosts: Sequence[str] = (),
-) -> tuple[Rules, AddressRules | None]:
-    """`read_file` from a file."""
+    with_lines: bool = False,
+    endpoint_names: Sequence[str] = (),
+) -> tuple[RoutingRules, AddressRules | None]:
+    """`parse_operators_file` from a file."""
     try:
         text = read_bytes(path).decode("utf-8")
     except OSError as error:
@@ -477,6 +488,6 @@
     except UnicodeDecodeError as error:
         raise ConfigError(f"{path}: not UTF-8: {error.reason} at byte {error.start}") from None
     try:
-        return read_file(text, settings, limits, lines, hosts)
-    except OperatorsError as error:
-        raise OperatorsError(error.mistakes, path) from None
+        return parse_operators_file(text, settings, limits, with_lines, endpoint_names)
+    except OperatorsFileError as error:
+        raise OperatorsFileError(error.mistakes, path) from None
--- a/gannetweir/config/settings.py
+++ b/gannetweir/config/settings.py
@@ -13,7 +13,7 @@
 _MISSING: Any = object()
 _NUMBER = (int, float)
 # field of Settings: path on the wire, accepted types
-SETTINGS: dict[str, tuple[str, Any]] = {
+SETTINGS_KEYS: dict[str, tuple[str, Any]] = {
     "relay_count": ("fleet-size", int),
     "zone": ("zone", int),
     "zone_names": ("zones", [str]),
@@ -37,7 +37,7 @@
     "allows_hedged_requests": ("limits.may-duplicate", bool),
     "clients_mark_retries": ("client-habits.marks-retry", bool),
 }
-CLASS: dict[str, tuple[str, Any]] = {
+REQUEST_CLASS_KEYS: dict[str, tuple[str, Any]] = {
     "name": ("name", str),
     "latency_objective_us": ("aim-us", _NUMBER),
     "deadline_us": ("hard-limit-us", _NUMBER),
@@ -66,13 +66,13 @@
     return data
 
 
-def fill(table: dict[str, tuple[str, Any]], data: Any) -> dict[str, Any]:
+def read_fields(table: dict[str, tuple[str, Any]], data: Any) -> dict[str, Any]:
     """The values that `data` has for the fields of `table`; `ConfigError` for one of a wrong type."""
     found = {name: _read(data, path, kind) for name, (path, kind) in table.items()}
     return {name: value for name, value in found.items() if value is not _MISSING}
 
 
-def check_settings(settings: Settings) -> None:
+def validate_settings(settings: Settings) -> None:
     """What would leave every request without an answer, what no fleet can have, or two classes without a name
     of their own.
     """
@@ -98,26 +98,28 @@
         raise ConfigError("setting categories: two of one name")
 
 
-def settings_from(data: Any) -> Settings:
+def parse_settings(data: Any) -> Settings:
     """The settings of one instance; unknown keys are skipped, missing ones keep their default."""
     classes = _read(data, "categories", [dict])
     if classes is _MISSING or not classes:
         raise ConfigError("setting categories: missing")
-    found = fill(SETTINGS, data)
+    found = read_fields(SETTINGS_KEYS, data)
     if (
         found.get("poll_interval_us") == 0
     ):  # nothing is stated: not that the list be asked for without a pause
         del found["poll_interval_us"]
-    settings = Settings(classes=[RequestClass(**fill(CLASS, c)) for c in classes], **found)
+    settings = Settings(
+        classes=[RequestClass(**read_fields(REQUEST_CLASS_KEYS, c)) for c in classes], **found
+    )
     asked = _read(data, "registry-mode", str)
     settings.polls_endpoint_list = asked is not _MISSING and asked != "pushed"
     return settings
 
 
-def read_settings(text: bytes) -> Settings:
+def parse_settings_json(text: bytes) -> Settings:
     """The same from JSON text, as the simulator's wire carries it."""
     try:
         data = orjson.loads(text)
     except ValueError as error:
         raise ConfigError(f"settings are not JSON: {error}") from None
-    return settings_from(data)
+    return parse_settings(data)
--- a/gannetweir/core/answers.py
+++ b/gannetweir/core/answers.py
@@ -92,5 +92,5 @@
         self.attempts.setup_finished(tx)
         if tx.admission_permit is not None:
             if context.route_admission is not None:
-                context.route_admission.ended(tx.admission_permit)
+                context.route_admission.release(tx.admission_permit)
             tx.admission_permit = None
--- a/gannetweir/core/attempts.py
+++ b/gannetweir/core/attempts.py
@@ -55,7 +55,7 @@
     def _cap(self, tx: RequestState) -> int:
         most = self.context.settings.max_attempts
         return (
-            self.context.route_admission.max_attempts(tx.request_class, most)
+            self.context.route_admission.max_attempts_for(tx.request_class, most)
             if self.context.route_admission is not None
             else most
         )
@@ -64,7 +64,7 @@
         """Does the route's budget or limit forbid this attempt? The module then gives up at once."""
         if self.context.route_admission is None or tx.admission_permit is None:
             return False
-        reason = self.context.route_admission.attempt_refusal(
+        reason = self.context.route_admission.admit_attempt(
             tx.admission_permit, tx.request_class, server, attempt, self.context.now_us
         )
         if reason:
@@ -103,7 +103,7 @@
         tx.endpoint_started_us = context.endpoint_list.started_us(server)
         tx.address, chosen = (
             None,
-            context.address_selector is not None and context.address_selector.chosen(str(server)),
+            context.address_selector is not None and context.address_selector.selects_address(str(server)),
         )
         context.commands.append(OpenUpstream(tx.request_id, tx.attempt, dial, wait, server, chosen))
         first = not tx.last_status
@@ -157,7 +157,7 @@
         assert self.context.address_selector is not None and tx.address is not None
         server, path, tx.address = str(tx.endpoint_id), tx.address, None
         if status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET):
-            fault = self.context.address_selector.unanswered(server, path, self.context.now_us)
+            fault = self.context.address_selector.record_no_response(server, path, self.context.now_us)
             if fault:
                 self.context.counters.add("path_faults")
                 self.context.log(
@@ -170,7 +170,7 @@
                 )
             return fault
         if status in (AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.FULL):
-            self.context.address_selector.answered(server, path, self.context.now_us)
+            self.context.address_selector.record_response(server, path, self.context.now_us)
         return False
 
     def address_connected(self, number: int, attempt: int, path: Address, now_us: int) -> None:
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -268,7 +268,7 @@
         up = sum(tx.established for tx in self.requests.values())
         held = self.route_admission.current_figures() if self.route_admission is not None else {}
         if self.address_selector is not None:
-            held["paths.passed_over"] = self.address_selector.passed_over
+            held["paths.passed_over"] = self.address_selector.preferred_bypassed
         pending = len(self.requests) - up
         broken = self.guard.violations
         return {
--- a/gannetweir/core/load_probes.py
+++ b/gannetweir/core/load_probes.py
@@ -29,7 +29,7 @@
             self.sent_us[server] = self.context.now_us
             self.context.counters.add("probes_sent")
             paths = self.context.address_selector
-            chosen = paths is not None and paths.chosen(str(server))
+            chosen = paths is not None and paths.selects_address(str(server))
             self.context.commands.append(StartLoadProbe(server, dial, chosen))
 
     def ended(self, server: EndpointId, status: int, report: tuple[float, ...], now_us: int) -> None:
--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -116,7 +116,7 @@
 
         rules = rules or AddressRules()
         if self.context.address_selector is not None:
-            self.context.address_selector.take(rules, self.context.limits.connect_us)
+            self.context.address_selector.apply_rules(rules, self.context.limits.connect_us)
             return
         self.context.address_selector = AddressSelector(rules, self.seed, self.context.limits.connect_us)
         for endpoint_id in self.context.endpoint_list.entries:
@@ -136,7 +136,9 @@
         address_selector = self.context.address_selector
         assert address_selector is not None
         if endpoint_list.entries[endpoint_id].state == EndpointStatus.REMOVED:
-            address_selector.forget(str(endpoint_id))
+            address_selector.remove_endpoint(str(endpoint_id))
             return
         additional_addresses = endpoint_list.additional_addresses.get(endpoint_id, ())
-        address_selector.tell(str(endpoint_id), endpoint_list.address_of(endpoint_id), additional_addresses)
+        address_selector.update_endpoint(
+            str(endpoint_id), endpoint_list.address_of(endpoint_id), additional_addresses
+        )
--- a/gannetweir/core/requests.py
+++ b/gannetweir/core/requests.py
@@ -97,7 +97,7 @@
             cls=tx.request_class.name,
             reason=refusal.reason,
         )
-        self.answers.answer(tx, RejectClient(tx.request_id, refusal.retry_us), Reason.ROUTE_LIMIT)
+        self.answers.answer(tx, RejectClient(tx.request_id, refusal.retry_after_us), Reason.ROUTE_LIMIT)
         return False
 
     def client_left(self, number: int, reset: bool, now_us: int) -> None:
--- a/gannetweir/core/resumption.py
+++ b/gannetweir/core/resumption.py
@@ -39,7 +39,7 @@
         tx.resumed = True
         if self.context.route_admission is not None:  # it stands: it counts, but nothing turns it away
             tx.admission_permit = self.context.route_admission.permit_for(tx.request_class)
-            self.context.route_admission.resumed(tx.admission_permit)
+            self.context.route_admission.resume(tx.admission_permit)
         w = wanted
         # its deadline may be an hour away; a backend that says nothing for so long does not hold it any more
         tx.deadline_us = min(tx.deadline_us, self.context.now_us + self.context.limits.resume_us)
--- a/gannetweir/core/upstream_events.py
+++ b/gannetweir/core/upstream_events.py
@@ -69,7 +69,7 @@
         tx.established = True
         self.attempts.setup_finished(tx)
         if tx.address is not None and context.address_selector is not None:
-            context.address_selector.answered(str(tx.endpoint_id), tx.address, now_us)
+            context.address_selector.record_response(str(tx.endpoint_id), tx.address, now_us)
         context.counters.add("served")
         context.record_step(tx, Step.SERVED)
         context.commands.append(StartForwarding(number))
--- a/gannetweir/lab/emulator/push_node.py
+++ b/gannetweir/lab/emulator/push_node.py
@@ -16,7 +16,7 @@
 import anyio
 import anyio.abc
 
-from gannetweir.addresses.address import UNIX, V6, Address, parse
+from gannetweir.addresses.address import IPV6, UNIX, Address, parse_address
 from gannetweir.lab.emulator.attempts import OpenAttempts
 from gannetweir.limits import Limits
 from gannetweir.net.transport import Spawn, Transport, accept_connection
@@ -140,7 +140,7 @@
             sock = socket.socket(socket.AF_UNIX)
             sock.bind(at.host)
         else:
-            sock = socket.socket(socket.AF_INET6 if at.family == V6 else socket.AF_INET)
+            sock = socket.socket(socket.AF_INET6 if at.family == IPV6 else socket.AF_INET)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind((at.host, at.port))
         sock.setblocking(False)
@@ -314,4 +314,4 @@
         "ipv6": lambda: f"[::1]:{free(socket.AF_INET6, '::1')}",
         "unix": lambda: f"unix:{folder}/b{number}.sock",
     }
-    return [parse(texts[family]()) for family in families]
+    return [parse_address(texts[family]()) for family in families]
--- a/gannetweir/lab/experiments/trial.py
+++ b/gannetweir/lab/experiments/trial.py
@@ -29,8 +29,8 @@
 from hdrh.histogram import HdrHistogram
 
 from gannetweir.addresses.address import FAMILIES
-from gannetweir.config.kdl import KdlError, Node, read
-from gannetweir.config.operators import duration
+from gannetweir.config.kdl import KdlError, Node, parse_document
+from gannetweir.config.operators import parse_duration_us
 from gannetweir.lab.emulator.push_node import FAULTS
 from gannetweir.lab.emulator.yard import Event, Script, Yard, YardPlan, play
 
@@ -109,10 +109,10 @@
 def parse_trial(text: str, base: Path | None = None) -> Trial:
     """Read an experiment; `TrialError` names the line."""
     try:
-        nodes = read(text)
+        nodes = parse_document(text)
     except KdlError as error:
         raise TrialError(f"line {error.line}: {error}") from None
-    if len(nodes) != 1 or nodes[0].name != "experiment" or len(nodes[0].args) != 1:
+    if len(nodes) != 1 or nodes[0].name != "experiment" or len(nodes[0].arguments) != 1:
         raise TrialError('one `experiment "NAME" { … }`')
     got: dict[str, Any] = {
         "relays": 1,
@@ -135,22 +135,24 @@
         "capacity": (int, 1e6),
         "rate": (float, MOST_PER_S),
         "seconds": (float, MOST_SECONDS),
-        "life": (lambda v: duration(v) / 1e6, MOST_SECONDS),
+        "life": (lambda v: parse_duration_us(v) / 1e6, MOST_SECONDS),
     }
     for node in nodes[0].children:
         if node.name in numbers:
-            got[node.name] = _number(node, node.args[0] if len(node.args) == 1 else "", *numbers[node.name])
-        elif node.name == "families" and node.args and set(node.args) <= set(FAMILIES):
-            families = tuple(node.args)
-        elif node.name == "seeds" and node.args and all(type(seed) is int for seed in node.args):
-            seeds = tuple(node.args)
-        elif node.name == "operators" and len(node.args) == 1:
-            operators = ((base or Path()) / str(node.args[0])).read_text()
-        elif node.name == "sweep" and len(node.args) > 1 and node.args[0] in SWEPT:
-            name, *values = node.args
+            got[node.name] = _number(
+                node, node.arguments[0] if len(node.arguments) == 1 else "", *numbers[node.name]
+            )
+        elif node.name == "families" and node.arguments and set(node.arguments) <= set(FAMILIES):
+            families = tuple(node.arguments)
+        elif node.name == "seeds" and node.arguments and all(type(seed) is int for seed in node.arguments):
+            seeds = tuple(node.arguments)
+        elif node.name == "operators" and len(node.arguments) == 1:
+            operators = ((base or Path()) / str(node.arguments[0])).read_text()
+        elif node.name == "sweep" and len(node.arguments) > 1 and node.arguments[0] in SWEPT:
+            name, *values = node.arguments
             sweep = str(name), tuple(_number(node, value, *numbers[str(name)]) for value in values)
-        elif node.name == "variant" and len(node.args) == 1:
-            variants[str(node.args[0])] = [_event(child) for child in node.children]
+        elif node.name == "variant" and len(node.arguments) == 1:
+            variants[str(node.arguments[0])] = [_event(child) for child in node.children]
         else:
             raise TrialError(f"line {node.line}: {node.name}: unknown, or with other values than it takes")
     if sweep[1]:  # each variant once for each value
@@ -166,24 +168,24 @@
         base=got["base"],
         capacity=got["capacity"],
     )
-    name = str(nodes[0].args[0])
+    name = str(nodes[0].arguments[0])
     variants = variants or {"plain": []}
     return Trial(name, plan, got["rate"], got["seconds"], got["life"], seeds, variants, sweep)
 
 
 def _event(node: Node) -> dict[str, Any]:
     known = {"fault", "family", "node", "until", "drain", "restart", "kill", "term", "store"}
-    if node.name != "at" or len(node.args) != 1 or not node.props or set(node.props) - known:
+    if node.name != "at" or len(node.arguments) != 1 or not node.properties or set(node.properties) - known:
         raise TrialError(f"line {node.line}: at TIME with some of {', '.join(sorted(known))}")
-    if node.props.get("fault", "") not in FAULTS:
+    if node.properties.get("fault", "") not in FAULTS:
         raise TrialError(f"line {node.line}: fault is one of {', '.join(filter(None, FAULTS))}")
     try:
-        times = {"at": duration(node.args[0]) / 1e6}
-        if "until" in node.props:
-            times["until"] = duration(node.props["until"]) / 1e6
+        times = {"at": parse_duration_us(node.arguments[0]) / 1e6}
+        if "until" in node.properties:
+            times["until"] = parse_duration_us(node.properties["until"]) / 1e6
     except ValueError as error:
         raise TrialError(f"line {node.line}: {error}") from None
-    return {**node.props, **times}
+    return {**node.properties, **times}
 
 
 def events_of(told: dict[str, Any]) -> list[Event]:
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -14,8 +14,15 @@
 
 from gannetweir import core as e
 from gannetweir.addresses.address import Address
-from gannetweir.addresses.connection_race import Action, Close, Connect, Lost, Wake, Won
-from gannetweir.config.operators import read_file
+from gannetweir.addresses.connection_race import (
+    CloseConnection,
+    RaceAction,
+    RaceLost,
+    RaceWon,
+    SetTimer,
+    StartConnect,
+)
+from gannetweir.config.operators import parse_operators_file
 from gannetweir.lab.model.backends import Backend, SessionStore
 from gannetweir.lab.model.checker import Checker, Cold
 from gannetweir.lab.model.clock import VirtualClock
@@ -29,7 +36,7 @@
     RequestFlag,
 )
 from gannetweir.placement.settings import RequestClass, Settings
-from gannetweir.routing.route_admission import RouteAdmission, told_classes, with_routes
+from gannetweir.routing.route_admission import RouteAdmission, platform_classes, with_routed_classes
 
 SECOND = 1_000_000
 KINDS = 0.6, 1.0, 1.4  # capacities of the kinds of machines, over the mean
@@ -135,25 +142,25 @@
         assert paths is not None
         self.relay, self.server, self.backend, self.done, self.paths = relay, server, backend, done, paths
         self.clock = relay.world.clock
-        self.race = paths.race(server, self.clock.now, probe, skip)
-        self._do(self.race.begin(self.clock.now))
+        self.race = paths.new_race(server, self.clock.now, probe, skip)
+        self._do(self.race.start(self.clock.now))
 
     def stop(self) -> None:
         """Given up from outside."""
-        self._do(self.race.stop(self.clock.now))
+        self._do(self.race.cancel(self.clock.now))
 
-    def _do(self, actions: list[Action]) -> None:
+    def _do(self, actions: list[RaceAction]) -> None:
         for action in actions:
-            if isinstance(action, Connect):
+            if isinstance(action, StartConnect):
                 self._connect(action.address)
-            elif isinstance(action, Wake):
-                self.clock.after(action.after_us, lambda: self._do(self.race.due(self.clock.now)))
-            elif isinstance(action, Close) and action.waited_us > 0:
-                self.paths.overtaken(self.server, action.address, action.waited_us, self.clock.now)
-            elif isinstance(action, Won):
-                self.paths.connected(self.server, action.address, action.took_us)
+            elif isinstance(action, SetTimer):
+                self.clock.after(action.after_us, lambda: self._do(self.race.timer_expired(self.clock.now)))
+            elif isinstance(action, CloseConnection) and action.waited_us > 0:
+                self.paths.record_lost_race(self.server, action.address, action.waited_us, self.clock.now)
+            elif isinstance(action, RaceWon):
+                self.paths.record_connected(self.server, action.address, action.connect_time_us)
                 self.done(action.address)
-            elif isinstance(action, Lost):
+            elif isinstance(action, RaceLost):
                 self.done(None)
 
     def _connect(self, address: Address) -> None:
@@ -165,12 +172,12 @@
             self.clock.after(way, lambda: self._failed(address))
         else:
             took = way + (150_000 if fault == "slow" else 0)
-            self.clock.after(took, lambda: self._do(self.race.connected(address, self.clock.now)))
+            self.clock.after(took, lambda: self._do(self.race.attempt_connected(address, self.clock.now)))
 
     def _failed(self, address: Address) -> None:
-        if address in self.race.out:
-            self.paths.failed(self.server, address, self.clock.now)
-            self._do(self.race.failed(address, self.clock.now))
+        if address in self.race.started_us:
+            self.paths.record_connect_failure(self.server, address, self.clock.now)
+            self._do(self.race.attempt_failed(address, self.clock.now))
 
 
 class Relay:
@@ -182,8 +189,8 @@
         self.missed: list[MembershipUpdate] = []  # while it is cut off
         told = world.plan.settings(zone)
         self.limits = replace(Limits(sockets=world.plan.sockets), connect_us=int(told.connect_timeout_us))
-        rules, reach = read_file(file, told, self.limits) if file else (None, None)
-        self.settings = with_routes(told, rules) if rules is not None else told
+        rules, reach = parse_operators_file(file, told, self.limits) if file else (None, None)
+        self.settings = with_routed_classes(told, rules) if rules is not None else told
         keeper = RouteAdmission(rules, self.settings) if rules is not None else None
         known = world.whole()
         now = world.clock.now
@@ -231,9 +238,9 @@
 
     def reload(self, file: str) -> None:
         """Another operators' file, as at SIGHUP."""
-        told = replace(self.settings, classes=told_classes(self.settings))
-        rules, reach = read_file(file, told, self.limits)
-        self.settings = with_routes(told, rules)
+        told = replace(self.settings, classes=platform_classes(self.settings))
+        rules, reach = parse_operators_file(file, told, self.limits)
+        self.settings = with_routed_classes(told, rules)
         keeper = self.engine.route_admission
         if keeper is None:
             keeper = RouteAdmission(rules, self.settings)
@@ -445,10 +452,10 @@
 
             def answered() -> None:
                 if report is not None:
-                    paths.answered(server, path, clock.now)
+                    paths.record_response(server, path, clock.now)
                     end(AttemptStatus.OK, report)
                     return
-                paths.unanswered(server, path, clock.now)
+                paths.record_no_response(server, path, clock.now)
                 tried.append(path)
                 over.append(True)
                 if len(tried) < len(backend.paths) and clock.now < until_us:
--- a/gannetweir/lab/scale/control_machine.py
+++ b/gannetweir/lab/scale/control_machine.py
@@ -18,7 +18,7 @@
 import anyio
 import anyio.abc
 
-from gannetweir.config import SocketAddress, address
+from gannetweir.config import SocketAddress, parse_socket_address
 from gannetweir.control.machine import ControlMachine
 from gannetweir.control.versions import Resource, Slice
 from gannetweir.lab.scale.link import answer_calls
@@ -152,4 +152,4 @@
 
 
 if __name__ == "__main__":
-    anyio.run(run, sys.argv[1], address(sys.argv[2], "listen"))
+    anyio.run(run, sys.argv[1], parse_socket_address(sys.argv[2], "listen"))
--- a/gannetweir/lab/scale/discovery_stub.py
+++ b/gannetweir/lab/scale/discovery_stub.py
@@ -19,7 +19,7 @@
 import anyio.abc
 import orjson
 
-from gannetweir.config import SocketAddress, address
+from gannetweir.config import SocketAddress, parse_socket_address
 from gannetweir.lab.scale.link import answer_calls
 from gannetweir.lab.scale.messages import (
     AskServed,
@@ -243,4 +243,4 @@
 
 
 if __name__ == "__main__":
-    anyio.run(run, [address(text, "listen") for text in sys.argv[1:]])
+    anyio.run(run, [parse_socket_address(text, "listen") for text in sys.argv[1:]])
--- a/gannetweir/lab/scale/fleet_experiment.py
+++ b/gannetweir/lab/scale/fleet_experiment.py
@@ -25,8 +25,8 @@
 from enum import StrEnum
 from typing import Any
 
-from gannetweir.config.kdl import KdlError, Node, read
-from gannetweir.config.operators import duration
+from gannetweir.config.kdl import KdlError, Node, parse_document
+from gannetweir.config.operators import parse_duration_us
 
 MOST_RELAYS, MOST_BACKENDS, MOST_HOSTS, MOST_ZONES, MOST_TRUE, MOST_CHANGES = 2000, 20_000, 40, 64, 8, 1000
 MOST_MACHINES = 40
@@ -107,9 +107,11 @@
 
 
 def _numbers(node: Node, most: int, least: int = 1) -> tuple[int, ...]:
-    if not node.args or not all(type(value) is int and least <= value <= most for value in node.args):
+    if not node.arguments or not all(
+        type(value) is int and least <= value <= most for value in node.arguments
+    ):
         raise FleetError(f"line {node.line}: {node.name}: whole numbers from {least} to {most}")
-    return tuple(node.args)
+    return tuple(node.arguments)
 
 
 def _number(node: Node, most: int, least: int = 1) -> int:
@@ -121,7 +123,7 @@
 
 def _seconds(node: Node, value: Any, most: float = MOST_PHASE_S) -> float:
     try:
-        seconds = duration(value) / 1e6
+        seconds = parse_duration_us(value) / 1e6
     except ValueError as error:
         raise FleetError(f"line {node.line}: {node.name}: {error}") from None
     if seconds > most:
@@ -130,22 +132,26 @@
 
 
 def _phase(node: Node) -> Phase:
-    if len(node.args) != 1 or not isinstance(node.args[0], str) or "," in node.args[0]:
+    if len(node.arguments) != 1 or not isinstance(node.arguments[0], str) or "," in node.arguments[0]:
         raise FleetError(f'line {node.line}: phase "NAME", without a comma')
-    unknown = set(node.props) - {"fault", "changes", "every", "after", "lasts"}
+    unknown = set(node.properties) - {"fault", "changes", "every", "after", "lasts"}
     if unknown:
         raise FleetError(f"line {node.line}: phase: unknown {', '.join(sorted(unknown))}")
     try:
-        fault = Fault(node.props.get("fault", "none"))
+        fault = Fault(node.properties.get("fault", "none"))
     except ValueError:
         known = ", ".join(fault.value for fault in Fault)
         raise FleetError(f"line {node.line}: fault: one of {known}") from None
-    changes = node.props.get("changes", 0)
+    changes = node.properties.get("changes", 0)
     if type(changes) is not int or not 0 <= changes <= MOST_CHANGES:
         raise FleetError(f"line {node.line}: changes: a whole number from 0 to {MOST_CHANGES}")
-    times = {key: _seconds(node, node.props[key]) for key in ("every", "after", "lasts") if key in node.props}
+    times = {
+        key: _seconds(node, node.properties[key])
+        for key in ("every", "after", "lasts")
+        if key in node.properties
+    }
     phase = Phase(
-        node.args[0],
+        node.arguments[0],
         fault,
         changes,
         times.get("every", 1.0),
@@ -160,9 +166,9 @@
 
 
 def _text(node: Node, known: tuple[str, ...]) -> str:
-    if len(node.args) != 1 or node.args[0] not in known:
+    if len(node.arguments) != 1 or node.arguments[0] not in known:
         raise FleetError(f"line {node.line}: {node.name}: one of {', '.join(known)}")
-    return str(node.args[0])
+    return str(node.arguments[0])
 
 
 _READERS: dict[str, Callable[[Node], Any]] = {
@@ -173,8 +179,8 @@
     "zones": lambda node: _number(node, MOST_ZONES),
     "machines": lambda node: _number(node, MOST_MACHINES),
     "true-relays": lambda node: _number(node, MOST_TRUE, 0),
-    "ask-within": lambda node: _seconds(node, node.args[0] if node.args else None),
-    "within": lambda node: _seconds(node, node.args[0] if node.args else None),
+    "ask-within": lambda node: _seconds(node, node.arguments[0] if node.arguments else None),
+    "within": lambda node: _seconds(node, node.arguments[0] if node.arguments else None),
 }
 _DEFAULTS: dict[str, Any] = {
     "distribution": "direct",
@@ -192,10 +198,10 @@
 def parse_fleet(text: str) -> FleetExperiment:
     """Read an experiment; `FleetError` names the line."""
     try:
-        nodes = read(text)
+        nodes = parse_document(text)
     except KdlError as error:
         raise FleetError(f"line {error.line}: {error}") from None
-    if len(nodes) != 1 or nodes[0].name != "experiment" or len(nodes[0].args) != 1:
+    if len(nodes) != 1 or nodes[0].name != "experiment" or len(nodes[0].arguments) != 1:
         raise FleetError('one `experiment "NAME" { … }`')
     told = dict(_DEFAULTS)
     phases: list[Phase] = []
@@ -218,7 +224,7 @@
         if phase.fault not in FAULTS[told["distribution"]]:
             raise FleetError(f"phase {phase.name!r}: no {phase.fault} with {told['distribution']!r}")
     return FleetExperiment(
-        str(nodes[0].args[0]),
+        str(nodes[0].arguments[0]),
         told["distribution"],
         told["relays"],
         told["backends"],
--- a/gannetweir/lab/scale/hollow_host.py
+++ b/gannetweir/lab/scale/hollow_host.py
@@ -6,8 +6,8 @@
 import anyio.abc
 import anyio.lowlevel
 
-from gannetweir.config import address, settings_from
-from gannetweir.config.platform import limits_from
+from gannetweir.config import parse_settings, parse_socket_address
+from gannetweir.config.platform import parse_limits
 from gannetweir.lab.scale.hollow_relay import DRIVERS, HollowConfig, HollowRelay, KnownList
 from gannetweir.lab.scale.link import answer_calls
 from gannetweir.lab.scale.messages import (
@@ -61,16 +61,16 @@
 
     def _configure(self, told: Configure) -> None:
         self.told = told
-        one = settings_from(told.settings)
-        self.settings = [settings_from({**told.settings, "zone": n}) for n in range(told.zones)] or [one]
+        one = parse_settings(told.settings)
+        self.settings = [parse_settings({**told.settings, "zone": n}) for n in range(told.zones)] or [one]
 
     def _start(self, relay: int, known: KnownList | None = None) -> HollowRelay:
         settings = self.settings[relay % len(self.settings)]
         config = HollowConfig(
             settings,
-            limits_from(None, settings),
+            parse_limits(None, settings),
             seed=relay + 1,
-            servers=tuple(address(server, "server") for server in self.told.servers),
+            servers=tuple(parse_socket_address(server, "server") for server in self.told.servers),
             epoch_ns=self.told.epoch_ns,
             known=known,
         )
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from gannetweir.config.settings import settings_from
+from gannetweir.config.settings import parse_settings
 from gannetweir.core import Engine
 from gannetweir.lab.emulator.yard import settings as platform_settings
 from gannetweir.lab.scale.measure import Named, Step, Sweep, elapsed_ms, processor_us, sweep
@@ -71,7 +71,7 @@
 @cache
 def relay_settings() -> Settings:
     """The settings that every measurement here gives its relay."""
-    return settings_from(platform_settings(1500))
+    return parse_settings(platform_settings(1500))
 
 
 def host(number: int) -> dict[str, Any]:
--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -7,8 +7,8 @@
 import orjson
 
 from gannetweir.config.errors import ConfigError
-from gannetweir.config.platform import keys_of, limits_from
-from gannetweir.config.settings import check_settings, settings_from
+from gannetweir.config.platform import key_paths, parse_limits
+from gannetweir.config.settings import parse_settings, validate_settings
 from gannetweir.control.versions import Entry, Resource
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.endpoint_watch import EndpointListError, read_membership
@@ -47,13 +47,13 @@
             return ""
         merged = {**held, **changes}
         data = {key: orjson.loads(body) for key, body in merged.items() if body is not None}
-        lost = keys_of({key: orjson.loads(body) for key, body in held.items()}) - keys_of(data)
+        lost = key_paths({key: orjson.loads(body) for key, body in held.items()}) - key_paths(data)
         if lost:  # it would silently become a default
             return f"missing: {', '.join(sorted(key[1:] for key in lost)[:5])}"
         try:
-            settings = settings_from(data)
-            check_settings(settings)
-            limits = limits_from(None, settings)
+            settings = parse_settings(data)
+            validate_settings(settings)
+            limits = parse_limits(None, settings)
         except (ConfigError, TypeError, OverflowError) as error:
             return str(error)
         standing = self.settings()
--- a/gannetweir/net/control_host.py
+++ b/gannetweir/net/control_host.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from gannetweir.config.settings import settings_from
+from gannetweir.config.settings import parse_settings
 from gannetweir.control.stage import ServiceTotals
 from gannetweir.control.versions import Resource, Version
 from gannetweir.limits import Limits
@@ -50,7 +50,7 @@
 
     def apply_settings(self, data: dict[str, Any]) -> None:
         """To the relay. `ConfigError` can't come: the follower's check has read them the same way."""
-        self.take_settings(settings_from(data))
+        self.take_settings(parse_settings(data))
 
     def totals(self) -> ServiceTotals:
         """What clients were answered since the start."""
--- a/gannetweir/net/dialer.py
+++ b/gannetweir/net/dialer.py
@@ -1,4 +1,4 @@
-"""The driver of a race between a server's addresses: sockets round `reach.race`."""
+"""The driver of a race between a server's addresses: sockets round `addresses.connection_race`."""
 
 from __future__ import annotations
 
@@ -8,7 +8,15 @@
 
 from gannetweir.addresses.address import Address
 from gannetweir.addresses.address_selector import AddressSelector
-from gannetweir.addresses.connection_race import Action, Close, Connect, Lost, Race, Wake, Won
+from gannetweir.addresses.connection_race import (
+    CloseConnection,
+    ConnectionRace,
+    RaceAction,
+    RaceLost,
+    RaceWon,
+    SetTimer,
+    StartConnect,
+)
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.errors import LocalResourceError
 from gannetweir.net.ports import RaceContext
@@ -23,7 +31,7 @@
         context: RaceContext,
         address_selector: AddressSelector,
         endpoint: str,
-        race: Race,
+        race: ConnectionRace,
         descriptor_count: DescriptorCount | None,
     ) -> None:
         self.context, self.address_selector, self.endpoint, self.race, self.descriptor_count = (
@@ -47,12 +55,12 @@
         whole = False
         try:
             async with anyio.create_task_group() as self.group:
-                self._carry_out(self.race.begin(self.context.clock()))
+                self._carry_out(self.race.start(self.context.clock()))
             whole = self.winner is not None and not self.stopped
         finally:
             self.group = None
             self.context.address_races.pop(self, None)
-            self._carry_out(self.race.stop(self.context.clock()))
+            self._carry_out(self.race.cancel(self.context.clock()))
             for endpoint in self.transports.values():
                 if not whole or self.winner is None or endpoint is not self.winner[0]:
                     endpoint.close()
@@ -63,41 +71,47 @@
     def stop(self) -> None:
         """Give it up now: every connect is closed when this returns."""
         self.stopped = True
-        self._carry_out(self.race.stop(self.context.clock()))
+        self._carry_out(self.race.cancel(self.context.clock()))
         if self.group is not None:
             self.group.cancel_scope.cancel()
 
     def evict_one(self) -> bool:
         """A descriptor is wanted: was one given back?"""
-        actions = self.race.give_way()
+        actions = self.race.cancel_all_but_oldest()
         self._carry_out(actions)
         return bool(actions)
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _carry_out(self, actions: list[RaceAction]) -> None:
         for action in actions:
-            if isinstance(action, Connect):
+            if isinstance(action, StartConnect):
                 self._begin(action.address)
-            elif isinstance(action, Wake) and self.group is not None:
+            elif isinstance(action, SetTimer) and self.group is not None:
                 self.group.start_soon(self._wake, action.after_us)
-            elif isinstance(action, Close):
+            elif isinstance(action, CloseConnection):
                 if action.waited_us > 0:
                     now = self.context.clock()
-                    self.address_selector.overtaken(self.endpoint, action.address, action.waited_us, now)
+                    self.address_selector.record_lost_race(
+                        self.endpoint, action.address, action.waited_us, now
+                    )
                 if (endpoint := self.transports.pop(action.address, None)) is not None:
                     endpoint.close()
-            elif isinstance(action, Won):
-                self.address_selector.connected(self.endpoint, action.address, action.took_us)
+            elif isinstance(action, RaceWon):
+                self.address_selector.record_connected(self.endpoint, action.address, action.connect_time_us)
                 self.winner = self.transports[action.address], action.address
                 if self.group is not None:
                     self.group.cancel_scope.cancel()
-            elif isinstance(action, Lost) and self.group is not None:
+            elif isinstance(action, RaceLost) and self.group is not None:
                 self.group.cancel_scope.cancel()
 
     def _begin(self, address: Address) -> None:
         # the first connect of a flow has had its room made; a further one pushes nobody out, and does not go
         # past the limit
-        if len(self.race.out) > 1 and self.descriptor_count is not None and not self.context.has_capacity():
-            self._carry_out(self.race.give_way())
+        if (
+            len(self.race.started_us) > 1
+            and self.descriptor_count is not None
+            and not self.context.has_capacity()
+        ):
+            self._carry_out(self.race.cancel_all_but_oldest())
         elif self.group is not None:
             self.group.start_soon(self._connect_or_fail, address)
 
@@ -107,12 +121,12 @@
         except (OSError, anyio.ClosedResourceError, ValueError):
             if (mine := self.transports.pop(address, None)) is not None:
                 mine.close()
-            if address in self.race.out:  # it failed by itself
+            if address in self.race.started_us:  # it failed by itself
                 now = self.context.clock()
-                self.address_selector.failed(self.endpoint, address, now)
-                self._carry_out(self.race.failed(address, now))
+                self.address_selector.record_connect_failure(self.endpoint, address, now)
+                self._carry_out(self.race.attempt_failed(address, now))
             return
-        self._carry_out(self.race.connected(address, self.context.clock()))
+        self._carry_out(self.race.attempt_connected(address, self.context.clock()))
 
     async def _connect(self, address: Address) -> None:
         """One connect; an error of this machine says nothing of the address, and is waited out."""
@@ -121,16 +135,16 @@
             endpoint = self.transports[address] = Transport(
                 sock, self.context.limits, self.context.spawn, self.descriptor_count
             )
-            self.race.started(address, self.context.clock())
+            self.race.attempt_started(address, self.context.clock())
             return endpoint
 
         def held_up(_: LocalResourceError) -> None:
             self.transports.pop(address, None)
-            if address not in self.race.out:
+            if address not in self.race.started_us:
                 raise OSError("given up meanwhile")
 
         await connect_endpoint(lambda: socket_to(address), make, held_up)
 
     async def _wake(self, after_us: int) -> None:
         await anyio.sleep(after_us / 1e6)
-        self._carry_out(self.race.due(self.context.clock()))
+        self._carry_out(self.race.timer_expired(self.context.clock()))
--- a/gannetweir/net/load_probes.py
+++ b/gannetweir/net/load_probes.py
@@ -44,14 +44,14 @@
     assert paths is not None
     tried: list[Address] = []
     result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
-    share = relay.limits.probe_us / max(1, len(paths.known.get(server, ())))
-    while paths.order(server, relay.clock(), True, tried):
+    share = relay.limits.probe_us / max(1, len(paths.states_by_endpoint.get(server, ())))
+    while paths.ordered_addresses(server, relay.clock(), True, tried):
         endpoint: Transport | None = None
         path: Address | None = None
         asked = relay.clock()
         try:
             with anyio.fail_after(share / 1e6):
-                race = paths.race(server, relay.clock(), True, tried)
+                race = paths.new_race(server, relay.clock(), True, tried)
                 endpoint, path = await AddressRaceDriver(relay, paths, server, race, None).connect()
                 result, asked = AttemptEnded(AttemptStatus.TIMEOUT), relay.clock()
                 result = await _ask(relay, order.endpoint_id, endpoint)
@@ -65,9 +65,9 @@
         if result.status == AttemptStatus.NOT_STARTED:
             return result
         if result.status in (AttemptStatus.OK, AttemptStatus.ERROR):
-            paths.answered(server, path, relay.clock(), max(1, relay.clock() - asked))
+            paths.record_response(server, path, relay.clock(), max(1, relay.clock() - asked))
             return result
-        paths.unanswered(server, path, relay.clock())
+        paths.record_no_response(server, path, relay.clock())
         tried.append(path)
     return result
 
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -17,7 +17,7 @@
 import anyio.lowlevel
 
 from gannetweir import core as e
-from gannetweir.config import Config, ConfigError, SocketAddress, address
+from gannetweir.config import Config, ConfigError, SocketAddress, parse_socket_address
 from gannetweir.limits import Limits
 from gannetweir.net.admin import AdminListener
 from gannetweir.net.client_connection import ClientConnectionDriver
@@ -66,8 +66,10 @@
     ) -> None:
         config = _within_descriptors(config)
         self.config, self.clock, self.reread_config = config, Clock(), read_again
-        self.handover = Handover(config.shared, f"{config.name}-{config.listen.host}-{config.listen.port}")
-        known = read_cached_membership(config.known, config.settings)
+        self.handover = Handover(
+            config.shared_folder, f"{config.name}-{config.listen_address.host}-{config.listen_address.port}"
+        )
+        known = read_cached_membership(config.known_endpoints, config.settings)
         trace = _trace(config) if traced else None
         self.engine = e.Engine(
             config.settings,
@@ -78,7 +80,7 @@
             self.handover.overrides,
             replaces=bool(self.handover.peers),
             keeper=_keeper(config, None),
-            reach=config.reach,
+            reach=config.address_rules,
             trace=trace,
             request_trace=trace.request if trace is not None else None,
             wall_ahead_us=time.time_ns() // 1000 - self.clock(),
@@ -133,7 +135,7 @@
     @property
     def discovery(self) -> SocketAddress:
         """Where the pool is watched."""
-        return self.config.discovery
+        return self.config.discovery_address
 
     @property
     def address_races(self) -> dict[Evictable, None]:
@@ -236,7 +238,7 @@
     def dial(self, text: str) -> tuple[str, int]:
         """A backend's address, or `OSError`: what can't be reached is a connection that failed."""
         try:
-            at = address(text, "dial")
+            at = parse_socket_address(text, "dial")
         except ValueError as error:
             raise OSError(str(error)) from None
         return at.host, at.port
@@ -278,28 +280,36 @@
                 self.log(f"reload: {line}; the old configuration stays")
             return
         old = self.config
-        if (config.name, config.listen, config.admin) != (old.name, old.listen, old.admin):
+        if (config.name, config.listen_address, config.admin_address) != (
+            old.name,
+            old.listen_address,
+            old.admin_address,
+        ):
             self.log("reload: another name, listen or admin address needs a restart; they stay")
         # a client whose first line is still to come is read by the new classes
-        self.config = replace(config, name=old.name, listen=old.listen, admin=old.admin)
+        self.config = replace(
+            config, name=old.name, listen_address=old.listen_address, admin_address=old.admin_address
+        )
         self.max_descriptors = _most_held(config.limits)
         self.class_index_by_name = _told(config.settings)
         keeper = _keeper(config, self.engine.route_admission)
         new = config.settings, config.limits
-        self.run_engine_call(lambda now_us: self.engine.reload(*new, now_us, keeper, config.reach))
-        if config.discovery != old.discovery:
+        self.run_engine_call(lambda now_us: self.engine.reload(*new, now_us, keeper, config.address_rules))
+        if config.discovery_address != old.discovery_address:
             self.endpoint_watch.change_discovery()
-        self.log(f"reload: done, discovery at {config.discovery.host}:{config.discovery.port}")
+        self.log(
+            f"reload: done, discovery at {config.discovery_address.host}:{config.discovery_address.port}"
+        )
 
     # ---- the tasks
 
     async def run(self) -> None:
         """Serve until the drain is over."""
         self.started = True
-        inherited = self.config.inherited is not None
+        inherited = self.config.inherited_listener_fd is not None
         self.listener = ClientListener(self, self._listen(), inherited)
         try:
-            door = AdminListener(self, self.config.admin) if self.config.admin else None
+            door = AdminListener(self, self.config.admin_address) if self.config.admin_address else None
             async with anyio.create_task_group() as self.tasks:
                 self.tasks.start_soon(self._signals)
                 self.tasks.start_soon(self._timers)
@@ -315,10 +325,10 @@
             self.print_counters()
 
     def _listen(self) -> socket.socket:
-        if self.config.inherited is None:
-            return open_listener(self.config.listen, self.config.limits)
+        if self.config.inherited_listener_fd is None:
+            return open_listener(self.config.listen_address, self.config.limits)
         # The platform holds this one and other processes share it: it is neither bound nor shut down here.
-        sock = socket.socket(fileno=self.config.inherited)
+        sock = socket.socket(fileno=self.config.inherited_listener_fd)
         sock.setblocking(False)
         return sock
 
@@ -337,7 +347,7 @@
         """SIGTERM. Where the platform holds the listener no client is lost by not accepting it here: the
         process that replaces this one does. Elsewhere the front still sends clients for a while.
         """
-        replaced = self.config.inherited is not None
+        replaced = self.config.inherited_listener_fd is not None
         if replaced:
             self.listener.stop()
         self.run_engine_call(lambda now_us: self.engine.drain(now_us, replaced))
@@ -410,13 +420,13 @@
 
 def _keeper(config: Config, standing: RouteAdmission | None) -> RouteAdmission | None:
     """The keeper of the operators' routes; one that stands goes on: what it has counted still counts."""
-    if config.rules is None:
+    if config.routing_rules is None:
         return None
     from gannetweir.routing.route_admission import RouteAdmission  # only where it is switched on
 
     if standing is None:
-        return RouteAdmission(config.rules, config.settings)
-    standing.apply(config.rules, config.settings)
+        return RouteAdmission(config.routing_rules, config.settings)
+    standing.apply(config.routing_rules, config.settings)
     return standing
 
 
--- a/gannetweir/net/transport.py
+++ b/gannetweir/net/transport.py
@@ -53,7 +53,7 @@
     """A non-blocking socket for an address of any family, and what to connect it to. `OSError` where the
     interface of a link-local address is not there.
     """
-    from gannetweir.addresses.address import UNIX, V6  # only where a server has several
+    from gannetweir.addresses.address import IPV6, UNIX  # only where a server has several
 
     if address.family == UNIX:
         sock = _socket(socket.AF_UNIX)
@@ -62,7 +62,7 @@
     scope = 0
     if address.scope:
         scope = int(address.scope) if address.scope.isdecimal() else socket.if_nametoindex(address.scope)
-    at = (address.host, address.port, 0, scope) if address.family == V6 else (address.host, address.port)
+    at = (address.host, address.port, 0, scope) if address.family == IPV6 else (address.host, address.port)
     return tcp_socket(address.host), at
 
 
--- a/gannetweir/net/upstream_connection.py
+++ b/gannetweir/net/upstream_connection.py
@@ -90,7 +90,7 @@
         engine, order = self.relay.engine, self.command
         assert engine.address_selector is not None
         server = str(order.endpoint_id)
-        race = engine.address_selector.race(server, self.relay.clock())
+        race = engine.address_selector.new_race(server, self.relay.clock())
         self.dialer = AddressRaceDriver(
             self.relay, engine.address_selector, server, race, self.relay.descriptor_count
         )
--- a/gannetweir/routing/rate_limit.py
+++ b/gannetweir/routing/rate_limit.py
@@ -6,60 +6,62 @@
 
 from __future__ import annotations
 
-from gannetweir.routing.rules import LimitRule
+from gannetweir.routing.rules import ConnectionLimitRule
 
-SOONEST_US = 50_000  # nobody is told to come again sooner
-REST = 0.5  # where no place can be foretold, anything from this part of the longest advice to the whole of it
+MIN_RETRY_AFTER_US = 50_000  # nobody is told to come again sooner
+FALLBACK_MIN_RATIO = (
+    0.5  # where no place can be foretold, anything from this part of the longest advice to the whole of it
+)
 
 
-class Limit:
-    """The state behind one `LimitRule`. `longest_us` is the longest advice that clients take."""
+class ConnectionLimiter:
+    """The state behind one `ConnectionLimitRule`. `max_retry_after_us` is what clients take."""
 
-    def __init__(self, rule: LimitRule, longest_us: int) -> None:
-        self.rule, self.longest_us = rule, longest_us
-        self.open = 0
-        self.free_us = 0.0  # when the bucket will be full again
-        self.slot_us = 0.0  # the last place that was handed out
+    def __init__(self, rule: ConnectionLimitRule, max_retry_after_us: int) -> None:
+        self.rule, self.max_retry_after_us = rule, max_retry_after_us
+        self.open_connections = 0
+        self.bucket_full_us = 0.0  # when the bucket will be full again
+        self.next_slot_us = 0.0  # the last place that was handed out
 
     @property
-    def _gap_us(self) -> float:
-        return 1e6 / self.rule.setups_per_s
+    def _setup_interval_us(self) -> float:
+        return 1e6 / self.rule.max_setups_per_s
 
-    def refuses(self, now_us: int) -> str:
+    def exceeded_limit(self, now_us: int) -> str:
         """Why one more would be over, or nothing. Changes nothing."""
-        if self.rule.open and self.open >= self.rule.open:
+        if self.rule.max_open and self.open_connections >= self.rule.max_open:
             return "open"
-        if self.rule.setups_per_s:
-            room = (max(1, self.rule.burst) - 1) * self._gap_us
-            if max(self.free_us, now_us) - now_us > room:
+        if self.rule.max_setups_per_s:
+            room = (max(1, self.rule.setup_burst) - 1) * self._setup_interval_us
+            if max(self.bucket_full_us, now_us) - now_us > room:
                 return "setups-per-second"
         return ""
 
-    def take(self, now_us: int) -> None:
+    def acquire(self, now_us: int) -> None:
         """One more begins."""
-        self.open += 1
-        if self.rule.setups_per_s:
-            self.free_us = max(self.free_us, float(now_us)) + self._gap_us
+        self.open_connections += 1
+        if self.rule.max_setups_per_s:
+            self.bucket_full_us = max(self.bucket_full_us, float(now_us)) + self._setup_interval_us
 
-    def resume(self) -> None:
+    def acquire_resumed(self) -> None:
         """One that stands already: it counts, but it is not begun here."""
-        self.open += 1
+        self.open_connections += 1
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """One has ended."""
-        self.open = max(0, self.open - 1)
+        self.open_connections = max(0, self.open_connections - 1)
 
-    def advice_us(self, now_us: int, draw: float) -> int:
+    def retry_after_us(self, now_us: int, draw: float) -> int:
         """When one that is over is to come again. `draw` is a random number from 0 to 1."""
-        longest = max(1, self.longest_us)
-        if self.rule.setups_per_s:
-            first = max(self.slot_us, self.free_us, now_us + min(SOONEST_US, longest))
-            if first + self._gap_us <= now_us + longest:
-                self.slot_us = first + self._gap_us
+        longest = max(1, self.max_retry_after_us)
+        if self.rule.max_setups_per_s:
+            first = max(self.next_slot_us, self.bucket_full_us, now_us + min(MIN_RETRY_AFTER_US, longest))
+            if first + self._setup_interval_us <= now_us + longest:
+                self.next_slot_us = first + self._setup_interval_us
                 return max(1, int(first - now_us))
-        return max(1, int(longest * (REST + (1.0 - REST) * draw)))
+        return max(1, int(longest * (FALLBACK_MIN_RATIO + (1.0 - FALLBACK_MIN_RATIO) * draw)))
 
-    def under(self, rule: LimitRule, longest_us: int) -> Limit:
+    def with_rule(self, rule: ConnectionLimitRule, max_retry_after_us: int) -> ConnectionLimiter:
         """This limit under another rule: what stands still counts."""
-        self.rule, self.longest_us = rule, longest_us
+        self.rule, self.max_retry_after_us = rule, max_retry_after_us
         return self
--- a/gannetweir/routing/route_admission.py
+++ b/gannetweir/routing/route_admission.py
@@ -8,133 +8,149 @@
 
 from gannetweir.placement.events import EndpointId, RequestArrived
 from gannetweir.placement.settings import RequestClass, Settings
-from gannetweir.routing.rate_limit import Limit
-from gannetweir.routing.retry_budget import Budget
+from gannetweir.routing.rate_limit import ConnectionLimiter
+from gannetweir.routing.retry_budget import RetryBudget
 from gannetweir.routing.routes import RouteTable
-from gannetweir.routing.rules import BudgetRule, LimitRule, Rules, timed
+from gannetweir.routing.rules import ConnectionLimitRule, RetryBudgetRule, RoutingRules, routed_class
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class Rejection:
     """Why something may not begin, and when to come again."""
 
     reason: str
-    retry_us: int
+    retry_after_us: int
 
 
 @dataclass(slots=True, eq=False)
 class AdmissionPermit:
     """What one route holds; its transactions keep it over a reload, so that what they give back is theirs."""
 
-    name: str
-    limit: Limit
-    budget: Budget | None
+    route_name: str
+    limiter: ConnectionLimiter
+    retry_budget: RetryBudget | None
 
 
-def told_classes(settings: Settings) -> list[RequestClass]:
+def platform_classes(settings: Settings) -> list[RequestClass]:
     """The classes as the platform names them, without what was derived from them."""
     return [c for c in settings.classes if not c.route]
 
 
-def with_routes(settings: Settings, rules: Rules | None) -> Settings:
+def with_routed_classes(settings: Settings, rules: RoutingRules | None) -> Settings:
     """Settings in which every class stands once as told and once more for each route, in that order."""
-    told = told_classes(settings)
-    derived = [timed(c, route, settings) for route in (rules.routes if rules else ()) for c in told]
+    told = platform_classes(settings)
+    derived = [routed_class(c, route, settings) for route in (rules.routes if rules else ()) for c in told]
     return replace(settings, classes=told + derived)
 
 
 class RouteAdmission:
-    """The routes, budgets and limits of one relay. `settings` are `with_routes` of the same rules."""
+    """The routes, budgets and limits of one relay. `settings` are `with_routed_classes` of the same rules."""
 
-    def __init__(self, rules: Rules, settings: Settings) -> None:
-        self.shares: dict[str, AdmissionPermit] = {}
-        self.whole = AdmissionPermit("relay", Limit(LimitRule(), 1), None)
-        self.pending: dict[EndpointId, int] = {}  # set-ups under way, of all routes, by server
+    def __init__(self, rules: RoutingRules, settings: Settings) -> None:
+        self.permits: dict[str, AdmissionPermit] = {}
+        self.relay_permit = AdmissionPermit("relay", ConnectionLimiter(ConnectionLimitRule(), 1), None)
+        self.setups_by_endpoint: dict[EndpointId, int] = {}  # set-ups under way, of all routes, by server
         self.apply(rules, settings)
 
-    def apply(self, rules: Rules, settings: Settings) -> None:
+    def apply(self, rules: RoutingRules, settings: Settings) -> None:
         """Hold to these rules from now on. What the routes of the same names hold goes on counting."""
-        told = [c.name for c in told_classes(settings)]
-        self.rules, self.count = rules, len(told)
-        self.caps = {(c.route, c.name): c.max_attempts for c in settings.classes if c.route}
-        self.table = RouteTable(rules.routes, told)
+        told = [c.name for c in platform_classes(settings)]
+        self.rules, self.platform_class_count = rules, len(told)
+        self.max_attempts_by_class = {(c.route, c.name): c.max_attempts for c in settings.classes if c.route}
+        self.route_table = RouteTable(rules.routes, told)
         longest = int(settings.max_retry_after_us)
-        old, self.shares = self.shares, {}
+        old, self.permits = self.permits, {}
         for route in rules.routes:
-            share = old.get(route.name) or AdmissionPermit(route.name, Limit(route.limits, longest), None)
-            share.limit = share.limit.under(route.limits, longest)
-            share.budget = _budget(share.budget, route.budget)
-            self.shares[route.name] = share
-        self.whole.limit = self.whole.limit.under(rules.limits, longest)
-        self.whole.budget = _budget(self.whole.budget, rules.budget)
-
-    def max_attempts(self, cls: RequestClass, most: int) -> int:
+            share = old.get(route.name) or AdmissionPermit(
+                route.name, ConnectionLimiter(route.limits, longest), None
+            )
+            share.limiter = share.limiter.with_rule(route.limits, longest)
+            share.retry_budget = _budget(share.retry_budget, route.retry_budget)
+            self.permits[route.name] = share
+        self.relay_permit.limiter = self.relay_permit.limiter.with_rule(rules.limits, longest)
+        self.relay_permit.retry_budget = _budget(self.relay_permit.retry_budget, rules.retry_budget)
+
+    def max_attempts_for(self, request_class: RequestClass, platform_max_attempts: int) -> int:
         """The attempts that a transaction may have made in all: its own plan's, but never more than what now
         holds for its route and class.
         """
-        now = self.caps.get((cls.route, cls.name), most)
-        return min(cls.max_attempts or most, now, most)
+        now = self.max_attempts_by_class.get((request_class.route, request_class.name), platform_max_attempts)
+        return min(request_class.max_attempts or platform_max_attempts, now, platform_max_attempts)
 
-    def class_index_for(self, wanted: RequestArrived) -> int:
+    def class_index_for(self, request: RequestArrived) -> int:
         """The number of a request's class as its route treats it."""
-        return self.count * (1 + self.table.find(wanted)) + wanted.class_index
+        return self.platform_class_count * (1 + self.route_table.find_route(request)) + request.class_index
 
-    def permit_for(self, cls: RequestClass) -> AdmissionPermit:
+    def permit_for(self, request_class: RequestClass) -> AdmissionPermit:
         """The share of the route that a class was derived for."""
-        return self.shares[cls.route]
+        return self.permits[request_class.route]
 
-    def admit(self, share: AdmissionPermit, first: bool, now_us: int, draw: float) -> Refusal | None:
+    def admit(
+        self, permit: AdmissionPermit, earns_retries: bool, now_us: int, draw: float
+    ) -> Rejection | None:
         """May one more transaction begin? Counts it if so. `first` is false for what the client marks as its
         retry: that earns no further attempts, or retries would pay for retries.
         """
-        for held in (share, self.whole):
-            if reason := held.limit.refuses(now_us):
-                where = "the relay" if held is self.whole else f"route {held.name}"
-                return Refusal(f"{reason} of {where}", held.limit.advice_us(now_us, draw))
-        for held in (share, self.whole):
-            held.limit.take(now_us)
-            if first and held.budget is not None:
-                held.budget.tried(now_us)
+        for held in (permit, self.relay_permit):
+            if reason := held.limiter.exceeded_limit(now_us):
+                where = "the relay" if held is self.relay_permit else f"route {held.route_name}"
+                return Rejection(f"{reason} of {where}", held.limiter.retry_after_us(now_us, draw))
+        for held in (permit, self.relay_permit):
+            held.limiter.acquire(now_us)
+            if earns_retries and held.retry_budget is not None:
+                held.retry_budget.record_first_attempt(now_us)
         return None
 
-    def resumed(self, share: AdmissionPermit) -> None:
+    def resume(self, permit: AdmissionPermit) -> None:
         """One that stands already has come through this relay's start."""
-        share.limit.resume()
-        self.whole.limit.resume()
+        permit.limiter.acquire_resumed()
+        self.relay_permit.limiter.acquire_resumed()
 
-    def ended(self, share: AdmissionPermit) -> None:
+    def release(self, permit: AdmissionPermit) -> None:
         """A transaction is over."""
-        share.limit.give_back()
-        self.whole.limit.give_back()
-
-    def attempt_refusal(
-        self, share: AdmissionPermit, cls: RequestClass, server: EndpointId, number: int, now_us: int
+        permit.limiter.release()
+        self.relay_permit.limiter.release()
+
+    def admit_attempt(
+        self,
+        permit: AdmissionPermit,
+        request_class: RequestClass,
+        endpoint_id: EndpointId,
+        attempt_index: int,
+        now_us: int,
     ) -> str:
         """Why an attempt may not start, or nothing; counts it if it may. `number` is 0 for a first try."""
-        if cls.max_setups_per_endpoint and self.pending.get(server, 0) >= cls.max_setups_per_endpoint:
+        if (
+            request_class.max_setups_per_endpoint
+            and self.setups_by_endpoint.get(endpoint_id, 0) >= request_class.max_setups_per_endpoint
+        ):
             return "setups-at-backend"
-        budgets = [b for b in (share.budget, self.whole.budget) if b is not None] if number else []
-        if any(budget.left(now_us) < 1.0 for budget in budgets):
+        budgets = (
+            [b for b in (permit.retry_budget, self.relay_permit.retry_budget) if b is not None]
+            if attempt_index
+            else []
+        )
+        if any(budget.retries_left(now_us) < 1.0 for budget in budgets):
             return "retry-budget"
         for budget in budgets:
-            budget.spend(now_us)
-        self.pending[server] = self.pending.get(server, 0) + 1
+            budget.record_retry(now_us)
+        self.setups_by_endpoint[endpoint_id] = self.setups_by_endpoint.get(endpoint_id, 0) + 1
         return ""
 
-    def setup_finished(self, server: EndpointId) -> None:
+    def setup_finished(self, endpoint_id: EndpointId) -> None:
         """An attempt is no set-up any more: it stands, or it has ended."""
-        left = self.pending.get(server, 0) - 1
+        left = self.setups_by_endpoint.get(endpoint_id, 0) - 1
         if left > 0:
-            self.pending[server] = left
+            self.setups_by_endpoint[endpoint_id] = left
         else:
-            self.pending.pop(server, None)
+            self.setups_by_endpoint.pop(endpoint_id, None)
 
     def current_figures(self) -> dict[str, int]:
         """Figures of this moment, for the people on call: what each route holds."""
-        return {f"open.{share.name}": share.limit.open for share in self.shares.values()}
+        return {f"open.{share.route_name}": share.limiter.open_connections for share in self.permits.values()}
 
 
-def _budget(old: Budget | None, rule: BudgetRule | None) -> Budget | None:
+def _budget(old: RetryBudget | None, rule: RetryBudgetRule | None) -> RetryBudget | None:
     if rule is None:
         return None
-    return old.under(rule) if old is not None else Budget(rule)
+    return old.with_rule(rule) if old is not None else RetryBudget(rule)
--- a/gannetweir/routing/schedule.py
+++ b/gannetweir/routing/schedule.py
@@ -19,7 +19,7 @@
 class Step:
     """One stretch of the worst case, in microseconds from the first line's last byte."""
 
-    what: str
+    name: str
     start_us: int
     end_us: int
 
@@ -29,8 +29,8 @@
     """A class on a route. `fixed` is false where the module divides the time left by itself: it then fits."""
 
     steps: tuple[Step, ...]
-    give_up_us: int
-    fixed: bool
+    request_timeout_us: int
+    has_fixed_timeouts: bool
 
     @property
     def total_us(self) -> int:
@@ -40,30 +40,30 @@
     @property
     def slack_us(self) -> int:
         """What is left of the give-up time; under 0 it does not fit."""
-        return self.give_up_us - self.total_us
+        return self.request_timeout_us - self.total_us
 
 
-def give_up_us(cls: RequestClass) -> int:
+def request_timeout_us(cls: RequestClass) -> int:
     """How long the relay tries: the route's word, or else the class's."""
     return int(cls.request_timeout_us or cls.deadline_us)
 
 
-def margin_us(give_up: int, limits: Limits) -> int:
+def answer_margin_us(give_up: int, limits: Limits) -> int:
     """The final answer leaves this long before the client gives up."""
     return min(limits.answer_margin_us, give_up // 4)
 
 
-def placing_us(cls: RequestClass, give_up: int) -> int:
+def max_placement_us(cls: RequestClass, give_up: int) -> int:
     """How long the module may hold a request for a probe's answer, over all its attempts together."""
     return min(int(cls.latency_objective_us / 3), give_up // 2)
 
 
-def schedule(cls: RequestClass, settings: Settings, limits: Limits) -> Schedule:
-    """The worst case of a class as a route treats it (`rules.timed`)."""
-    give_up = give_up_us(cls)
-    margin = margin_us(give_up, limits)
-    connect = int(cls.connect_timeout_us or settings.connect_timeout_us)
-    attempts = cls.max_attempts or settings.max_attempts
+def worst_case_schedule(request_class: RequestClass, settings: Settings, limits: Limits) -> Schedule:
+    """The worst case of a class as a route treats it (`rules.routed_class`)."""
+    give_up = request_timeout_us(request_class)
+    margin = answer_margin_us(give_up, limits)
+    connect = int(request_class.connect_timeout_us or settings.connect_timeout_us)
+    attempts = request_class.max_attempts or settings.max_attempts
     steps: list[Step] = []
     now = 0
 
@@ -73,8 +73,8 @@
             steps.append(Step(what, now, now + length))
             now += length
 
-    add("place", placing_us(cls, give_up))
-    if not cls.attempt_timeout_us:
+    add("place", max_placement_us(request_class, give_up))
+    if not request_class.attempt_timeout_us:
         # time-outs from the aim, doubled, the last to the end: the module never plans past its deadline
         add(f"up to {attempts} attempts", max(1, give_up - margin - now))
         add("answer", margin)
@@ -82,28 +82,32 @@
     for number in range(1, attempts + 1):
         begun = now
         add(f"connect {number}", connect)
-        add(f"attempt {number}", cls.attempt_timeout_us)
-        if number < attempts and cls.retry_backoff_us:
+        add(f"attempt {number}", request_class.attempt_timeout_us)
+        if number < attempts and request_class.retry_backoff_us:
             add(
                 f"wait {number}",
-                cls.retry_backoff_us[number - 1] - (now - begun if cls.backoff_from_attempt_start else 0),
+                request_class.retry_backoff_us[number - 1]
+                - (now - begun if request_class.backoff_from_attempt_start else 0),
             )
     add("answer", margin)
     return Schedule(tuple(steps), give_up, True)
 
 
-def largest_attempt_us(cls: RequestClass, settings: Settings, limits: Limits) -> int:
+def largest_attempt_timeout_us(request_class: RequestClass, settings: Settings, limits: Limits) -> int:
     """The largest time-out per attempt with which the schedule fits, all else as it is; 0 if none does."""
     return _largest(
-        cls.attempt_timeout_us,
-        lambda n: schedule(replace(cls, attempt_timeout_us=n), settings, limits).slack_us >= 0,
+        request_class.attempt_timeout_us,
+        lambda n: (
+            worst_case_schedule(replace(request_class, attempt_timeout_us=n), settings, limits).slack_us >= 0
+        ),
     )
 
 
-def largest_attempts(cls: RequestClass, settings: Settings, limits: Limits) -> int:
+def largest_max_attempts(request_class: RequestClass, settings: Settings, limits: Limits) -> int:
     """The same for the number of attempts."""
     return _largest(
-        cls.max_attempts, lambda n: schedule(replace(cls, max_attempts=n), settings, limits).slack_us >= 0
+        request_class.max_attempts,
+        lambda n: worst_case_schedule(replace(request_class, max_attempts=n), settings, limits).slack_us >= 0,
     )
 
 
--- a/tests/place.py
+++ b/tests/place.py
@@ -98,7 +98,9 @@
         self.door = SocketAddress("127.0.0.1", self.free_port())
         self.file = Config("n0", SocketAddress(*at), discovery, 7, s, Limits(**limits), known, self.door)
         if shared is not None:
-            self.file = replace(self.file, inherited=os.dup(self.front.fileno()), shared=shared)
+            self.file = replace(
+                self.file, inherited_listener_fd=os.dup(self.front.fileno()), shared_folder=shared
+            )
         self.relay = Relay(self.file, self.read_again)
 
     @staticmethod
@@ -138,7 +140,7 @@
                 await anyio.sleep(0.005)
 
     async def client(self) -> Peer:
-        at = self.relay.config.listen
+        at = self.relay.config.listen_address
         for _ in range(200):
             with contextlib.suppress(ConnectionRefusedError):
                 return Peer(socket.create_connection((at.host, at.port)))
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -28,7 +28,7 @@
 import orjson
 
 from gannetweir import core as e
-from gannetweir.config.operators import read_rules
+from gannetweir.config.operators import parse_routing_rules
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.actions import Action
@@ -37,7 +37,7 @@
 from gannetweir.proto import client_connection as v
 from gannetweir.proto import upstream_connection as f
 from gannetweir.proto.endpoint_watch import EndpointWatch, read_membership
-from gannetweir.routing.route_admission import RouteAdmission, told_classes, with_routes
+from gannetweir.routing.route_admission import RouteAdmission, platform_classes, with_routed_classes
 from tests.helpers import settings
 
 CLASSES = [RequestClass("plain", 500_000, 2_000_000, 3.0, "repeatable", "all", 5_000_000)]
@@ -81,8 +81,8 @@
         self.now = 1_700_000_000_000_000
         entries = [ListedEndpoint(EndpointEntry(f"b{n}"), f"127.0.0.1:{n}") for n in range(1, backends + 1)]
         known = MembershipUpdate(41, True, entries)
-        rules = read_rules(self.files["start"], self.settings, self.limits) if files else None
-        self.settings = with_routes(self.settings, rules)
+        rules = parse_routing_rules(self.files["start"], self.settings, self.limits) if files else None
+        self.settings = with_routed_classes(self.settings, rules)
         keeper = RouteAdmission(rules, self.settings) if rules else None
         self.engine = e.Engine(self.settings, self.limits, 7, known, self.now, keeper=keeper)
         self.machines: dict[str, v.ClientConnection] = {}
@@ -115,7 +115,7 @@
     # ---- the parties
 
     def do_client(self, who: str, verb: str, words: str) -> None:
-        classes = {c.name: n for n, c in enumerate(told_classes(self.settings))}
+        classes = {c.name: n for n, c in enumerate(platform_classes(self.settings))}
         machine = self.machines.setdefault(who, v.ClientConnection(classes, self.limits))
         machine.class_index_by_name = classes
         if verb in ("close", "reset"):
@@ -228,11 +228,11 @@
     def do_routes(self, _who: str, _verb: str, words: str) -> None:
         keeper, told = (
             self.engine.route_admission,
-            replace(self.settings, classes=told_classes(self.settings)),
+            replace(self.settings, classes=platform_classes(self.settings)),
         )
         assert keeper is not None
-        rules = read_rules(self.files[words], told, self.limits)
-        self.settings = with_routes(told, rules)
+        rules = parse_routing_rules(self.files[words], told, self.limits)
+        self.settings = with_routed_classes(told, rules)
         keeper.apply(rules, self.settings)
         self.engine.reload(self.settings, self.limits, self.now, keeper)
 
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gannetweir import core as e
-from gannetweir.config import ConfigError, load
+from gannetweir.config import ConfigError, load_config
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.actions import Action
 from gannetweir.placement.events import (
@@ -126,7 +126,7 @@
 
     def read(settings: dict[str, Any]) -> Any:
         (tmp_path / "config.json").write_bytes(orjson.dumps(CONFIG | {"settings": settings}))
-        return load(env)
+        return load_config(env)
 
     good = read(SETTINGS)
     for value in SPOILT:
@@ -148,7 +148,7 @@
 @pytest.mark.parametrize("name", ["ask-within-us", "fall-multiple"])
 def test_a_contract_that_states_nothing_is_no_reason_not_to_start(tmp_path: Path, name: str) -> None:
     (tmp_path / "config.json").write_bytes(orjson.dumps(CONFIG | {"settings": spoil(("contract", name), 0)}))
-    settings = load({"RELAY_CONFIG": str(tmp_path / "config.json")}).settings
+    settings = load_config({"RELAY_CONFIG": str(tmp_path / "config.json")}).settings
     assert settings.poll_interval_us > 1_000_000  # and the list is not asked for without a pause
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,7 +10,7 @@
 import orjson
 import pytest
 
-from gannetweir.config import ConfigError, SocketAddress, load
+from gannetweir.config import ConfigError, SocketAddress, load_config
 from gannetweir.limits import Limits
 from gannetweir.placement.actions import RejectRequest
 from gannetweir.placement.balancer import Balancer
@@ -36,8 +36,8 @@
 
 
 def test_what_is_told_is_taken(tmp_path: Path) -> None:
-    config = load(environment(tmp_path, {}) | {"RELAY_NAME": "n4"})
-    assert (config.name, config.listen.port, config.seed) == ("n4", 0, 0x8C1F30D27A5BE964)
+    config = load_config(environment(tmp_path, {}) | {"RELAY_NAME": "n4"})
+    assert (config.name, config.listen_address.port, config.seed) == ("n4", 0, 0x8C1F30D27A5BE964)
     assert (config.limits.sockets, config.limits.memory_mb, config.limits.connect_us) == (1100, 192, 123000)
     assert config.limits.clients * 2 + config.limits.spare_sockets <= 1100
     # what waits unsent, in both directions of every connection, leaves half the memory
@@ -58,7 +58,7 @@
 def test_advice_on_when_to_come_again_is_what_the_platform_allows(
     tmp_path: Path, told: dict[str, object], advice: int
 ) -> None:
-    config = load(environment(tmp_path, {"settings": {"categories": [{"name": "a"}], "limits": told}}))
+    config = load_config(environment(tmp_path, {"settings": {"categories": [{"name": "a"}], "limits": told}}))
     assert config.limits.reject_retry_us == advice
     assert rejection_line(advice) == (b"BUSY %d\r\n" % (advice // 1000) if advice else b"BUSY\r\n")
     balancer = Balancer(config.settings, 1, 0)  # knows no server: it refuses
@@ -73,25 +73,35 @@
 
 
 def test_the_smallest_machine_in_service_is_enough(tmp_path: Path) -> None:
-    assert load(environment(tmp_path, {"limits": {"sockets": 256, "memory_mb": 32}})).limits.clients == 112
+    assert (
+        load_config(environment(tmp_path, {"limits": {"sockets": 256, "memory_mb": 32}})).limits.clients
+        == 112
+    )
 
 
 def test_at_a_reload_the_file_goes_before_the_environment(tmp_path: Path) -> None:
     env = environment(tmp_path, {}) | {"RELAY_DISCOVERY": "127.0.0.1:2"}
-    assert (load(env).discovery.port, load(env, load(env)).discovery.port) == (2, 1)
+    assert (
+        load_config(env).discovery_address.port,
+        load_config(env, load_config(env)).discovery_address.port,
+    ) == (2, 1)
 
 
 def test_the_door_and_the_inherited_listener(tmp_path: Path) -> None:
-    plain = load(environment(tmp_path, {}))
-    assert (plain.admin, plain.inherited, plain.shared) == (None, None, None)
+    plain = load_config(environment(tmp_path, {}))
+    assert (plain.admin_address, plain.inherited_listener_fd, plain.shared_folder) == (None, None, None)
     env = environment(tmp_path, {"admin_addr": "127.0.0.1:7"}) | {"TMPDIR": str(tmp_path)}
-    config = load(env | {"RELAY_INHERITED_FD": "3"})
+    config = load_config(env | {"RELAY_INHERITED_FD": "3"})
     assert (
-        config.admin == SocketAddress("127.0.0.1", 7) and config.inherited == 3 and config.shared == tmp_path
+        config.admin_address == SocketAddress("127.0.0.1", 7)
+        and config.inherited_listener_fd == 3
+        and config.shared_folder == tmp_path
+    )
+    assert load_config(env | {"RELAY_ADMIN_ADDR": "127.0.0.1:8"}).admin_address == SocketAddress(
+        "127.0.0.1", 8
     )
-    assert load(env | {"RELAY_ADMIN_ADDR": "127.0.0.1:8"}).admin == SocketAddress("127.0.0.1", 8)
     with pytest.raises(ConfigError, match="RELAY_INHERITED_FD"):
-        load(env | {"RELAY_INHERITED_FD": "three"})
+        load_config(env | {"RELAY_INHERITED_FD": "three"})
 
 
 CLASSES = [{"name": "a", "hard-limit-us": 5, "idempotency": "once"}, {"name": "b", "hard-limit-us": 6}]
@@ -122,15 +132,17 @@
 )
 def test_a_broken_file_is_refused_at_a_reload(tmp_path: Path, text: object, named: str) -> None:
     env = environment(tmp_path, STANDS) | {"RELAY_DISCOVERY": "127.0.0.1:2"}
-    standing = load(env)
+    standing = load_config(env)
     (tmp_path / "config.json").write_bytes(text if isinstance(text, bytes) else orjson.dumps(text))
     with pytest.raises(ConfigError, match=re.escape(named)):
-        load(env, standing)
+        load_config(env, standing)
 
 
 def test_classes_may_come_and_go_at_a_reload(tmp_path: Path) -> None:
-    standing = load(environment(tmp_path, STANDS))
-    config = load(environment(tmp_path, but(categories=[CLASSES[1] | {"name": "c", "aim-us": 1}])), standing)
+    standing = load_config(environment(tmp_path, STANDS))
+    config = load_config(
+        environment(tmp_path, but(categories=[CLASSES[1] | {"name": "c", "aim-us": 1}])), standing
+    )
     assert [c.name for c in config.settings.classes] == ["c"]
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -210,7 +210,7 @@
     old.send(HEAD + BEAT)
     await place.until(lambda: place.relay.endpoint_watch.has_answered)
     discovery = bound()
-    place.hup(discovery=SocketAddress(*discovery.getsockname()))
+    place.hup(discovery_address=SocketAddress(*discovery.getsockname()))
     new = await place.watcher(discovery, 0)
     new.send(HEAD + told(9))
     old.send(told(8))  # both are read in one turn, the new one first
@@ -346,12 +346,12 @@
     await place.until(lambda: place.relay.endpoint_watch.has_answered)
     live = bound()
     nowhere = SocketAddress("127.0.0.1", place.free_port())
-    place.hup(discovery=nowhere)
+    place.hup(discovery_address=nowhere)
     await place.until(lambda: place.relay.engine.counters.counts["pool_failures"] == 1)
     old.send(told(7))  # nobody answers there: the old one still counts
     await place.until(lambda: place.relay.engine.endpoint_list.version == 7)
-    place.hup(discovery=nowhere)  # the same again, and on at once
-    place.hup(discovery=SocketAddress(*live.getsockname()))
+    place.hup(discovery_address=nowhere)  # the same again, and on at once
+    place.hup(discovery_address=SocketAddress(*live.getsockname()))
     new = await place.watcher(live, 0)
     old.send(told(8))
     await place.until(lambda: place.relay.engine.endpoint_list.version == 8)
@@ -404,7 +404,7 @@
     place.relay.run_engine_call(lambda now_us: place.relay.engine._end())
     # from here on: what no task has had a turn to read, on a connection and in the listener's queue
     rests.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
-    at = place.relay.config.listen
+    at = place.relay.config.listen_address
     queued = [Peer(socket.create_connection((at.host, at.port))) for _ in range(3)]
     for last in queued[1:]:
         last.send(r"OPEN 0a 0b c=plain,d=2000\r\n" * 2)
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -288,7 +288,7 @@
     old, new = await place.watcher(place.discovery, 1), bound()
     old.send(HEAD + BEAT)
     await place.until(lambda: place.relay.endpoint_watch.has_answered)
-    place.hup(discovery=SocketAddress(*new.getsockname()))
+    place.hup(discovery_address=SocketAddress(*new.getsockname()))
     hung: list[Peer] = []
     for count in range(3):  # no word from the new one: the old one is heard all the time
         hung.append(await place.watcher(new, 0))
@@ -307,7 +307,7 @@
     old, new = await place.watcher(place.discovery, 1), bound()
     old.send(HEAD + told(42, False, "Terminating"))
     await place.until(lambda: place.relay.engine.endpoint_list.version == 42)
-    place.hup(discovery=SocketAddress(*new.getsockname()))
+    place.hup(discovery_address=SocketAddress(*new.getsockname()))
     peer = await place.watcher(new, 0)
     peer.send(HEAD + told(41, True, "Ready"))
     await place.until(lambda: place.relay.engine.endpoint_list.version == 41)
--- a/tests/test_drivers_that_fail.py
+++ b/tests/test_drivers_that_fail.py
@@ -15,7 +15,7 @@
 import orjson
 import pytest
 
-from gannetweir.config import SocketAddress, load
+from gannetweir.config import SocketAddress, load_config
 from gannetweir.limits import Limits
 from gannetweir.net import listener
 from gannetweir.net import relay as relay_module
@@ -107,7 +107,7 @@
     for code in (errno.ENFILE, errno.EMFILE, errno.EIO, errno.ENOMEM):
         with monkeypatch.context() as patch:
             patch.setattr(Path, "read_bytes", once(Path.read_bytes, OSError(code, os.strerror(code))))
-            assert load({"RELAY_CONFIG": str(path)}).name == "n0"
+            assert load_config({"RELAY_CONFIG": str(path)}).name == "n0"
 
 
 async def a_probe_ends(place: Place) -> None:
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -63,7 +63,7 @@
 
 async def answers_that_can_not_be_sent_at_once(place: Place, calls: FailingCalls) -> None:
     """The answer, a line and MOVE: each send fails for a moment before it."""
-    mine = at_port(place.relay.config.listen.port)
+    mine = at_port(place.relay.config.listen_address.port)
     calls.fail("send", NO_BUFFERS, mine)
     client, server = await served(place)
     for error in NO_BUFFERS:
@@ -85,7 +85,7 @@
 
 
 async def reads_that_fail(place: Place, calls: FailingCalls) -> None:
-    calls.fail("recv", [errno.ENOMEM, errno.ENOMEM], at_port(place.relay.config.listen.port))
+    calls.fail("recv", [errno.ENOMEM, errno.ENOMEM], at_port(place.relay.config.listen_address.port))
     client, server = await served(place)
     calls.fail("recv", [errno.ENOMEM], to_port(place.backend.getsockname()[1]))
     server.send(r"a line\r\n")
@@ -181,7 +181,7 @@
     """Silent clients fill the descriptors, and the answer to each that gives way can't be sent at first."""
     room = place.relay.limits.client_sockets
     clients = [await place.client() for _ in range(room)]
-    calls.fail("send", [], at_port(place.relay.config.listen.port))
+    calls.fail("send", [], at_port(place.relay.config.listen_address.port))
     for _ in range(3):
         calls.left["send"].extend(NO_BUFFERS)
         clients.append(await place.client())
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from gannetweir.config import keys_of
+from gannetweir.config import key_paths
 from gannetweir.lab.experiments.trial import MOST_NODES, MOST_RELAYS
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import EndpointList
@@ -133,7 +133,7 @@
         def items(self) -> Any:
             raise AssertionError("thousands of entries, for nothing")
 
-    assert keys_of({"name": "n0", "known": Known(hosts=hosts())}) == {"", ".name", ".known"}
+    assert key_paths({"name": "n0", "known": Known(hosts=hosts())}) == {"", ".name", ".known"}
 
 
 def test_a_whole_list_makes_anew_only_the_entries_that_it_lacks(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_operators_file.py
+++ b/tests/test_operators_file.py
@@ -13,14 +13,14 @@
 from hypothesis import strategies as st
 
 from gannetweir.cli import main
-from gannetweir.config import ConfigError, load
-from gannetweir.config.kdl import KdlError, read
-from gannetweir.config.operators import OperatorsError, read_rules
+from gannetweir.config import ConfigError, load_config
+from gannetweir.config.kdl import KdlError, parse_document
+from gannetweir.config.operators import OperatorsFileError, parse_routing_rules
 from gannetweir.limits import Limits
 from gannetweir.placement.events import RequestArrived
 from gannetweir.placement.settings import RequestClass, Settings
-from gannetweir.routing.route_admission import RouteAdmission, with_routes
-from gannetweir.routing.schedule import schedule
+from gannetweir.routing.route_admission import RouteAdmission, with_routed_classes
+from gannetweir.routing.schedule import worst_case_schedule
 
 ROOT = Path(__file__).parent.parent
 CLASSES = [
@@ -184,8 +184,8 @@
 
 @pytest.mark.parametrize(("text", "line", "words"), [case[1:] for case in BAD], ids=[case[0] for case in BAD])
 def test_a_bad_file_is_refused_with_its_reason(text: str, line: int, words: list[str]) -> None:
-    with pytest.raises(OperatorsError) as caught:
-        read_rules(text, SETTINGS, LIMITS)
+    with pytest.raises(OperatorsFileError) as caught:
+        parse_routing_rules(text, SETTINGS, LIMITS)
     found = [m for m in caught.value.mistakes if all(word in m.text("f.kdl") for word in words)]
     assert found, str(caught.value)
     assert not line or line in [m.line for m in found], str(caught.value)
@@ -194,44 +194,44 @@
 
 def test_all_mistakes_come_in_one_go_in_the_order_of_the_lines() -> None:
     text = file(before=route('attempts 9\nattempt "4"', 'class "rider"') + route("", 'again "x"', "b"))
-    with pytest.raises(OperatorsError) as caught:
-        read_rules(text, SETTINGS, LIMITS)
+    with pytest.raises(OperatorsFileError) as caught:
+        parse_routing_rules(text, SETTINGS, LIMITS)
     assert [m.line for m in caught.value.mistakes] == [4, 6, 7, 11]
     assert len(str(caught.value).splitlines()) == 4
 
 
 def test_what_the_platform_allows_decides() -> None:
     text = file("attempts 4")
-    read_rules(text, SETTINGS, LIMITS)
-    with pytest.raises(OperatorsError, match=r"at most 3 by the platform's limits.max-attempts"):
-        read_rules(text, Settings(classes=CLASSES, max_attempts=3), LIMITS)
-    with pytest.raises(OperatorsError, match="clients do not mark retries"):
+    parse_routing_rules(text, SETTINGS, LIMITS)
+    with pytest.raises(OperatorsFileError, match=r"at most 3 by the platform's limits.max-attempts"):
+        parse_routing_rules(text, Settings(classes=CLASSES, max_attempts=3), LIMITS)
+    with pytest.raises(OperatorsFileError, match="clients do not mark retries"):
         marked = Settings(classes=CLASSES, max_attempts=6, clients_mark_retries=False)
-        read_rules(file(before=route("", "retry #true")), marked, LIMITS)
-    with pytest.raises(OperatorsError, match="no groups"):
-        read_rules(file(before=route("", 'group-prefix "5"')), Settings(classes=CLASSES), LIMITS)
-    with pytest.raises(OperatorsError, match="one flow at a time"):
+        parse_routing_rules(file(before=route("", "retry #true")), marked, LIMITS)
+    with pytest.raises(OperatorsFileError, match="no groups"):
+        parse_routing_rules(file(before=route("", 'group-prefix "5"')), Settings(classes=CLASSES), LIMITS)
+    with pytest.raises(OperatorsFileError, match="one flow at a time"):
         twice = Settings(classes=CLASSES, max_attempts=6, allows_hedged_requests=True)
-        read_rules(file('hedge after="1ms"'), twice, LIMITS)
+        parse_routing_rules(file('hedge after="1ms"'), twice, LIMITS)
 
 
 def test_a_plan_that_no_request_takes_is_not_summed() -> None:
     """The default would not fit rider-area's first half; a route of its own takes all of that class."""
     before = route('attempt "300ms"\nattempts 2', 'class "zone-view"')
-    read_rules(file('attempts 2\nattempt "1s"', before), SETTINGS, LIMITS)
-    with pytest.raises(OperatorsError, match="class zone-view"):
-        read_rules(file('attempts 2\nattempt "1s"'), SETTINGS, LIMITS)
+    parse_routing_rules(file('attempts 2\nattempt "1s"', before), SETTINGS, LIMITS)
+    with pytest.raises(OperatorsFileError, match="class zone-view"):
+        parse_routing_rules(file('attempts 2\nattempt "1s"'), SETTINGS, LIMITS)
 
 
 def test_the_value_that_would_fit_does_fit() -> None:
     text = file('attempts 3\nattempt "900ms"\nwait "exponential" first="33ms"')
-    with pytest.raises(OperatorsError) as caught:
-        read_rules(text, SETTINGS, LIMITS)
+    with pytest.raises(OperatorsFileError) as caught:
+        parse_routing_rules(text, SETTINGS, LIMITS)
     allowed = min(m.allowed for m in caught.value.mistakes)
     value = allowed.split("at most ")[1].split(" ")[0]
-    read_rules(text.replace("900ms", value), SETTINGS, LIMITS)
-    with pytest.raises(OperatorsError):
-        read_rules(text.replace("900ms", f"{int(value[:-2]) + 1}ms"), SETTINGS, LIMITS)
+    parse_routing_rules(text.replace("900ms", value), SETTINGS, LIMITS)
+    with pytest.raises(OperatorsFileError):
+        parse_routing_rules(text.replace("900ms", f"{int(value[:-2]) + 1}ms"), SETTINGS, LIMITS)
 
 
 TIMES = st.integers(1, 1500).map(lambda n: f"{n}ms")
@@ -265,14 +265,16 @@
     ]
     told = Settings(classes=classes, max_attempts=most)
     try:
-        rules = read_rules(file(other, route(one)), told, LIMITS)
-    except OperatorsError:
+        rules = parse_routing_rules(file(other, route(one)), told, LIMITS)
+    except OperatorsFileError:
         return
-    routed = with_routes(told, rules)
+    routed = with_routed_classes(told, rules)
     keeper = RouteAdmission(rules, routed)
     for number, cls in enumerate(classes):
-        plan = schedule(routed.classes[keeper.class_index_for(RequestArrived(0, number))], told, LIMITS)
-        assert 0 < plan.total_us <= plan.give_up_us <= cls.deadline_us
+        plan = worst_case_schedule(
+            routed.classes[keeper.class_index_for(RequestArrived(0, number))], told, LIMITS
+        )
+        assert 0 < plan.total_us <= plan.request_timeout_us <= cls.deadline_us
         assert all(a.end_us == b.start_us for a, b in zip(plan.steps, plan.steps[1:], strict=False))
 
 
@@ -294,7 +296,7 @@
     def walk(nodes: list) -> list:
         return [n for node in nodes for n in (node, *walk(node.children))]
 
-    found = walk(read(text))
+    found = walk(parse_document(text))
     assert found and all(node.name in lines[node.line - 1] for node in found), found
 
 
@@ -302,7 +304,7 @@
 @given(st.text(alphabet='ab{}\n;"/\\-*#=( )1', max_size=60))
 def test_any_text_is_read_or_refused(text: str) -> None:
     try:
-        nodes = read(text)
+        nodes = parse_document(text)
     except KdlError:
         return
     assert all(0 <= node.line <= text.count("\n") + 1 for node in nodes)
@@ -316,8 +318,8 @@
         at, cut = rng.randrange(len(good)), rng.randrange(1, 30)
         bad = good[:at] + rng.choice(["", "{", "}", '"', "\x00", "-", "9" * 50]) + good[at + cut :]
         try:
-            read_rules(bad, SETTINGS, LIMITS)
-        except OperatorsError as error:
+            parse_routing_rules(bad, SETTINGS, LIMITS)
+        except OperatorsFileError as error:
             refused += 1
             assert str(error)
     assert refused > 150
@@ -389,12 +391,12 @@
     operators = tmp_path / "o.kdl"
     operators.write_text(file('attempt "400ms"\nattempts 2'))
     env = {"RELAY_CONFIG": str(platform(tmp_path)), "RELAY_OPERATORS": str(operators)}
-    standing = load(env)
-    assert standing.rules is not None and len(standing.settings.classes) == 8
-    assert load({"RELAY_CONFIG": env["RELAY_CONFIG"]}).rules is None
+    standing = load_config(env)
+    assert standing.routing_rules is not None and len(standing.settings.classes) == 8
+    assert load_config({"RELAY_CONFIG": env["RELAY_CONFIG"]}).routing_rules is None
     operators.write_text(file("attempts 0"))
     with pytest.raises(ConfigError, match="over 0"):
-        load(env, standing)
+        load_config(env, standing)
     operators.write_text(file('attempt "400ms"\nattempts 2'))
     classes = [{"name": "zone-view", "hard-limit-us": 900_000, "aim-us": 1, "idempotency": "repeatable"}]
     limits = {"max-attempts": 6, "connect-timeout-us": 250_000}
@@ -408,7 +410,7 @@
         },
     )
     with pytest.raises(ConfigError, match="class zone-view: the worst case"):
-        load(env, standing)
+        load_config(env, standing)
 
 
 def test_a_bad_file_at_start_ends_with_code_2_and_at_sighup_changes_nothing(tmp_path: Path) -> None:
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -262,8 +262,8 @@
     keeper = world.engine.route_admission
     assert keeper is not None
     # what is held is what is there: nothing is lost, nothing is given back twice
-    assert keeper.whole.limit.open == sum(
+    assert keeper.relay_permit.limiter.open_connections == sum(
         tx.admission_permit is not None for tx in world.engine.requests.values()
     )
     setting_up = sum(tx.counts_as_setup for tx in world.engine.requests.values())
-    assert sum(keeper.pending.values()) == setting_up
+    assert sum(keeper.setups_by_endpoint.values()) == setting_up
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -159,11 +159,11 @@
     old.send(HEAD + BEAT)
     await place.until(lambda: place.relay.endpoint_watch.has_answered)
     moved = [bound(), bound()]
-    place.hup(discovery=SocketAddress(*moved[0].getsockname()))
+    place.hup(discovery_address=SocketAddress(*moved[0].getsockname()))
     silent = await place.watcher(moved[0], 0)
     old.send(told(7))  # the new one has not answered: the old one still counts
     await place.until(lambda: place.relay.engine.endpoint_list.version == 7)
-    place.hup(discovery=SocketAddress(*moved[1].getsockname()))  # a second reload during the first
+    place.hup(discovery_address=SocketAddress(*moved[1].getsockname()))  # a second reload during the first
     new = await place.watcher(moved[1], 0)
     await silent.expect("end")
     old.close()  # as it does after a while; no failure, for the new one is under way
@@ -234,7 +234,10 @@
 
 async def an_upgrade(place: Place) -> None:
     door = SocketAddress("127.0.0.1", place.free_port())
-    new = Relay(replace(place.file, admin=door, inherited=os.dup(place.front.fileno())), place.read_again)
+    new = Relay(
+        replace(place.file, admin_address=door, inherited_listener_fd=os.dup(place.front.fileno())),
+        place.read_again,
+    )
     client, _ = await served(place)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(new.run)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -44,11 +44,15 @@
     if has_new_endpoint:
         hosts[0]["born_ms"] = time.monotonic_ns() // 1_000_000 + WALL_AHEAD_S * 1000
     if port:  # processes that share a folder serve one address
-        place.file = replace(place.file, listen=replace(place.file.listen, port=port))
+        place.file = replace(place.file, listen_address=replace(place.file.listen_address, port=port))
     settings = replace(
         place.file.settings, classes=CLASSES, slow_start_window_us=SLOW_START_WINDOW_US, groups_enabled=False
     )
-    return Relay(replace(place.file, settings=settings, known={"seq": 1, "hosts": hosts}, shared=shared))
+    return Relay(
+        replace(
+            place.file, settings=settings, known_endpoints={"seq": 1, "hosts": hosts}, shared_folder=shared
+        )
+    )
 
 
 def endpoints_chosen(relay: Relay, now_us: int, count: int = 60) -> Iterator[str]:
@@ -98,7 +102,7 @@
     settings = replace(
         place.file.settings, classes=CLASSES, slow_start_window_us=SLOW_START_WINDOW_US, groups_enabled=False
     )
-    relay = Relay(replace(place.file, settings=settings, known={"seq": 1, "hosts": hosts}))
+    relay = Relay(replace(place.file, settings=settings, known_endpoints={"seq": 1, "hosts": hosts}))
     assert len(set(endpoints_chosen(relay, relay.clock(), 200))) == 6
     update = read_membership({"seq": 2, "whole": True, "hosts": hosts}, settings)
     relay.engine.endpoint_update_received(update, relay.clock())
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 
 from gannetweir import wire
 from gannetweir.adapter import Host, serve
-from gannetweir.config import read_settings
+from gannetweir.config import parse_settings_json
 from gannetweir.placement.actions import (
     Action,
     FailRequest,
@@ -182,7 +182,7 @@
 
 
 def test_settings_are_read_and_defaults_stand_in() -> None:
-    s = read_settings(json.dumps(SETTINGS).encode())
+    s = parse_settings_json(json.dumps(SETTINGS).encode())
     assert (s.polls_endpoint_list, s.load_probes_enabled, s.max_attempts, s.overload_multiple) == (
         True,
         True,
@@ -190,7 +190,7 @@
         2.5,
     )
     assert s.classes[0].idempotency == "repeatable" and s.load_report_fields == ["concurrent", "x0"]
-    bare = read_settings(b'{"categories": [{}]}')
+    bare = parse_settings_json(b'{"categories": [{}]}')
     assert (
         bare.load_probes_enabled,
         bare.max_attempts,
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from gannetweir.config.operators import OperatorsError, read_rules
+from gannetweir.config.operators import OperatorsFileError, parse_routing_rules
 from gannetweir.lab.experiments.budgets import BUDGET_FILE, failing_fleet
 from gannetweir.lab.experiments.ways import one_day
 from gannetweir.lab.model.checker import Checker
 from gannetweir.lab.model.world import SECOND, Plan, Traffic, World
 from gannetweir.limits import Limits
 from gannetweir.placement.events import RequestArrived
-from gannetweir.routing.schedule import margin_us, schedule
+from gannetweir.routing.schedule import answer_margin_us, worst_case_schedule
 
 HEAD = "gannetweir version=1\n"
 TWO_TIMINGS = (
@@ -104,8 +104,8 @@
         assert relay.engine.counters.counts["overdue"] == relay.engine.counters.counts["module_faults"] == 0
         if (keeper := relay.engine.route_admission) is not None:
             held = [tx for tx in relay.engine.requests.values() if tx.admission_permit is not None]
-            assert keeper.whole.limit.open == len(held)
-            assert sum(keeper.pending.values()) == sum(tx.counts_as_setup for tx in held)
+            assert keeper.relay_permit.limiter.open_connections == len(held)
+            assert sum(keeper.setups_by_endpoint.values()) == sum(tx.counts_as_setup for tx in held)
 
 
 @pytest.mark.parametrize("first", range(0, 60, 10))
@@ -155,7 +155,7 @@
 
     def look() -> None:
         assert engine.address_selector is not None
-        seen.append({str(a) for a in engine.address_selector.known["b0"]})
+        seen.append({str(a) for a in engine.address_selector.states_by_endpoint["b0"]})
 
     world.at(5, look)
     world.at(6, lambda: world.relays[0].reload(only(2)))
@@ -189,13 +189,13 @@
         return max(s.answered_us - s.sent_us for s in asked if begin <= (s.sent_us - start) / 1e6 < end)
 
     for file, begin, end in ((TWO_TIMINGS, 0, 8), (shorter, 8.0, 20)):
-        rules = read_rules(file, told, Limits())
+        rules = parse_routing_rules(file, told, Limits())
         relay = World(replace(plan, per_s=0.001), file).relays[0]
         for number, cls in enumerate(plan.classes):
             timed = relay.settings.classes[
                 relay.engine.route_admission.class_index_for(RequestArrived(0, number))
             ]  # type: ignore[union-attr]
-            sum_us = schedule(timed, told, Limits()).total_us
+            sum_us = worst_case_schedule(timed, told, Limits()).total_us
             assert worst(cls.name, begin, end) <= sum_us, (cls.name, rules)
     assert worst("rider-area", 3, 8) > worst("zone-view", 3, 8) > worst("zone-view", 8, 12)
 
@@ -219,8 +219,8 @@
     while accepted < 40:
         file = drawn_file(rng)
         try:
-            read_rules(file, told, Limits())
-        except OperatorsError:
+            parse_routing_rules(file, told, Limits())
+        except OperatorsFileError:
             continue
         accepted += 1
         plan = replace(
@@ -237,7 +237,9 @@
         for number, cls in enumerate(plan.classes):
             one = world.relays[0].settings.classes[keeper.class_index_for(RequestArrived(0, number))]
             # the last step of the sum is the margin that is kept for the answer's way
-            most = schedule(one, told, Limits()).total_us - margin_us(int(cls.deadline_us), Limits())
+            most = worst_case_schedule(one, told, Limits()).total_us - answer_margin_us(
+                int(cls.deadline_us), Limits()
+            )
             worst = checker.worst_us(cls.name)
             assert worst <= most
             reached.append(worst / most)
--- a/tests/test_yard.py
+++ b/tests/test_yard.py
@@ -11,7 +11,7 @@
 import anyio.lowlevel
 import pytest
 
-from gannetweir.addresses.address import UNIX, V6, Address
+from gannetweir.addresses.address import IPV6, UNIX, Address
 from gannetweir.addresses.address_selector import AddressSelector
 from gannetweir.addresses.rules import AddressRules
 from gannetweir.lab.emulator.attempts import BEATS_BACK, RESOLUTION_MS, OpenAttempts, now_ms
@@ -115,7 +115,7 @@
         node = PushNode("a", loopback(1, "", ("ipv6", "ipv4")), 10, Store(100), nothing, random.Random(1))
         ledger = DescriptorCount()
         paths = AddressSelector(AddressRules(), 1, 250_000)
-        paths.tell("a", "", tuple(node.doors))
+        paths.update_endpoint("a", "", tuple(node.doors))
         async with anyio.create_task_group() as tasks:
             await tasks.start(node.run)
             for text in node.doors:
@@ -135,7 +135,7 @@
                     return lambda run: tasks.start_soon(run)
 
             host = Host()
-            dialer = AddressRaceDriver(host, paths, "a", paths.race("a", host.clock()), ledger)
+            dialer = AddressRaceDriver(host, paths, "a", paths.new_race("a", host.clock()), ledger)
             lost: list[OSError] = []
 
             async def dial(which: AddressRaceDriver) -> None:
@@ -151,10 +151,10 @@
             assert list(host.address_races) == [dialer] and dialer.evict_one() and ledger.open == 1
             assert not dialer.evict_one() and not lost
             host.room = False  # nothing more begins beside the one that is out
-            other = AddressRaceDriver(host, paths, "a", paths.race("a", host.clock()), ledger)
+            other = AddressRaceDriver(host, paths, "a", paths.new_race("a", host.clock()), ledger)
             tasks.start_soon(dial, other)
             await anyio.sleep(0.2)
-            assert ledger.open == 2 and len(other.race.out) == 1
+            assert ledger.open == 2 and len(other.race.started_us) == 1
             other.stop()
             await anyio.sleep(0.05)
             assert ledger.open == 1 and len(lost) == 1
@@ -195,7 +195,7 @@
             "a", loopback(1, str(tmp_path), (first, "ipv4")), 10, Store(100), attempts, random.Random(1)
         )
         paths = AddressSelector(AddressRules(), 1, 250_000)
-        paths.tell("a", "", tuple(node.doors))
+        paths.update_endpoint("a", "", tuple(node.doors))
         async with anyio.create_task_group() as tasks:
             await tasks.start(node.run)
             host = FedClock(tasks)
@@ -204,7 +204,7 @@
                 found = set()
                 for _ in range(times):
                     endpoint, at = await AddressRaceDriver(
-                        host, paths, "a", paths.race("a", 1), DescriptorCount()
+                        host, paths, "a", paths.new_race("a", 1), DescriptorCount()
                     ).connect()
                     endpoint.close()
                     found.add(at.family)
@@ -212,11 +212,15 @@
 
             tasks.start_soon(host.pass_50_ms)  # between the order to connect and the connect
             assert await taken(1) == {first} and host.now_us == 50_001
-            assert all(path.connect_us == 0 for path in paths.known["a"].values())  # not the path's time
-            assert await taken(29) == {first} and paths.passed_over == 0
+            assert all(
+                path.connect_time_us == 0 for path in paths.states_by_endpoint["a"].values()
+            )  # not the path's time
+            assert await taken(29) == {first} and paths.preferred_bypassed == 0
             host.now_us = 1
             node.set_fault(next(iter(node.doors)), "refuse")
-            assert await taken(30) == {"ipv4"} and paths.passed_over == 29  # the first of them learnt it
+            assert (
+                await taken(30) == {"ipv4"} and paths.preferred_bypassed == 29
+            )  # the first of them learnt it
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
@@ -247,7 +251,7 @@
             out.pop(step[1]).close()
         else:
             at = addresses[int(step[1])]
-            sock = socket.socket({UNIX: socket.AF_UNIX, V6: socket.AF_INET6}.get(at.family, socket.AF_INET))
+            sock = socket.socket({UNIX: socket.AF_UNIX, IPV6: socket.AF_INET6}.get(at.family, socket.AF_INET))
             sock.connect(at.host if at.family == UNIX else (at.host, at.port))
             sock.sendall(b"OPEN 1 a c=x,d=2000,g=1\r\n")
             out[step[1]] = sock
