--- a/gannetweir/config/loader.py
+++ b/gannetweir/config/loader.py
@@ -21,7 +21,7 @@
 def add_operators_file(config: Config, path: str) -> Config:
     """A configuration with the operators' file laid over it: both are right together, or an error."""
     # Only where it is switched on: a relay without an operators' file does without the code for one.
-    from gannetweir.config.operators import load_operators_file
+    from gannetweir.config.operators_file import load_operators_file
     from gannetweir.routing.route_admission import with_routed_classes
 
     told = config.known_endpoints.get("hosts")
--- a/gannetweir/explain.py
+++ b/gannetweir/explain.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gannetweir.config import ConfigError, parse_settings
-from gannetweir.config.operators import load_routing_rules
+from gannetweir.config.operators_file import load_routing_rules
 from gannetweir.config.platform import parse_limits, read_json_object
 from gannetweir.config.settings import validate_settings
 from gannetweir.limits import Limits
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -22,7 +22,7 @@
     SetTimer,
     StartConnect,
 )
-from gannetweir.config.operators import parse_operators_file
+from gannetweir.config.operators_file import parse_operators_file
 from gannetweir.lab.model.backends import Backend, SessionStore
 from gannetweir.lab.model.checker import Checker, Cold
 from gannetweir.lab.model.clock import VirtualClock
--- a/gannetweir/routing/route_admission.py
+++ b/gannetweir/routing/route_admission.py
@@ -8,7 +8,7 @@
 
 from gannetweir.placement.events import EndpointId, RequestArrived
 from gannetweir.placement.settings import RequestClass, Settings
-from gannetweir.routing.rate_limit import ConnectionLimiter
+from gannetweir.routing.connection_limiter import ConnectionLimiter
 from gannetweir.routing.retry_budget import RetryBudget
 from gannetweir.routing.routes import RouteTable
 from gannetweir.routing.rules import ConnectionLimitRule, RetryBudgetRule, RoutingRules, routed_class
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -28,7 +28,7 @@
 import orjson
 
 from gannetweir import core as e
-from gannetweir.config.operators import parse_routing_rules
+from gannetweir.config.operators_file import parse_routing_rules
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.actions import Action
--- a/tests/test_reach.py
+++ b/tests/test_addresses.py
@@ -25,7 +25,7 @@
     StartConnect,
 )
 from gannetweir.addresses.rules import AddressRules, EndpointRule
-from gannetweir.config.operators import OperatorsFileError, parse_operators_file
+from gannetweir.config.operators_file import OperatorsFileError, parse_operators_file
 from gannetweir.core import Engine
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
--- a/tests/test_operators_file.py
+++ b/tests/test_operators_file.py
@@ -15,7 +15,7 @@
 from gannetweir.cli import main
 from gannetweir.config import ConfigError, load_config
 from gannetweir.config.kdl import KdlError, parse_document
-from gannetweir.config.operators import OperatorsFileError, parse_routing_rules
+from gannetweir.config.operators_file import OperatorsFileError, parse_routing_rules
 from gannetweir.limits import Limits
 from gannetweir.placement.events import RequestArrived
 from gannetweir.placement.settings import RequestClass, Settings
--- a/tests/test_timing.py
+++ b/tests/test_routing.py
@@ -7,7 +7,7 @@
 
 from gannetweir.placement.events import RequestArrived, RequestFlag
 from gannetweir.placement.settings import RequestClass, Settings
-from gannetweir.routing.rate_limit import ConnectionLimiter
+from gannetweir.routing.connection_limiter import ConnectionLimiter
 from gannetweir.routing.retry_budget import RetryBudget
 from gannetweir.routing.route_admission import RouteAdmission, platform_classes, with_routed_classes
 from gannetweir.routing.routes import RouteTable, route_reachability
