--- a/gannetweir/core/attempts.py
+++ b/gannetweir/core/attempts.py
@@ -6,9 +6,9 @@
 
 from gannetweir.core.commands import CloseUpstream, OpenUpstream
 from gannetweir.core.context import EngineContext
-from gannetweir.core.decisions import Decisions
-from gannetweir.core.reasons import after
-from gannetweir.core.request_log import Step, outcome
+from gannetweir.core.decisions import PlacementDispatcher
+from gannetweir.core.reasons import reason_after
+from gannetweir.core.request_log import RequestStep, outcome_name
 from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer
 from gannetweir.placement.actions import StartAttempt
@@ -21,7 +21,7 @@
 class Attempts:
     """Opens and closes the flows of attempts; at most one of a request is out at a time."""
 
-    def __init__(self, context: EngineContext, decisions: Decisions) -> None:
+    def __init__(self, context: EngineContext, decisions: PlacementDispatcher) -> None:
         self.context, self.decisions = context, decisions
 
     def start(self, action: StartAttempt) -> None:
@@ -35,10 +35,10 @@
         if (
             tx.attempt_in_flight
             or not dial
-            or attempt >= self._cap(tx)
+            or attempt >= self._max_attempts(tx)
             or tx.deadline_us <= now
             or not context.endpoint_list.accepts_requests(action.endpoint_id)
-            or self._held_back(tx, attempt, action.endpoint_id)
+            or self._refused_by_route(tx, attempt, action.endpoint_id)
         ):
             # two flows at once, a backend that is not listed as ready or is out by hand, one attempt too
             # many: none may leave
@@ -52,7 +52,7 @@
         wait = min(left, action.timeout_us) if action.timeout_us > 0 else left
         self.open(tx, action.endpoint_id, dial, wait)
 
-    def _cap(self, tx: RequestState) -> int:
+    def _max_attempts(self, tx: RequestState) -> int:
         most = self.context.settings.max_attempts
         return (
             self.context.route_admission.max_attempts_for(tx.request_class, most)
@@ -60,7 +60,7 @@
             else most
         )
 
-    def _held_back(self, tx: RequestState, attempt: int, server: EndpointId) -> bool:
+    def _refused_by_route(self, tx: RequestState, attempt: int, server: EndpointId) -> bool:
         """Does the route's budget or limit forbid this attempt? The module then gives up at once."""
         if self.context.route_admission is None or tx.admission_permit is None:
             return False
@@ -108,7 +108,9 @@
         context.commands.append(OpenUpstream(tx.request_id, tx.attempt, dial, wait, server, chosen))
         first = not tx.last_status
         context.record_step(
-            tx, Step.ATTEMPT if first else Step.RETRIED, "" if first else after(tx.last_status)
+            tx,
+            RequestStep.ATTEMPT if first else RequestStep.RETRIED,
+            "" if first else reason_after(tx.last_status),
         )
         connect = context.limits.connect_us
         if not tx.resumed:
@@ -116,8 +118,8 @@
             if tx.request_class.attempt_timeout_us:  # that counts from the first line's last byte
                 wait = min(tx.deadline_us - now, connect + wait)
         tx.attempt_deadline_us = now + wait
-        context.set_timer(wait, Timer.ATTEMPT, tx.request_id, tx.attempt)
-        context.set_timer(connect, Timer.CONNECT, tx.request_id, tx.attempt)
+        context.set_timer(wait, Timer.ATTEMPT_TIMEOUT, tx.request_id, tx.attempt)
+        context.set_timer(connect, Timer.CONNECT_TIMEOUT, tx.request_id, tx.attempt)
         context.counters.add("flows")
 
     def close(self, tx: RequestState) -> None:
@@ -142,17 +144,17 @@
             tx.may_have_executed or status not in NOT_EXECUTED,
             status,
         )
-        self.context.record_step(tx, Step.ATTEMPT_ENDED, outcome(status))
+        self.context.record_step(tx, RequestStep.ATTEMPT_ENDED, outcome_name(status))
         self.setup_finished(tx)
         if tx.address is not None:
-            fault = self._path_ended(tx, status)
+            fault = self._record_address_outcome(tx, status)
         self.context.counters.add("connections" if tx.established else "attempts", status)
         attempt, elapsed = max(0, tx.attempt), self.context.now_us - tx.attempt_started_us
         self.decisions.dispatch(
             AttemptEnded(tx.request_id, attempt, status, closed, tx.endpoint_id, elapsed, report, fault)
         )
 
-    def _path_ended(self, tx: RequestState, status: int) -> bool:
+    def _record_address_outcome(self, tx: RequestState, status: int) -> bool:
         """What an attempt's end says of its path. Is that to blame, and not the server?"""
         assert self.context.address_selector is not None and tx.address is not None
         server, path, tx.address = str(tx.endpoint_id), tx.address, None
--- a/gannetweir/core/context.py
+++ b/gannetweir/core/context.py
@@ -9,7 +9,7 @@
 from gannetweir.core.commands import Command, WriteLogLine
 from gannetweir.core.invariants import InvariantGuard, Violation
 from gannetweir.core.reasons import Reason
-from gannetweir.core.request_log import RequestEvent, RequestLog, Step
+from gannetweir.core.request_log import RequestEvent, RequestLog, RequestStep
 from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer, TimerQueue
 from gannetweir.limits import Limits
@@ -23,7 +23,7 @@
     from gannetweir.routing.route_admission import RouteAdmission
 
 
-HISTORY = 8  # steps of a request that the log line of a violation tells
+MAX_LOGGED_STEPS = 8  # steps of a request that the log line of a violation tells
 
 
 class EngineContext:
@@ -33,24 +33,24 @@
         self,
         settings: Settings,
         limits: Limits,
-        keeper: RouteAdmission | None,
-        hand: OperatorOverrides | None,
+        route_admission: RouteAdmission | None,
+        operator_overrides: OperatorOverrides | None,
         now_us: int,
-        sink: Callable[[RequestEvent], None] | None = None,
-        wall_ahead_us: int | None = None,
+        request_trace: Callable[[RequestEvent], None] | None = None,
+        wall_clock_ahead_us: int | None = None,
     ) -> None:
         self.settings, self.limits = settings, limits
         self.now_us = now_us  # of the call that is being handled, in microseconds
         self.route_admission = (
-            keeper  # of the operators' routes; none: one timing for all, as the module has it
+            route_admission  # of the operators' routes; none: one timing for all, as the module has it
         )
         self.address_selector: AddressSelector | None = (
             None  # the ways to servers, where there are any to choose from
         )
-        self.endpoint_list, self.counters = EndpointList(hand, wall_ahead_us), Counters()
+        self.endpoint_list, self.counters = EndpointList(operator_overrides, wall_clock_ahead_us), Counters()
         self.commands: deque[Command] = deque()
-        self.request_log = RequestLog(self.counters, sink)
-        self.guard = InvariantGuard(self.endpoint_list, self._violated)
+        self.request_log = RequestLog(self.counters, request_trace)
+        self.guard = InvariantGuard(self.endpoint_list, self._report_violation)
         self.timers = TimerQueue()
         self.requests: dict[int, RequestState] = {}
         self.request_id_by_client_id: dict[str, int] = {}  # of those, by the client's id
@@ -64,13 +64,13 @@
         """Command a line for the people on call."""
         self.commands.append(WriteLogLine(text, about))
 
-    def record_step(self, tx: RequestState, step: Step, reason: Reason | str = "") -> None:
+    def record_step(self, tx: RequestState, step: RequestStep, reason: Reason | str = "") -> None:
         """Record a step of a request."""
         self.request_log.add(
             self.now_us, tx.request_id, tx.client_request_id, step, tx.attempt, tx.endpoint_id, reason
         )
 
-    def _violated(self, violation: Violation) -> None:
+    def _report_violation(self, violation: Violation) -> None:
         self.counters.add(f"violations.{violation.rule}")
         history = self.request_log.history(violation.request_id) if violation.request_id else []
         self.log(
@@ -79,7 +79,7 @@
             transaction=violation.request_id,
             id=history[0].client_request_id if history else "",
             reason=violation.detail,
-            history=" ".join(map(str, history[-HISTORY:])),
+            history=" ".join(map(str, history[-MAX_LOGGED_STEPS:])),
         )
 
     def request_with_attempt(self, number: int, attempt: int) -> RequestState | None:
--- a/gannetweir/core/decisions.py
+++ b/gannetweir/core/decisions.py
@@ -11,10 +11,10 @@
 from gannetweir.placement.balancer import Balancer
 from gannetweir.placement.events import Event, TimerExpired
 
-Trace = Callable[[int, Event, Sequence[Action]], None]
+PlacementTrace = Callable[[int, Event, Sequence[Action]], None]
 
 
-class Decisions:
+class PlacementDispatcher:
     """Hands events to the module. `carry_out` does one action; `fail` answers a request it raised on."""
 
     def __init__(
@@ -23,7 +23,7 @@
         balancer: Balancer,
         carry_out: Callable[[Action], None],
         fail: Callable[[int], None],
-        trace: Trace | None,
+        trace: PlacementTrace | None,
     ) -> None:
         self.context, self.balancer = context, balancer
         self.carry_out, self.fail = carry_out, fail
@@ -43,7 +43,7 @@
                 try:
                     actions = self.balancer.handle(event, context.now_us)
                 except Exception as error:  # one event must not cost every open connection
-                    self._fault(event, error)
+                    self._report_fault(event, error)
                     continue
                 if self.trace is not None:
                     self.trace(context.now_us, event, actions)
@@ -52,7 +52,7 @@
         finally:
             self.dispatching = False
 
-    def _fault(self, event: Event, error: Exception) -> None:
+    def _report_fault(self, event: Event, error: Exception) -> None:
         self.context.counters.add("module_faults")
         kind = type(event).__name__
         self.context.log(f"the decision module failed on {kind}: {type(error).__name__}: {error}")
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -9,10 +9,10 @@
 from typing import TYPE_CHECKING
 
 from gannetweir.core.answer_delays import AnswerDelays
-from gannetweir.core.answers import Answers
+from gannetweir.core.answers import FinalAnswers
 from gannetweir.core.attempts import Attempts
 from gannetweir.core.context import EngineContext
-from gannetweir.core.decisions import Decisions, Trace
+from gannetweir.core.decisions import PlacementDispatcher, PlacementTrace
 from gannetweir.core.draining import Draining
 from gannetweir.core.load_probes import LoadProbes
 from gannetweir.core.membership_updates import MembershipUpdates
@@ -55,17 +55,19 @@
         settings: Settings,
         limits: Limits,
         seed: int,
-        known: MembershipUpdate,
+        initial_membership: MembershipUpdate,
         now_us: int,
-        hand: OperatorOverrides | None = None,
-        replaces: bool = False,
-        keeper: RouteAdmission | None = None,
-        reach: AddressRules | None = None,
-        trace: Trace | None = None,
+        operator_overrides: OperatorOverrides | None = None,
+        replaces_process: bool = False,
+        route_admission: RouteAdmission | None = None,
+        address_rules: AddressRules | None = None,
+        trace: PlacementTrace | None = None,
         request_trace: Callable[[RequestEvent], None] | None = None,
-        wall_ahead_us: int | None = None,
+        wall_clock_ahead_us: int | None = None,
     ) -> None:
-        self.context = EngineContext(settings, limits, keeper, hand, now_us, request_trace, wall_ahead_us)
+        self.context = EngineContext(
+            settings, limits, route_admission, operator_overrides, now_us, request_trace, wall_clock_ahead_us
+        )
         self.endpoint_list, self.counters = self.context.endpoint_list, self.context.counters
         self.guard = self.context.guard  # told by the drivers what they do on sockets
         self.commands = self.context.commands
@@ -74,45 +76,47 @@
             self.context.request_id_by_client_id,
         )
         self.balancer = Balancer(settings, seed, now_us)
-        if not replaces:  # those that return come from other relays, and may be counted nowhere any more
+        if (
+            not replaces_process
+        ):  # those that return come from other relays, and may be counted nowhere any more
             self.balancer.start_us = 0
         self._wire(seed, trace)
         self.context.set_timer(limits.watchdog_us, Timer.WATCHDOG)
-        if reach is not None:
-            self.membership.apply_address_rules(reach)
-        self.membership.apply(UpdateKind.CACHED, known)
-        self.membership.watch_if_pushed()
+        if address_rules is not None:
+            self.membership_updates.apply_address_rules(address_rules)
+        self.membership_updates.apply(UpdateKind.CACHED, initial_membership)
+        self.membership_updates.watch_if_pushed()
 
-    def _wire(self, seed: int, trace: Trace | None) -> None:
+    def _wire(self, seed: int, trace: PlacementTrace | None) -> None:
         """Make the concerns; each knows those that it calls, and none knows the engine."""
         context = self.context
-        self.decisions = decisions = Decisions(
+        self.placement_dispatcher = decisions = PlacementDispatcher(
             context,
             self.balancer,
             carry_out=lambda action: self._carry_out(action),  # both are looked up as they are needed
-            fail=lambda number: self.answers.fail_unanswered(number),
+            fail=lambda number: self.final_answers.fail_unanswered(number),
             trace=trace,
         )
         self.attempts = attempts = Attempts(context, decisions)
-        self.answers = answers = Answers(context, decisions, attempts)
+        self.final_answers = answers = FinalAnswers(context, decisions, attempts)
         self.resumption = resumption = Resumption(context, decisions, attempts, answers)
         self.upstream_events = UpstreamEvents(context, decisions, attempts, answers, resumption)
         self.request_intake = RequestIntake(context, decisions, attempts, answers, resumption, seed)
         self.load_probes = LoadProbes(context, decisions)
         self.answer_delays = AnswerDelays(context, decisions, answers)
         self.draining = Draining(context, answers)
-        self.membership = MembershipUpdates(context, decisions, self.upstream_events, seed)
-        self.overrides = OverrideUpdates(context, decisions, self.upstream_events, self.draining)
+        self.membership_updates = MembershipUpdates(context, decisions, self.upstream_events, seed)
+        self.override_updates = OverrideUpdates(context, decisions, self.upstream_events, self.draining)
         self._bind_calls()
 
     def _bind_calls(self) -> None:
         """The drivers' calls that one concern takes whole are its own methods: no line or request pays for a
         call in between. What each one does stands with the method.
         """
-        self.request_opened = self.request_intake.open
-        self.client_disconnected = self.request_intake.client_left
-        self.client_line_forwarded = self.answer_delays.client_line
-        self.answer_line_received = self.answer_delays.server_line
+        self.request_opened = self.request_intake.request_opened
+        self.client_disconnected = self.request_intake.client_disconnected
+        self.client_line_forwarded = self.answer_delays.client_line_forwarded
+        self.answer_line_received = self.answer_delays.answer_line_received
         self.address_connected = self.attempts.address_connected
         self.upstream_first_line_written = self.upstream_events.first_line_written
         self.upstream_connect_delayed = self.upstream_events.connect_delayed
@@ -120,21 +124,21 @@
         self.upstream_established = self.upstream_events.established
         self.upstream_ended = self.upstream_events.ended
         self.connection_load_reported = self.upstream_events.load_reported
-        self.load_probe_ended = self.load_probes.ended
-        self.endpoint_update_received = self.membership.update
-        self.endpoint_watch_failed = self.membership.watch_failed
-        self.apply_operator_overrides = self.overrides.apply
+        self.load_probe_ended = self.load_probes.probe_ended
+        self.endpoint_update_received = self.membership_updates.update_received
+        self.endpoint_watch_failed = self.membership_updates.watch_failed
+        self.apply_operator_overrides = self.override_updates.apply
         self.next_due = self.context.timers.next_due
 
     @property
     def last_request_id(self) -> int:
         """The number of the last transaction; 0 before the first."""
-        return self.request_intake.last
+        return self.request_intake.last_request_id
 
     @property
-    def trace(self) -> Trace | None:
+    def trace(self) -> PlacementTrace | None:
         """What is told all that the module hears and answers, where that is asked for."""
-        return self.decisions.trace
+        return self.placement_dispatcher.trace
 
     @property
     def limits(self) -> Limits:
@@ -174,22 +178,22 @@
         settings: Settings,
         limits: Limits,
         now_us: int,
-        keeper: RouteAdmission | None = None,
-        reach: AddressRules | None = None,
+        route_admission: RouteAdmission | None = None,
+        address_rules: AddressRules | None = None,
     ) -> None:
         """A new configuration holds from now on. What stands goes on by its plan, but not past a lower cap on
         attempts, and what is due stays due. A keeper that stood before has taken the new rules already.
         """
         self.context.now_us = now_us
-        self.context.route_admission = keeper
+        self.context.route_admission = route_admission
         self.context.counters.add("reloads")
         asked = self.context.settings.polls_endpoint_list
         self.context.settings, self.context.limits = settings, limits
         self.answer_delays.configure(settings, limits)
         if asked:
-            self.membership.watch_if_pushed()  # if it is so from now on
-        if reach is not None or self.context.address_selector is not None:
-            self.membership.apply_address_rules(reach)
+            self.membership_updates.watch_if_pushed()  # if it is so from now on
+        if address_rules is not None or self.context.address_selector is not None:
+            self.membership_updates.apply_address_rules(address_rules)
         self.balancer.configure(settings)
 
     # ---- the module
@@ -200,15 +204,15 @@
         elif isinstance(action, StartAttempt):
             self.attempts.start(action)
         elif isinstance(action, RejectRequest):
-            self.answers.reject_request(action.request_id, action.retry_after_us)
+            self.final_answers.reject_request(action.request_id, action.retry_after_us)
         elif isinstance(action, FailRequest):
-            self.answers.fail_request(action.request_id)
+            self.final_answers.fail_request(action.request_id)
         elif isinstance(action, MigrateConnection):
-            self.answers.migrate_connection(action.request_id)
+            self.final_answers.migrate_connection(action.request_id)
         elif isinstance(action, ProbeLoad):
             self.load_probes.start(action.endpoint_id)
         elif isinstance(action, WatchEndpoints):
-            self.membership.set_watch(bool(action.enabled))
+            self.membership_updates.set_watch(bool(action.enabled))
         elif isinstance(action, WriteLog):
             self.context.log(action.text)
 
@@ -219,7 +223,7 @@
         for timer, value, attempt in self.context.timers.take_due(now_us):
             self.context.now_us = now_us
             if timer is Timer.PLACEMENT:
-                self.decisions.dispatch(TimerExpired(value))
+                self.placement_dispatcher.dispatch(TimerExpired(value))
             else:
                 self._due(timer, value, attempt)
 
@@ -229,24 +233,24 @@
             self._transaction_due(timer, tx, attempt)
         elif timer is Timer.WATCHDOG:
             self.answer_delays.watchdog_due()
-        elif timer is Timer.DRAINED:
-            self.draining.drained()
-        elif timer is Timer.DRAIN_END:
+        elif timer is Timer.ADMISSION_END:
+            self.draining.stop_admission()
+        elif timer is Timer.EXIT:
             self._end()
         elif timer is Timer.ENDPOINT_WATCH:
-            self.membership.watch_timer_expired()
+            self.membership_updates.watch_timer_expired()
 
     def _transaction_due(self, timer: Timer, tx: RequestState, attempt: int) -> None:
-        if timer is Timer.ATTEMPT:
-            self.upstream_events.attempt_due(tx, attempt)
-        elif timer is Timer.CONNECT:
-            self.upstream_events.connect_due(tx, attempt)
-        elif timer is Timer.ANSWER:
-            self.answers.overdue(tx)
-        elif timer is Timer.RESUME:
+        if timer is Timer.ATTEMPT_TIMEOUT:
+            self.upstream_events.attempt_timeout_due(tx, attempt)
+        elif timer is Timer.CONNECT_TIMEOUT:
+            self.upstream_events.connect_timeout_due(tx, attempt)
+        elif timer is Timer.FINAL_ANSWER:
+            self.final_answers.deadline_passed(tx)
+        elif timer is Timer.RESUMPTION_RETRY:
             self.resumption.retry(tx)
         elif timer is Timer.MIGRATE:
-            self.draining.move_due(tx)
+            self.draining.migration_due(tx)
 
     # ---- the end
 
@@ -261,7 +265,7 @@
         self.draining.start(now_us, replaced)
 
     def _end(self) -> None:
-        self.draining.end()
+        self.draining.exit()
 
     def current_figures(self) -> dict[str, int]:
         """Figures of this moment, beside the counters."""
--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -6,7 +6,7 @@
 
 from gannetweir.core.commands import SetEndpointWatch
 from gannetweir.core.context import EngineContext
-from gannetweir.core.decisions import Decisions
+from gannetweir.core.decisions import PlacementDispatcher
 from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer
 from gannetweir.core.upstream_events import UpstreamEvents
@@ -24,7 +24,11 @@
     """
 
     def __init__(
-        self, context: EngineContext, decisions: Decisions, upstream_events: UpstreamEvents, seed: int
+        self,
+        context: EngineContext,
+        decisions: PlacementDispatcher,
+        upstream_events: UpstreamEvents,
+        seed: int,
     ) -> None:
         """`seed`: for the address selector's random numbers."""
         self.context = context
@@ -33,7 +37,7 @@
         self.seed = seed
         self.consecutive_watch_failures = 0  # counted only where discovery pushes the list
 
-    def update(self, update: MembershipUpdate, now_us: int) -> None:
+    def update_received(self, update: MembershipUpdate, now_us: int) -> None:
         """Discovery, or the control plane, has sent an update."""
         self.context.now_us = now_us
         self.context.counters.add("pool_news")
@@ -56,7 +60,7 @@
         # A connect may outlast the grace period of a drain. One that is established late could reach a new
         # start of the endpoint with what was meant for the warmed-up one before it. The path is at fault, not
         # the endpoint.
-        self.upstream_events.drop_unsent(self._targets_stale_endpoint, fault=True)
+        self.upstream_events.close_unsent(self._targets_stale_endpoint, fault=True)
 
     def _targets_stale_endpoint(self, request: RequestState) -> bool:
         """Whether the attempt goes to an endpoint that is no longer ready, or to an earlier start of it."""
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gannetweir.core.context import EngineContext
-from gannetweir.core.decisions import Decisions
+from gannetweir.core.decisions import PlacementDispatcher
 from gannetweir.core.draining import Draining
 from gannetweir.core.reasons import Reason
 from gannetweir.core.upstream_events import UpstreamEvents
@@ -20,7 +20,7 @@
     def __init__(
         self,
         context: EngineContext,
-        decisions: Decisions,
+        decisions: PlacementDispatcher,
         upstream_events: UpstreamEvents,
         draining: Draining,
     ) -> None:
@@ -42,10 +42,10 @@
         self.decisions.dispatch(
             EndpointListUpdate(UpdateKind.CACHED, endpoint_list.version, effective_entries)
         )
-        self.upstream_events.drop_unsent(lambda request: request.endpoint_id in newly_offline)
+        self.upstream_events.close_unsent(lambda request: request.endpoint_id in newly_offline)
         established = [
             request
             for request in self.context.requests.values()
             if request.endpoint_id in newly_offline and request.established
         ]
-        self.draining.move_over(established, self.context.limits.hand_moves_us, Reason.OPERATORS)
+        self.draining.migrate_over(established, self.context.limits.hand_moves_us, Reason.OPERATORS)
--- a/gannetweir/core/request_log.py
+++ b/gannetweir/core/request_log.py
@@ -18,23 +18,25 @@
 MAX_EVENTS = 2048  # events: 0.7 MB, measured with ids of 32 characters
 
 
-class Step(StrEnum):
+class RequestStep(StrEnum):
     """A change of a request's state."""
 
     OPENED = "opened"
     ATTEMPT = "attempt"
     RETRIED = "retried"
-    HELD_UP = "held_up"  # its connect could not be begun: an error of this machine
+    CONNECT_DELAYED = "held_up"  # its connect could not be begun: an error of this machine
     WRITTEN = "written"
     ATTEMPT_ENDED = "attempt_ended"
     SERVED = "served"
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
-    MOVED = "moved"
+    MIGRATED = "moved"
     CLOSED = "closed"
 
 
-_COUNTED = frozenset({Step.RETRIED, Step.REFUSED, Step.FAILED, Step.MOVED, Step.CLOSED})
+_COUNTED = frozenset(
+    {RequestStep.RETRIED, RequestStep.REJECTED, RequestStep.FAILED, RequestStep.MIGRATED, RequestStep.CLOSED}
+)
 
 
 class RequestEvent(NamedTuple):
@@ -43,7 +45,7 @@
     at_us: int
     request_id: int
     client_request_id: str
-    step: Step
+    step: RequestStep
     attempt: int
     endpoint_id: EndpointId
     reason: str
@@ -66,7 +68,7 @@
         at_us: int,
         number: int,
         ident: str,
-        step: Step,
+        step: RequestStep,
         attempt: int = -1,
         backend: EndpointId = None,
         reason: Reason | str = "",
@@ -84,6 +86,6 @@
         return [event for event in self.events if event.request_id == number]
 
 
-def outcome(status: int) -> str:
+def outcome_name(status: int) -> str:
     """The name of an attempt's outcome."""
     return OUTCOMES.get(status, str(status))
--- a/gannetweir/core/resumption.py
+++ b/gannetweir/core/resumption.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from gannetweir.core.answers import Answers
+from gannetweir.core.answers import FinalAnswers
 from gannetweir.core.attempts import Attempts
 from gannetweir.core.commands import FailClient, RejectClient
 from gannetweir.core.context import EngineContext
-from gannetweir.core.decisions import Decisions
-from gannetweir.core.reasons import Reason, after
+from gannetweir.core.decisions import PlacementDispatcher
+from gannetweir.core.reasons import Reason, reason_after
 from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer
 from gannetweir.placement.events import (
@@ -23,7 +23,11 @@
     """Brings a resumed connection back to the backend that it names."""
 
     def __init__(
-        self, context: EngineContext, decisions: Decisions, attempts: Attempts, answers: Answers
+        self,
+        context: EngineContext,
+        decisions: PlacementDispatcher,
+        attempts: Attempts,
+        answers: FinalAnswers,
     ) -> None:
         self.context, self.decisions = context, decisions
         self.attempts, self.answers = attempts, answers
@@ -33,8 +37,8 @@
         dial = self.context.endpoint_list.address_of(at)
         if not dial or self.context.endpoint_list.is_offline(at):
             out = RejectClient(tx.request_id, self.context.limits.reject_retry_us)
-            reason = Reason.OPERATORS if dial else Reason.UNKNOWN_BACKEND
-            self.answers.answer(tx, out if dial else FailClient(tx.request_id), reason)
+            reason = Reason.OPERATORS if dial else Reason.UNKNOWN_ENDPOINT
+            self.answers.send(tx, out if dial else FailClient(tx.request_id), reason)
             return
         tx.resumed = True
         if self.context.route_admission is not None:  # it stands: it counts, but nothing turns it away
@@ -58,19 +62,19 @@
             )
         )
 
-    def failed(self, tx: RequestState, status: int) -> None:
+    def attempt_failed(self, tx: RequestState, status: int) -> None:
         """Only its own backend holds this connection: ask there again while nothing has run."""
         tx.attempt_in_flight, tx.last_status = False, status
         wait = self.context.limits.resume_retry_us
         if self.context.endpoint_list.is_offline(tx.endpoint_id) and status in NOT_EXECUTED:
             refusal = RejectClient(tx.request_id, self.context.limits.reject_retry_us)
-            self.answers.answer(tx, refusal, Reason.OPERATORS)
+            self.answers.send(tx, refusal, Reason.OPERATORS)
             self.attempts.ended(tx, status, 1)
             return
         if status in NOT_EXECUTED and self.context.now_us + wait < tx.deadline_us:
-            self.context.set_timer(wait, Timer.RESUME, tx.request_id)
+            self.context.set_timer(wait, Timer.RESUMPTION_RETRY, tx.request_id)
             return
-        self.answers.answer(tx, FailClient(tx.request_id), after(status))
+        self.answers.send(tx, FailClient(tx.request_id), reason_after(status))
         self.attempts.ended(tx, status, 1)
 
     def retry(self, tx: RequestState) -> None:
@@ -78,7 +82,7 @@
         if tx.attempt_in_flight:
             return
         if self.context.endpoint_list.is_offline(tx.endpoint_id):
-            self.failed(tx, AttemptStatus.CONNECT_FAILED)
+            self.attempt_failed(tx, AttemptStatus.CONNECT_FAILED)
             return
         self.attempts.open(
             tx,
--- a/gannetweir/core/timers.py
+++ b/gannetweir/core/timers.py
@@ -11,14 +11,14 @@
     """What a due time is for."""
 
     PLACEMENT = 1  # a timer that the module set
-    ATTEMPT = 2  # an attempt's time is up
-    CONNECT = 3  # a flow that is not up by now never will be
-    ANSWER = 4  # the final answer is due
-    RESUME = 5  # try again to reach the backend that holds a resumed connection
+    ATTEMPT_TIMEOUT = 2  # an attempt's time is up
+    CONNECT_TIMEOUT = 3  # a flow that is not up by now never will be
+    FINAL_ANSWER = 4  # the final answer is due
+    RESUMPTION_RETRY = 5  # try again to reach the backend that holds a resumed connection
     WATCHDOG = 6
     MIGRATE = 7  # a drain moves this client
-    DRAINED = 8  # nothing new is taken any more
-    DRAIN_END = 9
+    ADMISSION_END = 8  # nothing new is taken any more
+    EXIT = 9
     ENDPOINT_WATCH = 10  # open the watch on a pushed list again
 
 
--- a/gannetweir/core/upstream_events.py
+++ b/gannetweir/core/upstream_events.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Callable
 
-from gannetweir.core.answers import Answers
+from gannetweir.core.answers import FinalAnswers
 from gannetweir.core.attempts import Attempts
 from gannetweir.core.commands import EndClient, StartForwarding
 from gannetweir.core.context import EngineContext
-from gannetweir.core.decisions import Decisions
+from gannetweir.core.decisions import PlacementDispatcher
 from gannetweir.core.reasons import Reason
-from gannetweir.core.request_log import Step
+from gannetweir.core.request_log import RequestStep
 from gannetweir.core.request_state import RequestState
 from gannetweir.core.resumption import Resumption
 from gannetweir.core.timers import Timer
@@ -23,9 +23,9 @@
     def __init__(
         self,
         context: EngineContext,
-        decisions: Decisions,
+        decisions: PlacementDispatcher,
         attempts: Attempts,
-        answers: Answers,
+        answers: FinalAnswers,
         resumption: Resumption,
     ) -> None:
         self.context, self.decisions = context, decisions
@@ -38,10 +38,10 @@
         if tx is None:
             return
         tx.first_line_written = True
-        self.context.record_step(tx, Step.WRITTEN)
+        self.context.record_step(tx, RequestStep.WRITTEN)
         if tx.request_class.attempt_timeout_us and not tx.established and not tx.resumed:
             tx.attempt_deadline_us = min(tx.attempt_deadline_us, now_us + tx.request_class.attempt_timeout_us)
-            self.context.set_timer(tx.attempt_deadline_us - now_us, Timer.ATTEMPT, number, attempt)
+            self.context.set_timer(tx.attempt_deadline_us - now_us, Timer.ATTEMPT_TIMEOUT, number, attempt)
 
     def connect_delayed(self, number: int, attempt: int, reason: str, now_us: int) -> None:
         """The attempt's connect could not be begun, by an error of this machine; it is tried again."""
@@ -50,7 +50,7 @@
         tx = self.context.request_with_attempt(number, attempt)
         if tx is not None and not tx.connect_delayed_locally:
             tx.connect_delayed_locally = True
-            self.context.record_step(tx, Step.HELD_UP, reason)
+            self.context.record_step(tx, RequestStep.CONNECT_DELAYED, reason)
 
     def connect_started(self, number: int, attempt: int, now_us: int) -> None:
         """The attempt's connect has left this machine."""
@@ -71,7 +71,7 @@
         if tx.address is not None and context.address_selector is not None:
             context.address_selector.record_response(str(tx.endpoint_id), tx.address, now_us)
         context.counters.add("served")
-        context.record_step(tx, Step.SERVED)
+        context.record_step(tx, RequestStep.SERVED)
         context.commands.append(StartForwarding(number))
         if not tx.resumed:
             self.decisions.dispatch(
@@ -91,37 +91,39 @@
         if tx is None:
             return
         if tx.established:
-            self.answers.forget(tx)
-            self.context.record_step(tx, Step.CLOSED, Reason.BACKEND_RESET if reset else Reason.BACKEND_ENDED)
+            self.answers.remove_request(tx)
+            self.context.record_step(
+                tx, RequestStep.CLOSED, Reason.ENDPOINT_RESET if reset else Reason.ENDPOINT_ENDED
+            )
             self.context.commands.append(EndClient(number, reset))
             self.attempts.ended(tx, status, 1, report)
         elif tx.resumed:
-            self.resumption.failed(tx, status)
+            self.resumption.attempt_failed(tx, status)
         else:
             self.attempts.ended(tx, status, 0, report)
 
-    def attempt_due(self, tx: RequestState, attempt: int) -> None:
+    def attempt_timeout_due(self, tx: RequestState, attempt: int) -> None:
         """An attempt's time may be up; it may also have been set anew since."""
         waits = tx.attempt_in_flight and tx.attempt == attempt and not tx.established
         if waits and self.context.now_us >= tx.attempt_deadline_us:
-            self._late(tx)
+            self._attempt_timed_out(tx)
 
-    def connect_due(self, tx: RequestState, attempt: int) -> None:
+    def connect_timeout_due(self, tx: RequestState, attempt: int) -> None:
         """A flow whose first line is not out by now never will be up."""
         waits = tx.attempt_in_flight and tx.attempt == attempt and not tx.established
         if waits and not tx.first_line_written:
-            self._late(tx)
+            self._attempt_timed_out(tx)
 
-    def _late(self, tx: RequestState) -> None:
+    def _attempt_timed_out(self, tx: RequestState) -> None:
         """The time of an attempt is up: it is closed before anything else is sent."""
         status = AttemptStatus.TIMEOUT if tx.first_line_written else AttemptStatus.CONNECT_FAILED
         self.attempts.close(tx)
         if tx.resumed:
-            self.resumption.failed(tx, status)
+            self.resumption.attempt_failed(tx, status)
         else:  # what this machine could not begin is no fault of the backend's
             self.attempts.ended(tx, status, 0, fault=tx.connect_delayed_locally and not tx.first_line_written)
 
-    def drop_unsent(self, leaves: Callable[[RequestState], bool], fault: bool = False) -> None:
+    def close_unsent(self, leaves: Callable[[RequestState], bool], fault: bool = False) -> None:
         """End the flows that would still be written to a backend which wants nothing new."""
         for tx in [
             tx
@@ -130,7 +132,7 @@
         ]:
             self.attempts.close(tx)
             if tx.resumed:
-                self.resumption.failed(tx, AttemptStatus.CONNECT_FAILED)
+                self.resumption.attempt_failed(tx, AttemptStatus.CONNECT_FAILED)
             else:
                 self.attempts.ended(tx, AttemptStatus.CONNECT_FAILED, 0, fault=fault)
 
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -194,7 +194,9 @@
         keeper = RouteAdmission(rules, self.settings) if rules is not None else None
         known = world.whole()
         now = world.clock.now
-        self.engine = e.Engine(self.settings, self.limits, seed, known, now, keeper=keeper, reach=reach)
+        self.engine = e.Engine(
+            self.settings, self.limits, seed, known, now, route_admission=keeper, address_rules=reach
+        )
         self.clients: dict[int, Client] = {}  # by transaction
         self.logs: list[str] = []
         self.wake_us = 0
--- a/gannetweir/net/client_connection.py
+++ b/gannetweir/net/client_connection.py
@@ -80,8 +80,8 @@
             self.protocol.phase = ClientPhase.ENDED
             self.relay.run_engine_call(self.relay.engine.client_disconnected, self.request_id, True)
         elif self.protocol.phase is ClientPhase.AWAITING_FIRST_LINE and not self.input_ended:
-            guard.released_unheard()
-        guard.released(self.request_id)
+            guard.unread_connection_closed()
+        guard.client_connection_closed(self.request_id)
         self.client.close()
         self.relay.remove_client(self)
 
@@ -235,18 +235,18 @@
         self._note_answer(served=False)
 
     def _note_answer(self, served: bool) -> None:
-        self.relay.engine.guard.answered(self.request_id, served, self.relay.clock())
+        self.relay.engine.guard.final_answer_written(self.request_id, served, self.relay.clock())
 
     def end_migrated(self) -> None:
         """`MOVE` first, then both sides close."""
         self._end(self.protocol.end_migrated())
-        self.relay.engine.guard.may_close(self.request_id)
+        self.relay.engine.guard.close_permitted(self.request_id)
         self.close_upstream()
 
     def end_as_upstream(self, reset: bool) -> None:
         """The backend's end, passed on in kind."""
         self.protocol.phase = ClientPhase.ENDED
-        self.relay.engine.guard.may_close(self.request_id)
+        self.relay.engine.guard.close_permitted(self.request_id)
         if reset:
             self.client.abort()
         else:
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -78,12 +78,12 @@
             known,
             self.clock(),
             self.handover.overrides,
-            replaces=bool(self.handover.peers),
-            keeper=_keeper(config, None),
-            reach=config.address_rules,
+            replaces_process=bool(self.handover.peers),
+            route_admission=_keeper(config, None),
+            address_rules=config.address_rules,
             trace=trace,
             request_trace=trace.request if trace is not None else None,
-            wall_ahead_us=time.time_ns() // 1000 - self.clock(),
+            wall_clock_ahead_us=time.time_ns() // 1000 - self.clock(),
         )
         dropped = partial(self.engine.counters.add, "log_lines_dropped")
         self.standard_error = standard_error()
@@ -200,7 +200,7 @@
     def _report_descriptors(self, count: int) -> None:
         self.handover.report_descriptor_count(count)
         if count > self.max_descriptors:
-            self.engine.guard.descriptors(count, self.max_descriptors)
+            self.engine.guard.check_descriptors(count, self.max_descriptors)
 
     # ---- the operators
 
--- a/gannetweir/net/upstream_connection.py
+++ b/gannetweir/net/upstream_connection.py
@@ -145,7 +145,9 @@
     def _begin_writing(self) -> None:
         order, most = self.command, self.relay.settings.max_attempts
         now = self.relay.clock()
-        self.relay.engine.guard.writing(order.request_id, order.attempt, order.endpoint_id, now, most)
+        self.relay.engine.guard.attempt_write_started(
+            order.request_id, order.attempt, order.endpoint_id, now, most
+        )
 
     async def _connect(self) -> None:
         try:
@@ -248,4 +250,6 @@
         if self.transport is not None:
             (self.transport.abort if reset else self.transport.close)()
         order = self.command
-        self.relay.engine.guard.attempt_over(order.request_id, order.attempt, self.protocol.may_have_executed)
+        self.relay.engine.guard.attempt_closed(
+            order.request_id, order.attempt, self.protocol.may_have_executed
+        )
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -14,7 +14,7 @@
 
 import anyio
 
-from gannetweir.core.decisions import Decisions
+from gannetweir.core.decisions import PlacementDispatcher
 from gannetweir.core.draining import Draining
 from gannetweir.core.operator_overrides import OverrideUpdates
 from gannetweir.membership.endpoint_list import EndpointList
@@ -120,7 +120,7 @@
     """What discovery says of a backend's leaving is not heeded."""
     EndpointList.accepts_requests = lambda self, server: server in self.entries  # type: ignore[method-assign]
     _replace(
-        Decisions,
+        PlacementDispatcher,
         "dispatch",
         lambda dispatch: (
             lambda self, event: (
@@ -182,7 +182,7 @@
 
 def exits_late() -> None:
     """SIGTERM is answered, but the process stays."""
-    Draining.end = lambda self: None  # type: ignore[method-assign]
+    Draining.exit = lambda self: None  # type: ignore[method-assign]
 
 
 def crash() -> None:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -84,7 +84,7 @@
         rules = parse_routing_rules(self.files["start"], self.settings, self.limits) if files else None
         self.settings = with_routed_classes(self.settings, rules)
         keeper = RouteAdmission(rules, self.settings) if rules else None
-        self.engine = e.Engine(self.settings, self.limits, 7, known, self.now, keeper=keeper)
+        self.engine = e.Engine(self.settings, self.limits, 7, known, self.now, route_admission=keeper)
         self.machines: dict[str, v.ClientConnection] = {}
         self.firsts: dict[str, v.FirstLine] = {}
         self.numbers: dict[str, int] = {}
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gannetweir.core.invariants import InvariantGuard, Rule, Violation
+from gannetweir.core.invariants import InvariantGuard, InvariantRule, Violation
 from gannetweir.membership.endpoint_list import EndpointList
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.events import EndpointEntry, EndpointStatus
@@ -30,13 +30,13 @@
         )
         self.found: list[Violation] = []
         self.guard = InvariantGuard(self.pool, self.found.append)
-        self.guard.opened(1, cls, deadline_us)
+        self.guard.request_opened(1, cls, deadline_us)
 
     def attempt(self, attempt: int, server: str = "b0", now_us: int = 1000, most: int = 3) -> None:
-        self.guard.writing(1, attempt, server, now_us, most)
+        self.guard.attempt_write_started(1, attempt, server, now_us, most)
 
     def over(self, attempt: int, ran: bool) -> None:
-        self.guard.attempt_over(1, attempt, ran)
+        self.guard.attempt_closed(1, attempt, ran)
 
     def drains(self, server: str) -> None:
         entry = EndpointEntry(server, state=EndpointStatus.DRAINING)
@@ -44,7 +44,7 @@
 
     def failed(self, cls: RequestClass, server: str, now_us: int = 1000) -> None:
         """One attempt at b0 that may have run, and a second one."""
-        self.guard.opened(1, cls, DEADLINE)
+        self.guard.request_opened(1, cls, DEADLINE)
         self.attempt(0, "b0")
         self.over(0, True)
         self.attempt(1, server, now_us)
@@ -59,12 +59,12 @@
 
 
 def answer_twice(at: Watched) -> None:
-    at.guard.answered(1, True, 5)
-    at.guard.answered(1, False, 6)
+    at.guard.final_answer_written(1, True, 5)
+    at.guard.final_answer_written(1, False, 6)
 
 
 def attempt_after_the_answer(at: Watched) -> None:
-    at.guard.answered(1, False, 5)
+    at.guard.final_answer_written(1, False, 5)
     at.attempt(0)
 
 
@@ -79,63 +79,63 @@
 
 
 def cut_off(at: Watched) -> None:
-    at.guard.answered(1, True, 5)
-    at.guard.released(1)
-
-
-BROKEN: list[tuple[Rule, Play]] = [
-    (Rule.OVERLAP, twice_at_once),
-    (Rule.UNSAFE_REPEAT, lambda at: at.failed(ONCE, "b1")),
-    (Rule.UNSAFE_REPEAT, lambda at: at.failed(KEYED, "b1")),  # another cell
-    (Rule.UNSAFE_REPEAT, lambda at: at.failed(KEYED, "b2", 1_001_000)),  # its window is over
-    (Rule.TOO_MANY_ATTEMPTS, lambda at: at.attempt(0, most=0)),
-    (Rule.BACKEND_LEAVING, draining_backend),
-    (Rule.BACKEND_LEAVING, lambda at: at.attempt(0, "unlisted")),
-    (Rule.CLIENT_GONE, attempt_after_the_client),
-    (Rule.AFTER_ANSWER, attempt_after_the_answer),
-    (Rule.SECOND_ANSWER, answer_twice),
-    (Rule.LATE_ANSWER, lambda at: at.guard.answered(1, False, DEADLINE + 500_001)),
-    (Rule.NO_ANSWER, lambda at: at.guard.released(1)),
-    (Rule.NO_ANSWER, lambda at: at.guard.released_unheard()),
-    (Rule.CUT_OFF, cut_off),
-    (Rule.DESCRIPTORS, lambda at: at.guard.descriptors(101, 100)),
+    at.guard.final_answer_written(1, True, 5)
+    at.guard.client_connection_closed(1)
+
+
+BROKEN: list[tuple[InvariantRule, Play]] = [
+    (InvariantRule.OVERLAP, twice_at_once),
+    (InvariantRule.UNSAFE_REPEAT, lambda at: at.failed(ONCE, "b1")),
+    (InvariantRule.UNSAFE_REPEAT, lambda at: at.failed(KEYED, "b1")),  # another cell
+    (InvariantRule.UNSAFE_REPEAT, lambda at: at.failed(KEYED, "b2", 1_001_000)),  # its window is over
+    (InvariantRule.TOO_MANY_ATTEMPTS, lambda at: at.attempt(0, most=0)),
+    (InvariantRule.ENDPOINT_UNAVAILABLE, draining_backend),
+    (InvariantRule.ENDPOINT_UNAVAILABLE, lambda at: at.attempt(0, "unlisted")),
+    (InvariantRule.CLIENT_DISCONNECTED, attempt_after_the_client),
+    (InvariantRule.AFTER_ANSWER, attempt_after_the_answer),
+    (InvariantRule.SECOND_ANSWER, answer_twice),
+    (InvariantRule.LATE_ANSWER, lambda at: at.guard.final_answer_written(1, False, DEADLINE + 500_001)),
+    (InvariantRule.NO_ANSWER, lambda at: at.guard.client_connection_closed(1)),
+    (InvariantRule.NO_ANSWER, lambda at: at.guard.unread_connection_closed()),
+    (InvariantRule.CUT_OFF, cut_off),
+    (InvariantRule.DESCRIPTORS, lambda at: at.guard.check_descriptors(101, 100)),
 ]
 
 
 @pytest.mark.parametrize(("rule", "play"), BROKEN)
-def test_a_broken_rule_is_counted(rule: Rule, play: Play) -> None:
+def test_a_broken_rule_is_counted(rule: InvariantRule, play: Play) -> None:
     at = Watched()
     play(at)
     assert [violation.rule for violation in at.found] == [rule] and at.guard.violations == 1
 
 
 def test_every_rule_is_shown_to_catch_something() -> None:
-    assert {rule for rule, _ in BROKEN} == set(Rule)
+    assert {rule for rule, _ in BROKEN} == set(InvariantRule)
 
 
 def served_and_moved(at: Watched) -> None:
     at.attempt(0)
-    at.guard.answered(1, True, DEADLINE + 500_000)
-    at.guard.may_close(1)
-    at.guard.released(1)
+    at.guard.final_answer_written(1, True, DEADLINE + 500_000)
+    at.guard.close_permitted(1)
+    at.guard.client_connection_closed(1)
 
 
 def refused_in_between(at: Watched) -> None:
-    at.guard.opened(1, ONCE, DEADLINE)
+    at.guard.request_opened(1, ONCE, DEADLINE)
     at.attempt(0)
     at.over(0, False)  # it never ran, so any class may be tried again
     at.attempt(1, "b1")
-    at.guard.answered(1, False, 5)
-    at.guard.released(1)
+    at.guard.final_answer_written(1, False, 5)
+    at.guard.client_connection_closed(1)
 
 
 def resumed_at_a_draining_backend(at: Watched) -> None:
-    at.guard.opened(1, ONCE, 0)
+    at.guard.request_opened(1, ONCE, 0)
     at.drains("b1")
     at.attempt(0, "b1", most=0)
-    at.guard.answered(1, True, 10 * DEADLINE)
+    at.guard.final_answer_written(1, True, 10 * DEADLINE)
     at.guard.client_ended(1)
-    at.guard.released(1)
+    at.guard.client_connection_closed(1)
 
 
 ALLOWED: list[Play] = [
@@ -144,7 +144,7 @@
     resumed_at_a_draining_backend,
     lambda at: at.failed(KEYED, "b2", 900_000),
     lambda at: at.failed(HARMLESS, "b1"),
-    lambda at: at.guard.descriptors(100, 100),
+    lambda at: at.guard.check_descriptors(100, 100),
 ]
 
 
@@ -158,10 +158,10 @@
 def test_a_violation_is_logged_with_the_steps_of_its_request_and_counted() -> None:
     world = World()
     world.play("c1 send OPEN 0a 0b c=plain,d=2000\ntime wait 1")
-    world.engine.guard.writing(1, 0, "b1", world.now, 3)
-    world.engine.guard.writing(1, 1, "b2", world.now, 3)
+    world.engine.guard.attempt_write_started(1, 0, "b1", world.now, 3)
+    world.engine.guard.attempt_write_started(1, 1, "b2", world.now, 3)
     line = next(c for c in world.engine.commands if getattr(c, "text", "") == "invariant violated")
-    assert line.fields["rule"] == Rule.OVERLAP and line.fields["id"] == "0a"
+    assert line.fields["rule"] == InvariantRule.OVERLAP and line.fields["id"] == "0a"
     assert "opened:plain" in str(line.fields["history"]) and "attempt@b" in str(line.fields["history"])
     assert world.engine.counters.counts["violations.overlap"] == 1
     assert world.engine.current_figures()["violations"] == 1
