--- a/gannetweir/core/attempts.py
+++ b/gannetweir/core/attempts.py
@@ -6,7 +6,7 @@
 
 from gannetweir.core.commands import CloseUpstream, OpenUpstream
 from gannetweir.core.context import EngineContext
-from gannetweir.core.decisions import PlacementDispatcher
+from gannetweir.core.placement_dispatcher import PlacementDispatcher
 from gannetweir.core.reasons import reason_after
 from gannetweir.core.request_log import RequestStep, outcome_name
 from gannetweir.core.request_state import RequestState
--- a/gannetweir/core/draining.py
+++ b/gannetweir/core/draining.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from gannetweir.core.answers import FinalAnswers
 from gannetweir.core.commands import Exit
 from gannetweir.core.context import EngineContext
+from gannetweir.core.final_answers import FinalAnswers
 from gannetweir.core.reasons import Reason
 from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -9,17 +9,17 @@
 from typing import TYPE_CHECKING
 
 from gannetweir.core.answer_delays import AnswerDelays
-from gannetweir.core.answers import FinalAnswers
 from gannetweir.core.attempts import Attempts
 from gannetweir.core.context import EngineContext
-from gannetweir.core.decisions import PlacementDispatcher, PlacementTrace
 from gannetweir.core.draining import Draining
+from gannetweir.core.final_answers import FinalAnswers
 from gannetweir.core.load_probes import LoadProbes
 from gannetweir.core.membership_updates import MembershipUpdates
 from gannetweir.core.operator_overrides import OverrideUpdates
+from gannetweir.core.placement_dispatcher import PlacementDispatcher, PlacementTrace
+from gannetweir.core.request_intake import RequestIntake
 from gannetweir.core.request_log import RequestEvent
 from gannetweir.core.request_state import RequestState
-from gannetweir.core.requests import RequestIntake
 from gannetweir.core.resumption import Resumption
 from gannetweir.core.timers import Timer
 from gannetweir.core.upstream_events import UpstreamEvents
--- a/gannetweir/core/answers.py
+++ b/gannetweir/core/final_answers.py
@@ -5,7 +5,7 @@
 from gannetweir.core.attempts import Attempts
 from gannetweir.core.commands import FailClient, MigrateClient, RejectClient
 from gannetweir.core.context import EngineContext
-from gannetweir.core.decisions import PlacementDispatcher
+from gannetweir.core.placement_dispatcher import PlacementDispatcher
 from gannetweir.core.reasons import Reason, reason_after
 from gannetweir.core.request_log import RequestStep
 from gannetweir.core.request_state import RequestState
--- a/gannetweir/core/load_probes.py
+++ b/gannetweir/core/load_probes.py
@@ -4,7 +4,7 @@
 
 from gannetweir.core.commands import StartLoadProbe
 from gannetweir.core.context import EngineContext
-from gannetweir.core.decisions import PlacementDispatcher
+from gannetweir.core.placement_dispatcher import PlacementDispatcher
 from gannetweir.placement.events import AttemptStatus, EndpointId, LoadProbeResult
 
 
--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -6,7 +6,7 @@
 
 from gannetweir.core.commands import SetEndpointWatch
 from gannetweir.core.context import EngineContext
-from gannetweir.core.decisions import PlacementDispatcher
+from gannetweir.core.placement_dispatcher import PlacementDispatcher
 from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer
 from gannetweir.core.upstream_events import UpstreamEvents
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from gannetweir.core.context import EngineContext
-from gannetweir.core.decisions import PlacementDispatcher
 from gannetweir.core.draining import Draining
+from gannetweir.core.placement_dispatcher import PlacementDispatcher
 from gannetweir.core.reasons import Reason
 from gannetweir.core.upstream_events import UpstreamEvents
 from gannetweir.membership.operator_overrides import OperatorOverrides
--- a/gannetweir/core/upstream_events.py
+++ b/gannetweir/core/upstream_events.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
-from gannetweir.core.answers import FinalAnswers
 from gannetweir.core.attempts import Attempts
 from gannetweir.core.commands import EndClient, StartForwarding
 from gannetweir.core.context import EngineContext
-from gannetweir.core.decisions import PlacementDispatcher
+from gannetweir.core.final_answers import FinalAnswers
+from gannetweir.core.placement_dispatcher import PlacementDispatcher
 from gannetweir.core.reasons import Reason
 from gannetweir.core.request_log import RequestStep
 from gannetweir.core.request_state import RequestState
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -14,9 +14,9 @@
 
 import anyio
 
-from gannetweir.core.decisions import PlacementDispatcher
 from gannetweir.core.draining import Draining
 from gannetweir.core.operator_overrides import OverrideUpdates
+from gannetweir.core.placement_dispatcher import PlacementDispatcher
 from gannetweir.membership.endpoint_list import EndpointList
 from gannetweir.net.client_connection import ClientConnectionDriver
 from gannetweir.net.transport import Transport
