--- a/gannetweir/core/answer_delays.py
+++ b/gannetweir/core/answer_delays.py
@@ -1,4 +1,4 @@
-"""How long backends take to answer lines: late answers are told to the module, silence ends a connection."""
+"""Latency of answers on open connections: late ones are reported, and silence ends a connection."""
 
 from __future__ import annotations
 
@@ -12,65 +12,87 @@
 from gannetweir.placement.events import AttemptStatus, ConnectionMetric, EndpointId, MetricKind
 from gannetweir.placement.settings import Settings
 
+_US_PER_MS = 1000
+_DELAY_THRESHOLD_DIVISOR = 3  # an answer is late over a third of the shortest objective, as in the simulator
+_NO_OBJECTIVE_US = 100_000  # stands for the shortest objective where the settings have none
+
 
 class AnswerDelays:
-    """Pairs a connection's lines with their answers, in order."""
+    """Pairs the lines that a connection's client sends with the endpoint's answers, in order.
+
+    Two calls are made for each line that passes, so what they need is cached here by `configure`.
+    """
 
-    def __init__(self, context: EngineContext, decisions: PlacementDispatcher, answers: FinalAnswers) -> None:
-        self.context, self.decisions, self.answers = context, decisions, answers
-        self.requests = context.requests  # kept here, as every line asks for it
-        self.reported_late_us: dict[
-            EndpointId, int
-        ] = {}  # backends with late answers, and when a note last said so
+    def __init__(
+        self, context: EngineContext, dispatcher: PlacementDispatcher, final_answers: FinalAnswers
+    ) -> None:
+        self.context = context
+        self.dispatcher = dispatcher
+        self.final_answers = final_answers
+        self._requests = context.requests
+        self._reported_us: dict[EndpointId, int] = {}  # last report, of endpoints whose answers are late
         self.configure(context.settings, context.limits)
 
     def configure(self, settings: Settings, limits: Limits) -> None:
-        """Settings that hold from now on; kept here as well, for the same reason."""
-        self.reports_delay, self.max_unanswered = settings.reports_message_delay, limits.unanswered_lines
-        self.shortest_objective_ms = min(settings.message_latency_objectives_us, default=1e5) / 1000
+        """Set the settings that hold from now on."""
+        objective_us = min(settings.message_latency_objectives_us, default=_NO_OBJECTIVE_US)
+        self._delay_threshold_ms = objective_us / _US_PER_MS / _DELAY_THRESHOLD_DIVISOR
+        self._reports_delay = settings.reports_message_delay
+        self._max_unanswered = limits.unanswered_lines
 
-    def client_line_forwarded(self, number: int, now_us: int) -> None:
-        """A line of the client's has been passed on; its answer is waited for."""
-        tx = self.requests.get(number)
-        if tx is not None and len(tx.unanswered_since_us) < self.max_unanswered:
-            tx.unanswered_since_us.append(now_us)
+    def client_line_forwarded(self, request_id: int, now_us: int) -> None:
+        """Await the answer to a line of the client's that has been forwarded."""
+        request = self._requests.get(request_id)
+        if request is not None and len(request.unanswered_since_us) < self._max_unanswered:
+            request.unanswered_since_us.append(now_us)
 
-    def answer_line_received(self, number: int, now_us: int) -> None:
-        """A line came that may answer one of the client's."""
-        tx = self.requests.get(number)
-        if tx is None or not tx.unanswered_since_us:
+    def answer_line_received(self, request_id: int, now_us: int) -> None:
+        """Take a line of the endpoint's for the answer to the oldest line that has none."""
+        request = self._requests.get(request_id)
+        if request is None or not request.unanswered_since_us:
             return
         self.context.now_us = now_us
-        self._report_delay(tx, (now_us - tx.unanswered_since_us.popleft()) / 1000)
+        delay_us = now_us - request.unanswered_since_us.popleft()
+        self._report_delay(request, delay_us / _US_PER_MS)
 
-    def _report_delay(self, tx: RequestState, delay_ms: float) -> None:
-        """Late answers are told as the simulator tells them: once a second for a backend while they are over
-        a third of the shortest aim, and once more when they are back under.
+    def _report_delay(self, request: RequestState, delay_ms: float) -> None:
+        """Report late answers to the balancer, as the simulator does: at most once in `limits.delay_note_us`
+        for an endpoint while they are late, and once more when they are in time again.
         """
-        if not self.reports_delay:
+        if not self._reports_delay:
             return
-        last = self.reported_late_us.get(tx.endpoint_id)
-        if delay_ms > self.shortest_objective_ms / 3:
-            if last is not None and self.context.now_us - last < self.context.limits.delay_note_us:
+        endpoint_id = request.endpoint_id
+        now_us = self.context.now_us
+        reported_us = self._reported_us.get(endpoint_id)
+        if delay_ms > self._delay_threshold_ms:
+            if reported_us is not None and now_us - reported_us < self.context.limits.delay_note_us:
                 return
-            self.reported_late_us[tx.endpoint_id] = self.context.now_us
-        elif last is not None:
-            del self.reported_late_us[tx.endpoint_id]
+            self._reported_us[endpoint_id] = now_us
+        elif reported_us is not None:
+            del self._reported_us[endpoint_id]
         else:
             return
         self.context.counters.add("delay_notes")
-        self.decisions.dispatch(
-            ConnectionMetric(tx.request_id, tx.attempt, tx.endpoint_id, MetricKind.MESSAGE_DELAY, delay_ms)
+        self.dispatcher.dispatch(
+            ConnectionMetric(
+                request.request_id, request.attempt, endpoint_id, MetricKind.MESSAGE_DELAY, delay_ms
+            )
         )
 
     def watchdog_due(self) -> None:
-        """A machine that vanished says nothing: only the answers that do not come show it."""
-        self.context.set_timer(self.context.limits.watchdog_us, Timer.WATCHDOG)
-        for tx in [t for t in self.requests.values() if t.established and t.unanswered_since_us]:
-            waited = self.context.now_us - tx.unanswered_since_us[0]
-            if waited > self.context.limits.answer_silence_us:
+        """Check the answers that are due: a machine that vanished says nothing, and only they show it."""
+        limits = self.context.limits
+        self.context.set_timer(limits.watchdog_us, Timer.WATCHDOG)
+        awaiting = [
+            request
+            for request in self._requests.values()
+            if request.established and request.unanswered_since_us
+        ]
+        for request in awaiting:
+            waited_us = self.context.now_us - request.unanswered_since_us[0]
+            if waited_us > limits.answer_silence_us:
                 self.context.counters.add("silent")
-                self.answers.migrate_client(tx, AttemptStatus.RESET, Reason.ENDPOINT_SILENT)
-            elif waited > self.context.limits.answer_late_us:
-                # a message has taken so long already: the module can ask the backend before all are lost
-                self._report_delay(tx, waited / 1000)
+                self.final_answers.migrate_client(request, AttemptStatus.RESET, Reason.ENDPOINT_SILENT)
+            elif waited_us > limits.answer_late_us:
+                # early enough for the balancer to check the endpoint's health before all answers are lost
+                self._report_delay(request, waited_us / _US_PER_MS)
--- a/gannetweir/core/attempts.py
+++ b/gannetweir/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of a request at backends: what may start, what one's end says of its path and to the module."""
+"""Attempts of a request at endpoints: which may start, their timeouts, and what their ends say."""
 
 from __future__ import annotations
 
@@ -12,173 +12,201 @@
 from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer
 from gannetweir.placement.actions import StartAttempt
-from gannetweir.placement.events import NOT_EXECUTED, AttemptEnded, AttemptStatus, EndpointId
+from gannetweir.placement.events import AttemptEnded, AttemptStatus, EndpointId
 
-if TYPE_CHECKING:  # a relay without several addresses a server does without the code for them
+if TYPE_CHECKING:  # a relay without several addresses an endpoint does without the code for them
     from gannetweir.addresses.address import Address
 
 
 class Attempts:
-    """Opens and closes the flows of attempts; at most one of a request is out at a time."""
+    """Opens and closes the upstream connections of attempts; a request has at most one in flight."""
 
-    def __init__(self, context: EngineContext, decisions: PlacementDispatcher) -> None:
-        self.context, self.decisions = context, decisions
+    def __init__(self, context: EngineContext, dispatcher: PlacementDispatcher) -> None:
+        self.context = context
+        self.dispatcher = dispatcher
 
     def start(self, action: StartAttempt) -> None:
-        """Start the attempt that the module asks for; one that may not leave ends as moot."""
+        """Start the attempt that the balancer asks for; one that may not start ends as `NOT_STARTED`."""
         context = self.context
-        tx = context.requests.get(action.request_id)
-        if tx is None or tx.established:
+        request = context.requests.get(action.request_id)
+        if request is None or request.established:
             return
-        attempt = tx.attempt + 1
-        dial, now = context.endpoint_list.address_of(action.endpoint_id), context.now_us
-        if (
-            tx.attempt_in_flight
-            or not dial
-            or attempt >= self._max_attempts(tx)
-            or tx.deadline_us <= now
-            or not context.endpoint_list.accepts_requests(action.endpoint_id)
-            or self._refused_by_route(tx, attempt, action.endpoint_id)
-        ):
-            # two flows at once, a backend that is not listed as ready or is out by hand, one attempt too
-            # many: none may leave
-            tx.attempt = attempt if not tx.attempt_in_flight else tx.attempt
+        attempt = request.attempt + 1
+        address = context.endpoint_list.address_of(action.endpoint_id)
+        if not address or not self._may_start(request, attempt, action.endpoint_id):
+            request.skip_attempt()
             context.counters.add("attempts", AttemptStatus.NOT_STARTED)
-            self.decisions.dispatch(
-                AttemptEnded(tx.request_id, attempt, AttemptStatus.NOT_STARTED, 0, action.endpoint_id, 0)
+            self.dispatcher.dispatch(
+                AttemptEnded(request.request_id, attempt, AttemptStatus.NOT_STARTED, 0, action.endpoint_id, 0)
             )
             return
-        left = tx.deadline_us - now
-        wait = min(left, action.timeout_us) if action.timeout_us > 0 else left
-        self.open(tx, action.endpoint_id, dial, wait)
+        timeout_us = request.deadline_us - context.now_us
+        if action.timeout_us > 0:
+            timeout_us = min(timeout_us, action.timeout_us)
+        self.open(request, action.endpoint_id, address, timeout_us)
 
-    def _max_attempts(self, tx: RequestState) -> int:
-        most = self.context.settings.max_attempts
+    def _may_start(self, request: RequestState, attempt: int, endpoint_id: EndpointId) -> bool:
+        """Check what no attempt may break; the route comes last, as its limits count what they admit."""
         return (
-            self.context.route_admission.max_attempts_for(tx.request_class, most)
-            if self.context.route_admission is not None
-            else most
+            not request.attempt_in_flight
+            and attempt < self._max_attempts(request)
+            and request.deadline_us > self.context.now_us
+            and self.context.endpoint_list.accepts_requests(endpoint_id)
+            and not self._refused_by_route(request, attempt, endpoint_id)
         )
 
-    def _refused_by_route(self, tx: RequestState, attempt: int, server: EndpointId) -> bool:
-        """Does the route's budget or limit forbid this attempt? The module then gives up at once."""
-        if self.context.route_admission is None or tx.admission_permit is None:
+    def _max_attempts(self, request: RequestState) -> int:
+        max_attempts = self.context.settings.max_attempts
+        route_admission = self.context.route_admission
+        if route_admission is None:
+            return max_attempts
+        return route_admission.max_attempts_for(request.request_class, max_attempts)
+
+    def _refused_by_route(self, request: RequestState, attempt: int, endpoint_id: EndpointId) -> bool:
+        """Say whether the route's retry budget or limit forbids this attempt; the balancer then gives up."""
+        route_admission = self.context.route_admission
+        if route_admission is None or request.admission_permit is None:
             return False
-        reason = self.context.route_admission.admit_attempt(
-            tx.admission_permit, tx.request_class, server, attempt, self.context.now_us
+        reason = route_admission.admit_attempt(
+            request.admission_permit, request.request_class, endpoint_id, attempt, self.context.now_us
         )
-        if reason:
-            self.context.counters.add(f"held_back.{reason}")
-            self.context.log(
-                "attempt held back",
-                transaction=tx.request_id,
-                attempt=attempt,
-                backend=server,
-                route=tx.request_class.route,
-                cls=tx.request_class.name,
-                reason=reason,
-            )
-        tx.counts_as_setup = not reason
-        return bool(reason)
+        request.counts_as_setup = not reason
+        if not reason:
+            return False
+        self.context.counters.add(f"held_back.{reason}")
+        self.context.log(
+            "attempt held back",
+            transaction=request.request_id,
+            attempt=attempt,
+            backend=endpoint_id,
+            route=request.request_class.route,
+            cls=request.request_class.name,
+            reason=reason,
+        )
+        return True
 
-    def setup_finished(self, tx: RequestState) -> None:
-        """The attempt is no set-up any more."""
-        if tx.counts_as_setup:
-            tx.counts_as_setup = False
+    def setup_finished(self, request: RequestState) -> None:
+        """Give back the place among its endpoint's set-ups, if the attempt counts as one."""
+        if request.counts_as_setup:
+            request.counts_as_setup = False
             if self.context.route_admission is not None:
-                self.context.route_admission.setup_finished(tx.endpoint_id)
+                self.context.route_admission.setup_finished(request.endpoint_id)
 
-    def open(self, tx: RequestState, server: EndpointId, dial: str, wait: int) -> None:
-        """Open the flow of the next attempt, which has `wait` microseconds."""
+    def open(self, request: RequestState, endpoint_id: EndpointId, address: str, timeout_us: int) -> None:
+        """Begin the next attempt: open its upstream connection, and set its timeouts."""
         context = self.context
-        now = context.now_us
-        tx.attempt, tx.endpoint_id, tx.attempt_in_flight, tx.first_line_written, tx.attempt_started_us = (
-            tx.attempt + 1,
-            server,
-            True,
-            False,
-            now,
-        )
-        tx.connect_delayed_locally = False
-        tx.endpoint_started_us = context.endpoint_list.started_us(server)
-        tx.address, chosen = (
-            None,
-            context.address_selector is not None and context.address_selector.selects_address(str(server)),
-        )
-        context.commands.append(OpenUpstream(tx.request_id, tx.attempt, dial, wait, server, chosen))
-        first = not tx.last_status
-        context.record_step(
-            tx,
-            RequestStep.ATTEMPT if first else RequestStep.RETRIED,
-            "" if first else reason_after(tx.last_status),
+        request.begin_attempt(endpoint_id, context.endpoint_list.started_us(endpoint_id), context.now_us)
+        selector = context.address_selector
+        races_addresses = selector is not None and selector.selects_address(str(endpoint_id))
+        context.commands.append(
+            OpenUpstream(
+                request.request_id, request.attempt, address, timeout_us, endpoint_id, races_addresses
+            )
         )
-        connect = context.limits.connect_us
-        if not tx.resumed:
-            connect = tx.request_class.connect_timeout_us or connect
-            if tx.request_class.attempt_timeout_us:  # that counts from the first line's last byte
-                wait = min(tx.deadline_us - now, connect + wait)
-        tx.attempt_deadline_us = now + wait
-        context.set_timer(wait, Timer.ATTEMPT_TIMEOUT, tx.request_id, tx.attempt)
-        context.set_timer(connect, Timer.CONNECT_TIMEOUT, tx.request_id, tx.attempt)
+        if request.last_status:
+            context.record_step(request, RequestStep.RETRIED, reason_after(request.last_status))
+        else:
+            context.record_step(request, RequestStep.ATTEMPT)
+        self._set_timeouts(request, timeout_us)
         context.counters.add("flows")
 
-    def close(self, tx: RequestState) -> None:
-        """Close the flow that is out, if one is."""
-        if tx.attempt_in_flight:
-            tx.attempt_in_flight = False
-            self.context.commands.append(CloseUpstream(tx.request_id, tx.attempt))
+    def _set_timeouts(self, request: RequestState, timeout_us: int) -> None:
+        """A class's own timeout for an attempt counts from the first line's last byte, so it is added here to
+        the time for the connect, and set anew when that byte is out.
+        """
+        context = self.context
+        connect_us = context.limits.connect_us
+        if not request.resumed:
+            connect_us = request.request_class.connect_timeout_us or connect_us
+            if request.request_class.attempt_timeout_us:
+                timeout_us = min(request.deadline_us - context.now_us, connect_us + timeout_us)
+        request.attempt_deadline_us = context.now_us + timeout_us
+        context.set_timer(timeout_us, Timer.ATTEMPT_TIMEOUT, request.request_id, request.attempt)
+        context.set_timer(connect_us, Timer.CONNECT_TIMEOUT, request.request_id, request.attempt)
+
+    def close(self, request: RequestState) -> None:
+        """Close the upstream connection of the attempt in flight, if there is one."""
+        if request.attempt_in_flight:
+            request.attempt_in_flight = False
+            self.context.commands.append(CloseUpstream(request.request_id, request.attempt))
+
+    def attempt_ended(
+        self,
+        request: RequestState,
+        status: AttemptStatus,
+        load_report: tuple[float, ...] = (),
+        address_fault: bool = False,
+    ) -> None:
+        """Report to the balancer how an attempt ended; what becomes of its request is the balancer's to say.
 
-    def ended(
+        `address_fault` says that the way to the endpoint failed, and not the endpoint.
+        """
+        self._report_end(request, status, 0, load_report, address_fault)
+
+    def request_ended(
+        self, request: RequestState, status: AttemptStatus, load_report: tuple[float, ...] = ()
+    ) -> None:
+        """Report to the balancer how a request's latest attempt, or its connection, ended for good."""
+        self._report_end(request, status, 1, load_report, address_fault=False)
+
+    def _report_end(
         self,
-        tx: RequestState,
-        status: int,
+        request: RequestState,
+        status: AttemptStatus,
         closed: int,
-        report: tuple[float, ...] = (),
-        fault: bool = False,
+        load_report: tuple[float, ...],
+        address_fault: bool,
     ) -> None:
-        """Tell the module how an attempt ended (`closed` 0), or the connection that it became (1). `fault`:
-        the way to the server is to blame.
-        """
-        tx.attempt_in_flight, tx.may_have_executed, tx.last_status = (
-            False,
-            tx.may_have_executed or status not in NOT_EXECUTED,
-            status,
-        )
-        self.context.record_step(tx, RequestStep.ATTEMPT_ENDED, outcome_name(status))
-        self.setup_finished(tx)
-        if tx.address is not None:
-            fault = self._record_address_outcome(tx, status)
-        self.context.counters.add("connections" if tx.established else "attempts", status)
-        attempt, elapsed = max(0, tx.attempt), self.context.now_us - tx.attempt_started_us
-        self.decisions.dispatch(
-            AttemptEnded(tx.request_id, attempt, status, closed, tx.endpoint_id, elapsed, report, fault)
+        request.end_attempt(status)
+        self.context.record_step(request, RequestStep.ATTEMPT_ENDED, outcome_name(status))
+        self.setup_finished(request)
+        if request.address is not None:
+            address_fault = self._record_address_outcome(request, request.address, status)
+        self.context.counters.add("connections" if request.established else "attempts", status)
+        elapsed_us = self.context.now_us - request.attempt_started_us
+        self.dispatcher.dispatch(
+            AttemptEnded(
+                request.request_id,
+                max(0, request.attempt),
+                status,
+                closed,
+                request.endpoint_id,
+                elapsed_us,
+                load_report,
+                address_fault,
+            )
         )
 
-    def _record_address_outcome(self, tx: RequestState, status: int) -> bool:
-        """What an attempt's end says of its path. Is that to blame, and not the server?"""
-        assert self.context.address_selector is not None and tx.address is not None
-        server, path, tx.address = str(tx.endpoint_id), tx.address, None
+    def _record_address_outcome(self, request: RequestState, address: Address, status: AttemptStatus) -> bool:
+        """Record what an attempt's end says of its address; return whether the address is at fault."""
+        selector = self.context.address_selector
+        assert selector is not None, "an address is set only where there are several"
+        request.address = None
+        endpoint_id = str(request.endpoint_id)
         if status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET):
-            fault = self.context.address_selector.record_no_response(server, path, self.context.now_us)
-            if fault:
-                self.context.counters.add("path_faults")
-                self.context.log(
-                    "path failed",
-                    transaction=tx.request_id,
-                    attempt=tx.attempt,
-                    backend=server,
-                    path=path,
-                    reason="no answer" if status == AttemptStatus.TIMEOUT else "reset",
-                )
-            return fault
+            address_fault = selector.record_no_response(endpoint_id, address, self.context.now_us)
+            if address_fault:
+                self._log_address_fault(request, address, status)
+            return address_fault
         if status in (AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.FULL):
-            self.context.address_selector.record_response(server, path, self.context.now_us)
+            selector.record_response(endpoint_id, address, self.context.now_us)
         return False
 
-    def address_connected(self, number: int, attempt: int, path: Address, now_us: int) -> None:
-        """Of a server's addresses this one carries the attempt."""
+    def _log_address_fault(self, request: RequestState, address: Address, status: AttemptStatus) -> None:
+        self.context.counters.add("path_faults")
+        self.context.log(
+            "path failed",
+            transaction=request.request_id,
+            attempt=request.attempt,
+            backend=str(request.endpoint_id),
+            path=address,
+            reason="no answer" if status == AttemptStatus.TIMEOUT else "reset",
+        )
+
+    def address_connected(self, request_id: int, attempt: int, address: Address, now_us: int) -> None:
+        """Note that of its endpoint's addresses this one carries the attempt."""
         self.context.now_us = now_us
-        tx = self.context.request_with_attempt(number, attempt)
-        if tx is not None:
-            tx.address = path
-            self.context.counters.add(f"paths.{path.family}")
+        request = self.context.request_with_attempt(request_id, attempt)
+        if request is not None:
+            request.address = address
+            self.context.counters.add(f"paths.{address.family}")
--- a/gannetweir/core/commands.py
+++ b/gannetweir/core/commands.py
@@ -1,4 +1,7 @@
-"""What an engine asks of its drivers: one type a command, done in the order in which they were given."""
+"""What an engine asks of its drivers: one type a command, carried out in the order in which they were given.
+
+Times are integer microseconds.
+"""
 
 from __future__ import annotations
 
@@ -10,19 +13,19 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenUpstream:
-    """Start a server-side flow; the backend is told how long the relay waits."""
+    """Open the upstream connection of one attempt; the endpoint is sent how long the relay waits."""
 
     request_id: int
     attempt: int
     address: str
     timeout_us: int
     endpoint_id: EndpointId = None
-    races_addresses: bool = False  # `Engine.paths` knows the way there: its addresses race
+    races_addresses: bool = False  # it has several, known to `Engine.address_selector`: their connects race
 
 
 @dataclass(frozen=True, slots=True)
 class CloseUpstream:
-    """End a server-side flow at once, before anything else is done for its transaction."""
+    """Close the upstream connection of an attempt at once, before anything else is done for its request."""
 
     request_id: int
     attempt: int
@@ -30,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartForwarding:
-    """The client's answer is the backend's; from now on lines pass."""
+    """Forward the endpoint's answer to the client, and from now on lines both ways."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class RejectClient:
-    """Refused: trying again is harmless, after so long."""
+    """Answer that the request was not executed: the client may retry it after `retry_after_us`."""
 
     request_id: int
     retry_after_us: int = 0
@@ -45,21 +48,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FailClient:
-    """Failed: nothing is promised."""
+    """Answer that the request failed: it may or may not have been executed."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class MigrateClient:
-    """Ask the client to come again, then end both sides."""
+    """Ask the client to connect again, then end both sides of its connection."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class EndClient:
-    """The backend ended the connection: end the client's side in kind."""
+    """End the client's side as the endpoint ended its own: in order, or by a reset."""
 
     request_id: int
     reset: bool
@@ -67,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndUpstream:
-    """The client ended the connection: end the backend's side in kind."""
+    """End the endpoint's side as the client ended its own: in order, or by a reset."""
 
     request_id: int
     reset: bool
@@ -75,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartLoadProbe:
-    """Ask a backend for its load."""
+    """Ask an endpoint for its load."""
 
     endpoint_id: EndpointId
     address: str
@@ -84,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetEndpointWatch:
-    """Start a watch on the pool, or end it."""
+    """Start the watch on the endpoint list after a version of it, or end the watch."""
 
     enabled: bool
     since_version: int
@@ -92,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLogLine:
-    """A line for the people on call, and what it is about."""
+    """Write a log line for the engineers on call, with fields that say what it is about."""
 
     text: str
     fields: Mapping[str, object] = field(default_factory=dict)
@@ -100,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exit:
-    """The drain is over; the last answers are still to be read."""
+    """End the process once the last answers are out: the drain is over."""
 
 
 Command = (
--- a/gannetweir/core/context.py
+++ b/gannetweir/core/context.py
@@ -1,4 +1,4 @@
-"""What all concerns of one engine share: its configuration, its clock value, its records and its output."""
+"""What all concerns of one engine share: configuration, the time of the current call, records and output."""
 
 from __future__ import annotations
 
@@ -23,11 +23,16 @@
     from gannetweir.routing.route_admission import RouteAdmission
 
 
-MAX_LOGGED_STEPS = 8  # steps of a request that the log line of a violation tells
+MAX_LOGGED_STEPS = 8  # steps of a request in the log line of a violation: one line stays readable
 
 
 class EngineContext:
-    """Shared by reference; a concern keeps to itself what no other one needs."""
+    """State that the concerns of one engine share by reference.
+
+    Every call into the engine sets `now_us` first; concerns read the time only from here. A reload replaces
+    `settings`, `limits` and `route_admission`, so they are read at each use and not cached. What only one
+    concern needs is that concern's own.
+    """
 
     def __init__(
         self,
@@ -39,37 +44,48 @@
         request_trace: Callable[[RequestEvent], None] | None = None,
         wall_clock_ahead_us: int | None = None,
     ) -> None:
-        self.settings, self.limits = settings, limits
-        self.now_us = now_us  # of the call that is being handled, in microseconds
-        self.route_admission = (
-            route_admission  # of the operators' routes; none: one timing for all, as the module has it
-        )
-        self.address_selector: AddressSelector | None = (
-            None  # the ways to servers, where there are any to choose from
-        )
-        self.endpoint_list, self.counters = EndpointList(operator_overrides, wall_clock_ahead_us), Counters()
-        self.commands: deque[Command] = deque()
+        self.settings = settings
+        self.limits = limits
+        self.now_us = now_us  # of the call that is being handled
+        self.route_admission = route_admission  # of the operators' routes; None where they have set none
+        self.address_selector: AddressSelector | None = None  # None while every endpoint has one address
+        self.endpoint_list = EndpointList(operator_overrides, wall_clock_ahead_us)
+        self.counters = Counters()
+        self.commands: deque[Command] = deque()  # for the drivers, who take them from the left
         self.request_log = RequestLog(self.counters, request_trace)
         self.guard = InvariantGuard(self.endpoint_list, self._report_violation)
         self.timers = TimerQueue()
-        self.requests: dict[int, RequestState] = {}
-        self.request_id_by_client_id: dict[str, int] = {}  # of those, by the client's id
-        self.admission_closed = False  # nothing new is taken any more
+        self.requests: dict[int, RequestState] = {}  # by request id, until their end
+        self.request_id_by_client_id: dict[str, int] = {}  # of the same requests
+        self.admission_closed = False  # set once, as a drain ends admission
 
     def set_timer(self, wait_us: float, timer: Timer, value: int = 0, attempt: int = 0) -> None:
         """Set a timer; a wait that is not positive falls due at the next `advance`."""
         self.timers.add(self.now_us + max(0, int(wait_us)), timer, value, attempt)
 
-    def log(self, text: str, **about: object) -> None:
-        """Command a line for the people on call."""
-        self.commands.append(WriteLogLine(text, about))
+    def log(self, text: str, **fields: object) -> None:
+        """Command a log line for the engineers on call."""
+        self.commands.append(WriteLogLine(text, fields))
 
-    def record_step(self, tx: RequestState, step: RequestStep, reason: Reason | str = "") -> None:
+    def record_step(self, request: RequestState, step: RequestStep, reason: Reason | str = "") -> None:
         """Record a step of a request."""
         self.request_log.add(
-            self.now_us, tx.request_id, tx.client_request_id, step, tx.attempt, tx.endpoint_id, reason
+            self.now_us,
+            request.request_id,
+            request.client_request_id,
+            step,
+            request.attempt,
+            request.endpoint_id,
+            reason,
         )
 
+    def request_with_attempt(self, request_id: int, attempt: int) -> RequestState | None:
+        """The request, if this attempt of it is still in flight; reports on earlier ones come too late."""
+        request = self.requests.get(request_id)
+        if request is not None and request.attempt_in_flight and request.attempt == attempt:
+            return request
+        return None
+
     def _report_violation(self, violation: Violation) -> None:
         self.counters.add(f"violations.{violation.rule}")
         history = self.request_log.history(violation.request_id) if violation.request_id else []
@@ -81,8 +97,3 @@
             reason=violation.detail,
             history=" ".join(map(str, history[-MAX_LOGGED_STEPS:])),
         )
-
-    def request_with_attempt(self, number: int, attempt: int) -> RequestState | None:
-        """The transaction, if this flow is still its flow; news of a closed one is too late."""
-        tx = self.requests.get(number)
-        return tx if tx is not None and tx.attempt_in_flight and tx.attempt == attempt else None
--- a/gannetweir/core/draining.py
+++ b/gannetweir/core/draining.py
@@ -1,4 +1,4 @@
-"""The end of a relay: clients are moved over a time, then the process may exit."""
+"""Graceful shutdown: clients are migrated over a time, then the process may exit."""
 
 from __future__ import annotations
 
@@ -12,62 +12,74 @@
 
 
 class Draining:
-    """Moves clients away: those of the whole relay, or of backends that the operators have left out."""
+    """Migrates clients: those of the whole relay as it drains, or of endpoints that operators took offline.
 
-    def __init__(self, context: EngineContext, answers: FinalAnswers) -> None:
-        self.context, self.answers = context, answers
-        self.started_us = 0  # when the drain began
+    A drain has these phases, each begun by a timer: admission as before while clients still come
+    (`limits.drain_us`), then no admission and migration of every client (`limits.drain_moves_us`), then the
+    exit, early once no request is left, and at `limits.drain_end_us` in any case.
+    """
+
+    def __init__(self, context: EngineContext, final_answers: FinalAnswers) -> None:
+        self.context = context
+        self.final_answers = final_answers
+        self.started = False
 
     def start(self, now_us: int, replaced: bool = False) -> None:
-        """SIGTERM: go on as before while clients still come, then move every client, then end. Where another
-        process takes the new clients already (`replaced`), the moves begin at once and have more time.
+        """Start the drain, once. Where another process admits the new clients already (`replaced`), migration
+        begins at once and has the time of both phases.
         """
-        if self.started_us:
+        if self.started:
             return
-        self.context.now_us = self.started_us = now_us
-        self.context.set_timer(self.context.limits.drain_us, Timer.ADMISSION_END)
-        self.context.set_timer(self.context.limits.drain_end_us, Timer.EXIT)
+        self.started = True
+        self.context.now_us = now_us
+        limits = self.context.limits
+        self.context.set_timer(limits.drain_us, Timer.ADMISSION_END)
+        self.context.set_timer(limits.drain_end_us, Timer.EXIT)
         if replaced:
-            limits = self.context.limits
-            self.migrate_over(
-                self._connections_to_migrate(), limits.drain_us + limits.drain_moves_us, Reason.DRAIN
-            )
+            time_us = limits.drain_us + limits.drain_moves_us
+            self.migrate_over(self._connections_to_migrate(), time_us, Reason.DRAIN)
 
     def stop_admission(self) -> None:
-        """The front has stopped sending: nothing new is taken, and every client is moved."""
+        """Admit nothing new, as clients are not sent here any more, and migrate every one that is left."""
         self.context.admission_closed = True
         self.migrate_over(self._connections_to_migrate(), self.context.limits.drain_moves_us, Reason.DRAIN)
         self._exit_if_empty()
 
     def _connections_to_migrate(self) -> list[RequestState]:
-        return [tx for tx in self.context.requests.values() if tx.established and not tx.migration_reason]
+        return [
+            request
+            for request in self.context.requests.values()
+            if request.established and not request.migration_reason
+        ]
 
-    def migrate_over(self, leaving: list[RequestState], time_us: int, reason: Reason) -> None:
-        """Spread the moves: clients that come back all at once would be set up all at once."""
-        step = time_us / max(1, len(leaving))
-        for place, tx in enumerate(leaving):
-            tx.migration_reason = reason
-            self.context.set_timer(int(step * place), Timer.MIGRATE, tx.request_id)
+    def migrate_over(self, connections: list[RequestState], time_us: int, reason: Reason) -> None:
+        """Spread migrations evenly over a time: all clients at once would be set up at once."""
+        step_us = time_us / max(1, len(connections))
+        for position, request in enumerate(connections):
+            request.migration_reason = reason
+            self.context.set_timer(int(step_us * position), Timer.MIGRATE, request.request_id)
 
-    def migration_due(self, tx: RequestState) -> None:
-        """The time of one client's move has come."""
-        if tx.established:
-            self.answers.migrate_client(tx, AttemptStatus.CANCELLED, tx.migration_reason or Reason.DRAIN)
+    def migration_due(self, request: RequestState) -> None:
+        """Migrate one client, its time having come."""
+        if request.established:
+            reason = request.migration_reason or Reason.DRAIN
+            self.final_answers.migrate_client(request, AttemptStatus.CANCELLED, reason)
             self._exit_if_empty()
 
     def _exit_if_empty(self) -> None:
-        if (
-            self.context.admission_closed and not self.context.requests
-        ):  # the front may send some more all the same
+        # after a pause: a client may have been sent here just before the last one left
+        if self.context.admission_closed and not self.context.requests:
             self.context.set_timer(self.context.limits.linger_us, Timer.EXIT)
 
     def exit(self) -> None:
-        """The drain's time is up: move or reject all that is left, and exit."""
-        # with the shortest deadlines this comes before the front has stopped sending
+        """Migrate or reject all that is left, and command the exit: the drain's time is up."""
+        # with the shortest deadlines this comes before the end of admission
         self.context.admission_closed = True
-        for tx in list(self.context.requests.values()):
-            if tx.established:
-                self.answers.migrate_client(tx, AttemptStatus.CANCELLED, Reason.DRAIN_TIME_OVER)
+        for request in list(self.context.requests.values()):
+            if request.established:
+                self.final_answers.migrate_client(request, AttemptStatus.CANCELLED, Reason.DRAIN_TIME_OVER)
             else:
-                self.answers.reject(tx, self.context.limits.reject_retry_us, Reason.DRAIN_TIME_OVER)
+                self.final_answers.reject(
+                    request, self.context.limits.reject_retry_us, Reason.DRAIN_TIME_OVER
+                )
         self.context.commands.append(Exit())
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -1,6 +1,6 @@
-"""One relay's engine: protocol events in, commands out; the module decides, each concern has a module here.
+"""One relay's engine: protocol events in, commands out. It composes the concerns; each has its own module.
 
-Knows no sockets, no clock (the time is handed in) and no line syntax: another front can drive it as well.
+Knows no sockets, no clock (the time is handed in) and no line syntax: any front can drive it.
 """
 
 from __future__ import annotations
@@ -16,6 +16,7 @@
 from gannetweir.core.load_probes import LoadProbes
 from gannetweir.core.membership_updates import MembershipUpdates
 from gannetweir.core.operator_overrides import OverrideUpdates
+from gannetweir.core.placement_actions import PlacementActions
 from gannetweir.core.placement_dispatcher import PlacementDispatcher, PlacementTrace
 from gannetweir.core.request_intake import RequestIntake
 from gannetweir.core.request_log import RequestEvent
@@ -26,17 +27,6 @@
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.membership.operator_overrides import OperatorOverrides
-from gannetweir.placement.actions import (
-    Action,
-    FailRequest,
-    MigrateConnection,
-    ProbeLoad,
-    RejectRequest,
-    SetTimer,
-    StartAttempt,
-    WatchEndpoints,
-    WriteLog,
-)
 from gannetweir.placement.balancer import Balancer
 from gannetweir.placement.events import TimerExpired, UpdateKind
 from gannetweir.placement.settings import Settings
@@ -48,7 +38,11 @@
 
 
 class Engine:
-    """All transactions of one relay. A call returns at once; what it leads to is appended to `commands`."""
+    """All requests of one relay. A call returns at once; what it leads to is appended to `commands`.
+
+    Drivers call it from one thread. They take commands from the left of `commands` and carry them out in that
+    order, call `advance` at `next_due`, and report to `guard` what they do on sockets.
+    """
 
     def __init__(
         self,
@@ -57,6 +51,7 @@
         seed: int,
         initial_membership: MembershipUpdate,
         now_us: int,
+        *,
         operator_overrides: OperatorOverrides | None = None,
         replaces_process: bool = False,
         route_admission: RouteAdmission | None = None,
@@ -66,52 +61,57 @@
         wall_clock_ahead_us: int | None = None,
     ) -> None:
         self.context = EngineContext(
-            settings, limits, route_admission, operator_overrides, now_us, request_trace, wall_clock_ahead_us
+            settings,
+            limits,
+            route_admission,
+            operator_overrides,
+            now_us,
+            request_trace,
+            wall_clock_ahead_us,
         )
-        self.endpoint_list, self.counters = self.context.endpoint_list, self.context.counters
-        self.guard = self.context.guard  # told by the drivers what they do on sockets
+        self.endpoint_list = self.context.endpoint_list
+        self.counters = self.context.counters
+        self.guard = self.context.guard
         self.commands = self.context.commands
-        self.requests, self.request_id_by_client_id = (
-            self.context.requests,
-            self.context.request_id_by_client_id,
-        )
+        self.requests = self.context.requests
         self.balancer = Balancer(settings, seed, now_us)
-        if (
-            not replaces_process
-        ):  # those that return come from other relays, and may be counted nowhere any more
+        if not replaces_process:
+            # clients that return come from other relays, and their old connections may be counted nowhere
             self.balancer.start_us = 0
-        self._wire(seed, trace)
+        self._create_concerns(seed, trace)
+        self._bind_calls()
         self.context.set_timer(limits.watchdog_us, Timer.WATCHDOG)
         if address_rules is not None:
             self.membership_updates.apply_address_rules(address_rules)
         self.membership_updates.apply(UpdateKind.CACHED, initial_membership)
         self.membership_updates.watch_if_pushed()
 
-    def _wire(self, seed: int, trace: PlacementTrace | None) -> None:
-        """Make the concerns; each knows those that it calls, and none knows the engine."""
+    def _create_concerns(self, seed: int, trace: PlacementTrace | None) -> None:
+        """Create the concerns, each after those that it calls; none knows the engine."""
         context = self.context
-        self.placement_dispatcher = decisions = PlacementDispatcher(
-            context,
-            self.balancer,
-            carry_out=lambda action: self._carry_out(action),  # both are looked up as they are needed
-            fail=lambda number: self.final_answers.fail_unanswered(number),
-            trace=trace,
+        self.dispatcher = PlacementDispatcher(context, self.balancer, trace)
+        self.attempts = Attempts(context, self.dispatcher)
+        self.final_answers = FinalAnswers(context, self.dispatcher, self.attempts)
+        self.resumption = Resumption(context, self.dispatcher, self.attempts, self.final_answers)
+        self.upstream_events = UpstreamEvents(
+            context, self.dispatcher, self.attempts, self.final_answers, self.resumption
         )
-        self.attempts = attempts = Attempts(context, decisions)
-        self.final_answers = answers = FinalAnswers(context, decisions, attempts)
-        self.resumption = resumption = Resumption(context, decisions, attempts, answers)
-        self.upstream_events = UpstreamEvents(context, decisions, attempts, answers, resumption)
-        self.request_intake = RequestIntake(context, decisions, attempts, answers, resumption, seed)
-        self.load_probes = LoadProbes(context, decisions)
-        self.answer_delays = AnswerDelays(context, decisions, answers)
-        self.draining = Draining(context, answers)
-        self.membership_updates = MembershipUpdates(context, decisions, self.upstream_events, seed)
-        self.override_updates = OverrideUpdates(context, decisions, self.upstream_events, self.draining)
-        self._bind_calls()
+        self.request_intake = RequestIntake(
+            context, self.dispatcher, self.attempts, self.final_answers, self.resumption, seed
+        )
+        self.load_probes = LoadProbes(context, self.dispatcher)
+        self.answer_delays = AnswerDelays(context, self.dispatcher, self.final_answers)
+        self.draining = Draining(context, self.final_answers)
+        self.membership_updates = MembershipUpdates(context, self.dispatcher, self.upstream_events, seed)
+        self.override_updates = OverrideUpdates(context, self.dispatcher, self.upstream_events, self.draining)
+        self.placement_actions = PlacementActions(
+            context, self.attempts, self.final_answers, self.load_probes, self.membership_updates
+        )
+        self.dispatcher.connect(self.placement_actions)
 
     def _bind_calls(self) -> None:
-        """The drivers' calls that one concern takes whole are its own methods: no line or request pays for a
-        call in between. What each one does stands with the method.
+        """Bind the drivers' calls that one concern takes whole to that concern's methods, where each is
+        described: no line or request pays for a call in between.
         """
         self.request_opened = self.request_intake.request_opened
         self.client_disconnected = self.request_intake.client_disconnected
@@ -128,18 +128,14 @@
         self.endpoint_update_received = self.membership_updates.update_received
         self.endpoint_watch_failed = self.membership_updates.watch_failed
         self.apply_operator_overrides = self.override_updates.apply
+        self.drain = self.draining.start
         self.next_due = self.context.timers.next_due
 
     @property
     def last_request_id(self) -> int:
-        """The number of the last transaction; 0 before the first."""
+        """The id of the latest request; 0 before the first."""
         return self.request_intake.last_request_id
 
-    @property
-    def trace(self) -> PlacementTrace | None:
-        """What is told all that the module hears and answers, where that is asked for."""
-        return self.placement_dispatcher.trace
-
     @property
     def limits(self) -> Limits:
         """The limits that hold now."""
@@ -147,31 +143,22 @@
 
     @property
     def route_admission(self) -> RouteAdmission | None:
-        """The operators' routes, where there are any."""
+        """Admission by the operators' routes, where there are any."""
         return self.context.route_admission
 
     @property
     def address_selector(self) -> AddressSelector | None:
-        """The ways to servers, where there are any to choose from."""
+        """The choice between addresses, where endpoints have several."""
         return self.context.address_selector
 
     @property
-    def admission_closed(self) -> bool:
-        """Is nothing new taken any more?"""
-        return self.context.admission_closed
-
-    @admission_closed.setter
-    def admission_closed(self, closed: bool) -> None:
-        self.context.admission_closed = closed
-
-    @property
-    def drain_started_us(self) -> int:
-        """When the drain began, in microseconds; 0: it has not."""
-        return self.draining.started_us
+    def is_draining(self) -> bool:
+        """Whether the relay has begun to shut down."""
+        return self.draining.started
 
-    @drain_started_us.setter
-    def drain_started_us(self, drain_us: int) -> None:
-        self.draining.started_us = drain_us
+    def is_ready(self) -> bool:
+        """Whether clients may be sent here."""
+        return self.endpoint_list.has_ready_endpoint() and not self.is_draining
 
     def reload(
         self,
@@ -181,104 +168,68 @@
         route_admission: RouteAdmission | None = None,
         address_rules: AddressRules | None = None,
     ) -> None:
-        """A new configuration holds from now on. What stands goes on by its plan, but not past a lower cap on
-        attempts, and what is due stays due. A keeper that stood before has taken the new rules already.
+        """Apply a new configuration from now on. Requests and timers go on as planned, but with no more
+        attempts than it allows. A `route_admission` that was in use has its new rules already.
         """
+        polled_before = self.context.settings.polls_endpoint_list
         self.context.now_us = now_us
-        self.context.route_admission = route_admission
         self.context.counters.add("reloads")
-        asked = self.context.settings.polls_endpoint_list
-        self.context.settings, self.context.limits = settings, limits
+        self.context.route_admission = route_admission
+        self.context.settings = settings
+        self.context.limits = limits
         self.answer_delays.configure(settings, limits)
-        if asked:
-            self.membership_updates.watch_if_pushed()  # if it is so from now on
+        if polled_before:
+            self.membership_updates.watch_if_pushed()  # if the list is pushed from now on
         if address_rules is not None or self.context.address_selector is not None:
             self.membership_updates.apply_address_rules(address_rules)
         self.balancer.configure(settings)
 
-    # ---- the module
-
-    def _carry_out(self, action: Action) -> None:
-        if isinstance(action, SetTimer):
-            self.context.set_timer(action.after_us, Timer.PLACEMENT, action.token)
-        elif isinstance(action, StartAttempt):
-            self.attempts.start(action)
-        elif isinstance(action, RejectRequest):
-            self.final_answers.reject_request(action.request_id, action.retry_after_us)
-        elif isinstance(action, FailRequest):
-            self.final_answers.fail_request(action.request_id)
-        elif isinstance(action, MigrateConnection):
-            self.final_answers.migrate_connection(action.request_id)
-        elif isinstance(action, ProbeLoad):
-            self.load_probes.start(action.endpoint_id)
-        elif isinstance(action, WatchEndpoints):
-            self.membership_updates.set_watch(bool(action.enabled))
-        elif isinstance(action, WriteLog):
-            self.context.log(action.text)
-
-    # ---- time
-
     def advance(self, now_us: int) -> None:
-        """Do all that is due."""
-        for timer, value, attempt in self.context.timers.take_due(now_us):
+        """Do all that is due by `now_us`."""
+        for timer, value, attempt in self.context.timers.pop_due(now_us):
             self.context.now_us = now_us
             if timer is Timer.PLACEMENT:
-                self.placement_dispatcher.dispatch(TimerExpired(value))
-            else:
-                self._due(timer, value, attempt)
-
-    def _due(self, timer: Timer, number: int, attempt: int) -> None:
-        tx = self.requests.get(number)  # most timers of a transaction outlive it
-        if tx is not None:
-            self._transaction_due(timer, tx, attempt)
-        elif timer is Timer.WATCHDOG:
-            self.answer_delays.watchdog_due()
-        elif timer is Timer.ADMISSION_END:
-            self.draining.stop_admission()
-        elif timer is Timer.EXIT:
-            self._end()
-        elif timer is Timer.ENDPOINT_WATCH:
-            self.membership_updates.watch_timer_expired()
-
-    def _transaction_due(self, timer: Timer, tx: RequestState, attempt: int) -> None:
-        if timer is Timer.ATTEMPT_TIMEOUT:
-            self.upstream_events.attempt_timeout_due(tx, attempt)
-        elif timer is Timer.CONNECT_TIMEOUT:
-            self.upstream_events.connect_timeout_due(tx, attempt)
-        elif timer is Timer.FINAL_ANSWER:
-            self.final_answers.deadline_passed(tx)
-        elif timer is Timer.RESUMPTION_RETRY:
-            self.resumption.retry(tx)
-        elif timer is Timer.MIGRATE:
-            self.draining.migration_due(tx)
-
-    # ---- the end
-
-    def is_ready(self) -> bool:
-        """May the front send clients here?"""
-        return self.endpoint_list.has_ready_endpoint() and not self.drain_started_us
-
-    def drain(self, now_us: int, replaced: bool = False) -> None:
-        """SIGTERM: go on as before while clients still come, then move every client, then end. Where another
-        process takes the new clients already (`replaced`), the moves begin at once and have more time.
-        """
-        self.draining.start(now_us, replaced)
-
-    def _end(self) -> None:
-        self.draining.exit()
+                self.dispatcher.dispatch(TimerExpired(value))
+            elif (request := self.requests.get(value)) is not None:
+                self._request_timer_due(timer, request, attempt)
+            else:  # of the engine, or of a request that is over
+                self._engine_timer_due(timer)
+
+    def _request_timer_due(self, timer: Timer, request: RequestState, attempt: int) -> None:
+        match timer:
+            case Timer.ATTEMPT_TIMEOUT:
+                self.upstream_events.attempt_timeout_due(request, attempt)
+            case Timer.CONNECT_TIMEOUT:
+                self.upstream_events.connect_timeout_due(request, attempt)
+            case Timer.FINAL_ANSWER:
+                self.final_answers.deadline_passed(request)
+            case Timer.RESUMPTION_RETRY:
+                self.resumption.retry(request)
+            case Timer.MIGRATE:
+                self.draining.migration_due(request)
+
+    def _engine_timer_due(self, timer: Timer) -> None:
+        match timer:
+            case Timer.WATCHDOG:
+                self.answer_delays.watchdog_due()
+            case Timer.ADMISSION_END:
+                self.draining.stop_admission()
+            case Timer.EXIT:
+                self.draining.exit()
+            case Timer.ENDPOINT_WATCH:
+                self.membership_updates.watch_timer_expired()
 
     def current_figures(self) -> dict[str, int]:
-        """Figures of this moment, beside the counters."""
-        up = sum(tx.established for tx in self.requests.values())
-        held = self.route_admission.current_figures() if self.route_admission is not None else {}
-        if self.address_selector is not None:
-            held["paths.passed_over"] = self.address_selector.preferred_bypassed
-        pending = len(self.requests) - up
-        broken = self.guard.violations
-        return {
-            "open": up,
-            "pending": pending,
+        """Return figures of this moment, which the log line of counters has beside them."""
+        established = sum(request.established for request in self.requests.values())
+        figures = {
+            "open": established,
+            "pending": len(self.requests) - established,
             "pool_version": self.endpoint_list.version,
-            "violations": broken,
-            **held,
+            "violations": self.guard.violations,
         }
+        if self.route_admission is not None:
+            figures |= self.route_admission.current_figures()
+        if self.address_selector is not None:
+            figures["paths.passed_over"] = self.address_selector.preferred_bypassed
+        return figures
--- a/gannetweir/core/final_answers.py
+++ b/gannetweir/core/final_answers.py
@@ -1,4 +1,4 @@
-"""The one final answer of a request that is not served, and the end of one that is."""
+"""Final answers of requests: rejected (the client may retry), failed (nothing is promised), or migrated."""
 
 from __future__ import annotations
 
@@ -13,84 +13,89 @@
 
 
 class FinalAnswers:
-    """Ends transactions; each ends once."""
+    """Ends requests: the only place that removes one from the engine's records, so each ends once."""
 
-    def __init__(self, context: EngineContext, decisions: PlacementDispatcher, attempts: Attempts) -> None:
-        self.context, self.decisions, self.attempts = context, decisions, attempts
+    def __init__(self, context: EngineContext, dispatcher: PlacementDispatcher, attempts: Attempts) -> None:
+        self.context = context
+        self.dispatcher = dispatcher
+        self.attempts = attempts
 
-    def send(self, tx: RequestState, answer: RejectClient | FailClient, reason: Reason) -> None:
-        """The one final answer of a transaction that is not served."""
-        self.attempts.close(tx)
-        self.remove_request(tx)
-        refused = isinstance(answer, RejectClient)
-        self.context.counters.add("rejected" if refused else "failed")
-        self.context.record_step(tx, RequestStep.REJECTED if refused else RequestStep.FAILED, reason)
+    def send(self, request: RequestState, answer: RejectClient | FailClient, reason: Reason) -> None:
+        """Send the one final answer of a request that is not served."""
+        self.attempts.close(request)
+        self.remove_request(request)
+        if isinstance(answer, RejectClient):
+            self.context.counters.add("rejected")
+            self.context.record_step(request, RequestStep.REJECTED, reason)
+        else:
+            self.context.counters.add("failed")
+            self.context.record_step(request, RequestStep.FAILED, reason)
         self.context.commands.append(answer)
 
-    def reject(self, tx: RequestState, retry_us: int, reason: Reason) -> None:
-        """Say that trying again is harmless, where it is: not once an attempt may have run of a class whose
-        repeats may do harm.
+    def reject(self, request: RequestState, retry_after_us: int, reason: Reason) -> None:
+        """Reject a request, or fail it: once an attempt may have executed, a client may only retry what is
+        idempotent everywhere.
         """
-        ran = tx.may_have_executed or (tx.attempt_in_flight and tx.first_line_written)
-        answer = (
-            FailClient(tx.request_id)
-            if ran and not tx.request_class.is_idempotent_everywhere
-            else RejectClient(tx.request_id, retry_us)
+        may_have_executed = request.may_have_executed or (
+            request.attempt_in_flight and request.first_line_written
         )
-        self.send(tx, answer, reason)
+        if may_have_executed and not request.request_class.is_idempotent_everywhere:
+            self.send(request, FailClient(request.request_id), reason)
+        else:
+            self.send(request, RejectClient(request.request_id, retry_after_us), reason)
 
-    def reject_request(self, number: int, retry_us: int) -> None:
-        """The module refuses a request; too late where it is served or gone."""
-        tx = self.context.requests.get(number)
-        if tx is not None and not tx.established:
-            self.reject(tx, retry_us, reason_after(tx.last_status))
+    def reject_request(self, request_id: int, retry_after_us: int) -> None:
+        """Reject a request for the balancer; too late where it is established or over."""
+        request = self.context.requests.get(request_id)
+        if request is not None and not request.established:
+            self.reject(request, retry_after_us, reason_after(request.last_status))
 
-    def fail_request(self, number: int) -> None:
-        """The module fails a request; too late where it is served or gone."""
-        tx = self.context.requests.get(number)
-        if tx is not None and not tx.established:
-            self.send(tx, FailClient(number), reason_after(tx.last_status))
+    def fail_request(self, request_id: int) -> None:
+        """Fail a request for the balancer; too late where it is established or over."""
+        request = self.context.requests.get(request_id)
+        if request is not None and not request.established:
+            self.send(request, FailClient(request_id), reason_after(request.last_status))
 
-    def migrate_connection(self, number: int) -> None:
-        """The module moves a client; it may have left since."""
-        tx = self.context.requests.get(number)
-        if tx is not None and tx.established:
-            self.migrate_client(tx, AttemptStatus.CANCELLED, Reason.PLACEMENT)
+    def migrate_connection(self, request_id: int) -> None:
+        """Migrate a connection for the balancer; its client may have left since."""
+        request = self.context.requests.get(request_id)
+        if request is not None and request.established:
+            self.migrate_client(request, AttemptStatus.CANCELLED, Reason.PLACEMENT)
 
-    def fail_and_notify(self, tx: RequestState, reason: Reason) -> None:
-        """Fail a transaction that the module has not answered, and tell it so."""
-        self.send(tx, FailClient(tx.request_id), reason)
-        self.decisions.dispatch(ClientDisconnected(tx.request_id))
+    def fail_and_notify(self, request: RequestState, reason: Reason) -> None:
+        """Fail a request that the balancer has not answered, and notify the balancer."""
+        self.send(request, FailClient(request.request_id), reason)
+        self.dispatcher.dispatch(ClientDisconnected(request.request_id))
 
-    def fail_unanswered(self, number: int) -> None:
-        """The module failed on this transaction: no client may be left without an answer."""
-        tx = self.context.requests.get(number)
-        if tx is not None and not tx.established and not tx.attempt_in_flight:
-            self.fail_and_notify(tx, Reason.PLACEMENT_FAULT)
+    def fail_unanswered(self, request_id: int) -> None:
+        """Fail a request on which the balancer raised, unless an attempt in flight may still serve it."""
+        request = self.context.requests.get(request_id)
+        if request is not None and not request.established and not request.attempt_in_flight:
+            self.fail_and_notify(request, Reason.PLACEMENT_FAULT)
 
-    def migrate_client(self, tx: RequestState, status: int, reason: Reason) -> None:
-        """The client is asked to come again. It hears that before its backend's side ends."""
-        self.remove_request(tx)
+    def migrate_client(self, request: RequestState, status: AttemptStatus, reason: Reason) -> None:
+        """Ask the client to come again; it is asked before its upstream connection ends."""
+        self.remove_request(request)
         self.context.counters.add("moved")
-        self.context.record_step(tx, RequestStep.MIGRATED, reason)
-        self.context.commands.append(MigrateClient(tx.request_id))
-        self.attempts.ended(tx, status, 1)
+        self.context.record_step(request, RequestStep.MIGRATED, reason)
+        self.context.commands.append(MigrateClient(request.request_id))
+        self.attempts.request_ended(request, status)
 
-    def deadline_passed(self, tx: RequestState) -> None:
-        """The final answer is due. The flow's own time-out came first, and the module owed the answer then:
-        it holds this one, or it has failed. No client may be left without an answer.
+    def deadline_passed(self, request: RequestState) -> None:
+        """Fail a request whose final answer is due. The last attempt's timeout came first, and the balancer
+        owed the answer then: it has failed to give one, and no client may be left without.
         """
-        if not tx.established:
+        if not request.established:
             self.context.counters.add("overdue")
-            self.fail_and_notify(tx, Reason.DEADLINE)
+            self.fail_and_notify(request, Reason.DEADLINE)
 
-    def remove_request(self, tx: RequestState) -> None:
-        """Drop the record, and give back what it holds of its route."""
+    def remove_request(self, request: RequestState) -> None:
+        """Remove the record, and give back what it holds of its route's limits."""
         context = self.context
-        del context.requests[tx.request_id]
-        context.request_id_by_client_id.pop(tx.client_request_id, None)
-        self.attempts.setup_finished(tx)
-        if tx.admission_permit is not None:
+        del context.requests[request.request_id]
+        context.request_id_by_client_id.pop(request.client_request_id, None)
+        self.attempts.setup_finished(request)
+        if request.admission_permit is not None:
             if context.route_admission is not None:
-                context.route_admission.release(tx.admission_permit)
-            tx.admission_permit = None
+                context.route_admission.release(request.admission_permit)
+            request.admission_permit = None
--- a/gannetweir/core/load_probes.py
+++ b/gannetweir/core/load_probes.py
@@ -1,4 +1,4 @@
-"""Questions to backends for their load, outside of any request."""
+"""Load probes: questions to endpoints for their load, outside of any request."""
 
 from __future__ import annotations
 
@@ -9,34 +9,47 @@
 
 
 class LoadProbes:
-    """At most one probe of a backend is out at a time."""
+    """At most one probe of an endpoint is in flight, and `limits.probes` in all."""
 
-    def __init__(self, context: EngineContext, decisions: PlacementDispatcher) -> None:
-        self.context, self.decisions = context, decisions
-        self.in_flight_since_us: dict[EndpointId, int] = {}  # of each probe that is out
+    def __init__(self, context: EngineContext, dispatcher: PlacementDispatcher) -> None:
+        self.context = context
+        self.dispatcher = dispatcher
+        self._started_us: dict[EndpointId, int] = {}  # of each probe in flight
 
     def start(self, endpoint_id: EndpointId) -> None:
-        """Probe a backend; one that may not be asked now ends as moot, or as failed if it has no address."""
-        dial = self.context.endpoint_list.address_of(endpoint_id)
-        full = len(self.in_flight_since_us) >= self.context.limits.probes
-        if not dial or not self.context.endpoint_list.accepts_requests(endpoint_id) or full:
-            self.decisions.dispatch(
-                LoadProbeResult(
-                    endpoint_id, AttemptStatus.CONNECT_FAILED if not dial else AttemptStatus.NOT_STARTED, 0
-                )
-            )
-        elif endpoint_id not in self.in_flight_since_us:  # one that is out answers this question too
-            self.in_flight_since_us[endpoint_id] = self.context.now_us
+        """Probe an endpoint. Where that may not start now, the balancer is given the result at once."""
+        address = self.context.endpoint_list.address_of(endpoint_id)
+        if not address:
+            self._report(endpoint_id, AttemptStatus.CONNECT_FAILED)
+        elif not self._may_start(endpoint_id):
+            self._report(endpoint_id, AttemptStatus.NOT_STARTED)
+        elif endpoint_id not in self._started_us:  # one in flight answers this question too
+            self._started_us[endpoint_id] = self.context.now_us
             self.context.counters.add("probes_sent")
-            paths = self.context.address_selector
-            chosen = paths is not None and paths.selects_address(str(endpoint_id))
-            self.context.commands.append(StartLoadProbe(endpoint_id, dial, chosen))
+            selector = self.context.address_selector
+            races_addresses = selector is not None and selector.selects_address(str(endpoint_id))
+            self.context.commands.append(StartLoadProbe(endpoint_id, address, races_addresses))
+
+    def _may_start(self, endpoint_id: EndpointId) -> bool:
+        return (
+            self.context.endpoint_list.accepts_requests(endpoint_id)
+            and len(self._started_us) < self.context.limits.probes
+        )
 
     def probe_ended(
-        self, endpoint_id: EndpointId, status: int, load_report: tuple[float, ...], now_us: int
+        self, endpoint_id: EndpointId, status: AttemptStatus, load_report: tuple[float, ...], now_us: int
     ) -> None:
-        """A probe was answered, or was not."""
+        """Take in the end of a probe, answered or not, and pass it on to the balancer."""
         self.context.now_us = now_us
-        elapsed = now_us - self.in_flight_since_us.pop(endpoint_id, now_us)
+        elapsed_us = now_us - self._started_us.pop(endpoint_id, now_us)
         self.context.counters.add("probes", status)
-        self.decisions.dispatch(LoadProbeResult(endpoint_id, status, elapsed, load_report))
+        self._report(endpoint_id, status, elapsed_us, load_report)
+
+    def _report(
+        self,
+        endpoint_id: EndpointId,
+        status: AttemptStatus,
+        elapsed_us: int = 0,
+        load_report: tuple[float, ...] = (),
+    ) -> None:
+        self.dispatcher.dispatch(LoadProbeResult(endpoint_id, status, elapsed_us, load_report))
--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -26,13 +26,13 @@
     def __init__(
         self,
         context: EngineContext,
-        decisions: PlacementDispatcher,
+        dispatcher: PlacementDispatcher,
         upstream_events: UpstreamEvents,
         seed: int,
     ) -> None:
         """`seed`: for the address selector's random numbers."""
         self.context = context
-        self.decisions = decisions
+        self.dispatcher = dispatcher
         self.upstream_events = upstream_events
         self.seed = seed
         self.consecutive_watch_failures = 0  # counted only where discovery pushes the list
@@ -56,11 +56,11 @@
             self._update_listed_addresses(update)
         elif any(listed.additional_addresses for listed in update.endpoints):
             self.apply_address_rules(None)
-        self.decisions.dispatch(EndpointListUpdate(kind, update.version, effective_entries))
+        self.dispatcher.dispatch(EndpointListUpdate(kind, update.version, effective_entries))
         # A connect may outlast the grace period of a drain. One that is established late could reach a new
         # start of the endpoint with what was meant for the warmed-up one before it. The path is at fault, not
         # the endpoint.
-        self.upstream_events.close_unsent(self._targets_stale_endpoint, fault=True)
+        self.upstream_events.close_unsent(self._targets_stale_endpoint, address_fault=True)
 
     def _targets_stale_endpoint(self, request: RequestState) -> bool:
         """Whether the attempt goes to an endpoint that is no longer ready, or to an earlier start of it."""
@@ -89,7 +89,9 @@
 
     def _report_failed_poll(self) -> None:
         """Notify the balancer, which decides when the list is polled again."""
-        self.decisions.dispatch(EndpointListUpdate(UpdateKind.FAILED, self.context.endpoint_list.version, []))
+        self.dispatcher.dispatch(
+            EndpointListUpdate(UpdateKind.FAILED, self.context.endpoint_list.version, [])
+        )
 
     def watch_timer_expired(self) -> None:
         """The pause before the next watch is over."""
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -20,12 +20,12 @@
     def __init__(
         self,
         context: EngineContext,
-        decisions: PlacementDispatcher,
+        dispatcher: PlacementDispatcher,
         upstream_events: UpstreamEvents,
         draining: Draining,
     ) -> None:
         self.context = context
-        self.decisions = decisions
+        self.dispatcher = dispatcher
         self.upstream_events = upstream_events
         self.draining = draining
 
@@ -39,7 +39,7 @@
         self.context.counters.add("hand_changes")
         # As a cached list: the balancer would take a snapshot or a delta for the answer to its watch.
         effective_entries = endpoint_list.apply_overrides(overrides, now_us)
-        self.decisions.dispatch(
+        self.dispatcher.dispatch(
             EndpointListUpdate(UpdateKind.CACHED, endpoint_list.version, effective_entries)
         )
         self.upstream_events.close_unsent(lambda request: request.endpoint_id in newly_offline)
--- a/gannetweir/core/reasons.py
+++ b/gannetweir/core/reasons.py
@@ -1,4 +1,4 @@
-"""Why a request was refused, failed, repeated, moved or closed: one word each, counted and logged."""
+"""Why a request was rejected, failed, retried, migrated or closed: one word each, counted and logged."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class Reason(StrEnum):
-    """The cause of an end, a retry or a refusal, as counters and logs name it."""
+    """The cause of an end, a retry or a rejection. The values stand in names of counters and in log lines."""
 
-    PLACEMENT = "decision"  # the decision module, before any attempt was made
-    AFTER_ERROR = "after_error"  # the last attempt ended so
+    PLACEMENT = "decision"  # the balancer, before any attempt was made
+    AFTER_ERROR = "after_error"  # the balancer, as the latest attempt ended so
     AFTER_FULL = "after_full"
     AFTER_TIMEOUT = "after_timeout"
     AFTER_CONNECT_FAILED = "after_connect_failed"
     AFTER_RESET = "after_reset"
     AFTER_NOT_STARTED = "after_moot"
-    ADMISSION_CLOSED = "relay_closing"  # nothing new is taken before the exit
-    DRAIN = "drain"  # this relay is about to leave
-    DRAIN_TIME_OVER = "drain_over"  # its last moment has come
-    TOO_MANY_REQUESTS = "too_many"  # requests and connections here
+    ADMISSION_CLOSED = "relay_closing"  # nothing new is admitted before the exit
+    DRAIN = "drain"  # this relay shuts down
+    DRAIN_TIME_OVER = "drain_over"  # the time for that is up
+    TOO_MANY_REQUESTS = "too_many"  # requests and connections of this relay
     ROUTE_LIMIT = "route_limit"
-    OPERATORS = "operators"  # the backend was taken out of use by hand
+    OPERATORS = "operators"  # the operators took the endpoint offline
     UNKNOWN_ENDPOINT = "unknown_backend"
-    DEADLINE = "deadline"  # the decision module left it unanswered to the end
-    PLACEMENT_FAULT = "module_fault"
+    DEADLINE = "deadline"  # the balancer left it unanswered to the end
+    PLACEMENT_FAULT = "module_fault"  # the balancer raised
     ENDPOINT_SILENT = "backend_silent"
     ENDPOINT_ENDED = "backend_ended"
     ENDPOINT_RESET = "backend_reset"
@@ -33,7 +33,7 @@
     CLIENT_RESET = "client_reset"
 
 
-_REASON_AFTER: dict[int, Reason] = {
+_REASON_AFTER: dict[AttemptStatus, Reason] = {
     AttemptStatus.ERROR: Reason.AFTER_ERROR,
     AttemptStatus.FULL: Reason.AFTER_FULL,
     AttemptStatus.TIMEOUT: Reason.AFTER_TIMEOUT,
@@ -43,6 +43,8 @@
 }
 
 
-def reason_after(status: int) -> Reason:
-    """Why the decision module acts: how the attempt before ended, or of its own accord before any."""
+def reason_after(status: AttemptStatus | None) -> Reason:
+    """Return why the balancer acts: how the attempt before ended, or its own decision before any (`None`)."""
+    if status is None:
+        return Reason.PLACEMENT
     return _REASON_AFTER.get(status, Reason.PLACEMENT)
--- a/gannetweir/core/request_log.py
+++ b/gannetweir/core/request_log.py
@@ -13,18 +13,18 @@
 
 from gannetweir.core.reasons import Reason
 from gannetweir.observability.counters import OUTCOMES, Counters
-from gannetweir.placement.events import EndpointId
+from gannetweir.placement.events import AttemptStatus, EndpointId
 
 MAX_EVENTS = 2048  # events: 0.7 MB, measured with ids of 32 characters
 
 
 class RequestStep(StrEnum):
-    """A change of a request's state."""
+    """A change of a request's state. The values stand in traces, and in names of counters."""
 
     OPENED = "opened"
     ATTEMPT = "attempt"
     RETRIED = "retried"
-    CONNECT_DELAYED = "held_up"  # its connect could not be begun: an error of this machine
+    CONNECT_DELAYED = "held_up"  # its connect could not be started: an error of this machine
     WRITTEN = "written"
     ATTEMPT_ENDED = "attempt_ended"
     SERVED = "served"
@@ -35,16 +35,22 @@
 
 
 _COUNTED = frozenset(
-    {RequestStep.RETRIED, RequestStep.REJECTED, RequestStep.FAILED, RequestStep.MIGRATED, RequestStep.CLOSED}
+    {
+        RequestStep.RETRIED,
+        RequestStep.REJECTED,
+        RequestStep.FAILED,
+        RequestStep.MIGRATED,
+        RequestStep.CLOSED,
+    }
 )
 
 
 class RequestEvent(NamedTuple):
-    """One step of one request. `at_us` is on the engine's clock, `ident` is the client's id."""
+    """One step of one request. `at_us` is on the engine's clock."""
 
     at_us: int
     request_id: int
-    client_request_id: str
+    client_request_id: str  # the id that the client gave it
     step: RequestStep
     attempt: int
     endpoint_id: EndpointId
@@ -57,35 +63,38 @@
 
 
 class RequestLog:
-    """The latest events of all requests. `sink` is given every event as it happens."""
+    """The latest events of all requests. `request_trace` is given every event as it happens."""
 
-    def __init__(self, counters: Counters, sink: Callable[[RequestEvent], None] | None = None) -> None:
-        self.counters, self.sink = counters, sink
+    def __init__(
+        self, counters: Counters, request_trace: Callable[[RequestEvent], None] | None = None
+    ) -> None:
+        self.counters = counters
+        self.request_trace = request_trace
         self.events: deque[RequestEvent] = deque(maxlen=MAX_EVENTS)
 
     def add(
         self,
         at_us: int,
-        number: int,
-        ident: str,
+        request_id: int,
+        client_request_id: str,
         step: RequestStep,
         attempt: int = -1,
-        backend: EndpointId = None,
+        endpoint_id: EndpointId = None,
         reason: Reason | str = "",
     ) -> None:
-        """Record one step; retries, refusals, moves and ends are counted by their reason."""
-        event = RequestEvent(at_us, number, ident, step, attempt, backend, reason)
+        """Record one step; retries, rejections, migrations and ends are counted by their reason."""
+        event = RequestEvent(at_us, request_id, client_request_id, step, attempt, endpoint_id, reason)
         self.events.append(event)
         if step in _COUNTED:
             self.counters.counts[f"{step.value}.{reason}"] += 1
-        if self.sink is not None:
-            self.sink(event)
+        if self.request_trace is not None:
+            self.request_trace(event)
 
-    def history(self, number: int) -> list[RequestEvent]:
-        """What is still remembered of one request, oldest first."""
-        return [event for event in self.events if event.request_id == number]
+    def history(self, request_id: int) -> list[RequestEvent]:
+        """Return what is still remembered of one request, oldest first."""
+        return [event for event in self.events if event.request_id == request_id]
 
 
-def outcome_name(status: int) -> str:
-    """The name of an attempt's outcome."""
+def outcome_name(status: AttemptStatus) -> str:
+    """Return the name of an attempt's outcome, as counters have it."""
     return OUTCOMES.get(status, str(status))
--- a/gannetweir/core/request_state.py
+++ b/gannetweir/core/request_state.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from gannetweir.core.reasons import Reason
-from gannetweir.placement.events import EndpointId
+from gannetweir.placement.events import NOT_EXECUTED, AttemptStatus, EndpointId
 from gannetweir.placement.settings import RequestClass
 
 if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
@@ -17,26 +17,62 @@
 
 @dataclass(slots=True)
 class RequestState:
-    """One request of a client's, from its first line to the end of its connection."""
+    """One request of a client's, from its first line to the end of its connection.
+
+    The engine's concerns change it in place; what always holds:
+
+    - At most one attempt is in flight, the one numbered `attempt`; numbers only grow, and none is used twice.
+    - `endpoint_id`, `endpoint_started_us`, `first_line_written`, `connect_delayed_locally`, `address` and the
+      `attempt_...` fields are about that attempt, and stay after its end until the next one begins.
+    - `may_have_executed` never becomes false again: it forbids retries that are not idempotent.
+    - An `established` request is a connection: it has no further attempt, and only an established one has a
+      `migration_reason`.
+    - A `resumed` request is attempted at one endpoint only, the one that holds its connection.
+
+    Times are microseconds on the engine's clock.
+    """
 
     request_id: int
     deadline_us: int  # its final answer has left by then
-    client_request_id: str = ""  # the client's word for it
-    attempt: int = -1  # the last one
+    client_request_id: str = ""  # the id that the client gave it
+    attempt: int = -1  # the number of the latest attempt; -1 before the first
     endpoint_id: EndpointId = None
-    endpoint_started_us: int = 0  # when that one's server had started, as told when the flow was opened
-    attempt_in_flight: bool = False  # that attempt's flow is open
-    first_line_written: bool = False  # and has been written whole
-    connect_delayed_locally: bool = False  # its connect could not be begun, by an error of this machine
-    may_have_executed: bool = False  # an attempt may have run
+    endpoint_started_us: int = 0  # start time of that endpoint, as it was known when the attempt began
+    attempt_in_flight: bool = False  # the latest attempt's upstream connection is open
+    first_line_written: bool = False  # the last byte of the first line is out: it may execute from here on
+    connect_delayed_locally: bool = False  # its connect could not be started, by an error of this machine
+    may_have_executed: bool = False  # some attempt may have been executed
     attempt_started_us: int = 0
     established: bool = False
     resumed: bool = False
-    migration_reason: Reason | None = None  # why it is to be moved, at a time of its own
-    last_status: int = 0  # how its last attempt ended; 0 before any has
-    unanswered_since_us: deque[int] = field(default_factory=deque)  # when the lines without an answer came
+    migration_reason: Reason | None = None  # why it is to be migrated, once its timer falls due
+    last_status: AttemptStatus | None = None  # how the latest ended attempt ended
+    unanswered_since_us: deque[int] = field(default_factory=deque)  # arrivals of lines without an answer yet
     request_class: RequestClass = field(default_factory=RequestClass)  # as its route treats it
-    admission_permit: AdmissionPermit | None = None  # of its route, until it has given it back
-    attempt_deadline_us: int = 0  # when the attempt that is out is over
-    counts_as_setup: bool = False  # that attempt counts as a set-up at its server
-    address: Address | None = None  # which of its server's addresses carries it
+    admission_permit: AdmissionPermit | None = None  # of its route, until it is given back
+    attempt_deadline_us: int = 0  # when the attempt in flight times out
+    counts_as_setup: bool = False  # the attempt in flight counts as a set-up at its endpoint
+    address: Address | None = None  # which of its endpoint's addresses carries the attempt
+
+    def begin_attempt(self, endpoint_id: EndpointId, endpoint_started_us: int, now_us: int) -> None:
+        """Number the next attempt and put it in flight."""
+        self.attempt += 1
+        self.endpoint_id = endpoint_id
+        self.endpoint_started_us = endpoint_started_us
+        self.attempt_in_flight = True
+        self.attempt_started_us = now_us
+        self.first_line_written = False
+        self.connect_delayed_locally = False
+        self.address = None
+
+    def skip_attempt(self) -> None:
+        """Use up the next attempt's number for one that may not start, unless another is in flight."""
+        if not self.attempt_in_flight:
+            self.attempt += 1
+
+    def end_attempt(self, status: AttemptStatus) -> None:
+        """Take the attempt out of flight, or end the connection that it became."""
+        self.attempt_in_flight = False
+        self.last_status = status
+        if status not in NOT_EXECUTED:
+            self.may_have_executed = True
--- a/gannetweir/core/resumption.py
+++ b/gannetweir/core/resumption.py
@@ -1,4 +1,4 @@
-"""Connections that were open before this relay took them over: only their own backend holds them."""
+"""Resumed connections: open before this relay took them over, and held by one endpoint only."""
 
 from __future__ import annotations
 
@@ -20,73 +20,75 @@
 
 
 class Resumption:
-    """Brings a resumed connection back to the backend that it names."""
+    """Attempts a resumed connection at the endpoint that holds it, until its deadline."""
 
     def __init__(
         self,
         context: EngineContext,
-        decisions: PlacementDispatcher,
+        dispatcher: PlacementDispatcher,
         attempts: Attempts,
-        answers: FinalAnswers,
+        final_answers: FinalAnswers,
     ) -> None:
-        self.context, self.decisions = context, decisions
-        self.attempts, self.answers = attempts, answers
+        self.context = context
+        self.dispatcher = dispatcher
+        self.attempts = attempts
+        self.final_answers = final_answers
 
-    def start(self, tx: RequestState, wanted: RequestArrived, at: EndpointId) -> None:
-        """Open the way to the backend `at`, or answer where that is out of use."""
-        dial = self.context.endpoint_list.address_of(at)
-        if not dial or self.context.endpoint_list.is_offline(at):
-            out = RejectClient(tx.request_id, self.context.limits.reject_retry_us)
-            reason = Reason.OPERATORS if dial else Reason.UNKNOWN_ENDPOINT
-            self.answers.send(tx, out if dial else FailClient(tx.request_id), reason)
+    def start(self, request: RequestState, arrival: RequestArrived, endpoint_id: EndpointId) -> None:
+        """Begin the attempt at that endpoint, or answer at once where it is unknown or offline."""
+        address = self.context.endpoint_list.address_of(endpoint_id)
+        if not address:
+            self.final_answers.send(request, FailClient(request.request_id), Reason.UNKNOWN_ENDPOINT)
             return
-        tx.resumed = True
-        if self.context.route_admission is not None:  # it stands: it counts, but nothing turns it away
-            tx.admission_permit = self.context.route_admission.permit_for(tx.request_class)
-            self.context.route_admission.resume(tx.admission_permit)
-        w = wanted
-        # its deadline may be an hour away; a backend that says nothing for so long does not hold it any more
-        tx.deadline_us = min(tx.deadline_us, self.context.now_us + self.context.limits.resume_us)
-        self.attempts.open(tx, at, dial, tx.deadline_us - self.context.now_us)
-        self.decisions.dispatch(
+        if self.context.endpoint_list.is_offline(endpoint_id):
+            self._reject_offline(request)
+            return
+        request.resumed = True
+        if self.context.route_admission is not None:  # it is open already: it counts, but is never rejected
+            request.admission_permit = self.context.route_admission.permit_for(request.request_class)
+            self.context.route_admission.resume(request.admission_permit)
+        # its deadline may be an hour away; an endpoint that is silent for so long does not have it any more
+        request.deadline_us = min(request.deadline_us, self.context.now_us + self.context.limits.resume_us)
+        self.attempts.open(request, endpoint_id, address, request.deadline_us - self.context.now_us)
+        self.dispatcher.dispatch(
             ConnectionResumed(
-                tx.request_id,
-                w.load_hint,
-                w.time_budget_us,
-                w.group,
-                w.key,
-                w.tenant,
-                at,
-                w.flags,
-                w.class_index,
+                request.request_id,
+                arrival.load_hint,
+                arrival.time_budget_us,
+                arrival.group,
+                arrival.key,
+                arrival.tenant,
+                endpoint_id,
+                arrival.flags,
+                arrival.class_index,
             )
         )
 
-    def attempt_failed(self, tx: RequestState, status: int) -> None:
-        """Only its own backend holds this connection: ask there again while nothing has run."""
-        tx.attempt_in_flight, tx.last_status = False, status
-        wait = self.context.limits.resume_retry_us
-        if self.context.endpoint_list.is_offline(tx.endpoint_id) and status in NOT_EXECUTED:
-            refusal = RejectClient(tx.request_id, self.context.limits.reject_retry_us)
-            self.answers.send(tx, refusal, Reason.OPERATORS)
-            self.attempts.ended(tx, status, 1)
-            return
-        if status in NOT_EXECUTED and self.context.now_us + wait < tx.deadline_us:
-            self.context.set_timer(wait, Timer.RESUMPTION_RETRY, tx.request_id)
+    def attempt_failed(self, request: RequestState, status: AttemptStatus) -> None:
+        """Retry at its endpoint while nothing has executed and there is time, or give the final answer."""
+        request.end_attempt(status)
+        not_executed = status in NOT_EXECUTED
+        retry_us = self.context.limits.resume_retry_us
+        if not_executed and self.context.endpoint_list.is_offline(request.endpoint_id):
+            self._reject_offline(request)
+        elif not_executed and self.context.now_us + retry_us < request.deadline_us:
+            self.context.set_timer(retry_us, Timer.RESUMPTION_RETRY, request.request_id)
             return
-        self.answers.send(tx, FailClient(tx.request_id), reason_after(status))
-        self.attempts.ended(tx, status, 1)
+        else:
+            self.final_answers.send(request, FailClient(request.request_id), reason_after(status))
+        self.attempts.request_ended(request, status)
 
-    def retry(self, tx: RequestState) -> None:
-        """The wait after a failed try is over."""
-        if tx.attempt_in_flight:
+    def _reject_offline(self, request: RequestState) -> None:
+        """The operators bring the endpoint back, so the client may retry."""
+        rejection = RejectClient(request.request_id, self.context.limits.reject_retry_us)
+        self.final_answers.send(request, rejection, Reason.OPERATORS)
+
+    def retry(self, request: RequestState) -> None:
+        """Attempt again, the pause after a failed attempt being over."""
+        if request.attempt_in_flight:
             return
-        if self.context.endpoint_list.is_offline(tx.endpoint_id):
-            self.attempt_failed(tx, AttemptStatus.CONNECT_FAILED)
+        if self.context.endpoint_list.is_offline(request.endpoint_id):
+            self.attempt_failed(request, AttemptStatus.CONNECT_FAILED)
             return
-        self.attempts.open(
-            tx,
-            tx.endpoint_id,
-            self.context.endpoint_list.address_of(tx.endpoint_id),
-            tx.deadline_us - self.context.now_us,
-        )
+        address = self.context.endpoint_list.address_of(request.endpoint_id)
+        self.attempts.open(request, request.endpoint_id, address, request.deadline_us - self.context.now_us)
--- a/gannetweir/core/upstream_events.py
+++ b/gannetweir/core/upstream_events.py
@@ -1,4 +1,4 @@
-"""What the drivers tell of server-side flows, and what their due times bring."""
+"""What drivers report of upstream connections, and what the timeouts of attempts bring."""
 
 from __future__ import annotations
 
@@ -18,130 +18,155 @@
 
 
 class UpstreamEvents:
-    """Follows each flow from its first line to its end."""
+    """Follows each attempt from its first line to its end. Reports on an attempt that is over are ignored."""
 
     def __init__(
         self,
         context: EngineContext,
-        decisions: PlacementDispatcher,
+        dispatcher: PlacementDispatcher,
         attempts: Attempts,
-        answers: FinalAnswers,
+        final_answers: FinalAnswers,
         resumption: Resumption,
     ) -> None:
-        self.context, self.decisions = context, decisions
-        self.attempts, self.answers, self.resumption = attempts, answers, resumption
-
-    def first_line_written(self, number: int, attempt: int, now_us: int) -> None:
-        """The first line's last byte has been written."""
+        self.context = context
+        self.dispatcher = dispatcher
+        self.attempts = attempts
+        self.final_answers = final_answers
+        self.resumption = resumption
+
+    def first_line_written(self, request_id: int, attempt: int, now_us: int) -> None:
+        """Note that the first line's last byte is out: the class's timeout for an attempt starts here."""
         self.context.now_us = now_us
-        tx = self.context.request_with_attempt(number, attempt)
-        if tx is None:
+        request = self.context.request_with_attempt(request_id, attempt)
+        if request is None:
             return
-        tx.first_line_written = True
-        self.context.record_step(tx, RequestStep.WRITTEN)
-        if tx.request_class.attempt_timeout_us and not tx.established and not tx.resumed:
-            tx.attempt_deadline_us = min(tx.attempt_deadline_us, now_us + tx.request_class.attempt_timeout_us)
-            self.context.set_timer(tx.attempt_deadline_us - now_us, Timer.ATTEMPT_TIMEOUT, number, attempt)
-
-    def connect_delayed(self, number: int, attempt: int, reason: str, now_us: int) -> None:
-        """The attempt's connect could not be begun, by an error of this machine; it is tried again."""
+        request.first_line_written = True
+        self.context.record_step(request, RequestStep.WRITTEN)
+        timeout_us = request.request_class.attempt_timeout_us
+        if timeout_us and not request.established and not request.resumed:
+            request.attempt_deadline_us = min(request.attempt_deadline_us, now_us + timeout_us)
+            self.context.set_timer(
+                request.attempt_deadline_us - now_us, Timer.ATTEMPT_TIMEOUT, request_id, attempt
+            )
+
+    def connect_delayed(self, request_id: int, attempt: int, reason: str, now_us: int) -> None:
+        """Note that the connect could not be started, by an error of this machine; the driver retries it."""
         self.context.now_us = now_us
         self.context.counters.add("local_errors")
-        tx = self.context.request_with_attempt(number, attempt)
-        if tx is not None and not tx.connect_delayed_locally:
-            tx.connect_delayed_locally = True
-            self.context.record_step(tx, RequestStep.CONNECT_DELAYED, reason)
+        request = self.context.request_with_attempt(request_id, attempt)
+        if request is not None and not request.connect_delayed_locally:
+            request.connect_delayed_locally = True
+            self.context.record_step(request, RequestStep.CONNECT_DELAYED, reason)
 
-    def connect_started(self, number: int, attempt: int, now_us: int) -> None:
-        """The attempt's connect has left this machine."""
+    def connect_started(self, request_id: int, attempt: int, now_us: int) -> None:
+        """Note that the attempt's connect has left this machine."""
         self.context.now_us = now_us
-        tx = self.context.request_with_attempt(number, attempt)
-        if tx is not None:
-            tx.connect_delayed_locally = False
+        request = self.context.request_with_attempt(request_id, attempt)
+        if request is not None:
+            request.connect_delayed_locally = False
 
-    def established(self, number: int, attempt: int, now_us: int) -> bool:
-        """The backend serves the connection. False if that comes too late."""
+    def established(self, request_id: int, attempt: int, now_us: int) -> bool:
+        """Make a connection of the request, as the endpoint serves it. False if that comes too late."""
         context = self.context
         context.now_us = now_us
-        tx = context.request_with_attempt(number, attempt)
-        if tx is None:
+        request = context.request_with_attempt(request_id, attempt)
+        if request is None:
             return False
-        tx.established = True
-        self.attempts.setup_finished(tx)
-        if tx.address is not None and context.address_selector is not None:
-            context.address_selector.record_response(str(tx.endpoint_id), tx.address, now_us)
+        request.established = True
+        self.attempts.setup_finished(request)
+        if request.address is not None and context.address_selector is not None:
+            context.address_selector.record_response(str(request.endpoint_id), request.address, now_us)
         context.counters.add("served")
-        context.record_step(tx, RequestStep.SERVED)
-        context.commands.append(StartForwarding(number))
-        if not tx.resumed:
-            self.decisions.dispatch(
-                ConnectionEstablished(number, tx.attempt, tx.endpoint_id, now_us - tx.attempt_started_us)
+        context.record_step(request, RequestStep.SERVED)
+        context.commands.append(StartForwarding(request_id))
+        if not request.resumed:
+            elapsed_us = now_us - request.attempt_started_us
+            self.dispatcher.dispatch(
+                ConnectionEstablished(request_id, request.attempt, request.endpoint_id, elapsed_us)
             )
-        if context.admission_closed or context.endpoint_list.is_offline(tx.endpoint_id):
-            tx.migration_reason = Reason.DRAIN if context.admission_closed else Reason.OPERATORS
-            context.set_timer(0, Timer.MIGRATE, number)
+        self._migrate_if_unwanted(request)
         return True
 
+    def _migrate_if_unwanted(self, request: RequestState) -> None:
+        """Migrate a connection at once that came up during a drain, or at an endpoint taken offline since."""
+        if self.context.admission_closed:
+            request.migration_reason = Reason.DRAIN
+        elif self.context.endpoint_list.is_offline(request.endpoint_id):
+            request.migration_reason = Reason.OPERATORS
+        else:
+            return
+        self.context.set_timer(0, Timer.MIGRATE, request.request_id)
+
     def ended(
-        self, number: int, attempt: int, status: int, report: tuple[float, ...], reset: bool, now_us: int
+        self,
+        request_id: int,
+        attempt: int,
+        status: AttemptStatus,
+        load_report: tuple[float, ...],
+        reset: bool,
+        now_us: int,
     ) -> None:
-        """A flow came to its end by itself."""
+        """Take in the end of an upstream connection that nobody here has closed."""
         self.context.now_us = now_us
-        tx = self.context.request_with_attempt(number, attempt)
-        if tx is None:
+        request = self.context.request_with_attempt(request_id, attempt)
+        if request is None:
             return
-        if tx.established:
-            self.answers.remove_request(tx)
-            self.context.record_step(
-                tx, RequestStep.CLOSED, Reason.ENDPOINT_RESET if reset else Reason.ENDPOINT_ENDED
-            )
-            self.context.commands.append(EndClient(number, reset))
-            self.attempts.ended(tx, status, 1, report)
-        elif tx.resumed:
-            self.resumption.attempt_failed(tx, status)
+        if request.established:
+            self.final_answers.remove_request(request)
+            reason = Reason.ENDPOINT_RESET if reset else Reason.ENDPOINT_ENDED
+            self.context.record_step(request, RequestStep.CLOSED, reason)
+            self.context.commands.append(EndClient(request_id, reset))
+            self.attempts.request_ended(request, status, load_report)
+        elif request.resumed:
+            self.resumption.attempt_failed(request, status)
         else:
-            self.attempts.ended(tx, status, 0, report)
-
-    def attempt_timeout_due(self, tx: RequestState, attempt: int) -> None:
-        """An attempt's time may be up; it may also have been set anew since."""
-        waits = tx.attempt_in_flight and tx.attempt == attempt and not tx.established
-        if waits and self.context.now_us >= tx.attempt_deadline_us:
-            self._attempt_timed_out(tx)
-
-    def connect_timeout_due(self, tx: RequestState, attempt: int) -> None:
-        """A flow whose first line is not out by now never will be up."""
-        waits = tx.attempt_in_flight and tx.attempt == attempt and not tx.established
-        if waits and not tx.first_line_written:
-            self._attempt_timed_out(tx)
-
-    def _attempt_timed_out(self, tx: RequestState) -> None:
-        """The time of an attempt is up: it is closed before anything else is sent."""
-        status = AttemptStatus.TIMEOUT if tx.first_line_written else AttemptStatus.CONNECT_FAILED
-        self.attempts.close(tx)
-        if tx.resumed:
-            self.resumption.attempt_failed(tx, status)
-        else:  # what this machine could not begin is no fault of the backend's
-            self.attempts.ended(tx, status, 0, fault=tx.connect_delayed_locally and not tx.first_line_written)
-
-    def close_unsent(self, leaves: Callable[[RequestState], bool], fault: bool = False) -> None:
-        """End the flows that would still be written to a backend which wants nothing new."""
-        for tx in [
-            tx
-            for tx in self.context.requests.values()
-            if tx.attempt_in_flight and not tx.first_line_written and leaves(tx)
-        ]:
-            self.attempts.close(tx)
-            if tx.resumed:
-                self.resumption.attempt_failed(tx, AttemptStatus.CONNECT_FAILED)
-            else:
-                self.attempts.ended(tx, AttemptStatus.CONNECT_FAILED, 0, fault=fault)
-
-    def load_reported(self, number: int, load: float, now_us: int) -> None:
-        """A backend says what a connection's load is now."""
+            self.attempts.attempt_ended(request, status, load_report)
+
+    def attempt_timeout_due(self, request: RequestState, attempt: int) -> None:
+        """End the attempt if its time is up; it may have been extended since this timer was set."""
+        if self._is_pending(request, attempt) and self.context.now_us >= request.attempt_deadline_us:
+            self._attempt_timed_out(request)
+
+    def connect_timeout_due(self, request: RequestState, attempt: int) -> None:
+        """End an attempt whose first line is not out by now: its connect has failed."""
+        if self._is_pending(request, attempt) and not request.first_line_written:
+            self._attempt_timed_out(request)
+
+    def _is_pending(self, request: RequestState, attempt: int) -> bool:
+        return request.attempt_in_flight and request.attempt == attempt and not request.established
+
+    def _attempt_timed_out(self, request: RequestState) -> None:
+        """Close the attempt before anything else is sent. A local delay is not the endpoint's fault."""
+        if request.first_line_written:
+            self._close_failed(request, AttemptStatus.TIMEOUT, address_fault=False)
+        else:
+            self._close_failed(request, AttemptStatus.CONNECT_FAILED, request.connect_delayed_locally)
+
+    def close_unsent(self, is_outdated: Callable[[RequestState], bool], address_fault: bool = False) -> None:
+        """Close the attempts in flight that would still write their first line to an endpoint which is to get
+        nothing new, as `is_outdated` says of each.
+        """
+        unsent = [
+            request
+            for request in self.context.requests.values()
+            if request.attempt_in_flight and not request.first_line_written and is_outdated(request)
+        ]
+        for request in unsent:
+            self._close_failed(request, AttemptStatus.CONNECT_FAILED, address_fault)
+
+    def _close_failed(self, request: RequestState, status: AttemptStatus, address_fault: bool) -> None:
+        self.attempts.close(request)
+        if request.resumed:
+            self.resumption.attempt_failed(request, status)
+        else:
+            self.attempts.attempt_ended(request, status, address_fault=address_fault)
+
+    def load_reported(self, request_id: int, load: float, now_us: int) -> None:
+        """Pass on an endpoint's report of one connection's load, where the settings ask for such reports."""
         self.context.now_us = now_us
-        tx = self.context.requests.get(number)
-        if tx is not None and tx.established and self.context.settings.reports_connection_load:
+        request = self.context.requests.get(request_id)
+        if request is not None and request.established and self.context.settings.reports_connection_load:
             self.context.counters.add("load_notes")
-            self.decisions.dispatch(
-                ConnectionMetric(number, tx.attempt, tx.endpoint_id, MetricKind.LOAD, load)
+            self.dispatcher.dispatch(
+                ConnectionMetric(request_id, request.attempt, request.endpoint_id, MetricKind.LOAD, load)
             )
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -380,7 +380,7 @@
         self.world.checker.attempt_ended(client.number, order.attempt)
         self.tell(self.engine.upstream_established, order.request_id, order.attempt)
 
-    def _ended(self, client: Client, order: e.OpenUpstream, flow: Flow, status: int) -> None:
+    def _ended(self, client: Client, order: e.OpenUpstream, flow: Flow, status: AttemptStatus) -> None:
         if flow.over:
             return
         self._over(client, order.attempt, flow)
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -77,7 +77,7 @@
             config.seed,
             known,
             self.clock(),
-            self.handover.overrides,
+            operator_overrides=self.handover.overrides,
             replaces_process=bool(self.handover.peers),
             route_admission=_keeper(config, None),
             address_rules=config.address_rules,
@@ -206,7 +206,7 @@
 
     def not_ready_reason(self) -> str:
         """Why a client would not be served here now; nothing if it would."""
-        if self.engine.drain_started_us:
+        if self.engine.is_draining:
             return "draining"
         if not self.listener.accepting:
             return "starting"
@@ -364,7 +364,7 @@
     async def _accept(self) -> None:
         while self.listener.inherited and not self.engine.endpoint_list.has_ready_endpoint():
             await anyio.sleep(0.02)  # the other process, or the platform's queue, has better use for them
-        if not (self.engine.drain_started_us and self.listener.inherited):
+        if not (self.engine.is_draining and self.listener.inherited):
             await self.listener.run()
 
     def serve_client(self, sock: socket.socket) -> None:
--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -108,7 +108,7 @@
         client = Client(self.settings.classes[number], due_us, bool(at))
         self.clients[self.engine.last_request_id + 1] = client
         ident = f"{rng.randrange(40):x}" if rng.random() < 0.2 else ""
-        if ident in self.engine.request_id_by_client_id and ident:
+        if ident in self.engine.context.request_id_by_client_id and ident:
             assert not self.engine.request_opened(wanted, at, self.now, ident)
             del self.clients[self.engine.last_request_id + 1]
         else:
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -126,14 +126,14 @@
     server.send(r"BUSY\r\n")
     await server.expect("end")
     await at.place.until(lambda: bool(relay.engine.balancer.later))
-    carry_out = relay.engine._carry_out
+    carry_out = relay.engine.placement_actions.carry_out
 
     def leaves_at_its_turn(action: Action) -> None:
         if isinstance(action, StartAttempt):
             at.leave(at.client)
         carry_out(action)
 
-    relay.engine._carry_out = leaves_at_its_turn  # type: ignore[method-assign]
+    relay.engine.placement_actions.carry_out = leaves_at_its_turn  # type: ignore[method-assign]
 
 
 async def as_a_probe_is_answered(at: Leaver) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -70,7 +70,7 @@
 def test_a_backend_that_was_told_to_leave_is_asked_nothing() -> None:
     world = play(f"pool send {LEAVES['drains']}", backends=1)
     for server in ("b1", "b3"):
-        world.engine._carry_out(ProbeLoad(server))
+        world.engine.placement_actions.carry_out(ProbeLoad(server))
     assert [c.endpoint_id for c in world.engine.commands if isinstance(c, StartLoadProbe)] == ["b3"]
 
 
@@ -400,8 +400,8 @@
     rests.send(r"PING\r\n")
     await rests.expect("PONG")
     await place.until(lambda: len(place.relay.descriptor_budget.awaiting_first_line) == 2)
-    place.relay.engine.drain_started_us, place.relay.engine.admission_closed = place.relay.clock(), True
-    place.relay.run_engine_call(lambda now_us: place.relay.engine._end())
+    place.relay.run_engine_call(place.relay.engine.drain)
+    place.relay.run_engine_call(lambda _now_us: place.relay.engine.draining.exit())
     # from here on: what no task has had a turn to read, on a connection and in the listener's queue
     rests.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
     at = place.relay.config.listen_address
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -44,8 +44,8 @@
 @pytest.mark.parametrize("file", [Broken(), io.StringIO()])
 def test_what_can_not_be_written_ends_the_trace_and_nothing_else(file: io.StringIO) -> None:
     run = engine(file)
-    assert run.trace is not None
-    run.trace(0, ClientDisconnected(1 << 70), [])  # JSON has no form for it
+    assert run.dispatcher.trace is not None
+    run.dispatcher.trace(0, ClientDisconnected(1 << 70), [])  # JSON has no form for it
     length = len(file.getvalue())
     for second in range(1, 6):
         run.advance(second * SECOND)
