--- a/gannetweir/proto/control_calls.py
+++ b/gannetweir/proto/control_calls.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import asdict, dataclass
-from typing import Any
+from dataclasses import dataclass
 from urllib.parse import parse_qs, urlsplit
 
 import h11
@@ -12,6 +11,7 @@
 from gannetweir.control.report import StandingReport
 from gannetweir.control.stage import ServiceTotals, StageReport
 from gannetweir.control.versions import NO_VERSION, Ack, Nack, Resource, Version
+from gannetweir.proto.control_json import json_list, json_object, number_field, text_field, texts_field
 from gannetweir.proto.control_watch import ACK_TARGET, MOST_ANSWER_BYTES, held_text, read_answer, read_held
 from gannetweir.proto.endpoint_watch import EndpointListError
 
@@ -113,30 +113,90 @@
 
 
 def read_status(body: bytes) -> tuple[str, list[StandingReport]]:
-    """What `status_body` wrote. Raises `PoolError`."""
+    """What `status_body` wrote: the machine's name and its reports. Raises `EndpointListError`."""
     try:
-        data = orjson.loads(body)
-        return str(data["machine"]), [_report(report) for report in data["resources"]]
+        data = json_object(orjson.loads(body), "status")
+        reports = json_list(data["resources"], "resources")
+        return str(data["machine"]), [_read_report(report) for report in reports]
     except (KeyError, TypeError, ValueError) as error:
-        raise EndpointListError(f"not a status: {type(error).__name__}: {error}"[:200]) from None
-
-
-def _report(data: dict[str, Any]) -> StandingReport:
-    stage = data.pop("stage")
-    if stage is not None:
-        version = read_held(stage.pop("version"))
-        stage = StageReport(version, **{name: tuple(names) for name, names in stage.items()})
-    resource = Resource(data.pop("resource"))
-    names = {name: tuple(data.pop(name)) for name in ("stragglers", "refusals")}
-    return StandingReport(resource=resource, stage=stage, **(data | names))
+        raise EndpointListError(f"not a status: {type(error).__name__}: {error}"[:200]) from error
 
 
 def status_body(machine: str, reports: list[StandingReport]) -> bytes:
     """Where the versions stand, for `gannetweir control status`."""
-    resources = []
-    for report in reports:
-        data = asdict(report)
-        if report.stage is not None:  # a digest is over what JSON's numbers hold
-            data["stage"]["version"] = held_text(report.stage.version)
-        resources.append(data)
-    return orjson.dumps({"machine": machine, "resources": resources})
+    return orjson.dumps({"machine": machine, "resources": [_report_object(report) for report in reports]})
+
+
+# The keys of the two objects, in the order in which they are written, are the protocol's.
+_REPORT_KEYS = frozenset(
+    (
+        "resource",
+        "newest",
+        "released",
+        "lowest",
+        "relays",
+        "at_newest",
+        "behind",
+        "refusing",
+        "stragglers",
+        "refusals",
+        "stage",
+    )
+)
+_STAGE_KEYS = frozenset(("version", "in_force", "waiting", "against"))
+
+
+def _report_object(report: StandingReport) -> dict[str, object]:
+    return {
+        "resource": report.resource,
+        "newest": report.newest,
+        "released": report.released,
+        "lowest": report.lowest,
+        "relays": report.relays,
+        "at_newest": report.at_newest,
+        "behind": report.behind,
+        "refusing": report.refusing,
+        "stragglers": report.stragglers,
+        "refusals": report.refusals,
+        "stage": None if report.stage is None else _stage_object(report.stage),
+    }
+
+
+def _stage_object(stage: StageReport) -> dict[str, object]:
+    return {
+        "version": held_text(stage.version),  # as text: a digest is larger than JSON's numbers
+        "in_force": stage.in_force,
+        "waiting": stage.waiting,
+        "against": stage.against,
+    }
+
+
+def _read_report(value: object) -> StandingReport:
+    data = json_object(value, "resources")
+    if data.keys() != _REPORT_KEYS:
+        raise EndpointListError("resources: a report with other keys")
+    return StandingReport(
+        resource=Resource(text_field(data, "resource")),
+        newest=number_field(data, "newest"),
+        released=number_field(data, "released"),
+        lowest=number_field(data, "lowest"),
+        relays=number_field(data, "relays"),
+        at_newest=number_field(data, "at_newest"),
+        behind=number_field(data, "behind"),
+        refusing=number_field(data, "refusing"),
+        stragglers=texts_field(data, "stragglers"),
+        refusals=texts_field(data, "refusals"),
+        stage=None if data["stage"] is None else _read_stage(data["stage"]),
+    )
+
+
+def _read_stage(value: object) -> StageReport:
+    data = json_object(value, "stage")
+    if data.keys() != _STAGE_KEYS:
+        raise EndpointListError("stage: an object with other keys")
+    return StageReport(
+        version=read_held(text_field(data, "version")),
+        in_force=texts_field(data, "in_force"),
+        waiting=texts_field(data, "waiting"),
+        against=texts_field(data, "against"),
+    )
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -28,7 +28,7 @@
 from gannetweir.net.control_status import status
 from gannetweir.net.control_watch import ControlDriver
 from gannetweir.placement.settings import Settings
-from gannetweir.proto.control_calls import chunk, watch_head
+from gannetweir.proto.control_calls import chunk, read_status, status_body, watch_head
 from gannetweir.proto.control_watch import (
     ControlWatch,
     canonical,
@@ -140,6 +140,39 @@
         read_answer(body)
 
 
+STATUS = (
+    b'{"machine":"c0","resources":[{"resource":"settings","newest":3,"released":2,"lowest":1,"relays":4,'
+    b'"at_newest":1,"behind":2,"refusing":1,"stragglers":["r1","r2"],"refusals":["r3: check: bad"],'
+    b'"stage":{"version":"1.3.00000000000000000000000000000009","in_force":["r0"],"waiting":["r4"],'
+    b'"against":["r3: check: bad"]}},'
+    b'{"resource":"membership","newest":7,"released":7,"lowest":7,"relays":0,"at_newest":0,"behind":0,'
+    b'"refusing":0,"stragglers":[],"refusals":[],"stage":null}]}'
+)
+
+
+def test_a_status_is_written_byte_for_byte_as_it_was_read() -> None:
+    assert status_body(*read_status(STATUS)) == STATUS
+
+
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"[]",
+        b"{}",
+        b'{"machine":"c0","resources":[5]}',
+        STATUS.replace(b'"behind"', b'"late"'),
+        STATUS.replace(b'"stage":null', b'"stage":{}'),
+        STATUS.replace(b'"behind":0', b'"behind":0,"more":0'),
+        STATUS.replace(b'"settings"', b'"secrets"'),
+        STATUS.replace(b'"stragglers":[]', b'"stragglers":5'),
+    ],
+)
+def test_a_malformed_status_is_an_error(body: bytes) -> None:
+    with pytest.raises(EndpointListError):
+        read_status(body)
+
+
 # ---- drivers
 
 
