--- a/gannetweir/control/follower.py
+++ b/gannetweir/control/follower.py
@@ -11,10 +11,10 @@
 from typing import Protocol
 
 from gannetweir.control.versions import (
-    MOST_CONTENT_BYTES,
-    MOST_ENTRIES,
-    MOST_ENTRY_BYTES,
-    MOST_KEY_BYTES,
+    MAX_CONTENT_BYTES,
+    MAX_ENTRIES,
+    MAX_ENTRY_BYTES,
+    MAX_KEY_BYTES,
     Ack,
     Content,
     Entry,
@@ -30,32 +30,32 @@
 
 # To apply an entry (read it, hash it, tell the engine and the module) takes 25 to 35 µs, to check one less: a
 # step of this many takes under half of the 20 ms for which control may hold the loop.
-ENTRIES_A_STEP = 250
+ENTRIES_PER_STEP = 250
 
 
-class Check(Protocol):
+class VersionCheck(Protocol):
     """The relay's own checks. Each returns what is wrong, or an empty string."""
 
-    def entry(self, resource: Resource, entry: Entry) -> str:
+    def check_entry(self, resource: Resource, entry: Entry) -> str:
         """Can this entry be used?"""
 
-    def whole(
-        self, resource: Resource, held: Mapping[str, bytes], changes: Mapping[str, bytes | None]
+    def check_version(
+        self, resource: Resource, applied: Mapping[str, bytes], changes: Mapping[str, bytes | None]
     ) -> str:
         """May the changes come into force together, on what is held? Must not walk a long list."""
 
 
 @dataclass(frozen=True, slots=True)
-class Apply:
+class ApplyEntries:
     """Bring these entries into force now; they are part of `version`, which is good."""
 
     resource: Resource
     version: Version
     entries: tuple[Entry, ...]
-    last: bool  # of this version
+    completes_version: bool  # of this version
 
 
-Event = Apply | Ack | Nack
+FollowerEvent = ApplyEntries | Ack | Nack
 
 
 @dataclass(slots=True)
@@ -84,34 +84,45 @@
     """One resource at one relay."""
 
     def __init__(
-        self, resource: Resource, check: Check, held: Iterable[Entry] = (), number: int = 0, epoch: int = 0
+        self,
+        resource: Resource,
+        check: VersionCheck,
+        applied: Iterable[Entry] = (),
+        number: int = 0,
+        epoch: int = 0,
     ) -> None:
         """`held` is what the relay was started with, at `number` of an epoch that may be unknown (0)."""
         self.resource, self.check = resource, check
-        self.content = Content(held)
-        self.version = Version(epoch, number, self.content.digest)  # the last good one
+        self.applied = Content(applied)
+        self.applied_version = Version(epoch, number, self.applied.digest)  # the last good one
         self.assembly: _Assembly | None = None
-        self.applying: deque[tuple[str, bytes | None]] | None = None  # what is left of an accepted version
-        self.refused: tuple[Version, RejectedError] | None = None  # for good
-        self.rejected: Version | None = None  # the rest of it may still be under way
+        self.unapplied: deque[tuple[str, bytes | None]] | None = None  # what is left of an accepted version
+        self.permanent_rejection: tuple[Version, RejectedError] | None = None  # for good
+        self.last_rejected: Version | None = None  # the rest of it may still be under way
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Has `step` nothing to do?"""
         assembly = self.assembly
-        return self.applying is None and (assembly is None or not (assembly.waiting or self._whole(assembly)))
+        return self.unapplied is None and (
+            assembly is None or not (assembly.waiting or self._whole(assembly))
+        )
 
-    def receive(self, part: Slice) -> list[Event]:
+    def receive(self, part: Slice) -> list[FollowerEvent]:
         """One slice, in constant time: what it holds is looked at in `step`."""
         try:
-            if part.index and part.target == self.rejected:
+            if part.index and part.target == self.last_rejected:
                 return []
-            self.rejected = None
+            self.last_rejected = None
             check_slice(part)
             if (
-                part.target == self.version
+                part.target == self.applied_version
             ):  # a duplicate: acknowledged once more, unless that is still to come
-                return [Ack(self.resource, self.version)] if part.index == 0 and self.applying is None else []
+                return (
+                    [Ack(self.resource, self.applied_version)]
+                    if part.index == 0 and self.unapplied is None
+                    else []
+                )
             self._check_order(part)
             self._take(part)
         except RejectedError as error:
@@ -123,10 +134,10 @@
         if self.assembly is not None and not self._whole(self.assembly):
             self.assembly = None
 
-    def step(self, budget_entries: int = ENTRIES_A_STEP) -> list[Event]:
+    def step(self, budget_entries: int = ENTRIES_PER_STEP) -> list[FollowerEvent]:
         """Work on so many entries at most."""
-        if self.applying is not None:
-            return self._apply(self.applying, budget_entries)
+        if self.unapplied is not None:
+            return self._apply(self.unapplied, budget_entries)
         assembly = self.assembly
         if assembly is not None:
             try:
@@ -140,9 +151,9 @@
     # ---- receiving
 
     def _check_order(self, part: Slice) -> None:
-        target, held = part.target, self.version
-        if self.refused is not None and self.refused[0] == target:
-            raise self.refused[1]
+        target, held = part.target, self.applied_version
+        if self.permanent_rejection is not None and self.permanent_rejection[0] == target:
+            raise self.permanent_rejection[1]
         if target.epoch < held.epoch:
             raise RejectedError(Reason.OLDER, f"epoch {target.epoch} after {held.epoch}")
         if target.epoch == held.epoch:
@@ -165,8 +176,8 @@
             raise RejectedError(Reason.GAP, f"slice {part.index} after {assembly.received} slices")
         assembly.received += 1
         assembly.waiting.extend(part.entries)
-        if len(assembly.waiting) + len(assembly.changes) > MOST_ENTRIES:
-            raise RejectedError(Reason.TOO_LARGE, f"over {MOST_ENTRIES} entries")
+        if len(assembly.waiting) + len(assembly.changes) > MAX_ENTRIES:
+            raise RejectedError(Reason.TOO_LARGE, f"over {MAX_ENTRIES} entries")
 
     def _begin(self, part: Slice) -> _Assembly:
         if self.assembly is not None:
@@ -177,14 +188,14 @@
                 )
         if part.index:
             raise RejectedError(Reason.GAP, f"begins with slice {part.index}")
-        content = self.content
+        content = self.applied
         delta = part.base is not None
         # Where a version is still being applied, `step` finishes it first and sets these anew.
         self.assembly = _Assembly(
             part,
             content.digest if delta else 0,
             len(content.entries) if delta else 0,
-            content.size if delta else 0,
+            content.size_bytes if delta else 0,
         )
         return self.assembly
 
@@ -192,9 +203,9 @@
         if self.assembly is not None and self.assembly.target == target:
             self.assembly = None
         if error.reason in (Reason.CHECK, Reason.TOO_LARGE):  # it won't be better the next time
-            self.refused = (target, error)
-        self.rejected = target
-        return Nack(self.resource, target, error.reason, error.detail[:200], self.version)
+            self.permanent_rejection = (target, error)
+        self.last_rejected = target
+        return Nack(self.resource, target, error.reason, error.detail[:200], self.applied_version)
 
     # ---- checking
 
@@ -211,21 +222,21 @@
 
     def _check_entry(self, assembly: _Assembly, entry: Entry) -> None:
         key, body = entry.key, entry.body
-        if not key or len(key) > MOST_KEY_BYTES or key in assembly.changes:
+        if not key or len(key) > MAX_KEY_BYTES or key in assembly.changes:
             raise RejectedError(Reason.MALFORMED, f"bad or double key {key[:40]!r}")
         if body is None and assembly.snapshot:
             raise RejectedError(Reason.MALFORMED, f"a snapshot without {key[:40]!r}")
-        if body is not None and len(body) > MOST_ENTRY_BYTES:
+        if body is not None and len(body) > MAX_ENTRY_BYTES:
             raise RejectedError(Reason.TOO_LARGE, f"{key[:40]!r} has {len(body)} bytes")
-        held = self.content.entries.get(key)
-        if held != body and (wrong := self.check.entry(self.resource, entry)):
+        held = self.applied.entries.get(key)
+        if held != body and (wrong := self.check.check_entry(self.resource, entry)):
             raise RejectedError(Reason.CHECK, wrong)
         old = None if assembly.snapshot else held
         assembly.changes[key] = body
         assembly.digest = add_to_digest(assembly.digest, key, old, body)
         assembly.count += (body is not None) - (old is not None)
         assembly.size += _bytes_of(key, body) - _bytes_of(key, old)
-        if assembly.count > MOST_ENTRIES or assembly.size > MOST_CONTENT_BYTES:
+        if assembly.count > MAX_ENTRIES or assembly.size > MAX_CONTENT_BYTES:
             raise RejectedError(Reason.TOO_LARGE, f"{assembly.count} entries, {assembly.size} bytes")
 
     def _find_missing(self, assembly: _Assembly, budget: int) -> bool:
@@ -233,7 +244,7 @@
         if not assembly.snapshot:
             return True
         if assembly.unseen is None:
-            assembly.unseen = deque(self.content.entries)
+            assembly.unseen = deque(self.applied.entries)
         while assembly.unseen and budget > 0:
             budget -= 1
             key = assembly.unseen.popleft()
@@ -244,33 +255,35 @@
     def _accept(self, assembly: _Assembly) -> None:
         if assembly.digest != assembly.target.digest:
             raise RejectedError(Reason.DIGEST, f"version {assembly.target.number} has another content")
-        if wrong := self.check.whole(self.resource, self.content.entries, assembly.changes):
+        if wrong := self.check.check_version(self.resource, self.applied.entries, assembly.changes):
             raise RejectedError(Reason.CHECK, wrong)
-        self.applying = deque(assembly.changes.items())
-        self.version, self.assembly, self.refused = assembly.target, None, None
+        self.unapplied = deque(assembly.changes.items())
+        self.applied_version, self.assembly, self.permanent_rejection = assembly.target, None, None
 
     # ---- into force
 
-    def _apply(self, left: deque[tuple[str, bytes | None]], budget: int) -> list[Event]:
+    def _apply(self, left: deque[tuple[str, bytes | None]], budget: int) -> list[FollowerEvent]:
         entries = list[Entry]()
         for _ in range(min(budget, len(left))):
             key, body = left.popleft()
-            if self.content.entries.get(key) != body:  # a snapshot holds much that is so already
-                self.content.put(key, body)
+            if self.applied.entries.get(key) != body:  # a snapshot holds much that is so already
+                self.applied.put(key, body)
                 entries.append(Entry(key, body))
         last = not left
-        events: list[Event] = [Apply(self.resource, self.version, tuple(entries), last)]
+        events: list[FollowerEvent] = [
+            ApplyEntries(self.resource, self.applied_version, tuple(entries), last)
+        ]
         if last:
-            self.applying = None
-            events.append(Ack(self.resource, self.version))
+            self.unapplied = None
+            events.append(Ack(self.resource, self.applied_version))
             if self.assembly is not None and not self.assembly.snapshot:
                 self._rebase(self.assembly)
         return events
 
     def _rebase(self, assembly: _Assembly) -> None:
         """A delta that began to come in meanwhile starts from what is held now; none of it is checked yet."""
-        assembly.digest, assembly.size = self.content.digest, self.content.size
-        assembly.count = len(self.content.entries)
+        assembly.digest, assembly.size = self.applied.digest, self.applied.size_bytes
+        assembly.count = len(self.applied.entries)
 
 
 def _bytes_of(key: str, body: bytes | None) -> int:
--- a/gannetweir/control/machine.py
+++ b/gannetweir/control/machine.py
@@ -6,19 +6,19 @@
 from dataclasses import dataclass
 
 from gannetweir.control.publisher import Publisher
-from gannetweir.control.report import StandingReport, standing
+from gannetweir.control.report import StatusReport, status_report
 from gannetweir.control.stage import ServiceTotals
 from gannetweir.control.token_bucket import TokenBucket
 from gannetweir.control.versions import NO_VERSION, Ack, Nack, Resource, Slice, Version
 
-KEPT_BUCKETS = 2_000
+MAX_CACHED_BUCKETS = 2_000
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
     """Nothing goes to this relay for so long; None: until something changes."""
 
-    us: int | None
+    duration_us: int | None
 
 
 class ControlMachine:
@@ -29,17 +29,17 @@
         self.publishers = {resource: publishers[resource] for resource in Resource if resource in publishers}
         self.buckets: dict[str, TokenBucket] = {}  # outlive a watch: calling again must not win a new burst
 
-    def connect(self, relay: str, held: Mapping[Resource, Version], now_us: int) -> None:
+    def connect(self, relay: str, applied: Mapping[Resource, Version], now_us: int) -> None:
         """A relay's watch began; it replaces one that is still here. Raises `BehindError`."""
         self.disconnect(relay)
         try:
             for resource, publisher in self.publishers.items():
-                publisher.subscribe(relay, held.get(resource, NO_VERSION))
+                publisher.subscribe(relay, applied.get(resource, NO_VERSION))
         except Exception:
             self.disconnect(relay)
             raise
         bucket = self.buckets.pop(relay, None)
-        while len(self.buckets) >= KEPT_BUCKETS:
+        while len(self.buckets) >= MAX_CACHED_BUCKETS:
             del self.buckets[next(iter(self.buckets))]
         self.buckets[relay] = bucket or TokenBucket(now_us)
 
@@ -58,19 +58,19 @@
                 return part
         return Wait(None)
 
-    def sent(self, relay: str, size_bytes: int) -> None:
+    def record_sent(self, relay: str, size_bytes: int) -> None:
         """So many bytes have gone to the relay."""
         self.buckets[relay].charge(size_bytes)
 
-    def answered(self, relay: str, answer: Ack | Nack, totals: ServiceTotals | None = None) -> None:
+    def record_answer(self, relay: str, answer: Ack | Nack, totals: ServiceTotals | None = None) -> None:
         """A relay's ACK or NACK, and what it has served up to then."""
         if answer.resource in self.publishers:
-            self.publishers[answer.resource].answered(relay, answer, totals)
+            self.publishers[answer.resource].record_answer(relay, answer, totals)
 
-    def overdue(self, relay: str, now_us: int) -> bool:
+    def is_ack_overdue(self, relay: str, now_us: int) -> bool:
         """Should the relay's watch be ended, since it owes an answer?"""
-        return any(publisher.overdue(relay, now_us) for publisher in self.publishers.values())
+        return any(publisher.is_ack_overdue(relay, now_us) for publisher in self.publishers.values())
 
-    def report(self) -> list[StandingReport]:
+    def status_reports(self) -> list[StatusReport]:
         """Where each resource stands at this machine's relays."""
-        return [standing(publisher) for publisher in self.publishers.values()]
+        return [status_report(publisher) for publisher in self.publishers.values()]
--- a/gannetweir/control/publisher.py
+++ b/gannetweir/control/publisher.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from gannetweir.control.stage import ServiceTotals, Stage
-from gannetweir.control.topology import hash_rank
+from gannetweir.control.stage import CanaryStage, ServiceTotals
+from gannetweir.control.topology import rendezvous_order
 from gannetweir.control.version_log import Change, VersionLog
 from gannetweir.control.versions import (
     Ack,
@@ -24,29 +24,29 @@
 # size takes 1.6 s, also where it can't be compressed.
 SLICE_BYTES = 12_000
 ENTRY_FRAME_BYTES = 40  # what an entry takes on the wire beside its body, at most (a removal's own text)
-ACK_US = 6_000_000  # a relay that has not answered for a version by then is asked to call again
-CANARIES = 1  # relays of each control machine that get a staged version first
-KEPT_DELTAS = 64
+ACK_TIMEOUT_US = 6_000_000  # a relay that has not answered for a version by then is asked to call again
+CANARIES_PER_MACHINE = 1  # relays of each control machine that get a staged version first
+MAX_CACHED_DELTAS = 64
 
-_RESEND = {Reason.WRONG_BASE, Reason.GAP, Reason.DIGEST}  # what a snapshot may mend
+_SNAPSHOT_REASONS = {Reason.WRONG_BASE, Reason.GAP, Reason.DIGEST}  # what a snapshot may mend
 
 
-class BehindError(Exception):
+class MachineBehindError(Exception):
     """The relay holds a later version than this machine: another machine has to serve it."""
 
 
 @dataclass(slots=True)
-class Session:
+class RelaySession:
     """One relay's watch."""
 
     relay: str
-    held: Version  # what the relay said that it holds, and after that what it acknowledged
+    applied: Version  # what the relay said that it holds, and after that what it acknowledged
     target: Version | None = None  # of the slices that are going out, or have gone and are not answered
     slices: tuple[Slice, ...] = ()
-    sent: int = 0  # of these slices
-    sent_us: int = 0  # when the last of them went
-    refused: Nack | None = None  # its last answer, if that was a NACK
-    snapshot: bool = False  # a delta did not fit what it holds
+    sent_slices: int = 0  # of these slices
+    last_sent_us: int = 0  # when the last of them went
+    rejection: Nack | None = None  # its last answer, if that was a NACK
+    needs_snapshot: bool = False  # a delta did not fit what it holds
 
 
 class Publisher:
@@ -58,7 +58,7 @@
     def __init__(self, resource: Resource, version: Version, entries: Iterable[Entry]) -> None:
         """Raises `RejectedError` where the entries are not the version's."""
         self.resource = resource
-        self.sessions: dict[str, Session] = {}
+        self.sessions: dict[str, RelaySession] = {}
         self.load(version, entries)
 
     def load(self, version: Version, entries: Iterable[Entry]) -> None:
@@ -67,12 +67,12 @@
         if content.digest != version.digest:
             raise RejectedError(Reason.DIGEST, f"the content of version {version.number}")
         self.content, self.released = content, version  # the content is the released version's
-        self.staged: dict[str, bytes | None] = {}  # and this leads from it to the newest
+        self.staged_changes: dict[str, bytes | None] = {}  # and this leads from it to the newest
         self.log = VersionLog(version)
-        self.cut: dict[tuple[int | None, int], tuple[Slice, ...]] = {}
-        self.stage: Stage | None = None  # of the newest version, while it is not released
+        self.cached_slices: dict[tuple[int | None, int], tuple[Slice, ...]] = {}
+        self.stage: CanaryStage | None = None  # of the newest version, while it is not released
         for session in self.sessions.values():
-            session.target, session.slices, session.refused = None, (), None
+            session.target, session.slices, session.rejection = None, (), None
 
     @property
     def newest(self) -> Version:
@@ -87,64 +87,68 @@
         version = change.version
         if version.epoch != self.newest.epoch or version.number <= self.newest.number:
             raise RejectedError(Reason.OLDER, f"version {version.number} after {self.newest.number}")
-        merged = {**self.staged, **change.entries}
+        merged = {**self.staged_changes, **change.entries}
         if self.content.digest_after(merged) != version.digest:
             raise RejectedError(Reason.DIGEST, f"the content of version {version.number}")
         self.log.add(change)
-        self.staged = merged
+        self.staged_changes = merged
         if staged:
-            self.stage = Stage(version)
+            self.stage = CanaryStage(version)
             self._choose_canaries(self.stage)
         else:
             self.release(version.number)
 
     def release(self, number: int) -> None:
         """All relays may have the versions up to this one. Raises `RejectedError` as `publish` does."""
-        if not self.released.number < number <= self.newest.number or number not in self.log.digests:
+        if not self.released.number < number <= self.newest.number or number not in self.log.digest_by_number:
             return
-        for key, body in self.log.between(self.released.number, number).items():
+        for key, body in self.log.changes_between(self.released.number, number).items():
             self.content.put(key, body)
-        self.released = Version(self.newest.epoch, number, self.log.digests[number])
+        self.released = Version(self.newest.epoch, number, self.log.digest_by_number[number])
         if self.content.digest != self.released.digest:
             raise RejectedError(Reason.DIGEST, f"the content of version {number}")
-        self.staged = self.log.between(number, self.newest.number)
+        self.staged_changes = self.log.changes_between(number, self.newest.number)
         if self.newest == self.released:
             self.stage = None
 
-    def _choose_canaries(self, stage: Stage) -> None:
+    def _choose_canaries(self, stage: CanaryStage) -> None:
         """Others for each staged version, so that no relay is always the first to suffer."""
-        stage.choose(hash_rank(f"{stage.version.epoch}/{stage.version.number}", self.sessions)[:CANARIES])
+        stage.choose_canaries(
+            rendezvous_order(f"{stage.version.epoch}/{stage.version.number}", self.sessions)[
+                :CANARIES_PER_MACHINE
+            ]
+        )
 
-    def lacks(self, held: Version) -> bool:
+    def is_compacted(self, applied: Version) -> bool:
         """Is this an earlier version of the epoch that the log does not reach back to?"""
-        return held.epoch == self.newest.epoch and 0 < held.number < self.log.oldest.number
+        return applied.epoch == self.newest.epoch and 0 < applied.number < self.log.oldest.number
 
-    def reach_back(self, held: Version, changes: Iterable[Change]) -> None:
+    def extend_log_back(self, base: Version, changes: Iterable[Change]) -> None:
         """The store's changes after an earlier version: a relay that holds it then gets a delta, where this
         machine started after it. Changes that do not lead to the log's oldest version are left out.
         """
-        self.log.prepend(held, changes)
+        self.log.extend_back(base, changes)
 
     # ---- relays
 
-    def subscribe(self, relay: str, held: Version) -> None:
+    def subscribe(self, relay: str, applied: Version) -> None:
         """A relay's watch began. Raises `BehindError`."""
         newest = self.newest
-        if (held.epoch, held.number) > (newest.epoch, newest.number):
-            raise BehindError(
-                f"{relay} holds {held.epoch}/{held.number}, here {newest.epoch}/{newest.number}"
+        if (applied.epoch, applied.number) > (newest.epoch, newest.number):
+            raise MachineBehindError(
+                f"{relay} holds {applied.epoch}/{applied.number}, here {newest.epoch}/{newest.number}"
             )
-        self.sessions[relay] = Session(relay, held)
+        self.sessions[relay] = RelaySession(relay, applied)
         if self.stage is not None:
             self._choose_canaries(self.stage)
 
     def unsubscribe(self, relay: str) -> None:
         """Its watch ended."""
         if self.sessions.pop(relay, None) is not None and self.stage is not None:
-            self.stage.left(relay)
+            self.stage.relay_disconnected(relay)
             self._choose_canaries(self.stage)
 
-    def goal(self, relay: str) -> Version:
+    def target_for(self, relay: str) -> Version:
         """The version that this relay is to reach now."""
         return self.newest if self.stage is not None and relay in self.stage.canaries else self.released
 
@@ -153,64 +157,64 @@
         session = self.sessions[relay]
         if session.target is None and not self._begin(session):
             return None
-        if session.sent == len(session.slices):
+        if session.sent_slices == len(session.slices):
             return None
-        session.sent += 1
-        session.sent_us = now_us
-        return session.slices[session.sent - 1]
+        session.sent_slices += 1
+        session.last_sent_us = now_us
+        return session.slices[session.sent_slices - 1]
 
-    def _begin(self, session: Session) -> bool:
-        goal, held = self.goal(session.relay), session.held
-        refused = session.refused is not None and session.refused.version == goal
+    def _begin(self, session: RelaySession) -> bool:
+        target, applied = self.target_for(session.relay), session.applied
+        rejected = session.rejection is not None and session.rejection.version == target
         # one that was canary of a version since withdrawn waits for the version that follows
-        ahead = held.epoch == goal.epoch and held.number > goal.number
-        if held == goal or ahead or (refused and not session.snapshot):
+        ahead = applied.epoch == target.epoch and applied.number > target.number
+        if applied == target or ahead or (rejected and not session.needs_snapshot):
             return False
-        base = held.number if not session.snapshot and self.log.holds(held) else None
+        base = applied.number if not session.needs_snapshot and self.log.contains(applied) else None
         if base is None:
-            goal = self.released  # the content that is here; a staged version follows as a delta
-        session.target, session.slices = goal, self._slices(base, goal)
-        session.sent, session.snapshot = 0, False
+            target = self.released  # the content that is here; a staged version follows as a delta
+        session.target, session.slices = target, self._slices(base, target)
+        session.sent_slices, session.needs_snapshot = 0, False
         return True
 
-    def _slices(self, base: int | None, goal: Version) -> tuple[Slice, ...]:
+    def _slices(self, base: int | None, target: Version) -> tuple[Slice, ...]:
         """Cut once for all relays that stand on the same version."""
-        key = (base, goal.number)
-        if key not in self.cut:
-            while len(self.cut) >= KEPT_DELTAS:
-                del self.cut[next(iter(self.cut))]
-            changes = self.content.entries if base is None else self.log.between(base, goal.number)
+        key = (base, target.number)
+        if key not in self.cached_slices:
+            while len(self.cached_slices) >= MAX_CACHED_DELTAS:
+                del self.cached_slices[next(iter(self.cached_slices))]
+            changes = self.content.entries if base is None else self.log.changes_between(base, target.number)
             entries = [Entry(name, body) for name, body in changes.items()]
             parts = list(_parts(entries)) or [()]
             count = len(parts)
-            self.cut[key] = tuple(
-                Slice(self.resource, goal, base, index, count, part) for index, part in enumerate(parts)
+            self.cached_slices[key] = tuple(
+                Slice(self.resource, target, base, index, count, part) for index, part in enumerate(parts)
             )
-        return self.cut[key]
+        return self.cached_slices[key]
 
-    def answered(self, relay: str, answer: Ack | Nack, totals: ServiceTotals | None = None) -> None:
+    def record_answer(self, relay: str, answer: Ack | Nack, totals: ServiceTotals | None = None) -> None:
         """A relay's ACK or NACK. One for another version than the last that went out changes nothing."""
         if self.stage is not None:
-            self.stage.answered(relay, answer, totals)
+            self.stage.record_answer(relay, answer, totals)
         session = self.sessions.get(relay)
         if session is None or answer.version != session.target:
             return
         if isinstance(answer, Ack):
-            session.held, session.refused = answer.version, None
+            session.applied, session.rejection = answer.version, None
         else:
-            again = session.refused is not None and session.refused.version == answer.version
-            session.held, session.refused = answer.held, answer
+            again = session.rejection is not None and session.rejection.version == answer.version
+            session.applied, session.rejection = answer.applied, answer
             # once: a relay that turns the snapshot down as well waits for the next version
-            session.snapshot = answer.reason in _RESEND and not again
+            session.needs_snapshot = answer.reason in _SNAPSHOT_REASONS and not again
         session.target, session.slices = None, ()
 
-    def overdue(self, relay: str, now_us: int) -> bool:
+    def is_ack_overdue(self, relay: str, now_us: int) -> bool:
         """Has the relay had all of a version for too long without an answer?"""
         session = self.sessions[relay]
-        if session.target is None or session.sent < len(session.slices):
+        if session.target is None or session.sent_slices < len(session.slices):
             return False
-        session.sent_us = min(session.sent_us, now_us)  # a clock that was set back
-        return now_us - session.sent_us > ACK_US
+        session.last_sent_us = min(session.last_sent_us, now_us)  # a clock that was set back
+        return now_us - session.last_sent_us > ACK_TIMEOUT_US
 
 
 def _parts(entries: Iterable[Entry]) -> Iterator[tuple[Entry, ...]]:
--- a/gannetweir/control/report.py
+++ b/gannetweir/control/report.py
@@ -12,11 +12,11 @@
 from gannetweir.control.stage import StageReport
 from gannetweir.control.versions import Resource
 
-MOST_NAMED = 20  # stragglers and refusals that are named; all are counted
+MAX_NAMED = 20  # stragglers and refusals that are named; all are counted
 
 
 @dataclass(frozen=True, slots=True)
-class StandingReport:
+class StatusReport:
     """One resource at one machine, or at all of them together."""
 
     resource: Resource
@@ -26,23 +26,25 @@
     relays: int
     at_newest: int
     behind: int  # relays on less than the released version
-    refusing: int  # relays whose last answer was a NACK
+    rejecting: int  # relays whose last answer was a NACK
     stragglers: tuple[str, ...]  # by name, the furthest behind first
-    refusals: tuple[str, ...]  # relay, reason and detail
+    rejections: tuple[str, ...]  # relay, reason and detail
     stage: StageReport | None = None  # of one machine, while its newest version is not released
 
 
-def standing(publisher: Publisher) -> StandingReport:
+def status_report(publisher: Publisher) -> StatusReport:
     """A machine's own."""
     sessions = list(publisher.sessions.values())
     newest, released = publisher.newest, publisher.released
     epoch = newest.epoch
     # a number of another epoch says nothing here: such a relay has no version of this one yet
-    numbers = {s.relay: s.held.number if s.held.epoch == epoch else 0 for s in sessions}
+    numbers = {s.relay: s.applied.number if s.applied.epoch == epoch else 0 for s in sessions}
     late = sorted((n, relay) for relay, n in numbers.items() if n < released.number)
-    refusals = [s.refused for s in sessions if s.refused is not None]
-    named = [f"{s.relay}: {s.refused.reason}: {s.refused.detail}" for s in sessions if s.refused is not None]
-    return StandingReport(
+    refusals = [s.rejection for s in sessions if s.rejection is not None]
+    named = [
+        f"{s.relay}: {s.rejection.reason}: {s.rejection.detail}" for s in sessions if s.rejection is not None
+    ]
+    return StatusReport(
         publisher.resource,
         newest.number,
         released.number,
@@ -51,19 +53,19 @@
         sum(n == newest.number for n in numbers.values()),
         len(late),
         len(refusals),
-        tuple(relay for _, relay in late[:MOST_NAMED]),
-        tuple(named[:MOST_NAMED]),
+        tuple(relay for _, relay in late[:MAX_NAMED]),
+        tuple(named[:MAX_NAMED]),
         publisher.stage.report() if publisher.stage is not None else None,
     )
 
 
-def together(reports: Iterable[StandingReport]) -> StandingReport:
+def merge_reports(reports: Iterable[StatusReport]) -> StatusReport:
     """Of several machines. Raises `ValueError` without a report, or with reports of two resources."""
     given = list(reports)
     if len({report.resource for report in given}) != 1:
         raise ValueError("reports of one resource are wanted")
     newest = max(report.newest for report in given)
-    return StandingReport(
+    return StatusReport(
         given[0].resource,
         newest,
         max(report.released for report in given),
@@ -71,7 +73,7 @@
         sum(report.relays for report in given),
         sum(report.at_newest for report in given if report.newest == newest),
         sum(report.behind for report in given),
-        sum(report.refusing for report in given),
-        tuple(name for report in given for name in report.stragglers)[:MOST_NAMED],
-        tuple(text for report in given for text in report.refusals)[:MOST_NAMED],
+        sum(report.rejecting for report in given),
+        tuple(name for report in given for name in report.stragglers)[:MAX_NAMED],
+        tuple(text for report in given for text in report.rejections)[:MAX_NAMED],
     )
--- a/gannetweir/control/rollout.py
+++ b/gannetweir/control/rollout.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from gannetweir.control.report import StandingReport
+from gannetweir.control.report import StatusReport
 from gannetweir.control.stage import StageReport
 from gannetweir.control.versions import Resource, Version
 
 # Of the 12 s in which a change has to be in force everywhere.
-OBSERVE_US = 3_000_000  # from the last canary's ACK
-MOST_US = 6_000_000  # from the begin: a stage that is not through by then is held
+OBSERVATION_US = 3_000_000  # from the last canary's ACK
+MAX_STAGE_US = 6_000_000  # from the begin: a stage that is not through by then is held
 
 
 class Verdict(StrEnum):
@@ -23,7 +23,7 @@
 
     WAIT = "wait"
     RELEASE = "release"
-    HOLD = "hold"
+    HALT = "hold"
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,40 +41,42 @@
 
     def __init__(self, version: Version, now_us: int) -> None:
         self.version = version
-        self.elapsed_us, self.at_us = 0, now_us
+        self.elapsed_us, self.updated_us = 0, now_us
         self.all_in_force_us: int | None = None  # in terms of `elapsed_us`
-        self.reason = ""
+        self.halt_reason = ""
 
     def decide(self, reports: Iterable[StageReport], now_us: int) -> Verdict:
         """Asked again and again, with every machine's report on this version."""
-        self.elapsed_us += max(0, now_us - self.at_us)  # a clock that was set back counts as no time passed
-        self.at_us = now_us
+        self.elapsed_us += max(
+            0, now_us - self.updated_us
+        )  # a clock that was set back counts as no time passed
+        self.updated_us = now_us
         given = list(reports)
-        against = [text for report in given for text in report.against]
-        waiting = [relay for report in given for relay in report.waiting]
-        in_force = any(report.in_force for report in given) and not waiting
-        if against and not self.reason:
-            self.reason = "; ".join(against[:3])
-        if self.reason:
-            return Verdict.HOLD
+        objections = [text for report in given for text in report.objections]
+        pending = [relay for report in given for relay in report.pending]
+        in_force = any(report.in_force for report in given) and not pending
+        if objections and not self.halt_reason:
+            self.halt_reason = "; ".join(objections[:3])
+        if self.halt_reason:
+            return Verdict.HALT
         if not in_force:
             self.all_in_force_us = None
-            if self.elapsed_us < MOST_US:
+            if self.elapsed_us < MAX_STAGE_US:
                 return Verdict.WAIT
-            self.reason = f"not in force at {', '.join(waiting[:5]) or 'any relay'} within the stage"
-            return Verdict.HOLD
+            self.halt_reason = f"not in force at {', '.join(pending[:5]) or 'any relay'} within the stage"
+            return Verdict.HALT
         if self.all_in_force_us is None:
             self.all_in_force_us = self.elapsed_us
-        return Verdict.RELEASE if self.elapsed_us - self.all_in_force_us >= OBSERVE_US else Verdict.WAIT
+        return Verdict.RELEASE if self.elapsed_us - self.all_in_force_us >= OBSERVATION_US else Verdict.WAIT
 
 
-class Coordinator:
+class RolloutCoordinator:
     """Decides on every resource."""
 
     def __init__(self) -> None:
         self.rollouts: dict[Resource, Rollout] = {}
 
-    def decide(self, reports: Mapping[str, Sequence[StandingReport]], now_us: int) -> list[Decision]:
+    def decide(self, reports: Mapping[str, Sequence[StatusReport]], now_us: int) -> list[Decision]:
         """What follows from the machines' last reports; nothing for a resource without a staged version."""
         found = []
         for resource in Resource:
@@ -92,5 +94,5 @@
             if rollout is None or rollout.version != version:
                 rollout = self.rollouts[resource] = Rollout(version, now_us)
             verdict = rollout.decide([s for s in stages if s.version == version], now_us)
-            found.append(Decision(resource, version.number, verdict, rollout.reason))
+            found.append(Decision(resource, version.number, verdict, rollout.halt_reason))
         return found
--- a/gannetweir/control/token_bucket.py
+++ b/gannetweir/control/token_bucket.py
@@ -15,17 +15,21 @@
     """
 
     def __init__(self, now_us: int, rate_bytes_s: int = RATE_BYTES_S, burst_bytes: int = BURST_BYTES) -> None:
-        self.rate, self.burst = rate_bytes_s, burst_bytes
-        self.tokens, self.at_us = float(burst_bytes), now_us
+        self.rate_bytes_s, self.burst_bytes = rate_bytes_s, burst_bytes
+        self.available_bytes, self.refilled_us = float(burst_bytes), now_us
 
     def wait_us(self, now_us: int) -> int:
         """How long until a message may go; 0: now."""
         # a clock that was set back counts as no time passed: it must neither stall the bucket nor fill it
-        passed = max(0, now_us - self.at_us)
-        self.at_us = now_us
-        self.tokens = min(float(self.burst), self.tokens + passed * self.rate / 1e6)
-        return 0 if self.tokens >= 1 else int((1 - self.tokens) * 1e6 / self.rate) + 1
+        elapsed_us = max(0, now_us - self.refilled_us)
+        self.refilled_us = now_us
+        self.available_bytes = min(
+            float(self.burst_bytes), self.available_bytes + elapsed_us * self.rate_bytes_s / 1e6
+        )
+        return (
+            0 if self.available_bytes >= 1 else int((1 - self.available_bytes) * 1e6 / self.rate_bytes_s) + 1
+        )
 
     def charge(self, size_bytes: int) -> None:
         """A message has gone."""
-        self.tokens -= size_bytes
+        self.available_bytes -= size_bytes
--- a/gannetweir/control/versions.py
+++ b/gannetweir/control/versions.py
@@ -9,13 +9,13 @@
 
 DIGEST_BYTES = 16
 _DIGEST_RANGE = 1 << (8 * DIGEST_BYTES)
-MOST_KEY_BYTES = 200
-MOST_ENTRY_BYTES = 8_192  # so that an entry is far from filling a slice by itself
-MOST_ENTRIES = 40_000
-MOST_CONTENT_BYTES = 8_000_000
-MOST_SLICE_ENTRIES = 1_000
-MOST_SLICES = 4_000
-MOST_NUMBER = (1 << 53) - 1  # what every JSON reader holds exactly
+MAX_KEY_BYTES = 200
+MAX_ENTRY_BYTES = 8_192  # so that an entry is far from filling a slice by itself
+MAX_ENTRIES = 40_000
+MAX_CONTENT_BYTES = 8_000_000
+MAX_SLICE_ENTRIES = 1_000
+MAX_SLICES = 4_000
+MAX_NUMBER = (1 << 53) - 1  # what every JSON reader holds exactly
 
 
 class Resource(StrEnum):
@@ -96,7 +96,7 @@
     version: Version
     reason: Reason
     detail: str
-    held: Version
+    applied: Version
 
 
 def entry_digest(key: str, body: bytes) -> int:
@@ -122,7 +122,7 @@
 
     def __init__(self, entries: Iterable[Entry] = ()) -> None:
         self.entries: dict[str, bytes] = {}
-        self.digest = self.size = 0
+        self.digest = self.size_bytes = 0
         for entry in entries:
             self.put(entry.key, entry.body)
 
@@ -131,10 +131,10 @@
         old = self.entries.pop(key, None)
         self.digest = add_to_digest(self.digest, key, old, body)
         if old is not None:
-            self.size -= len(key) + len(old)
+            self.size_bytes -= len(key) + len(old)
         if body is not None:
             self.entries[key] = body
-            self.size += len(key) + len(body)
+            self.size_bytes += len(key) + len(body)
 
     def digest_after(self, changes: Mapping[str, bytes | None]) -> int:
         """The digest that the changes would lead to."""
@@ -151,11 +151,11 @@
     """
     target = part.target
     numbers = (target.epoch, target.number, part.base or 0, part.index, part.count)
-    if not all(0 <= number <= MOST_NUMBER for number in numbers):
+    if not all(0 <= number <= MAX_NUMBER for number in numbers):
         raise RejectedError(Reason.MALFORMED, "a number out of range")
     if not 0 <= target.digest < _DIGEST_RANGE or target.epoch == 0:
         raise RejectedError(Reason.MALFORMED, "no digest or epoch")
-    if part.count > MOST_SLICES or len(part.entries) > MOST_SLICE_ENTRIES:
+    if part.count > MAX_SLICES or len(part.entries) > MAX_SLICE_ENTRIES:
         raise RejectedError(Reason.TOO_LARGE, f"{part.count} slices, {len(part.entries)} entries in one")
     if part.index >= part.count:
         raise RejectedError(Reason.MALFORMED, f"slice {part.index} of {part.count}")
--- a/gannetweir/lab/scale/control_costs.py
+++ b/gannetweir/lab/scale/control_costs.py
@@ -19,7 +19,7 @@
 
 import orjson
 
-from gannetweir.control.follower import Apply, Follower
+from gannetweir.control.follower import ApplyEntries, Follower
 from gannetweir.control.publisher import Publisher
 from gannetweir.control.token_bucket import BURST_BYTES, RATE_BYTES_S
 from gannetweir.control.version_log import Change
@@ -112,7 +112,7 @@
 
     def step() -> None:
         for event in follower.step():
-            if isinstance(event, Apply):
+            if isinstance(event, ApplyEntries):
                 hosts = [orjson.loads(entry.body or b"null") for entry in event.entries]
                 news = read_membership(
                     {"seq": event.version.number, "whole": False, "hosts": hosts}, SETTINGS
@@ -122,10 +122,10 @@
     for line in lines:
         part = turns.run(lambda line=line: read_slice(orjson.loads(line)))  # type: ignore[misc]
         follower.receive(part)
-        while not follower.idle:
+        while not follower.is_idle:
             turns.run(step)
     turns.close()
-    count = len(follower.content.entries)
+    count = len(follower.applied.entries)
     return {
         "turns": len(turns.turns),
         "us_an_entry": round(sum(turns.turns) / count * 1e6, 1),
--- a/gannetweir/lab/scale/control_relay.py
+++ b/gannetweir/lab/scale/control_relay.py
@@ -50,7 +50,7 @@
         self.membership = Follower(
             Resource.MEMBERSHIP, check, held, known.version if known is not None else 0
         )
-        self.in_force = self.membership.version.number
+        self.in_force = self.membership.applied_version.number
         followers = {
             Resource.MEMBERSHIP: self.membership,
             Resource.SETTINGS: Follower(Resource.SETTINGS, check),
@@ -80,6 +80,6 @@
         from gannetweir.lab.scale.hollow_relay import KnownList
 
         follower = self.membership
-        if follower.applying is not None or not follower.version.number:  # half of a version is none
+        if follower.unapplied is not None or not follower.applied_version.number:  # half of a version is none
             return None
-        return KnownList(follower.version.number, dict(follower.content.entries))
+        return KnownList(follower.applied_version.number, dict(follower.applied.entries))
--- a/gannetweir/lab/scale/store.py
+++ b/gannetweir/lab/scale/store.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from gannetweir.control.report import StandingReport
+from gannetweir.control.report import StatusReport
 from gannetweir.control.store import StoreSnapshot
 from gannetweir.control.version_log import Change, VersionLog
 from gannetweir.control.versions import Content, Entry, Resource, Version
@@ -19,7 +19,7 @@
 
     def __init__(self, epoch: int = 1, staged: frozenset[Resource] = frozenset()) -> None:
         self.held: dict[Resource, tuple[int, str]] = {}
-        self.kept: dict[str, tuple[float, Sequence[StandingReport]]] = {}
+        self.kept: dict[str, tuple[float, Sequence[StatusReport]]] = {}
         self.lease = ("", 0.0)  # who leads, and until when
         self.staged = staged  # resources whose versions wait for `release`
         self.event: anyio.Event | None = None
@@ -61,7 +61,7 @@
         """The store is lost and comes back from a copy of that version's membership: another epoch, one more
         version, so that nothing of what was lost is taken for this.
         """
-        old = self.logs[Resource.MEMBERSHIP].between(0, number)
+        old = self.logs[Resource.MEMBERSHIP].changes_between(0, number)
         self._begin(self.epoch + 1)
         return self.put(Resource.MEMBERSHIP, old)
 
@@ -85,43 +85,43 @@
 
     def _replayed(self, resource: Resource, number: int) -> StoreSnapshot:
         content, log = Content(), self.logs[resource]
-        for key, body in log.between(0, number).items():
+        for key, body in log.changes_between(0, number).items():
             content.put(key, body)
         return StoreSnapshot(
             Version(self.epoch, number, content.digest),
             tuple(Entry(key, body) for key, body in content.entries.items()),
         )
 
-    def since(self, resource: Resource, version: Version) -> Iterable[Change] | None:
+    def changes_since(self, resource: Resource, version: Version) -> Iterable[Change] | None:
         """See `Store`."""
         self._reachable()
         log = self.logs[resource]
-        if version.epoch != self.epoch or not log.holds(version):
+        if version.epoch != self.epoch or not log.contains(version):
             return None
         return [change for change in log.changes if change.version.number > version.number]
 
-    def released(self, resource: Resource) -> int:
+    def released_number(self, resource: Resource) -> int:
         """See `Store`."""
         self._reachable()
         return self.numbers[resource]
 
-    def hold(self, resource: Resource, number: int, reason: str) -> None:
+    def halt(self, resource: Resource, number: int, reason: str) -> None:
         """See `Store`."""
         self._reachable()
         self.held[resource] = (number, reason)
 
-    def report(self, machine: str, reports: Sequence[StandingReport]) -> None:
+    def put_reports(self, machine: str, reports: Sequence[StatusReport]) -> None:
         """See `Store`."""
         self._reachable()
         self.kept[machine] = (anyio.current_time() + LEASE_S, reports)
 
-    def reports(self) -> Mapping[str, Sequence[StandingReport]]:
+    def reports(self) -> Mapping[str, Sequence[StatusReport]]:
         """See `Store`."""
         self._reachable()
         now = anyio.current_time()
         return {machine: reports for machine, (until, reports) in self.kept.items() if until > now}
 
-    def leads(self, machine: str) -> bool:
+    def acquire_lease(self, machine: str) -> bool:
         """See `Store`."""
         self._reachable()
         now, (leader, until) = anyio.current_time(), self.lease
@@ -130,7 +130,7 @@
         self.lease = (machine, now + LEASE_S)
         return True
 
-    async def changed(self) -> None:
+    async def wait_for_change(self) -> None:
         """See `Store`."""
         if self.event is None:
             self.event = anyio.Event()
--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -22,7 +22,7 @@
     def __init__(self, settings: Callable[[], Settings]) -> None:
         self.settings = settings
 
-    def entry(self, resource: Resource, entry: Entry) -> str:
+    def check_entry(self, resource: Resource, entry: Entry) -> str:
         """Can this entry be used?"""
         if entry.body is None or resource is Resource.SETTINGS:
             return ""  # settings are read together
@@ -39,15 +39,15 @@
             else f"{entry.key!r} names {member.entry.endpoint_id!r}"
         )
 
-    def whole(
-        self, resource: Resource, held: Mapping[str, bytes], changes: Mapping[str, bytes | None]
+    def check_version(
+        self, resource: Resource, applied: Mapping[str, bytes], changes: Mapping[str, bytes | None]
     ) -> str:
         """Would a relay start with these settings, and end in good order?"""
         if resource is Resource.MEMBERSHIP:
             return ""
-        merged = {**held, **changes}
+        merged = {**applied, **changes}
         data = {key: orjson.loads(body) for key, body in merged.items() if body is not None}
-        lost = key_paths({key: orjson.loads(body) for key, body in held.items()}) - key_paths(data)
+        lost = key_paths({key: orjson.loads(body) for key, body in applied.items()}) - key_paths(data)
         if lost:  # it would silently become a default
             return f"missing: {', '.join(sorted(key[1:] for key in lost)[:5])}"
         try:
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -11,8 +11,8 @@
 
 from gannetweir.config import SocketAddress
 from gannetweir.control.machine import ControlMachine, Wait
-from gannetweir.control.publisher import ACK_US, BehindError, Publisher
-from gannetweir.control.rollout import Coordinator, Verdict
+from gannetweir.control.publisher import ACK_TIMEOUT_US, MachineBehindError, Publisher
+from gannetweir.control.rollout import RolloutCoordinator, Verdict
 from gannetweir.control.store import Store
 from gannetweir.control.versions import RejectedError, Resource, Slice, Version
 from gannetweir.limits import Limits
@@ -54,7 +54,7 @@
         self.name, self.store, self.limits = name, store, limits
         self.listener = open_listening_socket(at, limits)
         self.machine: ControlMachine | None = None
-        self.coordinator = Coordinator()
+        self.coordinator = RolloutCoordinator()
         self.watches: dict[str, tuple[Transport, anyio.Event]] = {}
         self.connections: set[Transport] = set()
         self.bytes_written = 0
@@ -90,7 +90,7 @@
             try:
                 self._look()
                 with anyio.move_on_after(STORE_LOOK_S):
-                    await self.store.changed()
+                    await self.store.wait_for_change()
             except (OSError, RejectedError) as error:  # the relays go on with what they have
                 self.last_error = str(error)
                 await anyio.sleep(STORE_AGAIN_S)
@@ -108,8 +108,8 @@
             event.set()
 
     def _look_at(self, publisher: Publisher) -> None:
-        changes = self.store.since(publisher.resource, publisher.newest)
-        released = self.store.released(publisher.resource)
+        changes = self.store.changes_since(publisher.resource, publisher.newest)
+        released = self.store.released_number(publisher.resource)
         try:
             for change in changes or ():
                 publisher.publish(change, staged=change.version.number > released)
@@ -127,8 +127,8 @@
             if self.machine is None:
                 continue
             try:
-                self.store.report(self.name, self.machine.report())
-                if self.store.leads(self.name):
+                self.store.put_reports(self.name, self.machine.status_reports())
+                if self.store.acquire_lease(self.name):
                     self._decide()
             except OSError as error:
                 self.last_error = str(error)
@@ -137,8 +137,8 @@
         for decision in self.coordinator.decide(self.store.reports(), _now_us()):
             if decision.verdict is Verdict.RELEASE:
                 self.store.release(decision.resource, decision.number)
-            elif decision.verdict is Verdict.HOLD:
-                self.store.hold(decision.resource, decision.number, decision.reason)
+            elif decision.verdict is Verdict.HALT:
+                self.store.halt(decision.resource, decision.number, decision.reason)
 
     # ---- the relays
 
@@ -183,8 +183,8 @@
         if self.machine is None:
             return response(503, b"the store has not been read")
         if not isinstance(call, AnswerCall):
-            return response(200, status_body(self.name, self.machine.report()))
-        self.machine.answered(call.relay, call.answer, call.totals)
+            return response(200, status_body(self.name, self.machine.status_reports()))
+        self.machine.record_answer(call.relay, call.answer, call.totals)
         if call.relay in self.watches:
             self.watches[call.relay][1].set()  # what waited for this goes now
         return response(204)
@@ -193,12 +193,12 @@
         relay = call.relay
         try:
             if self.machine is None:
-                raise BehindError("the store has not been read")
+                raise MachineBehindError("the store has not been read")
             if relay in self.watches:  # the relay has given that one up
                 self.watches[relay][0].close()
             self._reach_back(self.machine, call.held)
             self.machine.connect(relay, call.held, _now_us())
-        except BehindError as error:
+        except MachineBehindError as error:
             await self._reply(endpoint, response(503, str(error).encode()))
             return
         self.watches[relay] = (endpoint, anyio.Event())
@@ -220,10 +220,10 @@
         """
         for resource, publisher in machine.publishers.items():
             version = held.get(resource)
-            if version is None or not publisher.lacks(version):
+            if version is None or not publisher.is_compacted(version):
                 continue
             with suppress(OSError):  # then the relay gets the whole content
-                publisher.reach_back(version, self.store.since(resource, version) or ())
+                publisher.extend_log_back(version, self.store.changes_since(resource, version) or ())
 
     def _current(self, relay: str, endpoint: Transport) -> bool:
         return relay in self.watches and self.watches[relay][0] is endpoint
@@ -246,16 +246,16 @@
     ) -> None:
         beat_due = anyio.current_time() + HEARTBEAT_S
         while not endpoint.closed and self._current(relay, endpoint):
-            if machine.overdue(relay, _now_us()):
+            if machine.is_ack_overdue(relay, _now_us()):
                 return
             event = anyio.Event()
             self.watches[relay] = (endpoint, event)
             found = machine.poll(relay, _now_us())
             if isinstance(found, Slice):
                 line = chunk(write(found))
-                machine.sent(relay, len(line))
+                machine.record_sent(relay, len(line))
                 self._write(endpoint, line)
-                with anyio.move_on_after(ACK_US / 1e6) as stalled:
+                with anyio.move_on_after(ACK_TIMEOUT_US / 1e6) as stalled:
                     await endpoint.wait_drained()
                 if stalled.cancelled_caught:  # it reads no more
                     return
@@ -269,7 +269,7 @@
     @staticmethod
     async def _pause(wait: Wait, beat_due: float, event: anyio.Event) -> None:
         now = anyio.current_time()
-        until = beat_due if wait.us is None else min(beat_due, now + wait.us / 1e6)
+        until = beat_due if wait.duration_us is None else min(beat_due, now + wait.duration_us / 1e6)
         with anyio.move_on_after(max(0.0, until - now)):
             await event.wait()
 
--- a/gannetweir/net/control_status.py
+++ b/gannetweir/net/control_status.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator
 
 from gannetweir.config import SocketAddress
-from gannetweir.control.report import StandingReport, together
+from gannetweir.control.report import StatusReport, merge_reports
 from gannetweir.control.versions import Resource
 from gannetweir.proto.control_calls import STATUS_TARGET, read_status
 from gannetweir.proto.endpoint_watch import EndpointListError
@@ -15,7 +15,7 @@
 MOST_STATUS_BYTES = 1 << 20
 
 
-def ask(at: SocketAddress) -> tuple[str, list[StandingReport]]:
+def ask(at: SocketAddress) -> tuple[str, list[StatusReport]]:
     """A machine's name and reports. Raises `OSError` or `PoolError`."""
     caller = http.client.HTTPConnection(at.host, at.port, timeout=ASK_S)
     try:
@@ -33,7 +33,7 @@
 
 def status(machines: Iterable[SocketAddress]) -> tuple[list[str], bool]:
     """The lines to print, and whether every released version is in force everywhere that could be asked."""
-    lines, found, fine = list[str](), list[tuple[str, list[StandingReport]]](), True
+    lines, found, fine = list[str](), list[tuple[str, list[StatusReport]]](), True
     for at in machines:
         try:
             found.append(ask(at))
@@ -44,13 +44,13 @@
     for resource in Resource:
         reports = {name: r for name, given in found for r in given if r.resource == resource}
         if reports:
-            fine = fine and not any(r.behind or r.refusing for r in reports.values())
+            fine = fine and not any(r.behind or r.rejecting for r in reports.values())
             lines += _lines(resource, reports)
     return lines, fine
 
 
-def _lines(resource: Resource, reports: dict[str, StandingReport]) -> Iterator[str]:
-    everywhere = together(reports.values())
+def _lines(resource: Resource, reports: dict[str, StatusReport]) -> Iterator[str]:
+    everywhere = merge_reports(reports.values())
     yield f"{resource}: version {everywhere.newest}, released {everywhere.released}"
     yield (
         f"  {everywhere.relays} relays at {len(reports)} machines: {everywhere.at_newest} at the newest,"
@@ -61,9 +61,9 @@
             yield f"  machine {name} has only version {report.released}"
         if report.stage is not None:
             stage = report.stage
-            state = "; ".join(stage.against) or ("in force" if not stage.waiting else "waited for")
-            relays = ", ".join(stage.in_force + stage.waiting) or "no relay"
+            state = "; ".join(stage.objections) or ("in force" if not stage.pending else "waited for")
+            relays = ", ".join(stage.in_force + stage.pending) or "no relay"
             yield f"  staged version {stage.version.number} at {relays} ({name}): {state}"
     if everywhere.stragglers:
         yield f"  behind: {', '.join(everywhere.stragglers)}"
-    yield from (f"  refused by {refusal}" for refusal in everywhere.refusals)
+    yield from (f"  refused by {refusal}" for refusal in everywhere.rejections)
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -17,9 +17,9 @@
 import orjson
 
 from gannetweir.config import SocketAddress
-from gannetweir.control.follower import Apply, Event, Follower
+from gannetweir.control.follower import ApplyEntries, Follower, FollowerEvent
 from gannetweir.control.stage import ServiceTotals
-from gannetweir.control.topology import CALL_US, Reconnect
+from gannetweir.control.topology import CALL_TIMEOUT_US, MachineSelector
 from gannetweir.control.versions import Ack, Nack, Reason, Resource, Slice, Version
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import MembershipUpdate
@@ -78,7 +78,7 @@
         """`machines` by their names; `draw` gives numbers from 0 to 1. `ValueError` without a machine."""
         self.host, self.machines, self.followers, self.draw = host, machines, followers, draw
         self.endpoint = endpoint  # a measurement counts the bytes in its own
-        self.calls = Reconnect(host.name, list(machines), draw)
+        self.calls = MachineSelector(host.name, list(machines), draw)
         self.bytes_read = self.bytes_written = self.nacks = 0
         self.last_error = ""
 
@@ -89,22 +89,22 @@
             for follower in self.followers.values():
                 follower.disconnected()
             if stays:
-                self.calls.return_home()
+                self.calls.return_to_first_choice()
             else:
-                await anyio.sleep(self.calls.failed() / 1e6)
+                await anyio.sleep(self.calls.record_failure() / 1e6)
 
     async def _watch(self, at: SocketAddress) -> bool:
         """One watch. True if it ended only for the first choice's sake."""
         limits = self.host.limits
         endpoint = self.endpoint(tcp_socket(at.host), limits, self.host.spawn)
-        held = {resource: follower.version for resource, follower in self.followers.items()}
+        held = {resource: follower.applied_version for resource, follower in self.followers.items()}
         watch = ControlWatch(f"{at.host}:{at.port}", self.host.name, held, self.host.settings, limits)
         try:
-            due = anyio.current_time() + CALL_US / 1e6
-            with anyio.fail_after(CALL_US / 1e6):
+            due = anyio.current_time() + CALL_TIMEOUT_US / 1e6
+            with anyio.fail_after(CALL_TIMEOUT_US / 1e6):
                 await connect(endpoint.sock, (at.host, at.port))
             self._write(endpoint, watch.request)
-            home = self.calls.machine == self.calls.order[0]
+            home = self.calls.machine == self.calls.ranked[0]
             leave = due + (float("inf") if home else RETURN_US * (1 + self.draw()) / 1e6)
             while anyio.current_time() < leave:
                 with anyio.fail_after(due - anyio.current_time()):
@@ -131,7 +131,7 @@
         for event in events:
             if isinstance(event, WatchFailed):
                 raise EndpointListError(event.reason)
-            self.calls.succeeded()
+            self.calls.record_success()
             if isinstance(event, Slice):
                 await self._take(event, at)
         return bool(events)
@@ -141,13 +141,13 @@
         if follower is None:
             return
         self._carry_out(follower, follower.receive(part), at)
-        while not follower.idle:
+        while not follower.is_idle:
             await anyio.lowlevel.checkpoint()  # no turn of the loop does more than one step
             self._carry_out(follower, follower.step(), at)
 
-    def _carry_out(self, follower: Follower, events: list[Event], at: SocketAddress) -> None:
+    def _carry_out(self, follower: Follower, events: list[FollowerEvent], at: SocketAddress) -> None:
         for event in events:
-            if isinstance(event, Apply):
+            if isinstance(event, ApplyEntries):
                 self._apply(follower, event)
                 continue
             self.host.spawn(partial(self._answer, event, at))
@@ -158,7 +158,7 @@
                 if event.reason in (Reason.OLDER, Reason.CONFLICT):  # another machine may be in step
                     raise EndpointListError(f"the control machine is out of step: {event.reason}")
 
-    def _apply(self, follower: Follower, event: Apply) -> None:
+    def _apply(self, follower: Follower, event: ApplyEntries) -> None:
         if event.resource is Resource.MEMBERSHIP:
             hosts = [
                 {"host": entry.key, "health": "Gone"} if entry.body is None else orjson.loads(entry.body)
@@ -166,10 +166,10 @@
             ]
             data = {"seq": event.version.number, "whole": False, "hosts": hosts}
             self.host.apply_membership(read_membership(data, self.host.settings))
-        elif event.last:
-            held = follower.content.entries
+        elif event.completes_version:
+            held = follower.applied.entries
             self.host.apply_settings({key: orjson.loads(body) for key, body in held.items()})
-        if event.last:
+        if event.completes_version:
             self.host.in_force(event.resource, event.version)
 
     async def _watch_service(self, answer: Ack, at: SocketAddress) -> None:
@@ -184,7 +184,7 @@
         """On a connection of its own. One that is lost is asked for again: the machine ends the watch."""
         endpoint = self.endpoint(tcp_socket(at.host), self.host.limits, self.host.spawn)
         try:
-            with anyio.move_on_after(CALL_US / 1e6), contextlib.suppress(OSError, h11.ProtocolError):
+            with anyio.move_on_after(CALL_TIMEOUT_US / 1e6), contextlib.suppress(OSError, h11.ProtocolError):
                 await connect(endpoint.sock, (at.host, at.port))
                 self._write(
                     endpoint,
--- a/gannetweir/proto/control_calls.py
+++ b/gannetweir/proto/control_calls.py
@@ -8,7 +8,7 @@
 import h11
 import orjson
 
-from gannetweir.control.report import StandingReport
+from gannetweir.control.report import StatusReport
 from gannetweir.control.stage import ServiceTotals, StageReport
 from gannetweir.control.versions import NO_VERSION, Ack, Nack, Resource, Version
 from gannetweir.proto.control_json import json_list, json_object, number_field, text_field, texts_field
@@ -112,7 +112,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def read_status(body: bytes) -> tuple[str, list[StandingReport]]:
+def read_status(body: bytes) -> tuple[str, list[StatusReport]]:
     """What `status_body` wrote: the machine's name and its reports. Raises `EndpointListError`."""
     try:
         data = json_object(orjson.loads(body), "status")
@@ -122,7 +122,7 @@
         raise EndpointListError(f"not a status: {type(error).__name__}: {error}"[:200]) from error
 
 
-def status_body(machine: str, reports: list[StandingReport]) -> bytes:
+def status_body(machine: str, reports: list[StatusReport]) -> bytes:
     """Where the versions stand, for `gannetweir control status`."""
     return orjson.dumps({"machine": machine, "resources": [_report_object(report) for report in reports]})
 
@@ -146,7 +146,7 @@
 _STAGE_KEYS = frozenset(("version", "in_force", "waiting", "against"))
 
 
-def _report_object(report: StandingReport) -> dict[str, object]:
+def _report_object(report: StatusReport) -> dict[str, object]:
     return {
         "resource": report.resource,
         "newest": report.newest,
@@ -155,9 +155,9 @@
         "relays": report.relays,
         "at_newest": report.at_newest,
         "behind": report.behind,
-        "refusing": report.refusing,
+        "refusing": report.rejecting,
         "stragglers": report.stragglers,
-        "refusals": report.refusals,
+        "refusals": report.rejections,
         "stage": None if report.stage is None else _stage_object(report.stage),
     }
 
@@ -166,16 +166,16 @@
     return {
         "version": held_text(stage.version),  # as text: a digest is larger than JSON's numbers
         "in_force": stage.in_force,
-        "waiting": stage.waiting,
-        "against": stage.against,
+        "waiting": stage.pending,
+        "against": stage.objections,
     }
 
 
-def _read_report(value: object) -> StandingReport:
+def _read_report(value: object) -> StatusReport:
     data = json_object(value, "resources")
     if data.keys() != _REPORT_KEYS:
         raise EndpointListError("resources: a report with other keys")
-    return StandingReport(
+    return StatusReport(
         resource=Resource(text_field(data, "resource")),
         newest=number_field(data, "newest"),
         released=number_field(data, "released"),
@@ -183,9 +183,9 @@
         relays=number_field(data, "relays"),
         at_newest=number_field(data, "at_newest"),
         behind=number_field(data, "behind"),
-        refusing=number_field(data, "refusing"),
+        rejecting=number_field(data, "refusing"),
         stragglers=texts_field(data, "stragglers"),
-        refusals=texts_field(data, "refusals"),
+        rejections=texts_field(data, "refusals"),
         stage=None if data["stage"] is None else _read_stage(data["stage"]),
     )
 
@@ -197,6 +197,6 @@
     return StageReport(
         version=read_held(text_field(data, "version")),
         in_force=texts_field(data, "in_force"),
-        waiting=texts_field(data, "waiting"),
-        against=texts_field(data, "against"),
+        pending=texts_field(data, "waiting"),
+        objections=texts_field(data, "against"),
     )
--- a/gannetweir/proto/control_json.py
+++ b/gannetweir/proto/control_json.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Mapping
 
-from gannetweir.control.versions import MOST_NUMBER
+from gannetweir.control.versions import MAX_NUMBER
 from gannetweir.proto.endpoint_watch import EndpointListError
 
 
@@ -29,7 +29,7 @@
 def number_field(fields: Mapping[str, object], name: str) -> int:
     """A whole number from 0 to the largest that every JSON reader represents exactly."""
     value = fields[name]
-    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= MOST_NUMBER:
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= MAX_NUMBER:
         raise EndpointListError(f"{name}: not a number in range")
     return value
 
--- a/gannetweir/proto/control_watch.py
+++ b/gannetweir/proto/control_watch.py
@@ -22,8 +22,8 @@
 from gannetweir.control.stage import ServiceTotals
 from gannetweir.control.versions import (
     DIGEST_BYTES,
-    MOST_NUMBER,
-    MOST_SLICE_ENTRIES,
+    MAX_NUMBER,
+    MAX_SLICE_ENTRIES,
     NO_VERSION,
     Ack,
     Entry,
@@ -54,7 +54,7 @@
 
 def _number(data: Mapping[str, Any], name: str) -> int:
     value = data[name]
-    if type(value) is not int or not 0 <= value <= MOST_NUMBER:
+    if type(value) is not int or not 0 <= value <= MAX_NUMBER:
         raise EndpointListError(f"{name}: not a number in range")
     return value
 
@@ -78,11 +78,11 @@
 def _entries(data: Mapping[str, Any], resource: Resource) -> tuple[Entry, ...]:
     if resource is Resource.MEMBERSHIP:
         hosts = data["hosts"]
-        if not isinstance(hosts, list) or len(hosts) > MOST_SLICE_ENTRIES:
+        if not isinstance(hosts, list) or len(hosts) > MAX_SLICE_ENTRIES:
             raise EndpointListError("hosts: not a list, or too long")
         return tuple(map(_host_entry, hosts))
     settings = data["settings"]
-    if not isinstance(settings, dict) or len(settings) > MOST_SLICE_ENTRIES:
+    if not isinstance(settings, dict) or len(settings) > MAX_SLICE_ENTRIES:
         raise EndpointListError("settings: not an object, or too long")
     return tuple(Entry(key, None if v is None else canonical(v)) for key, v in settings.items())
 
@@ -195,7 +195,7 @@
     version = answer.version
     data: dict[str, Any] = {"relay": relay, "resource": answer.resource, "version": held_text(version)}
     if isinstance(answer, Nack):
-        data |= {"reason": answer.reason, "detail": answer.detail, "held": held_text(answer.held)}
+        data |= {"reason": answer.reason, "detail": answer.detail, "held": held_text(answer.applied)}
     if totals is not None:
         data |= {"served": totals.served, "failed": totals.failed}
     return orjson.dumps(data)
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from gannetweir.control.follower import Apply, Event, Follower
-from gannetweir.control.topology import CALL_US, FIRST_WAIT_US, MOST_WAIT_US, Reconnect
+from gannetweir.control.follower import ApplyEntries, Follower, FollowerEvent
+from gannetweir.control.topology import CALL_TIMEOUT_US, FIRST_BACKOFF_US, MAX_BACKOFF_US, MachineSelector
 from gannetweir.control.versions import (
-    MOST_ENTRIES,
-    MOST_NUMBER,
+    MAX_ENTRIES,
+    MAX_NUMBER,
     Ack,
     Content,
     Entry,
@@ -28,11 +28,11 @@
 
 
 class NoCheck:
-    def entry(self, resource: Resource, entry: Entry) -> str:
+    def check_entry(self, resource: Resource, entry: Entry) -> str:
         return "a bad entry" if entry.body == b'"bad"' else ""
 
-    def whole(
-        self, resource: Resource, held: Mapping[str, bytes], changes: Mapping[str, bytes | None]
+    def check_version(
+        self, resource: Resource, applied: Mapping[str, bytes], changes: Mapping[str, bytes | None]
     ) -> str:
         return "bad together" if changes.get("x") == b'"mix"' else ""
 
@@ -49,11 +49,11 @@
     return [Slice(M, target, base, k, len(parts), tuple(part)) for k, part in enumerate(parts)]
 
 
-def give(follower: Follower, parts: list[Slice], budget: int = 500) -> list[Event]:
-    found: list[Event] = []
+def give(follower: Follower, parts: list[Slice], budget: int = 500) -> list[FollowerEvent]:
+    found: list[FollowerEvent] = []
     for part in parts:
         found += follower.receive(part)
-        while not follower.idle:
+        while not follower.is_idle:
             found += follower.step(budget)
     return found
 
@@ -67,11 +67,11 @@
     return Follower(M, NoCheck(), OLD, 5, 1)
 
 
-def refused(found: list[Event], reason: Reason, was: Follower) -> None:
+def refused(found: list[FollowerEvent], reason: Reason, was: Follower) -> None:
     """One NACK with the reason, and the last good version as it was."""
     (nack,) = found
-    assert isinstance(nack, Nack) and nack.reason == reason and nack.held == version(5, OLD)
-    assert was.version == version(5, OLD) and was.content.entries == Content(OLD).entries
+    assert isinstance(nack, Nack) and nack.reason == reason and nack.applied == version(5, OLD)
+    assert was.applied_version == version(5, OLD) and was.applied.entries == Content(OLD).entries
 
 
 @pytest.mark.parametrize("budget", [1, 2, 500])
@@ -81,10 +81,10 @@
 ) -> None:
     f = follower()
     found = give(f, cut(version(7, NEW), base, parts), budget)
-    applied = [event for event in found if isinstance(event, Apply)]
-    assert all(len(event.entries) <= budget for event in applied) and applied[-1].last
+    applied = [event for event in found if isinstance(event, ApplyEntries)]
+    assert all(len(event.entries) <= budget for event in applied) and applied[-1].completes_version
     assert {e.key for event in applied for e in event.entries} == {"b", "c", "d"}
-    assert found[-1] == Ack(M, version(7, NEW)) and f.content.entries == Content(NEW).entries
+    assert found[-1] == Ack(M, version(7, NEW)) and f.applied.entries == Content(NEW).entries
 
 
 def test_a_relay_started_in_the_middle_of_a_change_takes_the_delta_on_its_known_list() -> None:
@@ -113,7 +113,7 @@
         (cut(version(7, [*OLD, *entries(x="mix")]), 5, [entries(x="mix")]), Reason.CHECK),
         (cut(version(7, NEW), 5, [[*DELTA, *DELTA]]), Reason.MALFORMED),  # a key twice
         (cut(version(7, NEW), None, [DELTA]), Reason.MALFORMED),  # a snapshot that removes
-        (cut(Version(1, MOST_NUMBER + 1, 0), None, [NEW]), Reason.MALFORMED),
+        (cut(Version(1, MAX_NUMBER + 1, 0), None, [NEW]), Reason.MALFORMED),
         (cut(Version(1, 7, 1 << 128), None, [NEW]), Reason.MALFORMED),
         (cut(version(7, NEW), 7, [DELTA]), Reason.MALFORMED),  # a delta from itself
         ([Slice(M, version(7, NEW), None, 0, 1 << 40, ())], Reason.TOO_LARGE),
@@ -133,7 +133,7 @@
 def test_an_older_epoch_is_turned_down_and_a_later_one_may_count_anew() -> None:
     f = Follower(M, NoCheck(), OLD, 5, epoch=3)
     (nack,) = give(f, cut(version(9, NEW, epoch=2), None, [NEW]))
-    assert isinstance(nack, Nack) and nack.reason == Reason.OLDER and f.version.number == 5
+    assert isinstance(nack, Nack) and nack.reason == Reason.OLDER and f.applied_version.number == 5
     assert give(f, cut(version(2, NEW, epoch=4), None, [NEW]))[-1] == Ack(M, version(2, NEW, epoch=4))
 
 
@@ -149,14 +149,14 @@
     f, parts = follower(), cut(version(7, NEW), None, [NEW[:2], NEW[2:]])
     assert give(f, parts[:1]) == []
     f.disconnected()
-    assert f.content.entries == Content(OLD).entries
+    assert f.applied.entries == Content(OLD).entries
     refused(give(f, parts[1:]), Reason.GAP, f)
     assert give(f, parts)[-1] == Ack(M, version(7, NEW))
 
 
 def test_too_many_entries_are_turned_down_before_they_are_looked_at() -> None:
     f = follower()
-    many = [[Entry(f"{k}.{j}", b"1") for j in range(1000)] for k in range(MOST_ENTRIES // 1000 + 1)]
+    many = [[Entry(f"{k}.{j}", b"1") for j in range(1000)] for k in range(MAX_ENTRIES // 1000 + 1)]
     found = [event for part in cut(version(7, NEW), None, many) for event in f.receive(part)]
     refused(found, Reason.TOO_LARGE, f)
 
@@ -165,7 +165,7 @@
     f, parts = follower(), cut(version(7, OLD), 5, [entries(a="bad")])
     refused(give(f, parts), Reason.CHECK, f)
     refused(f.receive(parts[0]), Reason.CHECK, f)
-    assert f.idle
+    assert f.is_idle
 
 
 def test_a_delta_that_comes_while_the_version_before_is_applied() -> None:
@@ -173,14 +173,14 @@
     assert f.receive(cut(version(7, NEW), 5, [DELTA])[0]) == []
     f.step()  # checked, not applied
     f.step(1)
-    assert f.applying is not None
+    assert f.unapplied is not None
     assert f.receive(cut(version(8, last), 7, [entries(d="3")])[0]) == []
     assert give(f, []) == []
-    found: list[Event] = []
-    while not f.idle:
+    found: list[FollowerEvent] = []
+    while not f.is_idle:
         found += f.step(1)
     assert [e.version.number for e in found if isinstance(e, Ack)] == [7, 8]
-    assert f.content.entries == Content(last).entries
+    assert f.applied.entries == Content(last).entries
 
 
 # ---- the relay's own checks
@@ -213,7 +213,7 @@
         assert (
             answer.reason == Reason.CHECK
             and wrong in answer.detail
-            and f.content.digest == version(1, held).digest
+            and f.applied.digest == version(1, held).digest
         )
 
 
@@ -221,15 +221,15 @@
     check = RelayCheck(lambda: settings(zone_names=["a", "b"]))
     for zones, wrong in (["a", "b"], ""), (["b", "a"], "zones change only at a restart"):
         new = {entry.key: entry.body for entry in settings_entries(zones=zones)}
-        assert check.whole(Resource.SETTINGS, {}, new) == wrong
+        assert check.check_version(Resource.SETTINGS, {}, new) == wrong
 
 
 @pytest.mark.parametrize(
     "body", [{"host": "a", "health": "Asleep"}, {"host": "b", "health": "Ready"}, {"host": "a"}, []]
 )
 def test_an_entry_that_discoverys_reader_would_refuse(body: object) -> None:
-    assert RelayCheck(settings).entry(M, Entry("a", canonical(body)))
-    assert not RelayCheck(settings).entry(M, Entry("a", canonical({"host": "a", "health": "Ready"})))
+    assert RelayCheck(settings).check_entry(M, Entry("a", canonical(body)))
+    assert not RelayCheck(settings).check_entry(M, Entry("a", canonical({"host": "a", "health": "Ready"})))
 
 
 # ---- the choice of a machine
@@ -238,26 +238,28 @@
 
 
 def test_a_machines_loss_moves_only_its_relays_and_spreads_them() -> None:
-    homes = {f"r{n}": Reconnect(f"r{n}", MACHINES, lambda: 1.0) for n in range(1500)}
+    homes = {f"r{n}": MachineSelector(f"r{n}", MACHINES, lambda: 1.0) for n in range(1500)}
     counts = [sum(h.machine == m for h in homes.values()) for m in MACHINES]
     assert sum(counts) == 1500 and max(counts) < 140
     moved = [h for h in homes.values() if h.machine == "c3"]
     for home in moved:
-        home.failed()
+        home.record_failure()
     others = {m: sum(h.machine == m for h in moved) for m in MACHINES}
     assert others["c3"] == 0 and max(others.values()) < 25
-    assert all(home.return_home() and home.machine == "c3" for home in moved)
+    assert all(home.return_to_first_choice() and home.machine == "c3" for home in moved)
 
 
 def test_waits_have_full_jitter_and_fit_the_rule_of_six_seconds() -> None:
-    longest = Reconnect("r", MACHINES, lambda: 1.0)
-    waits = [longest.failed() for _ in range(40)]
+    longest = MachineSelector("r", MACHINES, lambda: 1.0)
+    waits = [longest.record_failure() for _ in range(40)]
     silent = Limits().pool_silence_us
-    assert silent + waits[0] + CALL_US + waits[1] + CALL_US <= 6_000_000  # two dead machines in a row
-    assert CALL_US + max(waits) + CALL_US <= 6_000_000 and max(waits) == MOST_WAIT_US
-    assert waits[0] == FIRST_WAIT_US and Reconnect("r", MACHINES, lambda: 0.0).failed() == 0
-    longest.succeeded()
-    assert longest.failed() == FIRST_WAIT_US
+    assert (
+        silent + waits[0] + CALL_TIMEOUT_US + waits[1] + CALL_TIMEOUT_US <= 6_000_000
+    )  # two dead machines in a row
+    assert CALL_TIMEOUT_US + max(waits) + CALL_TIMEOUT_US <= 6_000_000 and max(waits) == MAX_BACKOFF_US
+    assert waits[0] == FIRST_BACKOFF_US and MachineSelector("r", MACHINES, lambda: 0.0).record_failure() == 0
+    longest.record_success()
+    assert longest.record_failure() == FIRST_BACKOFF_US
 
 
 def test_the_rest_of_a_version_that_was_turned_down_is_not_answered_again() -> None:
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from gannetweir.control.follower import Apply, Follower
+from gannetweir.control.follower import ApplyEntries, Follower
 from gannetweir.control.machine import ControlMachine, Wait
-from gannetweir.control.publisher import ACK_US, SLICE_BYTES, BehindError, Publisher
-from gannetweir.control.report import standing, together
-from gannetweir.control.rollout import MOST_US, OBSERVE_US, Coordinator, Verdict
-from gannetweir.control.stage import ServiceTotals, Stage
+from gannetweir.control.publisher import ACK_TIMEOUT_US, SLICE_BYTES, MachineBehindError, Publisher
+from gannetweir.control.report import merge_reports, status_report
+from gannetweir.control.rollout import MAX_STAGE_US, OBSERVATION_US, RolloutCoordinator, Verdict
+from gannetweir.control.stage import CanaryStage, ServiceTotals
 from gannetweir.control.token_bucket import TokenBucket
 from gannetweir.control.version_log import Change, VersionLog
 from gannetweir.control.versions import (
@@ -67,12 +67,12 @@
         source.change(s0=b"%d" % n, s1=b"%d" % n)
         assert sent(p) == []  # until it has answered
     source.change(s1=None)
-    p.answered("r", Ack(M, second))
+    p.record_answer("r", Ack(M, second))
     (part,) = sent(p)
     assert (part.base, part.target) == (2, source.version)
     assert set(part.entries) == {Entry("s0", b"49"), Entry("s1", None)}
-    p.answered("r", Ack(M, source.version))
-    assert sent(p) == [] and standing(p).lowest == source.version.number
+    p.record_answer("r", Ack(M, source.version))
+    assert sent(p) == [] and status_report(p).lowest == source.version.number
 
 
 def test_without_a_base_it_is_a_snapshot_in_slices_of_bounded_size() -> None:
@@ -80,7 +80,7 @@
     p = source.publisher
     for held in NO_VERSION, Version(1, 1, 77), Version(3, 1, 0):
         if held.epoch > 1:
-            with pytest.raises(BehindError):
+            with pytest.raises(MachineBehindError):
                 p.subscribe("r", held)
             continue
         p.subscribe("r", held)
@@ -102,7 +102,7 @@
 
 
 def test_a_machine_that_is_behind_does_not_serve_the_relay() -> None:
-    with pytest.raises(BehindError):
+    with pytest.raises(MachineBehindError):
         Source().publisher.subscribe("r", Version(1, 2, 5))
 
 
@@ -123,22 +123,24 @@
     p.subscribe("r", first)
     second = source.change(s0=b"1")
     sent(p)
-    p.answered("r", Nack(M, second, Reason.CHECK, "bad", first))
-    assert sent(p) == [] and standing(p).refusals == ("r: check: bad",)
+    p.record_answer("r", Nack(M, second, Reason.CHECK, "bad", first))
+    assert sent(p) == [] and status_report(p).rejections == ("r: check: bad",)
     third = source.change(s0=b"2")
     assert [part.base for part in sent(p)] == [1]
-    p.answered("r", Nack(M, third, Reason.DIGEST, "", first))
+    p.record_answer("r", Nack(M, third, Reason.DIGEST, "", first))
     assert [part.base for part in sent(p)] == [None]
-    p.answered("r", Nack(M, third, Reason.DIGEST, "", first))
+    p.record_answer("r", Nack(M, third, Reason.DIGEST, "", first))
     assert sent(p) == []
 
 
 def test_a_log_that_no_longer_reaches_back_gives_a_snapshot() -> None:
-    log = VersionLog(Version(1, 1, 1), most_versions=2)
+    log = VersionLog(Version(1, 1, 1), max_versions=2)
     for number in 2, 3, 4:
         log.add(Change(Version(1, number, number), {"a": b"%d" % number}))
     assert (
-        not log.holds(Version(1, 1, 1)) and log.holds(Version(1, 2, 2)) and log.between(2, 4) == {"a": b"4"}
+        not log.contains(Version(1, 1, 1))
+        and log.contains(Version(1, 2, 2))
+        and log.changes_between(2, 4) == {"a": b"4"}
     )
 
 
@@ -147,8 +149,10 @@
     p = source.publisher
     p.subscribe("r", NO_VERSION)
     assert p.next_slice("r", 100 * SECOND) is not None
-    assert not p.overdue("r", 90 * SECOND)
-    assert not p.overdue("r", 90 * SECOND + ACK_US) and p.overdue("r", 91 * SECOND + ACK_US)
+    assert not p.is_ack_overdue("r", 90 * SECOND)
+    assert not p.is_ack_overdue("r", 90 * SECOND + ACK_TIMEOUT_US) and p.is_ack_overdue(
+        "r", 91 * SECOND + ACK_TIMEOUT_US
+    )
 
 
 def followed(machine: ControlMachine, name: str, relay: Follower) -> list[Ack | Nack]:
@@ -156,20 +160,20 @@
     answers: list[Ack | Nack] = []
     while isinstance(part := machine.poll(name, 0), Slice):
         events = relay.receive(part)
-        while not relay.idle:
+        while not relay.is_idle:
             events += relay.step()
         for event in events:
-            if not isinstance(event, Apply):
+            if not isinstance(event, ApplyEntries):
                 answers.append(event)
-                machine.answered(name, event)
+                machine.record_answer(name, event)
     return answers
 
 
 class Anything:
-    def entry(self, resource: Resource, entry: Entry) -> str:
+    def check_entry(self, resource: Resource, entry: Entry) -> str:
         return ""
 
-    def whole(self, resource: Resource, held: Mapping, changes: Mapping) -> str:
+    def check_version(self, resource: Resource, applied: Mapping, changes: Mapping) -> str:
         return ""
 
 
@@ -177,21 +181,21 @@
     source, relays = Source(), {f"r{n}": Follower(M, Anything()) for n in range(4)}
     machines = [ControlMachine({M: Publisher(M, source.version, source.entries())}) for _ in range(2)]
     for name, relay in relays.items():
-        machines[0].connect(name, {M: relay.version}, 0)
+        machines[0].connect(name, {M: relay.applied_version}, 0)
         followed(machines[0], name, relay)
     now = source.change(s0=b"1")
     for machine in machines:
         machine.publishers[M].publish(Change(now, {"s0": b"1"}))
     for name in ("r0", "r1"):
         followed(machines[0], name, relays[name])
-    assert [relay.version.number for relay in relays.values()] == [2, 2, 1, 1]
+    assert [relay.applied_version.number for relay in relays.values()] == [2, 2, 1, 1]
     answers = {}
     for name, relay in relays.items():  # all of them call the second choice
         relay.disconnected()
-        machines[1].connect(name, {M: relay.version}, 0)
+        machines[1].connect(name, {M: relay.applied_version}, 0)
         answers[name] = followed(machines[1], name, relay)
     assert answers == {"r0": [], "r1": [], "r2": [Ack(M, now)], "r3": [Ack(M, now)]}
-    assert {relay.version for relay in relays.values()} == {now}
+    assert {relay.applied_version for relay in relays.values()} == {now}
 
 
 def test_two_stores_that_counted_alike_are_told_apart_until_one_begins_a_new_epoch() -> None:
@@ -202,11 +206,11 @@
     machine.connect("r", {}, 0)
     assert followed(machine, "r", relay) == [Ack(M, held)]
     machine = ControlMachine({M: ours.publisher})
-    machine.connect("r", {M: relay.version}, 0)
+    machine.connect("r", {M: relay.applied_version}, 0)
     (nack,) = followed(machine, "r", relay)
-    assert isinstance(nack, Nack) and nack.reason == Reason.CONFLICT and relay.version == held
+    assert isinstance(nack, Nack) and nack.reason == Reason.CONFLICT and relay.applied_version == held
     ours.publisher.load(Version(2, 1, ours.content.digest), ours.entries())
-    machine.connect("r", {M: relay.version}, 0)
+    machine.connect("r", {M: relay.applied_version}, 0)
     assert followed(machine, "r", relay) == [Ack(M, Version(2, 1, ours.content.digest))]
 
 
@@ -238,8 +242,8 @@
     machine = ControlMachine({M: Source(2000).publisher})
     machine.connect("r", {}, 0)
     while isinstance(part := machine.poll("r", 0), Slice):
-        machine.sent("r", 12_000)
-    assert isinstance(part, Wait) and part.us
+        machine.record_sent("r", 12_000)
+    assert isinstance(part, Wait) and part.duration_us
     machine.connect("r", {}, 0)
     assert isinstance(machine.poll("r", 0), Wait)
 
@@ -268,7 +272,7 @@
     p.subscribe("r", first)
     staged = source.change(staged=True, s0=b"1")
     sent(p)
-    p.answered("r", Ack(M, staged))
+    p.record_answer("r", Ack(M, staged))
     for n in range(9):
         p.subscribe(f"r{n}", first)
     back = source.change(staged=True, s0=b"0")
@@ -283,33 +287,33 @@
 
 def staged(*events: tuple[str, Ack | Nack | None, int]) -> tuple[Verdict, str]:
     """Two canaries; each event is a relay, its answer (None: it leaves), and how many of 100 it failed."""
-    stage, coordinator, now = Stage(V), Coordinator(), 0
-    stage.choose(["a", "b"])
+    stage, coordinator, now = CanaryStage(V), RolloutCoordinator(), 0
+    stage.choose_canaries(["a", "b"])
     for count, (relay, answer, failed) in enumerate(events, 1):
         if answer is None:
-            stage.left(relay)
+            stage.relay_disconnected(relay)
         else:
-            stage.answered(relay, answer, ServiceTotals(100 * count - failed, failed))
+            stage.record_answer(relay, answer, ServiceTotals(100 * count - failed, failed))
     while True:
-        report = replace(standing(Source().publisher), stage=stage.report())
+        report = replace(status_report(Source().publisher), stage=stage.report())
         (found,) = coordinator.decide({"c": [report]}, now)
         if found.verdict is not Verdict.WAIT:
             return found.verdict, found.reason
         now += 100_000
-        assert now <= MOST_US + OBSERVE_US
+        assert now <= MAX_STAGE_US + OBSERVATION_US
 
 
 @pytest.mark.parametrize(
     ("events", "verdict", "why"),
     [
         ([("a", ACK, 0), ("b", ACK, 0)], Verdict.RELEASE, ""),
-        ([("a", ACK, 0)], Verdict.HOLD, "not in force at b"),
-        ([("a", ACK, 0), ("b", NACK, 0)], Verdict.HOLD, "b: check: bad"),
+        ([("a", ACK, 0)], Verdict.HALT, "not in force at b"),
+        ([("a", ACK, 0), ("b", NACK, 0)], Verdict.HALT, "b: check: bad"),
         ([("a", ACK, 5), ("b", ACK, 0), ("a", ACK, 10)], Verdict.RELEASE, ""),
-        ([("a", ACK, 5), ("b", ACK, 0), ("a", ACK, 60)], Verdict.HOLD, "a: its service fell"),
-        ([("a", ACK, 0), ("b", ACK, 0), ("b", None, 0)], Verdict.HOLD, "b: lost"),
+        ([("a", ACK, 5), ("b", ACK, 0), ("a", ACK, 60)], Verdict.HALT, "a: its service fell"),
+        ([("a", ACK, 0), ("b", ACK, 0), ("b", None, 0)], Verdict.HALT, "b: lost"),
         ([("b", None, 0), ("a", ACK, 0)], Verdict.RELEASE, ""),
-        ([("a", None, 0), ("b", None, 0)], Verdict.HOLD, "any relay"),
+        ([("a", None, 0), ("b", None, 0)], Verdict.HALT, "any relay"),
     ],
 )
 def test_the_first_stage_decides(events: list, verdict: Verdict, why: str) -> None:
@@ -329,10 +333,10 @@
     for n in range(100):
         sent(p, f"r{n:02}")
         if n >= 40:
-            p.answered(f"r{n:02}", Ack(M, now))
-    mine = standing(p)
+            p.record_answer(f"r{n:02}", Ack(M, now))
+    mine = status_report(p)
     assert (mine.lowest, mine.at_newest, mine.behind, mine.relays) == (1, 60, 40, 100)
-    both = together([mine, standing(Source().publisher)])
+    both = merge_reports([mine, status_report(Source().publisher)])
     assert (both.lowest, both.newest, both.behind, len(both.stragglers)) == (1, 2, 40, 20)
     assert both.stragglers[0] == "r00"
 
@@ -348,12 +352,12 @@
 
 def test_a_machine_that_started_later_reaches_back_to_what_a_relay_holds() -> None:
     first, changes, publisher = changes_after_start(3)
-    assert publisher.lacks(first) and not publisher.lacks(publisher.newest)
-    assert not publisher.lacks(replace(first, epoch=2)) and not publisher.lacks(NO_VERSION)
-    publisher.reach_back(first, changes)
+    assert publisher.is_compacted(first) and not publisher.is_compacted(publisher.newest)
+    assert not publisher.is_compacted(replace(first, epoch=2)) and not publisher.is_compacted(NO_VERSION)
+    publisher.extend_log_back(first, changes)
     publisher.subscribe("r", first)
     publisher.subscribe("between", changes[0].version)
-    assert not publisher.lacks(first)
+    assert not publisher.is_compacted(first)
     for relay, held in (("r", first), ("between", changes[0].version)):
         (part,) = sent(publisher, relay)
         assert part.base == held.number and [entry.body for entry in part.entries] == [b"2"]
@@ -369,7 +373,7 @@
     elif spoilt == "from a later version":
         first = changes[-1].version
     else:
-        publisher.log.most_versions = 2
-    publisher.reach_back(first, changes)
+        publisher.log.max_versions = 2
+    publisher.extend_log_back(first, changes)
     assert publisher.log.oldest == publisher.newest and not publisher.log.changes
-    assert publisher.log.digests == {publisher.newest.number: publisher.newest.digest}
+    assert publisher.log.digest_by_number == {publisher.newest.number: publisher.newest.digest}
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from gannetweir.control.follower import Apply, Event, Follower
+from gannetweir.control.follower import ApplyEntries, Follower, FollowerEvent
 from gannetweir.control.machine import ControlMachine, Wait
-from gannetweir.control.publisher import BehindError, Publisher
-from gannetweir.control.topology import Reconnect
+from gannetweir.control.publisher import MachineBehindError, Publisher
+from gannetweir.control.topology import MachineSelector
 from gannetweir.control.versions import Ack, Entry, Nack, Reason, RejectedError, Resource, Slice, Version
 from gannetweir.lab.scale.store import MemoryStore
 
@@ -23,11 +23,11 @@
 class BadBodies:
     """Every relay's check: the store may hold what no relay can use."""
 
-    def entry(self, resource: Resource, entry: Entry) -> str:
+    def check_entry(self, resource: Resource, entry: Entry) -> str:
         return "bad" if entry.body is not None and entry.body.startswith(b'"bad') else ""
 
-    def whole(
-        self, resource: Resource, held: Mapping[str, bytes], changes: Mapping[str, bytes | None]
+    def check_version(
+        self, resource: Resource, applied: Mapping[str, bytes], changes: Mapping[str, bytes | None]
     ) -> str:
         return ""
 
@@ -66,7 +66,7 @@
         self.change(bad=False)
         self.machines = {name: self.copy() for name in MACHINES}
         self.followers = {r: kind(M, BadBodies()) for r in RELAYS}
-        self.calls = {r: Reconnect(r, MACHINES, self.draw.random) for r in RELAYS}
+        self.calls = {r: MachineSelector(r, MACHINES, self.draw.random) for r in RELAYS}
         self.at: dict[str, str | None] = dict.fromkeys(RELAYS)
         self.history: list[Slice] = []
         self.flights: dict[str, list[Slice]] = {r: [] for r in RELAYS}
@@ -88,7 +88,7 @@
         """A machine hears of what the store has."""
         publisher = self.machines[name].publishers[M]
         try:
-            changes = self.store.since(M, publisher.newest)
+            changes = self.store.changes_since(M, publisher.newest)
             if changes is None:
                 found = self.store.read(M)
                 publisher.load(found.version, found.entries)
@@ -109,14 +109,14 @@
         self.at[relay] = None
         self.flights[relay].clear()
         self.followers[relay].disconnected()
-        self.calls[relay].failed()
+        self.calls[relay].record_failure()
 
     def call(self, relay: str) -> None:
         name = self.calls[relay].machine
         try:
-            self.machines[name].connect(relay, {M: self.followers[relay].version}, self.now)
-        except BehindError:
-            self.calls[relay].failed()
+            self.machines[name].connect(relay, {M: self.followers[relay].applied_version}, self.now)
+        except MachineBehindError:
+            self.calls[relay].record_failure()
         else:
             self.at[relay] = name
 
@@ -125,12 +125,12 @@
         if name is None:
             return self.call(relay)
         machine = self.machines[name]
-        if machine.overdue(relay, self.now):
+        if machine.is_ack_overdue(relay, self.now):
             return self.lose(relay)
         part = machine.poll(relay, self.now)
         if isinstance(part, Wait):
             return None
-        machine.sent(relay, 500)
+        machine.record_sent(relay, 500)
         self.flights[relay].append(part)
         self.history.append(part)
         return None
@@ -144,7 +144,7 @@
             part = self.spoilt(part)
         follower = self.followers[relay]
         events = follower.receive(part)
-        while not follower.idle:
+        while not follower.is_idle:
             events += follower.step(self.draw.randrange(1, 4))
         for event in events:
             self.hear(relay, event, faults)
@@ -161,15 +161,15 @@
             replace(part, target=replace(target, digest=0)),
         ][kind]
 
-    def hear(self, relay: str, event: Event, faults: bool) -> None:
+    def hear(self, relay: str, event: FollowerEvent, faults: bool) -> None:
         follower, at = self.followers[relay], self.at[relay]
-        if isinstance(event, Apply):
+        if isinstance(event, ApplyEntries):
             return
         if isinstance(event, Ack):
-            self.checker.in_force(relay, event.version, follower.content.entries)
+            self.checker.in_force(relay, event.version, follower.applied.entries)
         if at is None or (faults and self.draw.random() < 0.1):  # the answer is lost
             return
-        self.machines[at].answered(relay, event)
+        self.machines[at].record_answer(relay, event)
         if isinstance(event, Nack) and event.reason in (Reason.OLDER, Reason.CONFLICT):
             self.lose(relay)
 
@@ -222,7 +222,7 @@
                 while self.flights[relay]:
                     self.deliver(relay, faults=False)
         want = self.store.logs[M].newest
-        late = [r for r, f in self.followers.items() if f.version != want or not f.idle]
+        late = [r for r, f in self.followers.items() if f.applied_version != want or not f.is_idle]
         if late:
             raise RuleBrokenError(f"not converged: {late}")
 
@@ -245,7 +245,7 @@
 class NoChecks(Follower):
     def __init__(self, *args: object, **kwargs: object) -> None:
         super().__init__(*args, **kwargs)  # type: ignore[arg-type]
-        self.check.entry = lambda resource, entry: ""  # type: ignore[method-assign]
+        self.check.check_entry = lambda resource, entry: ""  # type: ignore[method-assign]
 
 
 class GoesBack(Follower):
@@ -255,8 +255,8 @@
 
 
 class NeverAgain(Follower):
-    def receive(self, part: Slice) -> list[Event]:
-        stuck = self.refused is not None and self.refused[0] != part.target
+    def receive(self, part: Slice) -> list[FollowerEvent]:
+        stuck = self.permanent_rejection is not None and self.permanent_rejection[0] != part.target
         return [] if stuck else super().receive(part)
 
 
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -276,7 +276,7 @@
             machine = plane.servers["c0"].machine
             assert machine is not None
             with anyio.fail_after(SOON):
-                while not (refusals := machine.report()[1].refusals):
+                while not (refusals := machine.status_reports()[1].rejections):
                     await anyio.lowlevel.checkpoint()
             assert "before SIGKILL" in refusals[0] and relay.versions[S] == 1
             assert relay.settings.classes[0].deadline_us > 1000
@@ -302,7 +302,7 @@
 
             plane.tasks.start_soon(trickle)
             probe = plane.relay("r0")
-            first = plane.drivers["r0"].calls.order[0]
+            first = plane.drivers["r0"].calls.ranked[0]
             plane.machines[first] = SocketAddress(*silent.getsockname()[:2])
             await probe.reaches(M, 1)
             assert plane.drivers["r0"].calls.machine != first
@@ -322,7 +322,7 @@
             plane.start("c0")
             await relay.reaches(M, 3)
             machine = plane.servers["c0"].machine
-            assert machine is not None and list(machine.publishers[M].cut) == [(1, 3)]
+            assert machine is not None and list(machine.publishers[M].cached_slices) == [(1, 3)]
 
     anyio.run(run)
 
@@ -370,7 +370,7 @@
             with anyio.fail_after(SOON):
                 while relay.hosts["b"]:
                     await relay.event.wait()
-            assert plane.drivers["r0"].followers[M].version.epoch == 2
+            assert plane.drivers["r0"].followers[M].applied_version.epoch == 2
 
     anyio.run(run)
 
