--- a/gannetweir/control/machine.py
+++ b/gannetweir/control/machine.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from gannetweir.control.publisher import Publisher
-from gannetweir.control.report import StatusReport, status_report
 from gannetweir.control.stage import ServiceTotals
+from gannetweir.control.status_report import StatusReport, status_report
 from gannetweir.control.token_bucket import TokenBucket
 from gannetweir.control.versions import NO_VERSION, Ack, Nack, Resource, Slice, Version
 
--- a/gannetweir/control/publisher.py
+++ b/gannetweir/control/publisher.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
+from gannetweir.control.machine_selector import rendezvous_order
 from gannetweir.control.stage import CanaryStage, ServiceTotals
-from gannetweir.control.topology import rendezvous_order
 from gannetweir.control.version_log import Change, VersionLog
 from gannetweir.control.versions import (
     Ack,
--- a/gannetweir/control/rollout.py
+++ b/gannetweir/control/rollout.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from gannetweir.control.report import StatusReport
 from gannetweir.control.stage import StageReport
+from gannetweir.control.status_report import StatusReport
 from gannetweir.control.versions import Resource, Version
 
 # Of the 12 s in which a change has to be in force everywhere.
--- a/gannetweir/control/store.py
+++ b/gannetweir/control/store.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from gannetweir.control.report import StatusReport
+from gannetweir.control.status_report import StatusReport
 from gannetweir.control.version_log import Change
 from gannetweir.control.versions import Entry, Resource, Version
 
--- a/gannetweir/lab/scale/store.py
+++ b/gannetweir/lab/scale/store.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from gannetweir.control.report import StatusReport
+from gannetweir.control.status_report import StatusReport
 from gannetweir.control.store import StoreSnapshot
 from gannetweir.control.version_log import Change, VersionLog
 from gannetweir.control.versions import Content, Entry, Resource, Version
--- a/gannetweir/net/control_status.py
+++ b/gannetweir/net/control_status.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator
 
 from gannetweir.config import SocketAddress
-from gannetweir.control.report import StatusReport, merge_reports
+from gannetweir.control.status_report import StatusReport, merge_reports
 from gannetweir.control.versions import Resource
 from gannetweir.proto.control_calls import STATUS_TARGET, read_status
 from gannetweir.proto.endpoint_watch import EndpointListError
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -18,8 +18,8 @@
 
 from gannetweir.config import SocketAddress
 from gannetweir.control.follower import ApplyEntries, Follower, FollowerEvent
+from gannetweir.control.machine_selector import CALL_TIMEOUT_US, MachineSelector
 from gannetweir.control.stage import ServiceTotals
-from gannetweir.control.topology import CALL_TIMEOUT_US, MachineSelector
 from gannetweir.control.versions import Ack, Nack, Reason, Resource, Slice, Version
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import MembershipUpdate
--- a/gannetweir/proto/control_calls.py
+++ b/gannetweir/proto/control_calls.py
@@ -8,8 +8,8 @@
 import h11
 import orjson
 
-from gannetweir.control.report import StatusReport
 from gannetweir.control.stage import ServiceTotals, StageReport
+from gannetweir.control.status_report import StatusReport
 from gannetweir.control.versions import NO_VERSION, Ack, Nack, Resource, Version
 from gannetweir.proto.control_json import json_list, json_object, number_field, text_field, texts_field
 from gannetweir.proto.control_watch import ACK_TARGET, MOST_ANSWER_BYTES, held_text, read_answer, read_held
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -6,7 +6,12 @@
 import pytest
 
 from gannetweir.control.follower import ApplyEntries, Follower, FollowerEvent
-from gannetweir.control.topology import CALL_TIMEOUT_US, FIRST_BACKOFF_US, MAX_BACKOFF_US, MachineSelector
+from gannetweir.control.machine_selector import (
+    CALL_TIMEOUT_US,
+    FIRST_BACKOFF_US,
+    MAX_BACKOFF_US,
+    MachineSelector,
+)
 from gannetweir.control.versions import (
     MAX_ENTRIES,
     MAX_NUMBER,
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -8,9 +8,9 @@
 from gannetweir.control.follower import ApplyEntries, Follower
 from gannetweir.control.machine import ControlMachine, Wait
 from gannetweir.control.publisher import ACK_TIMEOUT_US, SLICE_BYTES, MachineBehindError, Publisher
-from gannetweir.control.report import merge_reports, status_report
 from gannetweir.control.rollout import MAX_STAGE_US, OBSERVATION_US, RolloutCoordinator, Verdict
 from gannetweir.control.stage import CanaryStage, ServiceTotals
+from gannetweir.control.status_report import merge_reports, status_report
 from gannetweir.control.token_bucket import TokenBucket
 from gannetweir.control.version_log import Change, VersionLog
 from gannetweir.control.versions import (
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -10,8 +10,8 @@
 
 from gannetweir.control.follower import ApplyEntries, Follower, FollowerEvent
 from gannetweir.control.machine import ControlMachine, Wait
+from gannetweir.control.machine_selector import MachineSelector
 from gannetweir.control.publisher import MachineBehindError, Publisher
-from gannetweir.control.topology import MachineSelector
 from gannetweir.control.versions import Ack, Entry, Nack, Reason, RejectedError, Resource, Slice, Version
 from gannetweir.lab.scale.store import MemoryStore
 
