--- a/gannetweir/control/versions.py
+++ b/gannetweir/control/versions.py
@@ -1,4 +1,12 @@
-"""Versions of a resource: what identifies one, the messages that carry it, and what it stands for."""
+"""Versions of a resource: their identity, the messages that carry them, and a resource's content with its digest.
+
+A version (a revision in etcd's words) is an epoch, a number that rises within the epoch, and the digest of the
+content. A publisher sends it as a snapshot (everything) or as a delta from a base version, cut into slices; a relay
+answers with an ACK or a NACK, as in xDS. All types are immutable values but `Content`, which belongs to whoever
+made it. What `canonical` JSON is, `gannetweir.proto.control_watch` defines.
+
+The limits below are part of the protocol: raise one only at the relays first, since they reject what exceeds theirs.
+"""
 
 from __future__ import annotations
 
@@ -7,49 +15,54 @@
 from enum import StrEnum
 from hashlib import blake2b
 
-DIGEST_BYTES = 16
+from gannetweir.errors import GannetweirError
+
+DIGEST_BYTES = 16  # of BLAKE2b: two contents do not get the same digest by accident
 _DIGEST_RANGE = 1 << (8 * DIGEST_BYTES)
-MAX_KEY_BYTES = 200
-MAX_ENTRY_BYTES = 8_192  # so that an entry is far from filling a slice by itself
-MAX_ENTRIES = 40_000
-MAX_CONTENT_BYTES = 8_000_000
-MAX_SLICE_ENTRIES = 1_000
-MAX_SLICES = 4_000
-MAX_NUMBER = (1 << 53) - 1  # what every JSON reader holds exactly
+MAX_KEY_BYTES = 200  # of an entry's key: bounds a relay's memory
+MAX_ENTRY_BYTES = 8_192  # of an entry's body: an entry must be far from filling a slice by itself
+MAX_ENTRIES = 40_000  # of a resource: bounds a relay's memory, above the largest fleet that was planned
+MAX_CONTENT_BYTES = 8_000_000  # of a resource, keys and bodies: bounds a relay's memory
+MAX_SLICE_ENTRIES = 1_000  # in one slice: bounds the work that receiving one takes
+MAX_SLICES = 4_000  # of one version: bounds what a relay waits for
+MAX_NUMBER = (1 << 53) - 1  # the largest integer that every JSON reader represents exactly
 
 
 class Resource(StrEnum):
-    """What is versioned. Each counts for itself: a held change of settings must not hold back a drain."""
+    """What is versioned. Each has its own numbers: a halted change of settings must not delay a drain."""
 
     MEMBERSHIP = "membership"
     SETTINGS = "settings"
 
 
 class Reason(StrEnum):
-    """Why a version or a slice is turned down."""
+    """Why a version or a slice is rejected. The values are the protocol's."""
 
     MALFORMED = "malformed"  # ill-typed, or figures that no publisher can mean
     TOO_LARGE = "too-large"
     GAP = "gap"  # a slice is missing
-    WRONG_BASE = "wrong-base"  # a delta on another version than the one held
+    WRONG_BASE = "wrong-base"  # a delta on another version than the applied one
     OLDER = "older"  # a lower number, or an epoch before this one: a store or machine restored from a copy
-    CONFLICT = "conflict"  # the number that is held, with another content
+    CONFLICT = "conflict"  # the applied number with another content
     DIGEST = "digest"  # the content is not what its sender says
-    CHECK = "check"  # an entry or the whole fails the relay's own checks
+    CHECK = "check"  # an entry, or the version as such, fails the relay's own checks
 
 
-class RejectedError(ValueError):
-    """A version or slice that is not taken; what was held stays."""
+class RejectedError(GannetweirError, ValueError):
+    """A version or slice is rejected, and the applied version stays; `reason` and `detail` go into the NACK."""
 
     def __init__(self, reason: Reason, detail: str = "") -> None:
         super().__init__(f"{reason}: {detail}" if detail else str(reason))
-        self.reason, self.detail = reason, detail
+        self.reason = reason
+        self.detail = detail
 
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """One state of a resource. `epoch` is the store's incarnation, raised whenever it is created anew or
-    restored, and 0 where it is not known; numbers rise within an epoch; `digest` is the content's.
+    """One state of a resource.
+
+    `epoch` is the store's incarnation, raised whenever it is created anew or restored, and 0 where it is not
+    known; numbers rise within an epoch; `digest` is the content's.
     """
 
     epoch: int
@@ -62,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One key and its value as canonical JSON; None removes it."""
+    """One key and its value as canonical JSON; a body of None removes the key."""
 
     key: str
     body: bytes | None
@@ -70,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Slice:
-    """A part of a snapshot (`base` is None) or of a delta from the version numbered `base`."""
+    """Part `index` of `count` of a snapshot (`base` is None) or of a delta from the version numbered `base`."""
 
     resource: Resource
     target: Version
@@ -82,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """The version is in force at the relay."""
+    """An acknowledgement: the relay has applied the version."""
 
     resource: Resource
     version: Version
@@ -90,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Nack:
-    """The version was turned down; the relay goes on with `held`."""
+    """A negative acknowledgement: the relay rejected the version and goes on with `applied`."""
 
     resource: Resource
     version: Version
@@ -100,15 +113,16 @@
 
 
 def entry_digest(key: str, body: bytes) -> int:
-    """An entry's share of the digest."""
+    """What one entry contributes to its content's digest."""
     return int.from_bytes(blake2b(key.encode() + b"\0" + body, digest_size=DIGEST_BYTES).digest(), "big")
 
 
 def add_to_digest(digest: int, key: str, old: bytes | None, new: bytes | None) -> int:
     """The digest after one entry's change.
 
-    The sum of the entries' hashes needs no order and no second look at what stays, so a delta costs what it
-    changes. It finds mistakes; it does not withstand an attacker.
+    `old` and `new` are the entry's bodies, None where there is none. The sum of the entries' hashes depends on
+    no order and on no entry that stays, so a delta costs what it changes. It finds mistakes; it does not withstand
+    an attacker.
     """
     if old is not None:
         digest -= entry_digest(key, old)
@@ -118,16 +132,20 @@
 
 
 class Content:
-    """Entries by key, with their digest and size in bytes kept up to date."""
+    """Entries by key, with their digest and size (keys and bodies, in bytes) always up to date.
+
+    Change `entries` by `put` only.
+    """
 
     def __init__(self, entries: Iterable[Entry] = ()) -> None:
         self.entries: dict[str, bytes] = {}
-        self.digest = self.size_bytes = 0
+        self.digest = 0
+        self.size_bytes = 0
         for entry in entries:
             self.put(entry.key, entry.body)
 
     def put(self, key: str, body: bytes | None) -> None:
-        """Set an entry, or remove it."""
+        """Set an entry; a body of None removes it."""
         old = self.entries.pop(key, None)
         self.digest = add_to_digest(self.digest, key, old, body)
         if old is not None:
@@ -137,7 +155,7 @@
             self.size_bytes += len(key) + len(body)
 
     def digest_after(self, changes: Mapping[str, bytes | None]) -> int:
-        """The digest that the changes would lead to."""
+        """The digest that these changes would lead to; nothing is changed."""
         digest = self.digest
         for key, body in changes.items():
             digest = add_to_digest(digest, key, self.entries.get(key), body)
@@ -145,9 +163,9 @@
 
 
 def check_slice(part: Slice) -> None:
-    """Figures that no publisher can mean are turned down before any work is done on them.
+    """Reject numbers that no publisher can mean, before any work is done on them.
 
-    Raises `RejectedError`.
+    Raises `RejectedError` with `MALFORMED` or `TOO_LARGE`.
     """
     target = part.target
     numbers = (target.epoch, target.number, part.base or 0, part.index, part.count)
