--- a/gannetweir/cli.py
+++ b/gannetweir/cli.py
@@ -86,9 +86,9 @@
 
 def _control_status(machines: list[str]) -> int:
     from gannetweir.config.platform import parse_socket_address
-    from gannetweir.net.control_status import status  # only where it is asked for
+    from gannetweir.net.control_status import fleet_status  # only where it is asked for
 
-    lines, fine = status([parse_socket_address(text, "MACHINE") for text in machines])
+    lines, fine = fleet_status([parse_socket_address(text, "MACHINE") for text in machines])
     print("\n".join(lines))
     return 0 if fine else 1
 
--- a/gannetweir/control/machine_selector.py
+++ b/gannetweir/control/machine_selector.py
@@ -35,12 +35,12 @@
     `position` is the choice's place in `ranked`, 0 for the first choice.
     """
 
-    def __init__(self, relay: str, machines: Sequence[str], draw: Callable[[], float]) -> None:
+    def __init__(self, relay: str, machines: Sequence[str], random_fraction: Callable[[], float]) -> None:
         """`draw` gives a random number from 0 to 1. Raises `ValueError` without a machine."""
         if not machines:
             raise ValueError("no control machines")
         self.ranked = rendezvous_order(relay, machines)
-        self.draw = draw
+        self.random_fraction = random_fraction
         self.consecutive_failures = 0
         self.position = 0
 
@@ -59,7 +59,7 @@
         doublings = min(self.consecutive_failures, _MAX_DOUBLINGS)
         longest_backoff_us = min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2**doublings)
         self.consecutive_failures += 1
-        return int(self.draw() * longest_backoff_us)
+        return int(self.random_fraction() * longest_backoff_us)
 
     def return_to_first_choice(self) -> bool:
         """Choose the first machine again. False if it was the choice already."""
--- a/gannetweir/control/rollout.py
+++ b/gannetweir/control/rollout.py
@@ -42,7 +42,7 @@
     def __init__(self, version: Version, now_us: int) -> None:
         self.version = version
         self.elapsed_us, self.updated_us = 0, now_us
-        self.all_in_force_us: int | None = None  # in terms of `elapsed_us`
+        self.all_applied_us: int | None = None  # in terms of `elapsed_us`
         self.halt_reason = ""
 
     def decide(self, reports: Iterable[StageReport], now_us: int) -> Verdict:
@@ -54,20 +54,20 @@
         given = list(reports)
         objections = [text for report in given for text in report.objections]
         pending = [relay for report in given for relay in report.pending]
-        in_force = any(report.in_force for report in given) and not pending
+        in_force = any(report.applied for report in given) and not pending
         if objections and not self.halt_reason:
             self.halt_reason = "; ".join(objections[:3])
         if self.halt_reason:
             return Verdict.HALT
         if not in_force:
-            self.all_in_force_us = None
+            self.all_applied_us = None
             if self.elapsed_us < MAX_STAGE_US:
                 return Verdict.WAIT
             self.halt_reason = f"not in force at {', '.join(pending[:5]) or 'any relay'} within the stage"
             return Verdict.HALT
-        if self.all_in_force_us is None:
-            self.all_in_force_us = self.elapsed_us
-        return Verdict.RELEASE if self.elapsed_us - self.all_in_force_us >= OBSERVATION_US else Verdict.WAIT
+        if self.all_applied_us is None:
+            self.all_applied_us = self.elapsed_us
+        return Verdict.RELEASE if self.elapsed_us - self.all_applied_us >= OBSERVATION_US else Verdict.WAIT
 
 
 class RolloutCoordinator:
--- a/gannetweir/control/stage.py
+++ b/gannetweir/control/stage.py
@@ -24,14 +24,14 @@
     """A staged version at one machine. Whatever stands in `against` holds it."""
 
     version: Version
-    in_force: tuple[str, ...]
+    applied: tuple[str, ...]
     pending: tuple[str, ...]
     objections: tuple[str, ...]
 
 
 @dataclass(slots=True)
 class _Canary:
-    in_force: bool = False
+    has_applied: bool = False
     baseline: ServiceTotals | None = None  # when it came into force there
     latest: ServiceTotals | None = None
 
@@ -57,7 +57,7 @@
     def choose_canaries(self, relays: Iterable[str]) -> None:
         """These relays get it. One that has it in force stays a canary as long as it is here."""
         self.canaries = {relay: self.canaries.get(relay, _Canary()) for relay in relays} | {
-            relay: canary for relay, canary in self.canaries.items() if canary.in_force
+            relay: canary for relay, canary in self.canaries.items() if canary.has_applied
         }
 
     def record_answer(self, relay: str, answer: Ack | Nack, totals: ServiceTotals | None) -> None:
@@ -67,8 +67,8 @@
             return
         if isinstance(answer, Nack):
             self._add_objection(f"{relay}: {answer.reason}: {answer.detail}")
-        elif not canary.in_force:
-            canary.in_force, canary.baseline = True, totals
+        elif not canary.has_applied:
+            canary.has_applied, canary.baseline = True, totals
         else:
             canary.latest = totals
             if canary.has_degraded():
@@ -77,7 +77,7 @@
     def relay_disconnected(self, relay: str) -> None:
         """A relay's watch ended. With the version in force there, it may be the version's doing."""
         canary = self.canaries.pop(relay, None)
-        if canary is not None and canary.in_force:
+        if canary is not None and canary.has_applied:
             self._add_objection(f"{relay}: lost with the version in force")
 
     def _add_objection(self, text: str) -> None:
@@ -86,6 +86,6 @@
 
     def report(self) -> StageReport:
         """For the coordinator."""
-        in_force = tuple(relay for relay, canary in self.canaries.items() if canary.in_force)
-        pending = tuple(relay for relay, canary in self.canaries.items() if not canary.in_force)
+        in_force = tuple(relay for relay, canary in self.canaries.items() if canary.has_applied)
+        pending = tuple(relay for relay, canary in self.canaries.items() if not canary.has_applied)
         return StageReport(self.version, in_force, pending, tuple(self.objections))
--- a/gannetweir/control/token_bucket.py
+++ b/gannetweir/control/token_bucket.py
@@ -19,9 +19,7 @@
 class TokenBucket:
     """The bytes that may go now (`available_bytes`, below zero while overdrawn), refilled on each `wait_us`."""
 
-    def __init__(
-        self, now_us: int, rate_bytes_s: int = RATE_BYTES_S, burst_bytes: int = BURST_BYTES
-    ) -> None:
+    def __init__(self, now_us: int, rate_bytes_s: int = RATE_BYTES_S, burst_bytes: int = BURST_BYTES) -> None:
         """A full bucket."""
         self.rate_bytes_s = rate_bytes_s
         self.burst_bytes = burst_bytes
--- a/gannetweir/lab/scale/control_costs.py
+++ b/gannetweir/lab/scale/control_costs.py
@@ -30,7 +30,7 @@
 from gannetweir.net.control_check import RelayCheck
 from gannetweir.placement.settings import RequestClass, Settings
 from gannetweir.proto.control_calls import chunk
-from gannetweir.proto.control_watch import canonical, read_slice, write_compressed, write_slice
+from gannetweir.proto.control_watch import canonical_json, read_slice, write_compressed_slice, write_slice
 from gannetweir.proto.endpoint_watch import read_membership
 
 SIZES = (500, 1_500, 5_000, 15_000)
@@ -73,7 +73,10 @@
 
 def sizes(parts: list[Slice]) -> dict[str, float]:
     """Bytes as JSON and as they go over the wire."""
-    plain, wire = sum(len(write_slice(p)) for p in parts), sum(len(chunk(write_compressed(p))) for p in parts)
+    plain, wire = (
+        sum(len(write_slice(p)) for p in parts),
+        sum(len(chunk(write_compressed_slice(p))) for p in parts),
+    )
     return {"plain_bytes": plain, "wire_bytes": wire, "wire_s": seconds(wire), "plain_s": seconds(plain)}
 
 
@@ -137,7 +140,7 @@
 def measured(count: int) -> dict[str, Any]:
     """One size of the list."""
     hosts = drawn(count)
-    entries = [Entry(name, canonical(host)) for name, host in hosts.items()]
+    entries = [Entry(name, canonical_json(host)) for name, host in hosts.items()]
     version = Version(1, 1, Content(entries).digest)
     parts = list(sent(Publisher(M, version, entries), NO_VERSION))
     runs = [followed(parts) for _ in range(3)]
@@ -146,15 +149,16 @@
     lost = [name for name, host in hosts.items() if host["site"] == "a"]
     changes: dict[str, dict[str, bytes | None]] = {
         "zone_gone": dict.fromkeys(lost),
-        "zone_draining": {name: canonical(hosts[name] | {"health": "Terminating"}) for name in lost},
+        "zone_draining": {name: canonical_json(hosts[name] | {"health": "Terminating"}) for name in lost},
         "zone_back": {
-            name: canonical(hosts[name] | {"born_ms": 1_795_000_000_000 + k}) for k, name in enumerate(lost)
+            name: canonical_json(hosts[name] | {"born_ms": 1_795_000_000_000 + k})
+            for k, name in enumerate(lost)
         },
     }
     for several in 1, 10, 30:
         names = list(hosts)[:several]
         changes[f"delta_{several}"] = {
-            name: canonical(hosts[name] | {"health": "Terminating"}) for name in names
+            name: canonical_json(hosts[name] | {"health": "Terminating"}) for name in names
         }
     for what, bodies in changes.items():
         publisher, content = Publisher(M, version, entries), Content(entries)
--- a/gannetweir/lab/scale/control_machine.py
+++ b/gannetweir/lab/scale/control_machine.py
@@ -36,7 +36,7 @@
 from gannetweir.limits import Limits
 from gannetweir.net.control_server import ControlServer
 from gannetweir.net.transport import Transport
-from gannetweir.proto.control_watch import canonical
+from gannetweir.proto.control_watch import canonical_json
 
 TRICKLE_S = 1.0  # between two bytes
 
@@ -79,13 +79,13 @@
                     self._send(endpoint, bytes(data[:1]))
                     del data[:1]
 
-    async def _feed(
+    async def _send_slices(
         self,
-        endpoint: Transport,
+        transport: Transport,
         relay: str,
         machine: ControlMachine,
         write: Callable[[Slice], bytes],
-        beat: bytes,
+        heartbeat: bytes,
     ) -> None:
         def counted(part: Slice) -> bytes:
             if part.resource is Resource.MEMBERSHIP:
@@ -93,7 +93,7 @@
                 self._die_halfway()
             return write(part)
 
-        await super()._feed(endpoint, relay, machine, counted, beat)
+        await super()._send_slices(transport, relay, machine, counted, heartbeat)
 
     def _die_halfway(self) -> None:
         if self.mode is ServerMode.DIES:
@@ -127,11 +127,13 @@
         return Done()
 
     def _start(self, told: StartMachine) -> None:
-        members = {str(member["host"]): canonical(member) for member in told.members}
+        members = {str(member["host"]): canonical_json(member) for member in told.members}
         self.store.load(Resource.MEMBERSHIP, told.version, members)
         for change in told.history:
             self._publish(change)
-        self.store.load(Resource.SETTINGS, 1, {key: canonical(value) for key, value in told.settings.items()})
+        self.store.load(
+            Resource.SETTINGS, 1, {key: canonical_json(value) for key, value in told.settings.items()}
+        )
         self.server = FaultyServer(self.name, self.store, self.at)
         self.tasks.start_soon(self.server.run)
         self.tasks.start_soon(self.server.trickle)
@@ -139,7 +141,7 @@
     def _publish(self, told: Publish) -> None:
         if told.version <= self.store.logs[Resource.MEMBERSHIP].newest.number:
             return  # it was in what this machine started from
-        version = self.store.put(Resource.MEMBERSHIP, {str(told.member["host"]): canonical(told.member)})
+        version = self.store.put(Resource.MEMBERSHIP, {str(told.member["host"]): canonical_json(told.member)})
         if version.number != told.version:
             raise ValueError(f"version {told.version} of the store came as {version.number}")
 
--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -13,7 +13,7 @@
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.endpoint_watch import EndpointListError, read_membership
 
-LEAST_MOVES_US = 200_000  # a drain whose moves have less time than this breaks connections
+MIN_MIGRATION_US = 200_000  # a drain whose moves have less time than this breaks connections
 
 
 class RelayCheck:
@@ -63,6 +63,6 @@
         ):
             if was and now != was:  # the entries of the list that is held are counted by these
                 return f"{name} change only at a restart"
-        if limits.drain_end_us - limits.drain_us < LEAST_MOVES_US:
+        if limits.drain_end_us - limits.drain_us < MIN_MIGRATION_US:
             return f"deadlines too short: a drain has {limits.drain_end_us / 1000:g} ms before SIGKILL"
         return ""
--- a/gannetweir/net/control_host.py
+++ b/gannetweir/net/control_host.py
@@ -22,12 +22,12 @@
         self,
         relay: DriverContext,
         name: str,
-        take_settings: Callable[[Settings], None],
-        in_force: Callable[[Resource, Version], None] = lambda resource, version: None,
+        apply_checked_settings: Callable[[Settings], None],
+        version_applied: Callable[[Resource, Version], None] = lambda resource, version: None,
     ) -> None:
         """`take_settings` brings checked settings into force; `in_force` hears of each version that is."""
         self.relay, self.name = relay, name
-        self.take_settings, self.in_force = take_settings, in_force
+        self.apply_checked_settings, self.version_applied = apply_checked_settings, version_applied
 
     @property
     def settings(self) -> Settings:
@@ -44,15 +44,15 @@
         """The relay's."""
         return self.relay.spawn
 
-    def apply_membership(self, news: MembershipUpdate) -> None:
+    def apply_membership(self, update: MembershipUpdate) -> None:
         """To the engine, as news of discovery's."""
-        self.relay.run_engine_call(self.relay.engine.endpoint_update_received, news)
+        self.relay.run_engine_call(self.relay.engine.endpoint_update_received, update)
 
-    def apply_settings(self, data: dict[str, Any]) -> None:
+    def apply_settings(self, values: dict[str, Any]) -> None:
         """To the relay. `ConfigError` can't come: the follower's check has read them the same way."""
-        self.take_settings(parse_settings(data))
+        self.apply_checked_settings(parse_settings(values))
 
-    def totals(self) -> ServiceTotals:
+    def service_totals(self) -> ServiceTotals:
         """What clients were answered since the start."""
         counts = self.relay.engine.counters.counts
         return ServiceTotals(counts["served"], counts["failed"] + counts["rejected"])
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -33,17 +33,17 @@
     status_body,
     watch_head,
 )
-from gannetweir.proto.control_watch import compressed, stream_head, write_compressed, write_slice
+from gannetweir.proto.control_watch import compress_line, stream_head, write_compressed_slice, write_slice
 from gannetweir.proto.endpoint_watch import EndpointListError
 
-HEARTBEAT_S = 2.0
-REPORT_S = 0.5
-CALL_S = 3.0  # for a call to be whole
-STORE_AGAIN_S = 0.5  # while the store can't be reached
-STORE_LOOK_S = 5.0  # a change that the store's watch did not tell is found within this
-MOST_CONNECTIONS = 2_000
-_BEAT = b"\n"
-_PACKED_BEAT = compressed(_BEAT)
+HEARTBEAT_INTERVAL_S = 2.0
+REPORT_INTERVAL_S = 0.5
+CALL_TIMEOUT_S = 3.0  # for a call to be whole
+STORE_RETRY_S = 0.5  # while the store can't be reached
+STORE_POLL_S = 5.0  # a change that the store's watch did not tell is found within this
+MAX_CONNECTIONS = 2_000
+_HEARTBEAT = b"\n"
+_COMPRESSED_HEARTBEAT = compress_line(_HEARTBEAT)
 
 
 class ControlServer:
@@ -75,7 +75,7 @@
             try:
                 while True:
                     try:
-                        self._take(await accept_connection(self.listener), spawn)
+                        self._accept_connection(await accept_connection(self.listener), spawn)
                     except OSError:  # a shortage: others must have their turn, and time to give back
                         await anyio.sleep(MAX_BACKOFF_S)
             finally:
@@ -88,14 +88,14 @@
     async def _follow(self) -> None:
         while True:
             try:
-                self._look()
-                with anyio.move_on_after(STORE_LOOK_S):
+                self._sync()
+                with anyio.move_on_after(STORE_POLL_S):
                     await self.store.wait_for_change()
             except (OSError, RejectedError) as error:  # the relays go on with what they have
                 self.last_error = str(error)
-                await anyio.sleep(STORE_AGAIN_S)
+                await anyio.sleep(STORE_RETRY_S)
 
-    def _look(self) -> None:
+    def _sync(self) -> None:
         """Bring the publishers up to what the store has."""
         if self.machine is None:
             found = {resource: self.store.read(resource) for resource in Resource}
@@ -103,11 +103,11 @@
                 {resource: Publisher(resource, s.version, s.entries) for resource, s in found.items()}
             )
         for publisher in self.machine.publishers.values():
-            self._look_at(publisher)
+            self._sync_publisher(publisher)
         for _, event in self.watches.values():
             event.set()
 
-    def _look_at(self, publisher: Publisher) -> None:
+    def _sync_publisher(self, publisher: Publisher) -> None:
         changes = self.store.changes_since(publisher.resource, publisher.newest)
         released = self.store.released_number(publisher.resource)
         try:
@@ -123,7 +123,7 @@
     async def _report(self) -> None:
         """Tell the store where the versions stand; decide on staged ones, if this machine leads."""
         while True:
-            await anyio.sleep(REPORT_S)
+            await anyio.sleep(REPORT_INTERVAL_S)
             if self.machine is None:
                 continue
             try:
@@ -142,10 +142,10 @@
 
     # ---- the relays
 
-    def _take(self, sock: socket.socket, spawn: Spawn) -> None:
+    def _accept_connection(self, sock: socket.socket, spawn: Spawn) -> None:
         set_low_latency(sock)
         endpoint = Transport(sock, self.limits, spawn)
-        if len(self.connections) >= MOST_CONNECTIONS:
+        if len(self.connections) >= MAX_CONNECTIONS:
             endpoint.close()
             return
         self.connections.add(endpoint)
@@ -154,13 +154,13 @@
     async def _serve(self, endpoint: Transport, spawn: Spawn) -> None:
         try:
             reader, call = CallReader(), None
-            with anyio.fail_after(CALL_S):
+            with anyio.fail_after(CALL_TIMEOUT_S):
                 while call is None:
                     call = reader.feed(await endpoint.read())
             if isinstance(call, WatchCall):
                 await self._watch(endpoint, call, spawn)
                 return
-            await self._reply(endpoint, self._answer(call))
+            await self._reply(endpoint, self._answer_call(call))
         except EndpointListError as error:
             await self._reply(endpoint, response(400, str(error).encode()))
         except (OSError, TimeoutError):
@@ -175,11 +175,11 @@
         """Answer and let the caller end: a close over unread bytes could cost it the answer."""
         self._write(endpoint, data)
         endpoint.finish()
-        with anyio.move_on_after(CALL_S), suppress(OSError):
+        with anyio.move_on_after(CALL_TIMEOUT_S), suppress(OSError):
             while await endpoint.read():
                 pass
 
-    def _answer(self, call: object) -> bytes:
+    def _answer_call(self, call: object) -> bytes:
         if self.machine is None:
             return response(503, b"the store has not been read")
         if not isinstance(call, AnswerCall):
@@ -196,25 +196,25 @@
                 raise MachineBehindError("the store has not been read")
             if relay in self.watches:  # the relay has given that one up
                 self.watches[relay][0].close()
-            self._reach_back(self.machine, call.held)
-            self.machine.connect(relay, call.held, _now_us())
+            self._extend_logs_back(self.machine, call.applied)
+            self.machine.connect(relay, call.applied, _now_us())
         except MachineBehindError as error:
             await self._reply(endpoint, response(503, str(error).encode()))
             return
         self.watches[relay] = (endpoint, anyio.Event())
         spawn(lambda: self._until_closed(endpoint, relay))
         try:
-            beat = _PACKED_BEAT if call.gzip else _BEAT
+            beat = _COMPRESSED_HEARTBEAT if call.gzip else _HEARTBEAT
             self._write(endpoint, watch_head(call.gzip) + chunk(stream_head(call.gzip) + beat))
-            await self._feed(
-                endpoint, relay, self.machine, write_compressed if call.gzip else write_slice, beat
+            await self._send_slices(
+                endpoint, relay, self.machine, write_compressed_slice if call.gzip else write_slice, beat
             )
         finally:
-            if self._current(relay, endpoint):
+            if self._is_current(relay, endpoint):
                 del self.watches[relay]
                 self.machine.disconnect(relay)
 
-    def _reach_back(self, machine: ControlMachine, held: Mapping[Resource, Version]) -> None:
+    def _extend_logs_back(self, machine: ControlMachine, held: Mapping[Resource, Version]) -> None:
         """A machine that has just started knows no version before its start, while its relays hold one. The
         store is asked once for each such version: whole lists for all relays would take far longer.
         """
@@ -225,7 +225,7 @@
             with suppress(OSError):  # then the relay gets the whole content
                 publisher.extend_log_back(version, self.store.changes_since(resource, version) or ())
 
-    def _current(self, relay: str, endpoint: Transport) -> bool:
+    def _is_current(self, relay: str, endpoint: Transport) -> bool:
         return relay in self.watches and self.watches[relay][0] is endpoint
 
     async def _until_closed(self, endpoint: Transport, relay: str) -> None:
@@ -233,49 +233,51 @@
             while await endpoint.read():
                 pass
         endpoint.close()
-        if self._current(relay, endpoint):
+        if self._is_current(relay, endpoint):
             self.watches[relay][1].set()
 
-    async def _feed(
+    async def _send_slices(
         self,
-        endpoint: Transport,
+        transport: Transport,
         relay: str,
         machine: ControlMachine,
         write: Callable[[Slice], bytes],
-        beat: bytes,
+        heartbeat: bytes,
     ) -> None:
-        beat_due = anyio.current_time() + HEARTBEAT_S
-        while not endpoint.closed and self._current(relay, endpoint):
+        beat_due = anyio.current_time() + HEARTBEAT_INTERVAL_S
+        while not transport.closed and self._is_current(relay, transport):
             if machine.is_ack_overdue(relay, _now_us()):
                 return
             event = anyio.Event()
-            self.watches[relay] = (endpoint, event)
+            self.watches[relay] = (transport, event)
             found = machine.poll(relay, _now_us())
             if isinstance(found, Slice):
                 line = chunk(write(found))
                 machine.record_sent(relay, len(line))
-                self._write(endpoint, line)
+                self._write(transport, line)
                 with anyio.move_on_after(ACK_TIMEOUT_US / 1e6) as stalled:
-                    await endpoint.wait_drained()
+                    await transport.wait_drained()
                 if stalled.cancelled_caught:  # it reads no more
                     return
-                beat_due = anyio.current_time() + HEARTBEAT_S
+                beat_due = anyio.current_time() + HEARTBEAT_INTERVAL_S
                 continue
-            await self._pause(found, beat_due, event)
+            await self._wait_until_due(found, beat_due, event)
             if anyio.current_time() >= beat_due:
-                self._write(endpoint, chunk(beat))
-                beat_due = anyio.current_time() + HEARTBEAT_S
+                self._write(transport, chunk(heartbeat))
+                beat_due = anyio.current_time() + HEARTBEAT_INTERVAL_S
 
     @staticmethod
-    async def _pause(wait: Wait, beat_due: float, event: anyio.Event) -> None:
+    async def _wait_until_due(wait: Wait, heartbeat_due: float, event: anyio.Event) -> None:
         now = anyio.current_time()
-        until = beat_due if wait.duration_us is None else min(beat_due, now + wait.duration_us / 1e6)
+        until = (
+            heartbeat_due if wait.duration_us is None else min(heartbeat_due, now + wait.duration_us / 1e6)
+        )
         with anyio.move_on_after(max(0.0, until - now)):
             await event.wait()
 
-    def _write(self, endpoint: Transport, data: bytes) -> None:
+    def _write(self, transport: Transport, data: bytes) -> None:
         self.bytes_written += len(data)
-        endpoint.write(data)
+        transport.write(data)
 
 
 def _now_us() -> int:
--- a/gannetweir/net/control_status.py
+++ b/gannetweir/net/control_status.py
@@ -11,17 +11,17 @@
 from gannetweir.proto.control_calls import STATUS_TARGET, read_status
 from gannetweir.proto.endpoint_watch import EndpointListError
 
-ASK_S = 3.0
-MOST_STATUS_BYTES = 1 << 20
+CALL_TIMEOUT_S = 3.0
+MAX_STATUS_BYTES = 1 << 20
 
 
-def ask(at: SocketAddress) -> tuple[str, list[StatusReport]]:
+def read_machine_status(at: SocketAddress) -> tuple[str, list[StatusReport]]:
     """A machine's name and reports. Raises `OSError` or `PoolError`."""
-    caller = http.client.HTTPConnection(at.host, at.port, timeout=ASK_S)
+    caller = http.client.HTTPConnection(at.host, at.port, timeout=CALL_TIMEOUT_S)
     try:
         caller.request("GET", STATUS_TARGET)
         answer = caller.getresponse()
-        body = answer.read(MOST_STATUS_BYTES)
+        body = answer.read(MAX_STATUS_BYTES)
     except http.client.HTTPException as error:
         raise EndpointListError(f"no HTTP: {type(error).__name__}") from None
     finally:
@@ -31,12 +31,12 @@
     return read_status(body)
 
 
-def status(machines: Iterable[SocketAddress]) -> tuple[list[str], bool]:
+def fleet_status(machines: Iterable[SocketAddress]) -> tuple[list[str], bool]:
     """The lines to print, and whether every released version is in force everywhere that could be asked."""
     lines, found, fine = list[str](), list[tuple[str, list[StatusReport]]](), True
     for at in machines:
         try:
-            found.append(ask(at))
+            found.append(read_machine_status(at))
         except (OSError, EndpointListError) as error:
             reason = getattr(error, "strerror", None) or error
             lines.append(f"{at.host}:{at.port}: {reason}")
@@ -62,7 +62,7 @@
         if report.stage is not None:
             stage = report.stage
             state = "; ".join(stage.objections) or ("in force" if not stage.pending else "waited for")
-            relays = ", ".join(stage.in_force + stage.pending) or "no relay"
+            relays = ", ".join(stage.applied + stage.pending) or "no relay"
             yield f"  staged version {stage.version.number} at {relays} ({name}): {state}"
     if everywhere.stragglers:
         yield f"  behind: {', '.join(everywhere.stragglers)}"
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -28,12 +28,12 @@
 from gannetweir.proto.control_watch import ACK_TARGET, ControlWatch, write_answer
 from gannetweir.proto.endpoint_watch import EndpointListError, WatchFailed, read_membership
 
-RETURN_US = (
+RETURN_TO_FIRST_CHOICE_US = (
     60_000_000  # a watch of another machine's ends for the first choice after this, or up to twice this
 )
 
-SERVICE_REPORT_S = 0.7
-SERVICE_REPORTS = 4  # within the time for which a first stage is observed
+ACK_REPEAT_S = 0.7
+ACK_REPEATS = 4  # within the time for which a first stage is observed
 
 
 class ControlHost(Protocol):
@@ -51,16 +51,16 @@
     @property
     def spawn(self) -> Spawn: ...
 
-    def apply_membership(self, news: MembershipUpdate) -> None:
+    def apply_membership(self, update: MembershipUpdate) -> None:
         """Changes to the list, at most `ENTRIES_A_STEP` of them."""
 
-    def apply_settings(self, data: dict[str, Any]) -> None:
+    def apply_settings(self, values: dict[str, Any]) -> None:
         """The whole settings, checked. `ValueError` if they can't be taken after all."""
 
-    def totals(self) -> ServiceTotals | None:
+    def service_totals(self) -> ServiceTotals | None:
         """What was answered to clients since the start; None where there are none."""
 
-    def in_force(self, resource: Resource, version: Version) -> None:
+    def version_applied(self, resource: Resource, version: Version) -> None:
         """All of the version was applied."""
 
 
@@ -76,27 +76,27 @@
         endpoint: Callable[[socket.socket, Limits, Spawn], Transport] = Transport,
     ) -> None:
         """`machines` by their names; `draw` gives numbers from 0 to 1. `ValueError` without a machine."""
-        self.host, self.machines, self.followers, self.draw = host, machines, followers, draw
-        self.endpoint = endpoint  # a measurement counts the bytes in its own
-        self.calls = MachineSelector(host.name, list(machines), draw)
+        self.host, self.machines, self.followers, self.random_fraction = host, machines, followers, draw
+        self.make_transport = endpoint  # a measurement counts the bytes in its own
+        self.selector = MachineSelector(host.name, list(machines), draw)
         self.bytes_read = self.bytes_written = self.nacks = 0
         self.last_error = ""
 
     async def run(self) -> None:
         """Until cancelled."""
         while True:
-            stays = await self._watch(self.machines[self.calls.machine])
+            stays = await self._watch(self.machines[self.selector.machine])
             for follower in self.followers.values():
                 follower.disconnected()
             if stays:
-                self.calls.return_to_first_choice()
+                self.selector.return_to_first_choice()
             else:
-                await anyio.sleep(self.calls.record_failure() / 1e6)
+                await anyio.sleep(self.selector.record_failure() / 1e6)
 
     async def _watch(self, at: SocketAddress) -> bool:
         """One watch. True if it ended only for the first choice's sake."""
         limits = self.host.limits
-        endpoint = self.endpoint(tcp_socket(at.host), limits, self.host.spawn)
+        endpoint = self.make_transport(tcp_socket(at.host), limits, self.host.spawn)
         held = {resource: follower.applied_version for resource, follower in self.followers.items()}
         watch = ControlWatch(f"{at.host}:{at.port}", self.host.name, held, self.host.settings, limits)
         try:
@@ -104,13 +104,15 @@
             with anyio.fail_after(CALL_TIMEOUT_US / 1e6):
                 await connect(endpoint.sock, (at.host, at.port))
             self._write(endpoint, watch.request)
-            home = self.calls.machine == self.calls.ranked[0]
-            leave = due + (float("inf") if home else RETURN_US * (1 + self.draw()) / 1e6)
+            home = self.selector.machine == self.selector.ranked[0]
+            leave = due + (
+                float("inf") if home else RETURN_TO_FIRST_CHOICE_US * (1 + self.random_fraction()) / 1e6
+            )
             while anyio.current_time() < leave:
                 with anyio.fail_after(due - anyio.current_time()):
                     data = await endpoint.read()
                 # bytes alone prove nothing: a machine that trickles says nothing whole, and is left
-                if await self._hear(watch, data, at):
+                if await self._receive(watch, data, at):
                     due = anyio.current_time() + limits.pool_silence_us / 1e6
             return True
         except TimeoutError:
@@ -125,34 +127,34 @@
         self.bytes_written += len(data)
         endpoint.write(data)
 
-    async def _hear(self, watch: ControlWatch, data: bytes, at: SocketAddress) -> bool:
+    async def _receive(self, watch: ControlWatch, data: bytes, at: SocketAddress) -> bool:
         self.bytes_read += len(data)
         events = watch.events(data)
         for event in events:
             if isinstance(event, WatchFailed):
                 raise EndpointListError(event.reason)
-            self.calls.record_success()
+            self.selector.record_success()
             if isinstance(event, Slice):
-                await self._take(event, at)
+                await self._process_slice(event, at)
         return bool(events)
 
-    async def _take(self, part: Slice, at: SocketAddress) -> None:
+    async def _process_slice(self, part: Slice, at: SocketAddress) -> None:
         follower = self.followers.get(part.resource)
         if follower is None:
             return
-        self._carry_out(follower, follower.receive(part), at)
+        self._dispatch(follower, follower.receive(part), at)
         while not follower.is_idle:
             await anyio.lowlevel.checkpoint()  # no turn of the loop does more than one step
-            self._carry_out(follower, follower.step(), at)
+            self._dispatch(follower, follower.step(), at)
 
-    def _carry_out(self, follower: Follower, events: list[FollowerEvent], at: SocketAddress) -> None:
+    def _dispatch(self, follower: Follower, events: list[FollowerEvent], at: SocketAddress) -> None:
         for event in events:
             if isinstance(event, ApplyEntries):
                 self._apply(follower, event)
                 continue
-            self.host.spawn(partial(self._answer, event, at))
+            self.host.spawn(partial(self._send_answer, event, at))
             if isinstance(event, Ack) and event.resource is Resource.SETTINGS:
-                self.host.spawn(partial(self._watch_service, event, at))
+                self.host.spawn(partial(self._repeat_ack, event, at))
             if isinstance(event, Nack):
                 self.nacks += 1
                 if event.reason in (Reason.OLDER, Reason.CONFLICT):  # another machine may be in step
@@ -170,25 +172,28 @@
             held = follower.applied.entries
             self.host.apply_settings({key: orjson.loads(body) for key, body in held.items()})
         if event.completes_version:
-            self.host.in_force(event.resource, event.version)
+            self.host.version_applied(event.resource, event.version)
 
-    async def _watch_service(self, answer: Ack, at: SocketAddress) -> None:
+    async def _repeat_ack(self, answer: Ack, at: SocketAddress) -> None:
         """Repeat the ACK while the relay may be one of the first with this version: its totals tell."""
-        for _ in range(SERVICE_REPORTS):
-            if self.host.totals() is None:
+        for _ in range(ACK_REPEATS):
+            if self.host.service_totals() is None:
                 return
-            await anyio.sleep(SERVICE_REPORT_S)
-            await self._answer(answer, at)
+            await anyio.sleep(ACK_REPEAT_S)
+            await self._send_answer(answer, at)
 
-    async def _answer(self, answer: Ack | Nack, at: SocketAddress) -> None:
+    async def _send_answer(self, answer: Ack | Nack, at: SocketAddress) -> None:
         """On a connection of its own. One that is lost is asked for again: the machine ends the watch."""
-        endpoint = self.endpoint(tcp_socket(at.host), self.host.limits, self.host.spawn)
+        endpoint = self.make_transport(tcp_socket(at.host), self.host.limits, self.host.spawn)
         try:
             with anyio.move_on_after(CALL_TIMEOUT_US / 1e6), contextlib.suppress(OSError, h11.ProtocolError):
                 await connect(endpoint.sock, (at.host, at.port))
                 self._write(
                     endpoint,
-                    _post(f"{at.host}:{at.port}", write_answer(self.host.name, answer, self.host.totals())),
+                    _post(
+                        f"{at.host}:{at.port}",
+                        write_answer(self.host.name, answer, self.host.service_totals()),
+                    ),
                 )
                 self.bytes_read += len(await endpoint.read())
         finally:
--- a/gannetweir/proto/control_calls.py
+++ b/gannetweir/proto/control_calls.py
@@ -12,12 +12,18 @@
 from gannetweir.control.status_report import StatusReport
 from gannetweir.control.versions import NO_VERSION, Ack, Nack, Resource, Version
 from gannetweir.proto.control_json import json_list, json_object, number_field, text_field, texts_field
-from gannetweir.proto.control_watch import ACK_TARGET, MOST_ANSWER_BYTES, held_text, read_answer, read_held
+from gannetweir.proto.control_watch import (
+    ACK_TARGET,
+    MAX_ANSWER_BYTES,
+    read_answer,
+    read_version,
+    version_text,
+)
 from gannetweir.proto.endpoint_watch import EndpointListError
 
 WATCH_TARGET = "/registry/instances"
 STATUS_TARGET = "/control/status"
-MOST_RELAY_BYTES = 200
+MAX_RELAY_BYTES = 200
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +31,7 @@
     """A relay wants a watch, from the versions that it holds."""
 
     relay: str
-    held: dict[Resource, Version]
+    applied: dict[Resource, Version]
     gzip: bool
 
 
@@ -50,7 +56,7 @@
     """Reads one call from a connection."""
 
     def __init__(self) -> None:
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_ANSWER_BYTES)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_ANSWER_BYTES)
         self.request: h11.Request | None = None
         self.body = b""
 
@@ -63,7 +69,7 @@
                     self.request = event
                 elif isinstance(event, h11.Data):
                     self.body += event.data
-                    if len(self.body) > MOST_ANSWER_BYTES:
+                    if len(self.body) > MAX_ANSWER_BYTES:
                         raise EndpointListError("a call's body is too long")
                 elif isinstance(event, h11.EndOfMessage) and self.request is not None:
                     return self._call(self.request)
@@ -88,9 +94,9 @@
 def _watch_call(query: str) -> WatchCall:
     fields = {name: values[-1] for name, values in parse_qs(query).items()}
     relay = fields.get("relay", "")
-    if not 0 < len(relay) <= MOST_RELAY_BYTES:
+    if not 0 < len(relay) <= MAX_RELAY_BYTES:
         raise EndpointListError("relay: missing or too long")
-    held = {r: read_held(fields[r]) if r in fields else NO_VERSION for r in Resource}
+    held = {r: read_version(fields[r]) if r in fields else NO_VERSION for r in Resource}
     return WatchCall(relay, held, fields.get("gzip") == "1")
 
 
@@ -164,8 +170,8 @@
 
 def _stage_object(stage: StageReport) -> dict[str, object]:
     return {
-        "version": held_text(stage.version),  # as text: a digest is larger than JSON's numbers
-        "in_force": stage.in_force,
+        "version": version_text(stage.version),  # as text: a digest is larger than JSON's numbers
+        "in_force": stage.applied,
         "waiting": stage.pending,
         "against": stage.objections,
     }
@@ -195,8 +201,8 @@
     if data.keys() != _STAGE_KEYS:
         raise EndpointListError("stage: an object with other keys")
     return StageReport(
-        version=read_held(text_field(data, "version")),
-        in_force=texts_field(data, "in_force"),
+        version=read_version(text_field(data, "version")),
+        applied=texts_field(data, "in_force"),
         pending=texts_field(data, "waiting"),
         objections=texts_field(data, "against"),
     )
--- a/gannetweir/proto/control_watch.py
+++ b/gannetweir/proto/control_watch.py
@@ -38,15 +38,15 @@
 from gannetweir.proto.endpoint_watch import EndpointListError, EndpointWatch, Heartbeat, WatchFailed
 
 ACK_TARGET = "/control/answers"
-MOST_ANSWER_BYTES = 4_096
-MOST_INFLATED_BYTES = 1 << 20  # out of one read: a publisher's slices are 12 kB each
+MAX_ANSWER_BYTES = 4_096
+MAX_INFLATED_BYTES = 1 << 20  # out of one read: a publisher's slices are 12 kB each
 # A gzip member's head, for a stream of blocks that are compressed one by one: each can go to many relays.
 _GZIP_HEAD = b"\x1f\x8b\x08\x00\x00\x00\x00\x00\x00\xff"
 
 ControlEvent = Slice | Heartbeat | WatchFailed
 
 
-def canonical(value: Any) -> bytes:
+def canonical_json(value: Any) -> bytes:
     """The one form of a JSON value over which digests are taken. Raises `TypeError` for what JSON lacks."""
     data = orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
     return bytes(memoryview(data))  # a copy: behind what orjson returns stays its whole buffer, 4 KB an entry
@@ -72,7 +72,7 @@
     host = data["host"] if isinstance(data, dict) else None
     if not isinstance(host, str):
         raise EndpointListError("hosts: an entry without a name")
-    return Entry(host, None if data.get("health") == "Gone" else canonical(data))
+    return Entry(host, None if data.get("health") == "Gone" else canonical_json(data))
 
 
 def _entries(data: Mapping[str, Any], resource: Resource) -> tuple[Entry, ...]:
@@ -84,7 +84,7 @@
     settings = data["settings"]
     if not isinstance(settings, dict) or len(settings) > MAX_SLICE_ENTRIES:
         raise EndpointListError("settings: not an object, or too long")
-    return tuple(Entry(key, None if v is None else canonical(v)) for key, v in settings.items())
+    return tuple(Entry(key, None if v is None else canonical_json(v)) for key, v in settings.items())
 
 
 def read_slice(data: Any) -> Slice:
@@ -124,12 +124,12 @@
 
 
 @lru_cache(maxsize=256)
-def write_compressed(part: Slice) -> bytes:
+def write_compressed_slice(part: Slice) -> bytes:
     """The same as a block of a gzip stream, which needs nothing of the blocks before it."""
-    return compressed(write_slice(part))
+    return compress_line(write_slice(part))
 
 
-def compressed(line: bytes) -> bytes:
+def compress_line(line: bytes) -> bytes:
     """A line as a block of its own."""
     packer = zlib.compressobj(6, zlib.DEFLATED, -zlib.MAX_WBITS)
     return packer.compress(line) + packer.flush(zlib.Z_FULL_FLUSH)
@@ -140,12 +140,12 @@
     return _GZIP_HEAD if gzip else b""
 
 
-def held_text(version: Version) -> str:
+def version_text(version: Version) -> str:
     """`EPOCH.NUMBER.DIGEST`."""
     return f"{version.epoch}.{version.number}.{version.digest:032x}"
 
 
-def read_held(text: str) -> Version:
+def read_version(text: str) -> Version:
     """`EPOCH.NUMBER.DIGEST`. Raises `PoolError`."""
     epoch, _, rest = text.partition(".")
     number, _, digest = rest.partition(".")
@@ -160,29 +160,31 @@
     """
 
     def __init__(
-        self, host: str, relay: str, held: Mapping[Resource, Version], settings: Settings, limits: Limits
+        self, host: str, relay: str, applied: Mapping[Resource, Version], settings: Settings, limits: Limits
     ) -> None:
-        versions = "".join(f"&{resource}={held_text(version)}" for resource, version in held.items())
-        since = held.get(Resource.MEMBERSHIP, NO_VERSION).number
+        versions = "".join(f"&{resource}={version_text(version)}" for resource, version in applied.items())
+        since = applied.get(Resource.MEMBERSHIP, NO_VERSION).number
         super().__init__(host, since, settings, limits, f"&relay={quote(relay, safe='')}{versions}&gzip=1")
-        self.inflate: Any = None
-        self.begun = False  # the body has
+        self.decompressor: Any = None
+        self.body_has_begun = False  # the body has
 
     def events(self, data: bytes) -> list[ControlEvent]:
         """As `feed`: slices and heartbeats in their order, and at the end what broke the watch."""
         return cast("list[ControlEvent]", self.feed(data))
 
     def _decode_body(self, data: bytes) -> bytes:
-        if not self.begun and data:  # a gzip stream begins with a byte that no line of JSON begins with
-            self.begun = True
-            self.inflate = zlib.decompressobj(zlib.MAX_WBITS | 16) if data[0] == _GZIP_HEAD[0] else None
-        if self.inflate is None:
+        if (
+            not self.body_has_begun and data
+        ):  # a gzip stream begins with a byte that no line of JSON begins with
+            self.body_has_begun = True
+            self.decompressor = zlib.decompressobj(zlib.MAX_WBITS | 16) if data[0] == _GZIP_HEAD[0] else None
+        if self.decompressor is None:
             return data
         try:
-            lines = self.inflate.decompress(data, MOST_INFLATED_BYTES)
+            lines = self.decompressor.decompress(data, MAX_INFLATED_BYTES)
         except zlib.error as error:
             raise EndpointListError(f"not a gzip stream: {error}") from None
-        if self.inflate.unconsumed_tail:
+        if self.decompressor.unconsumed_tail:
             raise EndpointListError("too much out of one read")
         return bytes(lines)
 
@@ -193,9 +195,9 @@
 def write_answer(relay: str, answer: Ack | Nack, totals: ServiceTotals | None = None) -> bytes:
     """The body of an ACK or NACK, with what the relay has served so far."""
     version = answer.version
-    data: dict[str, Any] = {"relay": relay, "resource": answer.resource, "version": held_text(version)}
+    data: dict[str, Any] = {"relay": relay, "resource": answer.resource, "version": version_text(version)}
     if isinstance(answer, Nack):
-        data |= {"reason": answer.reason, "detail": answer.detail, "held": held_text(answer.applied)}
+        data |= {"reason": answer.reason, "detail": answer.detail, "held": version_text(answer.applied)}
     if totals is not None:
         data |= {"served": totals.served, "failed": totals.failed}
     return orjson.dumps(data)
@@ -205,13 +207,17 @@
     """The relay, its answer, and what it has served so far. Raises `PoolError`."""
     try:
         data = orjson.loads(body)
-        relay, resource, version = data["relay"], Resource(data["resource"]), read_held(data["version"])
+        relay, resource, version = data["relay"], Resource(data["resource"]), read_version(data["version"])
         if not isinstance(relay, str) or not relay:
             raise EndpointListError("relay: ill-typed")
         totals = ServiceTotals(_number(data, "served"), _number(data, "failed")) if "served" in data else None
         if "reason" not in data:
             return relay, Ack(resource, version), totals
         detail = str(data["detail"])[:200]
-        return relay, Nack(resource, version, Reason(data["reason"]), detail, read_held(data["held"])), totals
+        return (
+            relay,
+            Nack(resource, version, Reason(data["reason"]), detail, read_version(data["held"])),
+            totals,
+        )
     except (KeyError, TypeError, AttributeError, ValueError) as error:
         raise EndpointListError(f"not an answer: {type(error).__name__}: {error}"[:200]) from None
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -26,7 +26,7 @@
 )
 from gannetweir.limits import Limits
 from gannetweir.net.control_check import RelayCheck
-from gannetweir.proto.control_watch import canonical
+from gannetweir.proto.control_watch import canonical_json
 from tests.helpers import settings
 
 M = Resource.MEMBERSHIP
@@ -194,7 +194,7 @@
 
 
 def settings_entries(**changes: object) -> list[Entry]:
-    return [Entry(key, canonical(value)) for key, value in (SETTINGS | changes).items()]
+    return [Entry(key, canonical_json(value)) for key, value in (SETTINGS | changes).items()]
 
 
 @pytest.mark.parametrize(
@@ -233,8 +233,10 @@
     "body", [{"host": "a", "health": "Asleep"}, {"host": "b", "health": "Ready"}, {"host": "a"}, []]
 )
 def test_an_entry_that_discoverys_reader_would_refuse(body: object) -> None:
-    assert RelayCheck(settings).check_entry(M, Entry("a", canonical(body)))
-    assert not RelayCheck(settings).check_entry(M, Entry("a", canonical({"host": "a", "health": "Ready"})))
+    assert RelayCheck(settings).check_entry(M, Entry("a", canonical_json(body)))
+    assert not RelayCheck(settings).check_entry(
+        M, Entry("a", canonical_json({"host": "a", "health": "Ready"}))
+    )
 
 
 # ---- the choice of a machine
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -25,14 +25,14 @@
 from gannetweir.net.control_check import RelayCheck
 from gannetweir.net.control_host import EngineHost
 from gannetweir.net.control_server import ControlServer
-from gannetweir.net.control_status import status
+from gannetweir.net.control_status import fleet_status
 from gannetweir.net.control_watch import ControlDriver
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.control_calls import chunk, read_status, status_body, watch_head
 from gannetweir.proto.control_watch import (
     ControlWatch,
-    canonical,
-    compressed,
+    canonical_json,
+    compress_line,
     read_answer,
     stream_head,
     write_answer,
@@ -47,7 +47,7 @@
 
 
 def host(name: str, **fields: object) -> bytes:
-    return canonical({"host": name, "dial": "10.0.0.1:80", "health": "Ready", "born_ms": 0} | fields)
+    return canonical_json({"host": name, "dial": "10.0.0.1:80", "health": "Ready", "born_ms": 0} | fields)
 
 
 def watch() -> ControlWatch:
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("step", [1, 7, 8192])
 def test_slices_come_through_in_pieces_of_any_size(gzip: bool, step: int) -> None:
     lines = [write_slice(part) for part in PARTS] + [b"\n"]
-    blocks = [compressed(line) for line in lines] if gzip else lines
+    blocks = [compress_line(line) for line in lines] if gzip else lines
     data = watch_head(gzip) + b"".join(map(chunk, [stream_head(gzip) + blocks[0], *blocks[1:]]))
     w, found = watch(), list[object]()
     for at in range(0, len(data), step):
@@ -117,7 +117,7 @@
 
 
 def test_what_unpacks_without_measure_breaks_the_watch() -> None:
-    bomb = stream_head(True) + compressed(b" " * (64 << 20))
+    bomb = stream_head(True) + compress_line(b" " * (64 << 20))
     (broken,) = watch().events(watch_head(True) + chunk(bomb))
     assert isinstance(broken, WatchFailed) and "too much" in broken.reason
     (broken,) = watch().events(watch_head(True) + chunk(stream_head(True) + b"\xff\xff\xff"))
@@ -215,7 +215,7 @@
     def __init__(self, tasks: Any, staged: frozenset[Resource]) -> None:
         self.tasks, self.store = tasks, MemoryStore(staged=staged)
         self.store.put(M, {"a": host("a"), "b": host("b")})
-        self.store.put(S, {"categories": canonical([{"name": "chat"}])})
+        self.store.put(S, {"categories": canonical_json([{"name": "chat"}])})
         self.store.release(S, 1)
         self.machines: dict[str, SocketAddress] = {}
         self.scopes: dict[str, anyio.CancelScope] = {}
@@ -272,7 +272,7 @@
             plane.store.put(M, {"a": None, "b": host("b", health="Terminating")})
             await relay.reaches(M, 2)
             assert relay.hosts == {"a": 0, "b": 2}
-            plane.store.put(S, {"categories": canonical([{"name": "chat", "hard-limit-us": 1000}])})
+            plane.store.put(S, {"categories": canonical_json([{"name": "chat", "hard-limit-us": 1000}])})
             machine = plane.servers["c0"].machine
             assert machine is not None
             with anyio.fail_after(SOON):
@@ -302,10 +302,10 @@
 
             plane.tasks.start_soon(trickle)
             probe = plane.relay("r0")
-            first = plane.drivers["r0"].calls.ranked[0]
+            first = plane.drivers["r0"].selector.ranked[0]
             plane.machines[first] = SocketAddress(*silent.getsockname()[:2])
             await probe.reaches(M, 1)
-            assert plane.drivers["r0"].calls.machine != first
+            assert plane.drivers["r0"].selector.machine != first
             silent.close()
 
     anyio.run(run)
@@ -335,7 +335,7 @@
                 await relay.reaches(M, 1)
             plane.store.put(M, {"a": host("a", born_ms=5)})
             await relays[0].reaches(M, 2)  # the others may or may not have it
-            await plane.stop(plane.drivers["r0"].calls.machine)
+            await plane.stop(plane.drivers["r0"].selector.machine)
             for relay in relays:
                 await relay.reaches(M, 2)
             for name in plane.machines:
@@ -381,11 +381,11 @@
             relays = [plane.relay(f"r{n}") for n in range(5)]
             for relay in relays:
                 await relay.reaches(S, 1)
-            plane.store.put(S, {"categories": canonical([{"name": "chat", "hard-limit-us": 1000}])})
+            plane.store.put(S, {"categories": canonical_json([{"name": "chat", "hard-limit-us": 1000}])})
             with anyio.fail_after(SOON):
                 while S not in plane.store.held:
                     await anyio.sleep(0.05)
-            lines, fine = await anyio.to_thread.run_sync(status, plane.machines.values())
+            lines, fine = await anyio.to_thread.run_sync(fleet_status, plane.machines.values())
             shown = "\n".join(lines)
             assert (
                 not fine and "settings: version 2, released 1" in shown and "5 relays at 2 machines" in shown
@@ -393,11 +393,11 @@
             assert "staged version 2 at r" in shown and "before SIGKILL" in shown and "refused by r" in shown
             assert plane.store.held[S][0] == 2 and "before SIGKILL" in plane.store.held[S][1]
             assert {relay.versions[S] for relay in relays} == {1}
-            plane.store.put(S, {"categories": canonical([{"name": "chat", "hard-limit-us": 2_000_000}])})
+            plane.store.put(S, {"categories": canonical_json([{"name": "chat", "hard-limit-us": 2_000_000}])})
             for relay in relays:
                 await relay.reaches(S, 3)
             await plane.stop("c0")
-            lines, fine = await anyio.to_thread.run_sync(status, plane.machines.values())
+            lines, fine = await anyio.to_thread.run_sync(fleet_status, plane.machines.values())
             assert not fine and "refused" in lines[0] and len(lines) > 3
 
     anyio.run(run)
