--- a/gannetweir/control/machine_selector.py
+++ b/gannetweir/control/machine_selector.py
@@ -1,12 +1,13 @@
 """Which control machine a relay calls: rendezvous hashing, and backoff with full jitter between calls.
 
-Rendezvous hashing (highest random weight): each relay ranks all machines by a hash of its own name and theirs, so that
-the loss of a machine moves only that machine's relays, and spreads them evenly over all others. A `MachineSelector`
-belongs to the relay's `ControlDriver`.
-
-The time-outs have to fit the rule that a relay has a change at most 6 s after it could be had. A watch is found silent
-after 2.75 s; then come two calls, of which the first is never answered: 2.75 + 0.25 + 1 + 0.5 + 1 = 5.5 s. After a
-long outage there is a call that hangs, the longest backoff and one more call: 1 + 2 + 1 = 4 s.
+Rendezvous hashing (highest random weight): each relay ranks all machines by a hash of its own name and
+theirs, so that the loss of a machine moves only that machine's relays, and spreads them evenly over all
+others. A `MachineSelector` belongs to the relay's `ControlDriver`.
+
+The time-outs have to fit the rule that a relay has a change at most 6 s after it could be had. A watch is
+found silent after 2.75 s; then come two calls, of which the first is never answered: 2.75 + 0.25 + 1 + 0.5
++ 1 = 5.5 s. After a long outage there is a call that hangs, the longest backoff and one more call: 1 + 2 +
+1 = 4 s.
 """
 
 from __future__ import annotations
--- a/gannetweir/control/rollout.py
+++ b/gannetweir/control/rollout.py
@@ -1,6 +1,12 @@
-"""The decision on staged versions, from what all control machines report: on to all relays, or held.
+"""The decision on a staged version from the reports of all control machines: release it, wait, or halt the
+rollout.
 
-One machine at a time decides, the one that the store says leads. A successor begins the stage's time anew.
+A version is released once every canary has applied it and none has objected for `OBSERVATION_US` from then
+on. It is halted for good at the first objection, or if its canaries have not all applied it within
+`MAX_STAGE_US`; what follows a halted version is another version with a stage of its own.
+
+One machine at a time decides, the lease holder; it owns the `RolloutCoordinator`. A successor begins the
+stage's time anew.
 """
 
 from __future__ import annotations
@@ -13,9 +19,13 @@
 from gannetweir.control.status_report import StatusReport
 from gannetweir.control.versions import Resource, Version
 
-# Of the 12 s in which a change has to be in force everywhere.
-OBSERVATION_US = 3_000_000  # from the last canary's ACK
-MAX_STAGE_US = 6_000_000  # from the begin: a stage that is not through by then is held
+# Both are parts of the 12 s within which a change has to be applied everywhere.
+OBSERVATION_US = 3_000_000  # from the last canary's ACK: its service is observed for so long
+MAX_STAGE_US = (
+    6_000_000  # from the begin: a stage whose canaries have not applied the version by then is halted
+)
+MAX_NAMED_OBJECTIONS = 3  # in the reason of a halt
+MAX_NAMED_RELAYS = 5  # in the reason of a halt
 
 
 class Verdict(StrEnum):
@@ -23,12 +33,12 @@
 
     WAIT = "wait"
     RELEASE = "release"
-    HALT = "hold"
+    HALT = "halt"
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """On one resource's newest version; `reason` says why it is held."""
+    """The verdict on one resource's newest version; `reason` says why it is halted."""
 
     resource: Resource
     number: int
@@ -37,62 +47,87 @@
 
 
 class Rollout:
-    """One staged version. A held one stays held: its successor is a version with a stage of its own."""
+    """One staged version, from its first report to its verdict. Once halted it stays halted."""
 
     def __init__(self, version: Version, now_us: int) -> None:
         self.version = version
-        self.elapsed_us, self.updated_us = 0, now_us
-        self.all_applied_us: int | None = None  # in terms of `elapsed_us`
+        self.elapsed_us = 0  # since the begin
+        self.updated_us = now_us
+        self.all_applied_us: int | None = None  # the `elapsed_us` since which all canaries have applied it
         self.halt_reason = ""
 
     def decide(self, reports: Iterable[StageReport], now_us: int) -> Verdict:
-        """Asked again and again, with every machine's report on this version."""
-        self.elapsed_us += max(
-            0, now_us - self.updated_us
-        )  # a clock that was set back counts as no time passed
+        """The verdict now, by every machine's present report on this version. To be called again and
+        again.
+        """
+        # a clock that was set back counts as no time passed
+        self.elapsed_us += max(0, now_us - self.updated_us)
         self.updated_us = now_us
-        given = list(reports)
-        objections = [text for report in given for text in report.objections]
-        pending = [relay for report in given for relay in report.pending]
-        in_force = any(report.applied for report in given) and not pending
-        if objections and not self.halt_reason:
-            self.halt_reason = "; ".join(objections[:3])
+        stages = list(reports)
+        self._halt_on_objection(stages)
         if self.halt_reason:
             return Verdict.HALT
-        if not in_force:
-            self.all_applied_us = None
-            if self.elapsed_us < MAX_STAGE_US:
-                return Verdict.WAIT
-            self.halt_reason = f"not in force at {', '.join(pending[:5]) or 'any relay'} within the stage"
-            return Verdict.HALT
+        pending = [relay for stage in stages for relay in stage.pending]
+        if pending or not any(stage.applied for stage in stages):
+            return self._wait_for_canaries(pending)
+        return self._observe()
+
+    def _halt_on_objection(self, stages: list[StageReport]) -> None:
+        objections = [text for stage in stages for text in stage.objections]
+        if objections and not self.halt_reason:
+            self.halt_reason = "; ".join(objections[:MAX_NAMED_OBJECTIONS])
+
+    def _wait_for_canaries(self, pending: list[str]) -> Verdict:
+        self.all_applied_us = None
+        if self.elapsed_us < MAX_STAGE_US:
+            return Verdict.WAIT
+        relays = ", ".join(pending[:MAX_NAMED_RELAYS]) or "any relay"
+        self.halt_reason = f"not in force at {relays} within the stage"
+        return Verdict.HALT
+
+    def _observe(self) -> Verdict:
         if self.all_applied_us is None:
             self.all_applied_us = self.elapsed_us
-        return Verdict.RELEASE if self.elapsed_us - self.all_applied_us >= OBSERVATION_US else Verdict.WAIT
+        if self.elapsed_us - self.all_applied_us >= OBSERVATION_US:
+            return Verdict.RELEASE
+        return Verdict.WAIT
 
 
 class RolloutCoordinator:
-    """Decides on every resource."""
+    """The rollouts of all resources; at most one version of a resource is staged at a time."""
 
     def __init__(self) -> None:
         self.rollouts: dict[Resource, Rollout] = {}
 
     def decide(self, reports: Mapping[str, Sequence[StatusReport]], now_us: int) -> list[Decision]:
-        """What follows from the machines' last reports; nothing for a resource without a staged version."""
-        found = []
+        """The decisions by the machines' last reports; none for a resource without a staged version."""
+        decisions = []
         for resource in Resource:
-            stages = [
-                report.stage
-                for machine in reports.values()
-                for report in machine
-                if report.resource is resource and report.stage is not None
-            ]
-            if not stages:
+            stages = _stages_of(resource, reports)
+            if stages:
+                decisions.append(self._decide_resource(resource, stages, now_us))
+            else:
                 self.rollouts.pop(resource, None)
-                continue
-            version = max((stage.version for stage in stages), key=lambda v: (v.epoch, v.number))
-            rollout = self.rollouts.get(resource)
-            if rollout is None or rollout.version != version:
-                rollout = self.rollouts[resource] = Rollout(version, now_us)
-            verdict = rollout.decide([s for s in stages if s.version == version], now_us)
-            found.append(Decision(resource, version.number, verdict, rollout.halt_reason))
-        return found
+        return decisions
+
+    def _decide_resource(self, resource: Resource, stages: list[StageReport], now_us: int) -> Decision:
+        newest = max((stage.version for stage in stages), key=_age_order)
+        rollout = self.rollouts.get(resource)
+        if rollout is None or rollout.version != newest:
+            rollout = Rollout(newest, now_us)
+            self.rollouts[resource] = rollout
+        verdict = rollout.decide([stage for stage in stages if stage.version == newest], now_us)
+        return Decision(resource, newest.number, verdict, rollout.halt_reason)
+
+
+def _stages_of(resource: Resource, reports: Mapping[str, Sequence[StatusReport]]) -> list[StageReport]:
+    return [
+        report.stage
+        for machine in reports.values()
+        for report in machine
+        if report.resource is resource and report.stage is not None
+    ]
+
+
+def _age_order(version: Version) -> tuple[int, int]:
+    return version.epoch, version.number
--- a/gannetweir/control/status_report.py
+++ b/gannetweir/control/status_report.py
@@ -1,6 +1,9 @@
-"""Where versions stand: what a control machine tells upward, and what the reports say together.
+"""Where versions stand: what a control machine reports to the store, and the reports of several machines
+merged.
 
-A report is bounded, however many relays there are.
+A report is bounded, however many relays there are: it counts all relays and names a few. It is an immutable
+snapshot of a publisher's state. `gannetweir control status` prints the merged reports; their wire form is
+in `proto.control_calls`.
 """
 
 from __future__ import annotations
@@ -12,68 +15,74 @@
 from gannetweir.control.stage import StageReport
 from gannetweir.control.versions import Resource
 
-MAX_NAMED = 20  # stragglers and refusals that are named; all are counted
+MAX_NAMED = 20  # stragglers, and rejections, that a report names: bounds its size
 
 
 @dataclass(frozen=True, slots=True)
 class StatusReport:
-    """One resource at one machine, or at all of them together."""
+    """One resource at one machine, or at several machines together. Versions are given by their numbers."""
 
     resource: Resource
     newest: int
     released: int
-    lowest: int  # in force at any relay; the newest where there is none
+    lowest: int  # that any relay has applied; the newest where there is no relay
     relays: int
-    at_newest: int
+    at_newest: int  # relays
     behind: int  # relays on less than the released version
     rejecting: int  # relays whose last answer was a NACK
-    stragglers: tuple[str, ...]  # by name, the furthest behind first
+    stragglers: tuple[str, ...]  # relays by name, the furthest behind first
     rejections: tuple[str, ...]  # relay, reason and detail
     stage: StageReport | None = None  # of one machine, while its newest version is not released
 
 
 def status_report(publisher: Publisher) -> StatusReport:
-    """A machine's own."""
+    """One machine's own report."""
     sessions = list(publisher.sessions.values())
-    newest, released = publisher.newest, publisher.released
-    epoch = newest.epoch
+    newest = publisher.newest
+    released = publisher.released
     # a number of another epoch says nothing here: such a relay has no version of this one yet
-    numbers = {s.relay: s.applied.number if s.applied.epoch == epoch else 0 for s in sessions}
-    late = sorted((n, relay) for relay, n in numbers.items() if n < released.number)
-    refusals = [s.rejection for s in sessions if s.rejection is not None]
-    named = [
-        f"{s.relay}: {s.rejection.reason}: {s.rejection.detail}" for s in sessions if s.rejection is not None
+    numbers = {
+        session.relay: session.applied.number if session.applied.epoch == newest.epoch else 0
+        for session in sessions
+    }
+    behind = sorted((number, relay) for relay, number in numbers.items() if number < released.number)
+    rejections = [
+        f"{session.relay}: {session.rejection.reason}: {session.rejection.detail}"
+        for session in sessions
+        if session.rejection is not None
     ]
     return StatusReport(
-        publisher.resource,
-        newest.number,
-        released.number,
-        min(numbers.values(), default=newest.number),
-        len(sessions),
-        sum(n == newest.number for n in numbers.values()),
-        len(late),
-        len(refusals),
-        tuple(relay for _, relay in late[:MAX_NAMED]),
-        tuple(named[:MAX_NAMED]),
-        publisher.stage.report() if publisher.stage is not None else None,
+        resource=publisher.resource,
+        newest=newest.number,
+        released=released.number,
+        lowest=min(numbers.values(), default=newest.number),
+        relays=len(sessions),
+        at_newest=sum(number == newest.number for number in numbers.values()),
+        behind=len(behind),
+        rejecting=len(rejections),
+        stragglers=tuple(relay for _, relay in behind[:MAX_NAMED]),
+        rejections=tuple(rejections[:MAX_NAMED]),
+        stage=publisher.stage.report() if publisher.stage is not None else None,
     )
 
 
 def merge_reports(reports: Iterable[StatusReport]) -> StatusReport:
-    """Of several machines. Raises `ValueError` without a report, or with reports of two resources."""
-    given = list(reports)
-    if len({report.resource for report in given}) != 1:
+    """One report over several machines. Raises `ValueError` without a report, or with two resources'
+    reports.
+    """
+    merged = list(reports)
+    if len({report.resource for report in merged}) != 1:
         raise ValueError("reports of one resource are wanted")
-    newest = max(report.newest for report in given)
+    newest = max(report.newest for report in merged)
     return StatusReport(
-        given[0].resource,
-        newest,
-        max(report.released for report in given),
-        min(report.lowest for report in given),
-        sum(report.relays for report in given),
-        sum(report.at_newest for report in given if report.newest == newest),
-        sum(report.behind for report in given),
-        sum(report.rejecting for report in given),
-        tuple(name for report in given for name in report.stragglers)[:MAX_NAMED],
-        tuple(text for report in given for text in report.rejections)[:MAX_NAMED],
+        resource=merged[0].resource,
+        newest=newest,
+        released=max(report.released for report in merged),
+        lowest=min(report.lowest for report in merged),
+        relays=sum(report.relays for report in merged),
+        at_newest=sum(report.at_newest for report in merged if report.newest == newest),
+        behind=sum(report.behind for report in merged),
+        rejecting=sum(report.rejecting for report in merged),
+        stragglers=tuple(name for report in merged for name in report.stragglers)[:MAX_NAMED],
+        rejections=tuple(text for report in merged for text in report.rejections)[:MAX_NAMED],
     )
--- a/gannetweir/control/store.py
+++ b/gannetweir/control/store.py
@@ -1,8 +1,8 @@
 """The store of record, as a control machine needs it.
 
-An installation implements `Store` over its replicated store, which owns every version, the lease and the reports; a
-control machine has copies only. The calls are made on the event loop and must return soon; only `wait_for_change`
-waits. `gannetweir.lab.scale.store` has an implementation in memory.
+An installation implements `Store` over its replicated store, which owns every version, the lease and the
+reports; a control machine has copies only. The calls are made on the event loop and must return soon; only
+`wait_for_change` waits. `gannetweir.lab.scale.store` has an implementation in memory.
 """
 
 from __future__ import annotations
@@ -25,7 +25,9 @@
 
 
 class Store(Protocol):
-    """Reads, a watch, and what control machines report and decide. Who writes versions is not their concern."""
+    """Reads, a watch, and what control machines report and decide. Who writes versions is not their
+    concern.
+    """
 
     def read(self, resource: Resource) -> StoreSnapshot:
         """The resource at its newest released version. Raises `OSError` while the store can't be reached."""
@@ -33,7 +35,8 @@
     def changes_since(self, resource: Resource, version: Version) -> Iterable[Change] | None:
         """The changes after a version, in their order.
 
-        None where the store's log no longer reaches back to it, or where it is of another epoch. Raises `OSError`.
+        None where the store's log no longer reaches back to it, or where it is of another epoch. Raises
+        `OSError`.
         """
 
     def released_number(self, resource: Resource) -> int:
--- a/gannetweir/control/token_bucket.py
+++ b/gannetweir/control/token_bucket.py
@@ -1,12 +1,12 @@
 """A token bucket over bytes: the rate limit of what one relay's watch may carry.
 
-The bucket fills at a steady rate up to its burst. A message may go as soon as the bucket holds a token (one byte), and
-then its whole size is taken out: the bucket goes below zero by at most one message, and the next one waits for it. A
-bucket belongs to the `ControlMachine`, which has one for each relay.
+The bucket fills at a steady rate up to its burst. A message may go as soon as the bucket holds a token (one
+byte), and then its whole size is taken out: the bucket goes below zero by at most one message, and the next
+one waits for it. A bucket belongs to the `ControlMachine`, which has one for each relay.
 
-A relay's budget is 10,000 bytes a second, seen over any 10 s. In 10 s a bucket lets its burst, one message that
-overdraws it, and ten seconds of its rate through: 8,000 + 12,000 + 75,000 = 95,000 bytes. The other 5,000 are for
-heartbeats, acknowledgements and the headers of calls.
+A relay's budget is 10,000 bytes a second, seen over any 10 s. In 10 s a bucket lets its burst, one message
+that overdraws it, and ten seconds of its rate through: 8,000 + 12,000 + 75,000 = 95,000 bytes. The other
+5,000 are for heartbeats, acknowledgements and the headers of calls.
 """
 
 from __future__ import annotations
@@ -17,7 +17,9 @@
 
 
 class TokenBucket:
-    """The bytes that may go now (`available_bytes`, below zero while overdrawn), refilled on each `wait_us`."""
+    """The bytes that may go now (`available_bytes`, below zero while overdrawn), refilled on each
+    `wait_us`.
+    """
 
     def __init__(self, now_us: int, rate_bytes_s: int = RATE_BYTES_S, burst_bytes: int = BURST_BYTES) -> None:
         """A full bucket."""
--- a/gannetweir/control/version_log.py
+++ b/gannetweir/control/version_log.py
@@ -1,8 +1,9 @@
 """The recent versions of a resource, from which deltas are made.
 
-A log of changes with compaction, as behind etcd's watch: it covers every version from `oldest` to `newest`, and drops
-the oldest ones when it is full. Whoever stands on a covered version can be sent a delta; whoever stands on a compacted
-one needs a snapshot. The log belongs to its creator; `add` and `extend_back` are the only changes.
+A log of changes with compaction, as behind etcd's watch: it covers every version from `oldest` to `newest`,
+and drops the oldest ones when it is full. Whoever stands on a covered version can be sent a delta; whoever
+stands on a compacted one needs a snapshot. The log belongs to its creator; `add` and `extend_back` are the
+only changes.
 """
 
 from __future__ import annotations
@@ -28,8 +29,8 @@
 class VersionLog:
     """Changes in their order, the oldest compacted first.
 
-    Invariants: `changes` are those after `oldest` up to `newest`; `digest_by_number` has every covered version;
-    `changed_entries` counts the entries of all changes.
+    Invariants: `changes` are those after `oldest` up to `newest`; `digest_by_number` has every covered
+    version; `changed_entries` counts the entries of all changes.
     """
 
     def __init__(
@@ -98,7 +99,9 @@
         return same_epoch and self.digest_by_number.get(version.number) == version.digest
 
     def changes_between(self, base_number: int, target_number: int) -> dict[str, bytes | None]:
-        """One coalesced delta: what changed after the base up to the target, each entry as it is at the target."""
+        """One coalesced delta: what changed after the base up to the target, each entry as it is at the
+        target.
+        """
         merged: dict[str, bytes | None] = {}
         for change in reversed(self.changes):
             if change.version.number <= base_number:
--- a/gannetweir/control/versions.py
+++ b/gannetweir/control/versions.py
@@ -1,11 +1,13 @@
-"""Versions of a resource: their identity, the messages that carry them, and a resource's content with its digest.
+"""Versions of a resource: their identity, the messages that carry them, and a resource's content with its
+digest.
 
-A version (a revision in etcd's words) is an epoch, a number that rises within the epoch, and the digest of the
-content. A publisher sends it as a snapshot (everything) or as a delta from a base version, cut into slices; a relay
-answers with an ACK or a NACK, as in xDS. All types are immutable values but `Content`, which belongs to whoever
-made it. What `canonical` JSON is, `gannetweir.proto.control_watch` defines.
+A version (a revision in etcd's words) is an epoch, a number that rises within the epoch, and the digest of
+the content. A publisher sends it as a snapshot (everything) or as a delta from a base version, cut into
+slices; a relay answers with an ACK or a NACK, as in xDS. All types are immutable values but `Content`,
+which belongs to whoever made it. What `canonical` JSON is, `gannetweir.proto.control_watch` defines.
 
-The limits below are part of the protocol: raise one only at the relays first, since they reject what exceeds theirs.
+The limits below are part of the protocol: raise one only at the relays first, since they reject what
+exceeds theirs.
 """
 
 from __future__ import annotations
@@ -49,7 +51,9 @@
 
 
 class RejectedError(GannetweirError, ValueError):
-    """A version or slice is rejected, and the applied version stays; `reason` and `detail` go into the NACK."""
+    """A version or slice is rejected, and the applied version stays; `reason` and `detail` go into the
+    NACK.
+    """
 
     def __init__(self, reason: Reason, detail: str = "") -> None:
         super().__init__(f"{reason}: {detail}" if detail else str(reason))
@@ -83,7 +87,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Slice:
-    """Part `index` of `count` of a snapshot (`base` is None) or of a delta from the version numbered `base`."""
+    """Part `index` of `count` of a snapshot (`base` is None) or of a delta from the version numbered
+    `base`.
+    """
 
     resource: Resource
     target: Version
@@ -120,9 +126,9 @@
 def add_to_digest(digest: int, key: str, old: bytes | None, new: bytes | None) -> int:
     """The digest after one entry's change.
 
-    `old` and `new` are the entry's bodies, None where there is none. The sum of the entries' hashes depends on
-    no order and on no entry that stays, so a delta costs what it changes. It finds mistakes; it does not withstand
-    an attacker.
+    `old` and `new` are the entry's bodies, None where there is none. The sum of the entries' hashes depends
+    on no order and on no entry that stays, so a delta costs what it changes. It finds mistakes; it does not
+    withstand an attacker.
     """
     if old is not None:
         digest -= entry_digest(key, old)
