--- a/gannetweir/control/machine.py
+++ b/gannetweir/control/machine.py
@@ -1,55 +1,69 @@
-"""A control machine: the publishers of both resources, and each relay's share of bytes over them."""
+"""A control machine's decisions: the publishers of all resources, and each relay's budget of bytes over them.
+
+A `ControlMachine` belongs to the driver (`gannetweir.net.control_server`), which calls `poll` for each
+connected relay and sends what it returns. It owns the publishers and the relays' token buckets; it is
+replaced, never edited, when the store is read anew.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from gannetweir.control.publisher import Publisher
+from gannetweir.control.publisher import MachineBehindError, Publisher
 from gannetweir.control.stage import ServiceTotals
 from gannetweir.control.status_report import StatusReport, status_report
 from gannetweir.control.token_bucket import TokenBucket
 from gannetweir.control.versions import NO_VERSION, Ack, Nack, Resource, Slice, Version
 
-MAX_CACHED_BUCKETS = 2_000
+MAX_CACHED_BUCKETS = (
+    2_000  # relays: more than all of a fleet, so that only names that are no more are dropped
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Nothing goes to this relay for so long; None: until something changes."""
+    """Nothing may go to this relay for so long, in microseconds; None: until something changes."""
 
     duration_us: int | None
 
 
 class ControlMachine:
-    """Decides what each of its relays is sent, and when."""
+    """Decides what each connected relay is sent, and when."""
 
     def __init__(self, publishers: Mapping[Resource, Publisher]) -> None:
-        # a drain is told before a setting
+        # in the order of the resources' declaration: a drain goes before a setting
         self.publishers = {resource: publishers[resource] for resource in Resource if resource in publishers}
-        self.buckets: dict[str, TokenBucket] = {}  # outlive a watch: calling again must not win a new burst
+        # of all relays, also disconnected ones: connecting again must not win a new burst
+        self.buckets: dict[str, TokenBucket] = {}
 
     def connect(self, relay: str, applied: Mapping[Resource, Version], now_us: int) -> None:
-        """A relay's watch began; it replaces one that is still here. Raises `BehindError`."""
+        """A relay's watch began; it replaces an earlier one. Raises `MachineBehindError`, the relay
+        disconnected.
+        """
         self.disconnect(relay)
         try:
             for resource, publisher in self.publishers.items():
                 publisher.subscribe(relay, applied.get(resource, NO_VERSION))
-        except Exception:
+        except MachineBehindError:
             self.disconnect(relay)
             raise
+        self._renew_bucket(relay, now_us)
+
+    def _renew_bucket(self, relay: str, now_us: int) -> None:
+        """Make the relay's bucket the newest one, so that those of relays long gone are dropped first."""
         bucket = self.buckets.pop(relay, None)
         while len(self.buckets) >= MAX_CACHED_BUCKETS:
             del self.buckets[next(iter(self.buckets))]
         self.buckets[relay] = bucket or TokenBucket(now_us)
 
     def disconnect(self, relay: str) -> None:
-        """Its watch ended."""
+        """A relay's watch ended, if it had one."""
         for publisher in self.publishers.values():
             publisher.unsubscribe(relay)
 
     def poll(self, relay: str, now_us: int) -> Slice | Wait:
-        """What goes to a relay now. Whoever sends a slice calls `sent` before the next `poll`."""
+        """What goes to a relay now. Whoever sends a slice calls `record_sent` before the next `poll`."""
         if wait_us := self.buckets[relay].wait_us(now_us):
             return Wait(wait_us)
         for publisher in self.publishers.values():
@@ -59,7 +73,7 @@
         return Wait(None)
 
     def record_sent(self, relay: str, size_bytes: int) -> None:
-        """So many bytes have gone to the relay."""
+        """Charge the relay's budget with what was sent."""
         self.buckets[relay].charge(size_bytes)
 
     def record_answer(self, relay: str, answer: Ack | Nack, totals: ServiceTotals | None = None) -> None:
@@ -68,7 +82,7 @@
             self.publishers[answer.resource].record_answer(relay, answer, totals)
 
     def is_ack_overdue(self, relay: str, now_us: int) -> bool:
-        """Should the relay's watch be ended, since it owes an answer?"""
+        """Whether the relay's watch should be ended, since it owes an answer for too long."""
         return any(publisher.is_ack_overdue(relay, now_us) for publisher in self.publishers.values())
 
     def status_reports(self) -> list[StatusReport]:
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -11,8 +11,9 @@
 
 from gannetweir.config import SocketAddress
 from gannetweir.control.machine import ControlMachine, Wait
-from gannetweir.control.publisher import ACK_TIMEOUT_US, MachineBehindError, Publisher
+from gannetweir.control.publisher import MachineBehindError, Publisher
 from gannetweir.control.rollout import RolloutCoordinator, Verdict
+from gannetweir.control.session import ACK_TIMEOUT_US
 from gannetweir.control.store import Store
 from gannetweir.control.versions import RejectedError, Resource, Slice, Version
 from gannetweir.limits import Limits
@@ -191,9 +192,10 @@
 
     async def _watch(self, endpoint: Transport, call: WatchCall, spawn: Spawn) -> None:
         relay = call.relay
+        if self.machine is None:
+            await self._reply(endpoint, response(503, b"the store has not been read"))
+            return
         try:
-            if self.machine is None:
-                raise MachineBehindError("the store has not been read")
             if relay in self.watches:  # the relay has given that one up
                 self.watches[relay][0].close()
             self._extend_logs_back(self.machine, call.applied)
@@ -220,10 +222,10 @@
         """
         for resource, publisher in machine.publishers.items():
             version = held.get(resource)
-            if version is None or not publisher.is_compacted(version):
+            if version is None or not publisher.history.is_compacted(version):
                 continue
             with suppress(OSError):  # then the relay gets the whole content
-                publisher.extend_log_back(version, self.store.changes_since(resource, version) or ())
+                publisher.history.extend_back(version, self.store.changes_since(resource, version) or ())
 
     def _is_current(self, relay: str, endpoint: Transport) -> bool:
         return relay in self.watches and self.watches[relay][0] is endpoint
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -7,11 +7,13 @@
 
 from gannetweir.control.follower import ApplyEntries, Follower
 from gannetweir.control.machine import ControlMachine, Wait
-from gannetweir.control.publisher import ACK_TIMEOUT_US, SLICE_BYTES, MachineBehindError, Publisher
+from gannetweir.control.publisher import MachineBehindError, Publisher
 from gannetweir.control.rollout import MAX_STAGE_US, OBSERVATION_US, RolloutCoordinator, Verdict
+from gannetweir.control.session import ACK_TIMEOUT_US
 from gannetweir.control.stage import CanaryStage, ServiceTotals
 from gannetweir.control.status_report import merge_reports, status_report
 from gannetweir.control.token_bucket import TokenBucket
+from gannetweir.control.version_history import SLICE_BYTES
 from gannetweir.control.version_log import Change, VersionLog
 from gannetweir.control.versions import (
     NO_VERSION,
@@ -352,12 +354,14 @@
 
 def test_a_machine_that_started_later_reaches_back_to_what_a_relay_holds() -> None:
     first, changes, publisher = changes_after_start(3)
-    assert publisher.is_compacted(first) and not publisher.is_compacted(publisher.newest)
-    assert not publisher.is_compacted(replace(first, epoch=2)) and not publisher.is_compacted(NO_VERSION)
-    publisher.extend_log_back(first, changes)
+    assert publisher.history.is_compacted(first) and not publisher.history.is_compacted(publisher.newest)
+    assert not publisher.history.is_compacted(replace(first, epoch=2)) and not publisher.history.is_compacted(
+        NO_VERSION
+    )
+    publisher.history.extend_back(first, changes)
     publisher.subscribe("r", first)
     publisher.subscribe("between", changes[0].version)
-    assert not publisher.is_compacted(first)
+    assert not publisher.history.is_compacted(first)
     for relay, held in (("r", first), ("between", changes[0].version)):
         (part,) = sent(publisher, relay)
         assert part.base == held.number and [entry.body for entry in part.entries] == [b"2"]
@@ -373,7 +377,7 @@
     elif spoilt == "from a later version":
         first = changes[-1].version
     else:
-        publisher.log.max_versions = 2
-    publisher.extend_log_back(first, changes)
-    assert publisher.log.oldest == publisher.newest and not publisher.log.changes
-    assert publisher.log.digest_by_number == {publisher.newest.number: publisher.newest.digest}
+        publisher.history.log.max_versions = 2
+    publisher.history.extend_back(first, changes)
+    assert publisher.history.log.oldest == publisher.newest and not publisher.history.log.changes
+    assert publisher.history.log.digest_by_number == {publisher.newest.number: publisher.newest.digest}
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -322,7 +322,7 @@
             plane.start("c0")
             await relay.reaches(M, 3)
             machine = plane.servers["c0"].machine
-            assert machine is not None and list(machine.publishers[M].cached_slices) == [(1, 3)]
+            assert machine is not None and list(machine.publishers[M].history.cached_slices) == [(1, 3)]
 
     anyio.run(run)
 
