--- a/gannetweir/control/follower.py
+++ b/gannetweir/control/follower.py
@@ -1,20 +1,25 @@
-"""A relay's side: assembles slices into a version, checks it, and brings it into force step by step.
+"""A relay's side of one resource: checks a received version, applies it step by step, and answers with ACK
+or NACK.
 
-The last good version holds until all of the next one has passed. A step's work is bounded.
+The last good version stays applied until all of the next one was received and checked; a step's work is
+bounded. The states of a follower:
+
+    waiting     nothing to do until a slice comes
+    receiving   `assembly` is a version of which slices or checks are missing
+    applying    `unapplied` is the rest of an accepted version; the next one may be received meanwhile
+
+A `Follower` belongs to the relay's `ControlDriver`, which passes every slice to `receive`, calls `step` until
+`is_idle`, and carries out the events. The follower owns `applied`, the content that the relay is to have.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
-from typing import Protocol
+from collections.abc import Iterable
+from dataclasses import dataclass
 
+from gannetweir.control.assembly import VersionAssembly, VersionCheck
 from gannetweir.control.versions import (
-    MAX_CONTENT_BYTES,
-    MAX_ENTRIES,
-    MAX_ENTRY_BYTES,
-    MAX_KEY_BYTES,
     Ack,
     Content,
     Entry,
@@ -24,64 +29,35 @@
     Resource,
     Slice,
     Version,
-    add_to_digest,
     check_slice,
 )
 
-# To apply an entry (read it, hash it, tell the engine and the module) takes 25 to 35 µs, to check one less: a
-# step of this many takes under half of the 20 ms for which control may hold the loop.
+# Entries in one `step`. To apply an entry (parse and hash it, notify the engine and the balancer) takes 25 to
+# 35 µs, to check one less: a step takes under half of the 20 ms for which control may block the loop.
 ENTRIES_PER_STEP = 250
+MAX_DETAIL_CHARS = 200  # of a NACK: bounds the answer and the machine's report
 
-
-class VersionCheck(Protocol):
-    """The relay's own checks. Each returns what is wrong, or an empty string."""
-
-    def check_entry(self, resource: Resource, entry: Entry) -> str:
-        """Can this entry be used?"""
-
-    def check_version(
-        self, resource: Resource, applied: Mapping[str, bytes], changes: Mapping[str, bytes | None]
-    ) -> str:
-        """May the changes come into force together, on what is held? Must not walk a long list."""
+# Rejections of a version's content: the same version won't be better the next time.
+_PERMANENT_REASONS = frozenset({Reason.CHECK, Reason.TOO_LARGE})
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyEntries:
-    """Bring these entries into force now; they are part of `version`, which is good."""
+    """Apply these entries now; they are part of `version`, which was accepted."""
 
     resource: Resource
     version: Version
     entries: tuple[Entry, ...]
-    completes_version: bool  # of this version
+    completes_version: bool  # these are its last entries
 
 
 FollowerEvent = ApplyEntries | Ack | Nack
 
 
-@dataclass(slots=True)
-class _Assembly:
-    """A version that is coming in."""
-
-    first: Slice
-    digest: int
-    count: int  # of entries, once it is in force
-    size: int
-    received: int = 0  # slices
-    waiting: deque[Entry] = field(default_factory=deque)  # not checked yet
-    changes: dict[str, bytes | None] = field(default_factory=dict)
-    unseen: deque[str] | None = None  # of a snapshot: what is held and may be missing in it
-
-    @property
-    def target(self) -> Version:
-        return self.first.target
-
-    @property
-    def snapshot(self) -> bool:
-        return self.first.base is None
-
-
 class Follower:
-    """One resource at one relay."""
+    """One resource at one relay. `applied_version` is the last one accepted, also while it is being
+    applied.
+    """
 
     def __init__(
         self,
@@ -91,200 +67,123 @@
         number: int = 0,
         epoch: int = 0,
     ) -> None:
-        """`held` is what the relay was started with, at `number` of an epoch that may be unknown (0)."""
-        self.resource, self.check = resource, check
+        """`applied` is what the relay was started with, at `number` of an epoch that may be unknown (0)."""
+        self.resource = resource
+        self.check = check
         self.applied = Content(applied)
-        self.applied_version = Version(epoch, number, self.applied.digest)  # the last good one
-        self.assembly: _Assembly | None = None
-        self.unapplied: deque[tuple[str, bytes | None]] | None = None  # what is left of an accepted version
-        self.permanent_rejection: tuple[Version, RejectedError] | None = None  # for good
-        self.last_rejected: Version | None = None  # the rest of it may still be under way
+        self.applied_version = Version(epoch, number, self.applied.digest)
+        self.assembly: VersionAssembly | None = None
+        self.unapplied: deque[tuple[str, bytes | None]] | None = None
+        self.permanent_rejection: tuple[Version, RejectedError] | None = None
+        self.last_rejected: Version | None = None  # further slices of it may come, and are not answered
 
     @property
     def is_idle(self) -> bool:
-        """Has `step` nothing to do?"""
-        assembly = self.assembly
-        return self.unapplied is None and (
-            assembly is None or not (assembly.waiting or self._whole(assembly))
-        )
+        """Whether `step` has nothing to do."""
+        return self.unapplied is None and (self.assembly is None or self.assembly.is_idle)
 
     def receive(self, part: Slice) -> list[FollowerEvent]:
-        """One slice, in constant time: what it holds is looked at in `step`."""
+        """Receive one slice, in constant time: its entries are checked in `step`."""
+        if part.index and part.target == self.last_rejected:
+            return []
+        self.last_rejected = None
         try:
-            if part.index and part.target == self.last_rejected:
-                return []
-            self.last_rejected = None
             check_slice(part)
-            if (
-                part.target == self.applied_version
-            ):  # a duplicate: acknowledged once more, unless that is still to come
-                return (
-                    [Ack(self.resource, self.applied_version)]
-                    if part.index == 0 and self.unapplied is None
-                    else []
-                )
+            if part.target == self.applied_version:
+                return self._acknowledge_duplicate(part)
             self._check_order(part)
-            self._take(part)
+            self._add_to_assembly(part)
         except RejectedError as error:
             return [self._reject(part.target, error)]
         return []
 
     def disconnected(self) -> None:
         """The watch ended: a version of which slices are missing won't be completed."""
-        if self.assembly is not None and not self._whole(self.assembly):
+        if self.assembly is not None and not self.assembly.is_complete:
             self.assembly = None
 
     def step(self, budget_entries: int = ENTRIES_PER_STEP) -> list[FollowerEvent]:
-        """Work on so many entries at most."""
+        """Apply or check so many entries at most."""
         if self.unapplied is not None:
             return self._apply(self.unapplied, budget_entries)
         assembly = self.assembly
         if assembly is not None:
             try:
-                left = self._check_entries(assembly, budget_entries)
-                if self._whole(assembly) and not assembly.waiting and self._find_missing(assembly, left):
+                if assembly.check_received(budget_entries):
                     self._accept(assembly)
             except RejectedError as error:
                 return [self._reject(assembly.target, error)]
         return []
 
-    # ---- receiving
+    def _acknowledge_duplicate(self, part: Slice) -> list[FollowerEvent]:
+        """Acknowledge the applied version once more, unless its first ACK is still to come."""
+        if part.index == 0 and self.unapplied is None:
+            return [Ack(self.resource, self.applied_version)]
+        return []
 
     def _check_order(self, part: Slice) -> None:
-        target, held = part.target, self.applied_version
+        """A version may follow the applied one if it is newer, and a delta if it begins from it."""
+        target, applied = part.target, self.applied_version
         if self.permanent_rejection is not None and self.permanent_rejection[0] == target:
             raise self.permanent_rejection[1]
-        if target.epoch < held.epoch:
-            raise RejectedError(Reason.OLDER, f"epoch {target.epoch} after {held.epoch}")
-        if target.epoch == held.epoch:
-            if target.number < held.number:
-                raise RejectedError(Reason.OLDER, f"version {target.number} after {held.number}")
-            if target.number == held.number and target.digest != held.digest:
+        if target.epoch < applied.epoch:
+            raise RejectedError(Reason.OLDER, f"epoch {target.epoch} after {applied.epoch}")
+        if target.epoch == applied.epoch:
+            if target.number < applied.number:
+                raise RejectedError(Reason.OLDER, f"version {target.number} after {applied.number}")
+            if target.number == applied.number and target.digest != applied.digest:
                 raise RejectedError(Reason.CONFLICT, f"version {target.number} with another content")
-        if part.base is not None and (part.base != held.number or held.epoch not in (0, target.epoch)):
-            raise RejectedError(Reason.WRONG_BASE, f"from {part.base}, held is {held.number}")
+        if part.base is not None and (part.base != applied.number or applied.epoch not in (0, target.epoch)):
+            raise RejectedError(Reason.WRONG_BASE, f"from {part.base}, held is {applied.number}")
 
-    def _take(self, part: Slice) -> None:
+    def _add_to_assembly(self, part: Slice) -> None:
         assembly = self.assembly
-        if assembly is None or part.target != assembly.target or part.base != assembly.first.base:
-            assembly = self._begin(part)
-        if part.count != assembly.first.count:
-            raise RejectedError(Reason.MALFORMED, f"{part.count} slices, first {assembly.first.count}")
-        if part.index < assembly.received:
-            return  # a duplicate
-        if part.index > assembly.received:
-            raise RejectedError(Reason.GAP, f"slice {part.index} after {assembly.received} slices")
-        assembly.received += 1
-        assembly.waiting.extend(part.entries)
-        if len(assembly.waiting) + len(assembly.changes) > MAX_ENTRIES:
-            raise RejectedError(Reason.TOO_LARGE, f"over {MAX_ENTRIES} entries")
+        if assembly is None or part.target != assembly.target or part.base != assembly.first_slice.base:
+            assembly = self._begin_assembly(part)
+        assembly.add(part)
 
-    def _begin(self, part: Slice) -> _Assembly:
+    def _begin_assembly(self, part: Slice) -> VersionAssembly:
+        """Receive another version from now on, in place of an earlier one that is incomplete."""
         if self.assembly is not None:
-            target, under_way = part.target, self.assembly.target
-            if (target.epoch, target.number) < (under_way.epoch, under_way.number):
-                raise RejectedError(
-                    Reason.OLDER, f"version {target.number} while {under_way.number} comes in"
-                )
+            target, current = part.target, self.assembly.target
+            if (target.epoch, target.number) < (current.epoch, current.number):
+                raise RejectedError(Reason.OLDER, f"version {target.number} while {current.number} comes in")
         if part.index:
             raise RejectedError(Reason.GAP, f"begins with slice {part.index}")
-        content = self.applied
-        delta = part.base is not None
-        # Where a version is still being applied, `step` finishes it first and sets these anew.
-        self.assembly = _Assembly(
-            part,
-            content.digest if delta else 0,
-            len(content.entries) if delta else 0,
-            content.size_bytes if delta else 0,
-        )
+        # a delta on a version that is still being applied is rebased when that is done
+        self.assembly = VersionAssembly(part, self.applied, self.check)
         return self.assembly
 
     def _reject(self, target: Version, error: RejectedError) -> Nack:
         if self.assembly is not None and self.assembly.target == target:
             self.assembly = None
-        if error.reason in (Reason.CHECK, Reason.TOO_LARGE):  # it won't be better the next time
+        if error.reason in _PERMANENT_REASONS:
             self.permanent_rejection = (target, error)
         self.last_rejected = target
-        return Nack(self.resource, target, error.reason, error.detail[:200], self.applied_version)
-
-    # ---- checking
-
-    @staticmethod
-    def _whole(assembly: _Assembly) -> bool:
-        return assembly.received == assembly.first.count
-
-    def _check_entries(self, assembly: _Assembly, budget: int) -> int:
-        """Check what has come in; what is left of the budget."""
-        while assembly.waiting and budget > 0:
-            budget -= 1
-            self._check_entry(assembly, assembly.waiting.popleft())
-        return budget
-
-    def _check_entry(self, assembly: _Assembly, entry: Entry) -> None:
-        key, body = entry.key, entry.body
-        if not key or len(key) > MAX_KEY_BYTES or key in assembly.changes:
-            raise RejectedError(Reason.MALFORMED, f"bad or double key {key[:40]!r}")
-        if body is None and assembly.snapshot:
-            raise RejectedError(Reason.MALFORMED, f"a snapshot without {key[:40]!r}")
-        if body is not None and len(body) > MAX_ENTRY_BYTES:
-            raise RejectedError(Reason.TOO_LARGE, f"{key[:40]!r} has {len(body)} bytes")
-        held = self.applied.entries.get(key)
-        if held != body and (wrong := self.check.check_entry(self.resource, entry)):
-            raise RejectedError(Reason.CHECK, wrong)
-        old = None if assembly.snapshot else held
-        assembly.changes[key] = body
-        assembly.digest = add_to_digest(assembly.digest, key, old, body)
-        assembly.count += (body is not None) - (old is not None)
-        assembly.size += _bytes_of(key, body) - _bytes_of(key, old)
-        if assembly.count > MAX_ENTRIES or assembly.size > MAX_CONTENT_BYTES:
-            raise RejectedError(Reason.TOO_LARGE, f"{assembly.count} entries, {assembly.size} bytes")
+        detail = error.detail[:MAX_DETAIL_CHARS]
+        return Nack(self.resource, target, error.reason, detail, self.applied_version)
 
-    def _find_missing(self, assembly: _Assembly, budget: int) -> bool:
-        """What a snapshot lacks is removed. True once all that is held was looked at."""
-        if not assembly.snapshot:
-            return True
-        if assembly.unseen is None:
-            assembly.unseen = deque(self.applied.entries)
-        while assembly.unseen and budget > 0:
-            budget -= 1
-            key = assembly.unseen.popleft()
-            if key not in assembly.changes:
-                assembly.changes[key] = None
-        return not assembly.unseen
-
-    def _accept(self, assembly: _Assembly) -> None:
-        if assembly.digest != assembly.target.digest:
-            raise RejectedError(Reason.DIGEST, f"version {assembly.target.number} has another content")
-        if wrong := self.check.check_version(self.resource, self.applied.entries, assembly.changes):
-            raise RejectedError(Reason.CHECK, wrong)
+    def _accept(self, assembly: VersionAssembly) -> None:
+        assembly.verify()
         self.unapplied = deque(assembly.changes.items())
-        self.applied_version, self.assembly, self.permanent_rejection = assembly.target, None, None
-
-    # ---- into force
+        self.applied_version = assembly.target
+        self.assembly = None
+        self.permanent_rejection = None
 
-    def _apply(self, left: deque[tuple[str, bytes | None]], budget: int) -> list[FollowerEvent]:
+    def _apply(self, unapplied: deque[tuple[str, bytes | None]], budget_entries: int) -> list[FollowerEvent]:
         entries = list[Entry]()
-        for _ in range(min(budget, len(left))):
-            key, body = left.popleft()
-            if self.applied.entries.get(key) != body:  # a snapshot holds much that is so already
+        for _ in range(min(budget_entries, len(unapplied))):
+            key, body = unapplied.popleft()
+            if self.applied.entries.get(key) != body:  # most of a snapshot is applied already
                 self.applied.put(key, body)
                 entries.append(Entry(key, body))
-        last = not left
+        completes_version = not unapplied
         events: list[FollowerEvent] = [
-            ApplyEntries(self.resource, self.applied_version, tuple(entries), last)
+            ApplyEntries(self.resource, self.applied_version, tuple(entries), completes_version)
         ]
-        if last:
+        if completes_version:
             self.unapplied = None
             events.append(Ack(self.resource, self.applied_version))
-            if self.assembly is not None and not self.assembly.snapshot:
-                self._rebase(self.assembly)
+            if self.assembly is not None and not self.assembly.is_snapshot:
+                self.assembly.rebase()  # it was begun on a content that was not all applied
         return events
-
-    def _rebase(self, assembly: _Assembly) -> None:
-        """A delta that began to come in meanwhile starts from what is held now; none of it is checked yet."""
-        assembly.digest, assembly.size = self.applied.digest, self.applied.size_bytes
-        assembly.count = len(self.applied.entries)
-
-
-def _bytes_of(key: str, body: bytes | None) -> int:
-    return 0 if body is None else len(key) + len(body)
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from gannetweir.control.assembly import VersionAssembly
 from gannetweir.control.follower import ApplyEntries, Follower, FollowerEvent
 from gannetweir.control.machine import ControlMachine, Wait
 from gannetweir.control.machine_selector import MachineSelector
@@ -237,8 +238,10 @@
 
 
 class NoDigest(Follower):
-    def _accept(self, assembly) -> None:  # type: ignore[no-untyped-def]
-        assembly.first = replace(assembly.first, target=replace(assembly.target, digest=assembly.digest))
+    def _accept(self, assembly: VersionAssembly) -> None:
+        assembly.first_slice = replace(
+            assembly.first_slice, target=replace(assembly.target, digest=assembly.digest)
+        )
         super()._accept(assembly)
 
 
