--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -154,7 +154,7 @@
     def settings(self) -> Settings:
         return relay_settings()
 
-    def dial(self, text: str) -> tuple[str, int]:
+    def parse_endpoint_address(self, text: str) -> tuple[str, int]:
         return "127.0.0.1", self.port
 
     def run_engine_call(self, call: Callable[..., Any], *args: Any) -> Any:
--- a/gannetweir/lab/scale/hollow_host.py
+++ b/gannetweir/lab/scale/hollow_host.py
@@ -22,7 +22,7 @@
     RestartRelays,
     StartRelays,
 )
-from gannetweir.net.relay import Clock
+from gannetweir.net.runtime import Clock
 from gannetweir.placement.settings import Settings
 
 
--- a/gannetweir/lab/scale/hollow_relay.py
+++ b/gannetweir/lab/scale/hollow_relay.py
@@ -21,6 +21,7 @@
 from gannetweir.lab.scale.messages import RelayRecord
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import MembershipUpdate
+from gannetweir.net.ports import Arguments, Result
 from gannetweir.net.transport import Spawn, Transport
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.endpoint_watch import read_cached_membership
@@ -121,7 +122,7 @@
         """Start a task that can't take the others down."""
         self.tasks.start_soon(self._guard, run)
 
-    def run_engine_call(self, call: Callable[..., Any], *args: Any) -> Any:
+    def run_engine_call(self, call: Callable[[*Arguments, int], Result], *args: *Arguments) -> Result:
         """Tell the engine something and do what it commands."""
         result = call(*args, self.clock())
         self._carry_out()
--- a/gannetweir/net/connecting.py
+++ b/gannetweir/net/connecting.py
@@ -11,40 +11,43 @@
 from gannetweir.net.errors import LocalResourceError, backoff_delays_s
 from gannetweir.net.transport import Transport, connect
 
+# `Any`: what a socket connects to differs by the family of addresses, as in the standard library.
 OpenSocket = Callable[[], tuple[socket.socket, Any]]
 
 
-def _nothing(*_: object) -> None:
-    """The default of a hook."""
+def _ignore(*_: object) -> None:
+    """The default of both hooks."""
 
 
 async def connect_endpoint(
     open_socket: OpenSocket,
     make_transport: Callable[[socket.socket], Transport],
-    on_local_error: Callable[[LocalResourceError], None] = _nothing,
-    on_started: Callable[[], None] = _nothing,
+    on_local_error: Callable[[LocalResourceError], None] = _ignore,
+    on_started: Callable[[], None] = _ignore,
 ) -> Transport:
-    """Open a socket, make an endpoint of it and connect it. A `LocalError` says nothing of the peer: it is
-    told to `held_up`, and all is done again after a pause, until it succeeds or the caller's time is over.
-    `under_way` is told once a connect has left this machine.
+    """Open a socket, make a transport of it and connect it.
 
-    Raises `OSError` if the connection is refused or breaks, and what `held_up` raises. The endpoint is closed
-    unless it is returned.
+    A `LocalResourceError` says nothing of the peer: `on_local_error` is called with it, and all is done again
+    after a backoff, until it succeeds or the caller's time is over. `on_started` is called once a connect has
+    left this machine.
+
+    Raises `OSError` if the connection is refused or breaks, and what `on_local_error` raises. The transport
+    is closed unless it is returned, also when this is cancelled.
     """
-    for pause in backoff_delays_s():
-        endpoint: Transport | None = None
+    for delay_s in backoff_delays_s():
+        transport: Transport | None = None
         try:
             sock, address = open_socket()
-            endpoint = make_transport(sock)
+            transport = make_transport(sock)
             await connect(sock, address, on_started)
-            return endpoint
+            return transport
         except LocalResourceError as error:
-            if endpoint is not None:
-                endpoint.close()
+            if transport is not None:
+                transport.close()
             on_local_error(error)
         except BaseException:
-            if endpoint is not None:
-                endpoint.close()
+            if transport is not None:
+                transport.close()
             raise
-        await anyio.sleep(pause)
-    raise AssertionError("pauses never end")
+        await anyio.sleep(delay_s)
+    raise AssertionError("backoff delays never end")
--- a/gannetweir/net/errors.py
+++ b/gannetweir/net/errors.py
@@ -8,11 +8,12 @@
 
 import errno
 import socket
-from collections.abc import Iterator
-from typing import Any
+from collections.abc import Awaitable, Callable, Iterator
 
 import anyio
 
+from gannetweir.errors import GannetweirError
+
 # Out of descriptors, buffers or memory: socket(2), accept(2), send(2), recv(2), epoll_ctl(2).
 SHORTAGE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC})
 # No local port, no route, no queue: connect(2) fails with these before anything has left the machine.
@@ -23,7 +24,7 @@
     errno.ENETDOWN,
     errno.EAGAIN,
 }
-# The connection that was to be accepted is gone, or had an error pending: accept(2) says to go on as after
+# The connection that was to be accepted has ended, or had an error pending: accept(2) says to go on as after
 # EAGAIN. The next one in the queue may be sound.
 ACCEPTED_PEER_ERRORS = frozenset(
     {
@@ -41,11 +42,13 @@
         errno.EPERM,
     }
 )
-SHORTAGE_RETRY_S = 0.002  # before a call that met a shortage is made again
-MAX_BACKOFF_S = 0.02
+# Before a call that met a shortage is made again: long enough that a busy loop frees something meanwhile,
+# short beside every time-out.
+SHORTAGE_RETRY_S = 0.002
+MAX_BACKOFF_S = 0.02  # bounds the backoff: a connect has 250 ms, and should be begun a few times in it
 
 
-class LocalResourceError(OSError):
+class LocalResourceError(GannetweirError, OSError):
     """A connection could not be begun, for want of something on this machine. Says nothing of the peer."""
 
 
@@ -55,11 +58,11 @@
 
 
 def backoff_delays_s() -> Iterator[float]:
-    """How long to wait, in seconds, before each next try of what met a `LocalError`."""
-    pause = SHORTAGE_RETRY_S
+    """The delays, in seconds, before each retry of what met a shortage: doubled up to `MAX_BACKOFF_S`."""
+    delay_s = SHORTAGE_RETRY_S
     while True:
-        yield pause
-        pause = min(2 * pause, MAX_BACKOFF_S)
+        yield delay_s
+        delay_s = min(2 * delay_s, MAX_BACKOFF_S)
 
 
 async def wait_readable(sock: socket.socket) -> None:
@@ -72,7 +75,7 @@
     await _wait(anyio.wait_writable, sock)
 
 
-async def _wait(wait: Any, sock: socket.socket) -> None:
+async def _wait(wait: Callable[[socket.socket], Awaitable[None]], sock: socket.socket) -> None:
     try:
         await wait(sock)
     except OSError as error:
--- a/gannetweir/net/listener.py
+++ b/gannetweir/net/listener.py
@@ -1,4 +1,4 @@
-"""The clients' listener: it is opened, accepts until it is stopped, and its queue is emptied at the end."""
+"""The clients' listener: it is opened, accepts until it is stopped, and its queue is drained at the end."""
 
 from __future__ import annotations
 
@@ -6,15 +6,20 @@
 import errno
 import socket
 import time
-from typing import Protocol
+from collections.abc import Callable
 
 import anyio
 import anyio.lowlevel
 
 from gannetweir.config import SocketAddress
 from gannetweir.limits import Limits
-from gannetweir.net.errors import ACCEPTED_PEER_ERRORS, SHORTAGE_ERRORS, SHORTAGE_RETRY_S, backoff_delays_s
-from gannetweir.net.ports import DriverContext
+from gannetweir.net.errors import (
+    ACCEPTED_PEER_ERRORS,
+    SHORTAGE_ERRORS,
+    SHORTAGE_RETRY_S,
+    backoff_delays_s,
+)
+from gannetweir.net.ports import LoggingContext
 from gannetweir.net.transport import accept_connection, open_listening_socket
 
 # At a start the address may be held by another process, not be there yet, or the machine be short.
@@ -23,23 +28,15 @@
 _LISTEN_RETRY_S = 0.05
 
 
-class AcceptContext(DriverContext, Protocol):
-    """What the listener needs of the relay."""
+def open_listener(address: SocketAddress, limits: Limits) -> socket.socket:
+    """A listener of this process's own. Blocks, before anything is served, for an address not free yet.
 
-    def serve_client(self, sock: socket.socket) -> None: ...
-
-    def log(self, text: str, **about: object) -> None: ...
-
-
-def open_listener(at: SocketAddress, limits: Limits) -> socket.socket:
-    """A listener of this process's own. Waits, before anything is served, for an address not free yet.
-
-    Raises `OSError` where it can't be had within `OPEN_WITHIN_S`.
+    Raises `OSError` where it can't be had within `LISTEN_TIMEOUT_S`.
     """
     give_up = time.monotonic() + LISTEN_TIMEOUT_S
     while True:
         try:
-            return open_listening_socket(at, limits)
+            return open_listening_socket(address, limits)
         except OSError as error:
             if error.errno not in _TRANSIENT_BIND_ERRORS or time.monotonic() >= give_up:
                 raise
@@ -47,10 +44,21 @@
 
 
 class ClientListener:
-    """Accepts clients. An `inherited` socket is the platform's: other processes accept from it, too."""
+    """Accepts clients and owns the listening socket.
+
+    An `inherited` socket is the platform's: other processes accept from it, too. `serve_client` is called
+    with each connection that is accepted, and must not raise.
+    """
 
-    def __init__(self, context: AcceptContext, sock: socket.socket, inherited: bool) -> None:
-        self.context, self.sock, self.inherited = context, sock, inherited
+    def __init__(
+        self,
+        context: LoggingContext,
+        serve_client: Callable[[socket.socket], None],
+        sock: socket.socket,
+        inherited: bool,
+    ) -> None:
+        self.context, self.serve_client = context, serve_client
+        self.sock, self.inherited = sock, inherited
         self.scope: anyio.CancelScope | None = None
         self.stopped = anyio.Event()  # nothing is accepted any more
 
@@ -65,18 +73,18 @@
             self.scope.cancel()
 
     async def run(self) -> None:
-        """Accept until stopped."""
+        """Accept until stopped. An accept that fails is counted, logged and made again after a backoff."""
         with anyio.CancelScope() as self.scope:
-            pause = backoff_delays_s()
+            delays_s = backoff_delays_s()
             while True:
                 try:
                     sock = await accept_connection(self.sock)
                 except OSError as error:
                     self._report_failure(error)
-                    await anyio.sleep(next(pause))
+                    await anyio.sleep(next(delays_s))
                     continue
-                pause = backoff_delays_s()
-                self.context.serve_client(sock)
+                delays_s = backoff_delays_s()
+                self.serve_client(sock)
                 await anyio.lowlevel.checkpoint()  # a rush must not keep the other tasks waiting
         self.stopped.set()
 
@@ -85,8 +93,8 @@
         self.context.log(f"accept: {error.strerror}")
 
     async def drain_accept_queue(self, within_s: float) -> None:
-        """Take in all that waits in the queue. An accept that fails says nothing of those behind it: it is
-        made again until the queue is empty, or the time is over.
+        """Serve all that waits in the queue. An accept that fails says nothing of those behind it: it is made
+        again until the queue is empty, or the time is over.
         """
         with anyio.move_on_after(within_s):
             while True:
@@ -101,7 +109,7 @@
                     self.context.engine.counters.add("accept_failures")
                     await anyio.sleep(SHORTAGE_RETRY_S if error.errno in SHORTAGE_ERRORS else 0)
                     continue
-                self.context.serve_client(sock)
+                self.serve_client(sock)
 
     def close(self) -> None:
         """Give the descriptor back. What is still in the queue of a socket of its own is reset."""
--- a/gannetweir/net/load_probes.py
+++ b/gannetweir/net/load_probes.py
@@ -1,4 +1,4 @@
-"""The driver of a probe."""
+"""The driver of a load probe: one connection to one endpoint, one question, one answer."""
 
 from __future__ import annotations
 
@@ -17,110 +17,147 @@
 
 if TYPE_CHECKING:
     from gannetweir.addresses.address import Address
+    from gannetweir.addresses.address_selector import AddressSelector
 
 
-async def _ask(relay: DriverContext, server: EndpointId, endpoint: Transport) -> AttemptEnded:
-    """The question, and its answer. A backend that was told to leave while the connect was under way is not
-    asked any more: it may have come up late, and a probe is work as well.
-    """
-    if not relay.engine.endpoint_list.accepts_requests(server):
-        return AttemptEnded(AttemptStatus.NOT_STARTED)
-    call = LoadProbeExchange(relay.settings.load_report_fields, relay.limits)
-    endpoint.write(call.REQUEST_LINE)
-    answer = None
-    while answer is None:
-        data = await endpoint.read()
-        answer = call.feed(data) if data else AttemptEnded(AttemptStatus.RESET)
-    return answer
-
-
-async def _ask_anywhere(relay: ConnectContext, order: StartLoadProbe) -> AttemptEnded:
-    """Over one of a server's addresses after another: an answer on any is the server's. A path that is silent
-    has its share of the time, no more.
+async def run_probe(context: ConnectContext, command: StartLoadProbe) -> None:
+    """Ask one endpoint for its load. Every probe ends in one result for the engine, whatever fails here and
+    also when it is cancelled; what fails for want of something on this machine says nothing of the endpoint.
     """
-    from gannetweir.net.dialer import AddressRaceDriver  # only where a server has several
-
-    paths, server = relay.engine.address_selector, str(order.endpoint_id)
-    assert paths is not None
-    tried: list[Address] = []
-    result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
-    share = relay.limits.probe_us / max(1, len(paths.states_by_endpoint.get(server, ())))
-    while paths.ordered_addresses(server, relay.clock(), True, tried):
-        endpoint: Transport | None = None
-        path: Address | None = None
-        asked = relay.clock()
-        try:
-            with anyio.fail_after(share / 1e6):
-                race = paths.new_race(server, relay.clock(), True, tried)
-                endpoint, path = await AddressRaceDriver(relay, paths, server, race, None).connect()
-                result, asked = AttemptEnded(AttemptStatus.TIMEOUT), relay.clock()
-                result = await _ask(relay, order.endpoint_id, endpoint)
-        except (TimeoutError, OSError):
-            pass
-        finally:
-            if endpoint is not None:
-                endpoint.close()
-        if path is None:
-            return result  # none could be connected
-        if result.status == AttemptStatus.NOT_STARTED:
-            return result
-        if result.status in (AttemptStatus.OK, AttemptStatus.ERROR):
-            paths.record_response(server, path, relay.clock(), max(1, relay.clock() - asked))
-            return result
-        paths.record_no_response(server, path, relay.clock())
-        tried.append(path)
-    return result
-
-
-async def run_probe(relay: ConnectContext, order: StartLoadProbe) -> None:
-    """Ask one backend for its load; every probe ends in one result, whatever fails here."""
     result = AttemptEnded(AttemptStatus.NOT_STARTED)
-    names = relay.settings.load_report_fields
+    field_names = context.settings.load_report_fields
     try:
-        result = await (_probe_anywhere(relay, order) if order.races_addresses else _probe(relay, order))
+        if command.races_addresses:
+            result = await _probe_any_address(context, command)
+        else:
+            result = await _SingleAddressProbe(context, command).run()
     finally:
-        if relay.settings.load_report_fields != names:  # a reload came between: the figures would be misread
+        if context.settings.load_report_fields != field_names:  # a reload came: figures would be misread
             result = AttemptEnded(AttemptStatus.NOT_STARTED)
-        relay.run_engine_call(relay.engine.load_probe_ended, order.endpoint_id, result.status, result.report)
+        context.run_engine_call(
+            context.engine.load_probe_ended, command.endpoint_id, result.status, result.report
+        )
 
 
-async def _probe_anywhere(relay: ConnectContext, order: StartLoadProbe) -> AttemptEnded:
+async def _exchange(context: DriverContext, endpoint_id: EndpointId, transport: Transport) -> AttemptEnded:
+    """The question, and its answer. An endpoint that began to drain while the connect was under way is not
+    asked any more: it may have come up late, and a probe is work as well.
+    """
+    if not context.engine.endpoint_list.accepts_requests(endpoint_id):
+        return AttemptEnded(AttemptStatus.NOT_STARTED)
+    exchange = LoadProbeExchange(context.settings.load_report_fields, context.limits)
+    transport.write(exchange.REQUEST_LINE)
+    while True:
+        data = await transport.read()
+        if not data:
+            return AttemptEnded(AttemptStatus.RESET)
+        answer = exchange.feed(data)
+        if answer is not None:
+            return answer
+
+
+class _SingleAddressProbe:
+    """A probe of an endpoint with one address. `result` is what holds if the probe ends now."""
+
+    def __init__(self, context: ConnectContext, command: StartLoadProbe) -> None:
+        self.context, self.command = context, command
+        self.result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
+        self.transport: Transport | None = None
+
+    async def run(self) -> AttemptEnded:
+        """The result within `Limits.probe_us`. Raises nothing of the socket's; the transport is closed."""
+        try:
+            with anyio.move_on_after(self.context.limits.probe_us / 1e6):
+                await self._connect()
+        except TimeoutError:
+            pass
+        except OSError:
+            if self.result.status == AttemptStatus.TIMEOUT:  # connected, then broken
+                self.result = AttemptEnded(AttemptStatus.RESET)
+        finally:
+            if self.transport is not None:
+                self.transport.close()
+        return self.result
+
+    async def _connect(self) -> None:
+        limits = self.context.limits
+        address = self.context.parse_endpoint_address(self.command.address)
+        with anyio.fail_after(limits.connect_us / 1e6):
+            self.transport = await connect_endpoint(
+                lambda: (tcp_socket(address[0]), address),
+                lambda sock: Transport(sock, limits, self.context.spawn),
+                self._delayed,
+                self._started,
+            )
+        self.result = AttemptEnded(AttemptStatus.TIMEOUT)
+        self.result = await _exchange(self.context, self.command.endpoint_id, self.transport)
+
+    def _delayed(self, _: LocalResourceError) -> None:
+        self.result = AttemptEnded(AttemptStatus.NOT_STARTED)  # says nothing of the endpoint
+
+    def _started(self) -> None:
+        self.result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
+
+
+async def _probe_any_address(context: ConnectContext, command: StartLoadProbe) -> AttemptEnded:
+    """Over one of an endpoint's addresses after another: an answer on any is the endpoint's."""
+    selector = context.engine.address_selector
+    assert selector is not None
     result = AttemptEnded(AttemptStatus.TIMEOUT)
-    with anyio.move_on_after(relay.limits.probe_us / 1e6):
-        result = await _ask_anywhere(relay, order)
+    with anyio.move_on_after(context.limits.probe_us / 1e6):
+        result = await _AddressesProbe(context, command, selector).run()
     return result
 
 
-async def _probe(relay: ConnectContext, order: StartLoadProbe) -> AttemptEnded:
-    limits = relay.limits
-    result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
-    endpoint: Transport | None = None
+class _AddressesProbe:
+    """A probe of an endpoint with several addresses. An address that is silent has its part of the time, no
+    more.
+    """
 
-    def held_up(_: LocalResourceError) -> None:
-        nonlocal result
-        result = AttemptEnded(AttemptStatus.NOT_STARTED)  # says nothing of the backend
+    def __init__(self, context: ConnectContext, command: StartLoadProbe, selector: AddressSelector) -> None:
+        self.context, self.command, self.selector = context, command, selector
+        self.endpoint = str(command.endpoint_id)
+        address_count = len(selector.states_by_endpoint.get(self.endpoint, ()))
+        self.time_per_address_us = context.limits.probe_us / max(1, address_count)
+        self.tried: list[Address] = []
+        self.asked_us = 0  # when the last question was written
+        self.address: Address | None = None  # that the last question went to
+        self.result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
+
+    async def run(self) -> AttemptEnded:
+        """The result, over the first address that answers. Raises nothing of the sockets'."""
+        context, selector = self.context, self.selector
+        while selector.ordered_addresses(self.endpoint, context.clock(), True, self.tried):
+            await self._ask_next()
+            if self.address is None:
+                return self.result  # none could be connected
+            if self.result.status == AttemptStatus.NOT_STARTED:
+                return self.result
+            if self.result.status in (AttemptStatus.OK, AttemptStatus.ERROR):
+                now_us = context.clock()
+                selector.record_response(
+                    self.endpoint, self.address, now_us, max(1, context.clock() - self.asked_us)
+                )
+                return self.result
+            selector.record_no_response(self.endpoint, self.address, context.clock())
+            self.tried.append(self.address)
+        return self.result
 
-    def under_way() -> None:
-        nonlocal result
-        result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
+    async def _ask_next(self) -> None:
+        from gannetweir.net.dialer import AddressRaceDriver  # only where an endpoint has several
 
-    try:
-        with anyio.move_on_after(limits.probe_us / 1e6):
-            at = relay.dial(order.address)
-            with anyio.fail_after(limits.connect_us / 1e6):
-                endpoint = await connect_endpoint(
-                    lambda: (tcp_socket(at[0]), at),
-                    lambda sock: Transport(sock, limits, relay.spawn),
-                    held_up,
-                    under_way,
-                )
-            result = AttemptEnded(AttemptStatus.TIMEOUT)
-            result = await _ask(relay, order.endpoint_id, endpoint)
-    except TimeoutError:
-        pass
-    except OSError:
-        result = AttemptEnded(AttemptStatus.RESET) if result.status == AttemptStatus.TIMEOUT else result
-    finally:
-        if endpoint is not None:
-            endpoint.close()
-    return result
+        context = self.context
+        transport: Transport | None = None
+        self.address, self.asked_us = None, context.clock()
+        try:
+            with anyio.fail_after(self.time_per_address_us / 1e6):
+                race = self.selector.new_race(self.endpoint, context.clock(), True, self.tried)
+                driver = AddressRaceDriver(context, self.selector, self.endpoint, race, None)
+                transport, self.address = await driver.connect()
+                self.result, self.asked_us = AttemptEnded(AttemptStatus.TIMEOUT), context.clock()
+                self.result = await _exchange(context, self.command.endpoint_id, transport)
+        except (TimeoutError, OSError):
+            pass  # the result says how far it came
+        finally:
+            if transport is not None:
+                transport.close()
--- a/gannetweir/net/signals.py
+++ b/gannetweir/net/signals.py
@@ -16,19 +16,22 @@
 
 import anyio
 
+# In the order in which pending ones are handled: what ends the relay goes before what only prints or reloads.
 HANDLED_SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP
 
 
 class SignalQueue:
-    """The kinds that have come and are still to be handled, in the order of their first coming."""
+    """The kinds of signals that have come and are still to be handled."""
 
     def __init__(self) -> None:
         self.pending: dict[signal.Signals, None] = {}
         self.arrived = anyio.Event()
-        self.call_soon = _from_a_handler()
+        self.call_soon = _call_soon_from_handler()
 
     def note(self, number: int, _frame: FrameType | None) -> None:
-        # Between any two steps of the program: it only notes. The call wakes the loop, also if it is asleep.
+        """The signal handler. It runs between any two steps of the program, so it only notes the kind and
+        wakes the loop, also if that is asleep.
+        """
         self.pending[signal.Signals(number)] = None
         self.call_soon(self._wake)
 
@@ -37,18 +40,17 @@
         self.arrived = anyio.Event()
 
     async def __aiter__(self) -> AsyncIterator[signal.Signals]:
-        """Each kind once for all that came of it before it is handled; the end of the relay goes first."""
+        """Each kind once for all that came of it before it is handled, in the order of `HANDLED_SIGNALS`."""
         while True:
             while self.pending:
-                number = min(
-                    list(self.pending), key=HANDLED_SIGNALS.index
-                )  # a copy: another may come meanwhile
+                pending = list(self.pending)  # a copy: another may come meanwhile
+                number = min(pending, key=HANDLED_SIGNALS.index)
                 del self.pending[number]
                 yield number
             await self.arrived.wait()
 
 
-def _from_a_handler() -> Callable[[Callable[[], None]], object]:
+def _call_soon_from_handler() -> Callable[[Callable[[], None]], object]:
     """How a signal's handler has the event loop call something, whichever library runs it."""
     try:
         return asyncio.get_running_loop().call_soon_threadsafe
@@ -60,7 +62,9 @@
 
 @contextmanager
 def handled_signals() -> Iterator[SignalQueue]:
-    """Take the place of every handler, and let in what was held back since the start of the process."""
+    """Replace the handlers of `HANDLED_SIGNALS`, and unblock what was blocked since the start of the process.
+    The handlers before are put back at the end.
+    """
     queue = SignalQueue()
     before = {number: signal.signal(number, queue.note) for number in HANDLED_SIGNALS}
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
--- a/gannetweir/net/transport.py
+++ b/gannetweir/net/transport.py
@@ -111,11 +111,11 @@
 
 
 class DescriptorCount:
-    """The descriptors that clients and their flows hold."""
+    """Counts the descriptors that clients and attempts hold. `on_change` is called with each new count."""
 
     def __init__(self, on_change: Callable[[int], None] | None = None) -> None:
         self.open, self.on_change = 0, on_change
-        self.peak = 0  # at once, so far
+        self.peak = 0  # the most at once, so far
 
     def add(self, count: int) -> None:
         """So many more, or fewer."""
@@ -126,7 +126,12 @@
 
 
 class Transport:
-    """Reading, writing and the two ways to end."""
+    """One connected or connecting socket: reads, buffered writes, and the ways to end.
+
+    Owns the socket: its descriptor is counted from here until `close`, `close_now` or `abort`. One task
+    reads; writes never wait, and what the kernel does not accept at once is sent by a task of the transport's
+    own.
+    """
 
     def __init__(
         self,
@@ -135,34 +140,41 @@
         spawn: Spawn,
         descriptor_count: DescriptorCount | None = None,
     ) -> None:
-        self.sock, self.limits, self.spawn, self.descriptor_count = sock, limits, spawn, descriptor_count
+        self.sock, self.limits, self.spawn = sock, limits, spawn
+        self.descriptor_count = descriptor_count
         if descriptor_count is not None:
             descriptor_count.add(1)
         self.unsent = bytearray()
-        self.flushing = self.finishing = self.closed = False
+        self.flushing = False  # a task sends `unsent`
+        self.finishing = False  # nothing more is written; the write side is shut down once `unsent` is sent
+        self.closed = False
         self.hit_shortage = False  # the last read failed for want of memory or buffers
-        self.reads_without_waiting = 0  # reads in a row that had not to wait
-        self.yields_before_read = False  # the next read lets every other task have a turn before it
+        self.reads_without_waiting = 0  # in a row
+        self.yields_before_read = False  # the next read lets every other task run before it
         self.unsent_shrank = anyio.Event()
 
     async def read(self) -> bytes:
-        """What came next; empty at its end, `OSError` if it broke or was closed here."""
+        """What came next; empty at its end. Raises `OSError` if the connection broke or was closed here.
+        Cancelling loses no bytes.
+        """
         if self.yields_before_read:
-            # before the read, not after it: bytes in hand over a pause could be overtaken by `received`
+            # before the read, not after it: bytes read before a pause could be overtaken by `read_nowait`
             self.yields_before_read = False
             await anyio.lowlevel.checkpoint()
         while (data := self.read_nowait()) is None:
             self.reads_without_waiting = 0
             await self._readable()
         self.reads_without_waiting += 1
-        if len(data) == self.limits.read_bytes or self.reads_without_waiting > self.limits.reads_at_once:
+        is_full_read = len(data) == self.limits.read_bytes
+        if is_full_read or self.reads_without_waiting > self.limits.reads_at_once:
             # a peer that sends without a pause always has more: the others get their turn all the same
-            self.reads_without_waiting, self.yields_before_read = 0, True
+            self.reads_without_waiting = 0
+            self.yields_before_read = True
         return data
 
     def read_nowait(self) -> bytes | None:
-        """What has come by now: `None` if nothing, empty at its end, `OSError` if it broke or was closed
-        here. At most `Limits.read_bytes` at once; never waits.
+        """What has come by now, at most `Limits.read_bytes`: None if nothing, empty at its end. Raises
+        `OSError` if the connection broke or was closed here.
         """
         if self.closed:
             raise OSError(errno.EBADF, "closed here")
@@ -177,8 +189,8 @@
             return None
 
     async def discard(self, discard_buffer: bytearray) -> int:
-        """Read what came next and forget it; 0 at the end. A close over unread bytes would be a reset, which
-        can cost the peer the answer that was written before.
+        """Read what came next into a buffer that nobody reads; 0 at the end. A close over unread bytes would
+        be a reset, which can cost the peer the answer that was written before. Raises as `read`.
         """
         while True:
             if self.closed:
@@ -222,7 +234,7 @@
         self.close()
 
     def read_available(self) -> bytes:
-        """What has come by now, if anything."""
+        """What has come by now, if anything; a connection that broke has nothing."""
         with contextlib.suppress(OSError):
             return self.read_nowait() or b""
         return b""
@@ -234,11 +246,11 @@
         except (BlockingIOError, InterruptedError):
             return False
         except OSError:
-            pass
+            return True
         return True
 
     def write(self, data: bytes) -> None:
-        """Send at once what the kernel takes, keep the rest. A broken connection shows in `read`."""
+        """Send at once what the kernel accepts, and buffer the rest. A broken connection shows in `read`."""
         if self.closed or self.finishing:
             return
         if not self.unsent:
@@ -255,6 +267,7 @@
             self.spawn(self._flush)
 
     async def _flush(self) -> None:
+        """Send what is buffered, until all is sent or the connection breaks or is closed."""
         try:
             while self.unsent and not self.closed:
                 await wait_writable(self.sock)
@@ -283,12 +296,12 @@
         self.unsent_shrank = anyio.Event()
 
     async def wait_drained(self) -> None:
-        """Back-pressure: returns once little enough waits here."""
+        """Back-pressure: returns once no more than `Limits.buffer_bytes` are unsent, or it was closed."""
         while len(self.unsent) > self.limits.buffer_bytes and not self.closed:
             await self.unsent_shrank.wait()
 
     def finish(self) -> None:
-        """End in good order once all is sent."""
+        """Write nothing more; the peer sees the end once all is sent."""
         self.finishing = True
         if not self.unsent:
             self._shutdown_writes()
@@ -299,14 +312,14 @@
                 self.sock.shutdown(socket.SHUT_WR)
 
     def abort(self) -> None:
-        """Break the connection, so that the other end sees a reset."""
+        """Break the connection, so that the peer sees a reset."""
         if not self.closed:
             with contextlib.suppress(OSError):
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self.close()
 
     def close(self) -> None:
-        """Give the descriptor back now; whoever waits on it is woken first."""
+        """Give the descriptor back now; whoever waits on it is woken first. A second call does nothing."""
         if not self.closed:
             self.closed = True
             if self.descriptor_count is not None:
--- a/gannetweir/net/upstream_connection.py
+++ b/gannetweir/net/upstream_connection.py
@@ -1,18 +1,26 @@
-"""The driver of a server-side flow."""
+"""The driver of one upstream connection: one attempt of a request at one endpoint.
+
+The bytes mean what `proto.upstream_connection` says.
+"""
 
 from __future__ import annotations
 
 import socket
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Protocol
 
 import anyio
 
 from gannetweir.core import OpenUpstream
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.descriptors import DescriptorBudget
-from gannetweir.net.errors import SHORTAGE_RETRY_S, LocalResourceError, is_shortage, wait_writable
-from gannetweir.net.ports import ConnectContext
+from gannetweir.net.errors import (
+    SHORTAGE_RETRY_S,
+    LocalResourceError,
+    is_shortage,
+    wait_writable,
+)
+from gannetweir.net.ports import Arguments, ConnectContext
 from gannetweir.net.transport import DescriptorCount, Transport, tcp_socket
 from gannetweir.placement.events import AttemptStatus
 from gannetweir.proto.upstream_connection import (
@@ -21,55 +29,78 @@
     LoadReported,
     UpstreamConnection,
     UpstreamEstablished,
+    UpstreamEvent,
 )
 
 if TYPE_CHECKING:
     from gannetweir.net.dialer import AddressRaceDriver
 
 
+class RefreshableOverrides(Protocol):
+    """The operators' overrides that all processes of this relay share."""
+
+    def refresh(self) -> None:
+        """Apply what has changed; the engine may close attempts at endpoints that are offline now."""
+
+
 class UpstreamContext(ConnectContext, Protocol):
-    """What a flow needs of the relay: beside the way to a server, a place for its descriptor."""
+    """What an attempt needs of the relay: beside the way to an endpoint, a place for its descriptor."""
 
     @property
-    def descriptor_count(self) -> DescriptorCount: ...
+    def descriptor_count(self) -> DescriptorCount:
+        """Counts the descriptor that the attempt holds."""
 
-    def refresh_operator_overrides(self) -> None: ...
+    @property
+    def descriptor_budget(self) -> DescriptorBudget:
+        """Makes room for that descriptor."""
 
     @property
-    def descriptor_budget(self) -> DescriptorBudget: ...
+    def operator_overrides(self) -> RefreshableOverrides:
+        """Asked once more before the first byte is written."""
 
-    def notify_engine(self, call: Callable[..., Any], *args: Any) -> None: ...
+    def notify_engine(self, call: Callable[[*Arguments, int], object], *arguments: *Arguments) -> None:
+        """Call the engine with the present time as the last argument, where no command can follow."""
 
 
 class UpstreamOwner(Protocol):
-    """What a flow needs of the client's side that it serves."""
+    """What an attempt needs of the client's connection that it serves."""
 
-    established_line: bytes
+    established_line: bytes  # the attempt sets it before it tells the engine
 
     @property
-    def client(self) -> Transport: ...
+    def client(self) -> Transport:
+        """The client's side; the endpoint is read no faster than that is written."""
 
-    def read_pending_input(self) -> None: ...
+    def read_pending_input(self) -> None:
+        """Read what the client has sent by now; its end closes the attempt."""
 
-    def write_to_client(self, line: bytes) -> None: ...
+    def write_to_client(self, line: bytes) -> None:
+        """Forward a line of the endpoint's."""
 
 
 class UpstreamDriver:
-    """Opens a connection to one backend, writes the first line, then hands on what comes."""
+    """Connects to one endpoint, writes the client's first line, then forwards what comes.
+
+    `run` is the only task here; the client's connection calls all else.
+    """
 
     def __init__(
-        self, relay: UpstreamContext, owner: UpstreamOwner, command: OpenUpstream, first_line: bytes
+        self, context: UpstreamContext, owner: UpstreamOwner, command: OpenUpstream, first_line: bytes
     ) -> None:
-        self.relay, self.owner, self.command = relay, owner, command
-        self.protocol = UpstreamConnection(first_line, relay.settings.load_report_fields, relay.limits)
+        self.context, self.owner, self.command = context, owner, command
+        self.protocol = UpstreamConnection(first_line, context.settings.load_report_fields, context.limits)
         self.transport: Transport | None = None
         self.dialer: AddressRaceDriver | None = None  # while addresses race
-        self.closed = False  # nothing of it counts any more
+        self.closed = False  # nothing that comes of it counts any more
         self.end_reported = False  # the engine knows of its end, or ended it itself
         self.finished = anyio.Event()
 
     async def run(self) -> None:
-        """The flow's life. Its end is told once, unless the engine closed it first."""
+        """Connect, write and read until the endpoint ends.
+
+        Raises nothing of the socket's. However this ends, by cancelling as well, the engine has heard of it
+        once, unless it closed the attempt first, and the transport is closed.
+        """
         reset = False
         try:
             await self._connect()
@@ -83,104 +114,118 @@
             if self.transport is not None:
                 self.transport.close()
 
-    async def _race_addresses(self) -> socket.socket:
-        """Of the addresses that the server has, the first that can be connected."""
-        from gannetweir.net.dialer import AddressRaceDriver  # only where a server has several
-
-        engine, order = self.relay.engine, self.command
-        assert engine.address_selector is not None
-        server = str(order.endpoint_id)
-        race = engine.address_selector.new_race(server, self.relay.clock())
-        self.dialer = AddressRaceDriver(
-            self.relay, engine.address_selector, server, race, self.relay.descriptor_count
+    async def _connect(self) -> None:
+        """Connect and write the whole first line. Raises `OSError` if that fails or the attempt is closed."""
+        try:
+            self._raise_if_closed()  # its client's end can be read before this task has its first turn
+            # Here, where the descriptor is opened, not with the command: of many commands in one turn each
+            # would find the same capacity.
+            self.context.descriptor_budget.make_capacity(for_request=True)
+            if self.command.races_addresses:
+                sock = await self._race_addresses()
+            else:
+                sock = await self._connect_address()
+            self.context.operator_overrides.refresh()  # offline by now? Then this attempt is closed
+            await self._write_first_line(sock)
+        except anyio.ClosedResourceError:
+            raise OSError("closed here") from None
+        # it may set an earlier time-out, so it is reported as what leads to commands is
+        self.context.run_engine_call(
+            self.context.engine.upstream_first_line_written, self.command.request_id, self.command.attempt
         )
+
+    async def _race_addresses(self) -> socket.socket:
+        """Connect to the first of the endpoint's addresses that can be connected."""
+        from gannetweir.net.dialer import AddressRaceDriver  # only where an endpoint has several
+
+        context, command = self.context, self.command
+        selector = context.engine.address_selector
+        assert selector is not None
+        endpoint = str(command.endpoint_id)
+        race = selector.new_race(endpoint, context.clock())
+        self.dialer = AddressRaceDriver(context, selector, endpoint, race, context.descriptor_count)
         try:
-            self.transport, path = await self.dialer.connect()
+            self.transport, address = await self.dialer.connect()
         finally:
             self.dialer = None
         self._raise_if_closed()
-        self.relay.notify_engine(engine.address_connected, order.request_id, order.attempt, path)
+        context.notify_engine(context.engine.address_connected, command.request_id, command.attempt, address)
         return self.transport.sock
 
     async def _connect_address(self) -> socket.socket:
-        """The one address that discovery told. What fails on this machine is tried again until the connect's
-        time is over: it says nothing of the backend, and none has heard of this attempt.
+        """Connect to the one address that discovery reports. What fails on this machine is tried again until
+        the connect's time is over: it says nothing of the endpoint, which has not heard of this attempt.
         """
-        at = self.relay.dial(self.command.address)
+        address = self.context.parse_endpoint_address(self.command.address)
 
         def open_socket() -> tuple[socket.socket, tuple[str, int]]:
             self._raise_if_closed()  # it may have been closed in a pause
-            return tcp_socket(at[0]), at
+            return tcp_socket(address[0]), address
 
-        await connect_endpoint(
+        transport = await connect_endpoint(
             open_socket, self._make_transport, self._report_local_error, self._report_connect_started
         )
-        assert self.transport is not None
-        return self.transport.sock
+        return transport.sock
 
     def _make_transport(self, sock: socket.socket) -> Transport:
-        self.transport = Transport(sock, self.relay.limits, self.relay.spawn, self.relay.descriptor_count)
+        context = self.context
+        self.transport = Transport(sock, context.limits, context.spawn, context.descriptor_count)
         return self.transport
 
     def _report_local_error(self, error: LocalResourceError) -> None:
         """No connect was begun, for want of something here."""
-        order = self.command
-        call = self.relay.engine.upstream_connect_delayed
-        self.relay.notify_engine(call, order.request_id, order.attempt, error.strerror)
+        self.context.notify_engine(
+            self.context.engine.upstream_connect_delayed,
+            self.command.request_id,
+            self.command.attempt,
+            error.strerror or "",
+        )
 
     def _report_connect_started(self) -> None:
-        """From here on what comes of it is the backend's doing, or the network's."""
-        order = self.command
-        self.relay.notify_engine(self.relay.engine.upstream_connect_started, order.request_id, order.attempt)
+        """From here on what comes of it is the endpoint's doing, or the network's."""
+        self.context.notify_engine(
+            self.context.engine.upstream_connect_started, self.command.request_id, self.command.attempt
+        )
 
     def _raise_if_closed(self) -> None:
-        """Nothing is dialled or written for a flow that was closed meanwhile: its client has left, or the
-        next attempt is under way. `OSError` then. The client is asked once more: its end may be unread.
+        """Nothing is connected or written for an attempt that was closed meanwhile: its client has left, or
+        the next attempt is under way. Raises `OSError` then. The client is read once more: its end may be
+        unread.
         """
         if not self.closed:
             self.owner.read_pending_input()
         if self.closed:
             raise OSError("closed here")
 
-    def _begin_writing(self) -> None:
-        order, most = self.command, self.relay.settings.max_attempts
-        now = self.relay.clock()
-        self.relay.engine.guard.attempt_write_started(
-            order.request_id, order.attempt, order.endpoint_id, now, most
-        )
-
-    async def _connect(self) -> None:
-        try:
-            self._raise_if_closed()  # its client's end can be read before this task has its first turn
-            # Here, where the descriptor is taken, not with the order: of many orders in one turn each would
-            # find the same room.
-            self.relay.descriptor_budget.make_capacity(for_request=True)
-            sock = await (self._race_addresses() if self.command.races_addresses else self._connect_address())
-            self.relay.refresh_operator_overrides()  # it may close this attempt
-            begun = False
-            while self.protocol.unsent_first_line:
-                self._raise_if_closed()
-                if not begun:
-                    begun = True
-                    self._begin_writing()
-                # written here, not by the endpoint: how far it got decides what the attempt may have done
-                try:
-                    self.protocol.first_line_sent(sock.send(self.protocol.unsent_first_line))
-                except BlockingIOError:
-                    await wait_writable(sock)
-                except OSError as error:
-                    if not is_shortage(error):
-                        raise
-                    await anyio.sleep(SHORTAGE_RETRY_S)
-        except anyio.ClosedResourceError:
-            raise OSError("closed here") from None
-        # it may set an earlier time-out, so it is told as what leads to commands is
-        self.relay.run_engine_call(
-            self.relay.engine.upstream_first_line_written, self.command.request_id, self.command.attempt
+    async def _write_first_line(self, sock: socket.socket) -> None:
+        """Written here, not by the transport: how far it got decides what the attempt may have executed."""
+        has_begun = False
+        while self.protocol.unsent_first_line:
+            self._raise_if_closed()
+            if not has_begun:
+                has_begun = True
+                self._report_writing()
+            try:
+                self.protocol.first_line_sent(sock.send(self.protocol.unsent_first_line))
+            except BlockingIOError:
+                await wait_writable(sock)
+            except OSError as error:
+                if not is_shortage(error):
+                    raise
+                await anyio.sleep(SHORTAGE_RETRY_S)
+
+    def _report_writing(self) -> None:
+        command = self.command
+        self.context.engine.guard.attempt_write_started(
+            command.request_id,
+            command.attempt,
+            command.endpoint_id,
+            self.context.clock(),
+            self.context.settings.max_attempts,
         )
 
     async def _read(self) -> bool:
-        """Until the backend ends the connection; true if it did so by breaking it."""
+        """Read until the endpoint ends the connection; True if it did so by breaking it."""
         assert self.transport is not None
         while True:
             try:
@@ -195,19 +240,19 @@
                 return False
             await self.owner.client.wait_drained()
 
-    def _handle_event(self, event: UpstreamEstablished | EndpointLine | LoadReported | AttemptEnded) -> None:
-        number, engine = self.command.request_id, self.relay.engine
+    def _handle_event(self, event: UpstreamEvent) -> None:
+        request_id, engine = self.command.request_id, self.context.engine
         if self.closed:
             return
         if isinstance(event, UpstreamEstablished):
             self.owner.established_line = event.line
-            self.relay.run_engine_call(engine.upstream_established, number, self.command.attempt)
+            self.context.run_engine_call(engine.upstream_established, request_id, self.command.attempt)
         elif isinstance(event, EndpointLine):
             self.owner.write_to_client(event.line)
             if event.may_answer:
-                self.relay.run_engine_call(engine.answer_line_received, number)
+                self.context.run_engine_call(engine.answer_line_received, request_id)
         elif isinstance(event, LoadReported):
-            self.relay.run_engine_call(engine.connection_load_reported, number, event.load)
+            self.context.run_engine_call(engine.connection_load_reported, request_id, event.load)
         elif not self.end_reported:
             self._report_end(event, False)
 
@@ -218,38 +263,38 @@
             self._report_end(self.protocol.connection_ended(), reset)
 
     def _report_end(self, event: AttemptEnded, reset: bool) -> None:
-        # the descriptor is given back before the next flow may start
-        self.close()
-        order = self.command
-        reset = reset or event.status == AttemptStatus.ERROR
-        self.relay.run_engine_call(
-            self.relay.engine.upstream_ended,
-            order.request_id,
-            order.attempt,
+        self.close()  # the descriptor is given back before the next attempt may start
+        self.context.run_engine_call(
+            self.context.engine.upstream_ended,
+            self.command.request_id,
+            self.command.attempt,
             event.status,
             event.report,
-            reset,
+            reset or event.status == AttemptStatus.ERROR,
         )
 
     def write_to_endpoint(self, line: bytes) -> None:
-        """A line of the client's."""
+        """Forward a line of the client's."""
         if self.transport is not None:
             self.transport.write(line)
 
     def finish(self) -> None:
-        """The client ended in good order: so does this side, which may still say something."""
+        """The client ended in good order: so does this side, while the endpoint may still send lines."""
         self.end_reported = True
         if self.transport is not None:
             self.transport.finish()
 
     def close(self, reset: bool = False) -> None:
-        """Abandon it now."""
+        """Close the attempt now, with its race if addresses race; `reset`: the endpoint sees a reset."""
         self.closed = self.end_reported = True
         if self.dialer is not None:
             self.dialer.stop()
         if self.transport is not None:
-            (self.transport.abort if reset else self.transport.close)()
-        order = self.command
-        self.relay.engine.guard.attempt_closed(
-            order.request_id, order.attempt, self.protocol.may_have_executed
+            if reset:
+                self.transport.abort()
+            else:
+                self.transport.close()
+        command = self.command
+        self.context.engine.guard.attempt_closed(
+            command.request_id, command.attempt, self.protocol.may_have_executed
         )
--- a/tests/place.py
+++ b/tests/place.py
@@ -140,7 +140,7 @@
                 await anyio.sleep(0.005)
 
     async def client(self) -> Peer:
-        at = self.relay.config.listen_address
+        at = self.relay.runtime.config.listen_address
         for _ in range(200):
             with contextlib.suppress(ConnectionRefusedError):
                 return Peer(socket.create_connection((at.host, at.port)))
@@ -179,10 +179,10 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(place.relay.run)
         await play(place)
-        place.relay.run_engine_call(place.relay.engine.drain)
+        place.relay.runtime.run_engine_call(place.relay.engine.drain)
     printed = capsys.readouterr().err
     assert "Traceback" not in printed
     assert printed.count('"pool_version":') == lines
-    assert place.relay.open_clients == 0 and not place.relay.engine.requests
+    assert place.relay.clients.open_count == 0 and not place.relay.engine.requests
     assert not place.relay.engine.counters.counts["driver_faults"]
     assert not place.relay.engine.guard.violations, printed
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -70,8 +70,8 @@
             order = self.command
             if order.attempt == 0 and order.request_id % EVERY == 0:
                 self.end_reported = True
-                ended = self.relay.engine.upstream_ended
-                self.relay.run_engine_call(
+                ended = self.context.engine.upstream_ended
+                self.context.run_engine_call(
                     ended, order.request_id, order.attempt, AttemptStatus.RESET, (), True
                 )
             return bool(await read(self))
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -72,8 +72,8 @@
 def tell_hosts(place: Place, *hosts: tuple[str, int, str]) -> None:
     """The whole list, as discovery tells it."""
     entries = [{"host": h, "dial": f"127.0.0.1:{port}", "health": health} for h, port, health in hosts]
-    news = read_membership({"seq": 7, "whole": True, "hosts": entries}, place.relay.settings)
-    place.relay.run_engine_call(place.relay.engine.endpoint_update_received, news)
+    news = read_membership({"seq": 7, "whole": True, "hosts": entries}, place.relay.runtime.settings)
+    place.relay.runtime.run_engine_call(place.relay.engine.endpoint_update_received, news)
 
 
 def two_backends(place: Place) -> None:
@@ -119,7 +119,9 @@
     two_backends(at.place)
     relay = at.place.relay
     waits = [replace(CLASSES[0], retry_backoff_us=[20_000, 20_000])]
-    relay.run_engine_call(relay.engine.reload, replace(relay.settings, classes=waits), relay.limits)
+    relay.runtime.run_engine_call(
+        relay.engine.reload, replace(relay.runtime.settings, classes=waits), relay.runtime.limits
+    )
     at.client.send(LINE)
     server = await at.place.accept()
     await server.expect("OPEN 0a")
@@ -139,15 +141,15 @@
 async def as_a_probe_is_answered(at: Leaver) -> None:
     relay = at.place.relay
     settings = replace(
-        relay.settings,
+        relay.runtime.settings,
         load_probes_enabled=True,
         load_report_source="probe",
         load_report_fields=["concurrent", "x0"],
     )
-    relay.run_engine_call(relay.engine.reload, settings, relay.limits)
-    relay.config = replace(relay.config, settings=settings)
+    relay.runtime.run_engine_call(relay.engine.reload, settings, relay.runtime.limits)
+    relay.runtime.config = replace(relay.runtime.config, settings=settings)
     tell_hosts(at.place, ("b1", at.place.backend.getsockname()[1], "Ready"))
-    relay.clock.offset_ns += 2_000_000_000  # what was known of it is stale: it has to be asked first
+    relay.runtime.clock.offset_ns += 2_000_000_000  # what was known of it is stale: it has to be asked first
     at.client.send(LINE)
     asked = await at.place.accept()
     await asked.expect("STATS")
@@ -167,7 +169,9 @@
         sock.connect_ex(full.getsockname())
     tell_hosts(at.place, ("b1", full.getsockname()[1], "Ready"))
     at.client.send(LINE)
-    await at.place.until(lambda: at.place.relay.descriptor_count.open == 2)  # its connect is under way
+    await at.place.until(
+        lambda: at.place.relay.runtime.descriptor_count.open == 2
+    )  # its connect is under way
     at.leave_after("endpoint_update_received")
     port = at.place.backend.getsockname()[1]
     tell_hosts(at.place, ("b1", port, "Gone"), *((f"s{n}", port, "Ready") for n in range(1024)))
@@ -196,9 +200,9 @@
 ) -> None:
     async def play(place: Place) -> None:
         client = await place.client()
-        await place.until(lambda: place.relay.open_clients == 1)
+        await place.until(lambda: place.relay.clients.open_count == 1)
         await case(Leaver(place, client, leave))
-        await place.until(lambda: place.relay.open_clients == 0)
+        await place.until(lambda: place.relay.clients.open_count == 0)
         with pytest.raises(BlockingIOError):
             place.backend.accept()
         assert not place.relay.engine.requests
@@ -223,7 +227,7 @@
         monkeypatch.setattr(connecting, "connect", leaves_as_it_is_up)
         client.send(LINE)
         await (await place.accept()).expect("end")  # without a line
-        await place.until(lambda: place.relay.open_clients == 0)
+        await place.until(lambda: place.relay.clients.open_count == 0)
         monkeypatch.setattr(connecting, "connect", connect)
         await served(place, "ff")
 
@@ -234,7 +238,7 @@
 async def test_a_last_look_changes_no_order_of_lines(capsys: pytest.CaptureFixture[str]) -> None:
     async def play(place: Place) -> None:
         client = await place.client()
-        await place.until(lambda: place.relay.open_clients == 1)
+        await place.until(lambda: place.relay.clients.open_count == 1)
         early = [f"{n:04d}" + "y" * 3000 for n in range(5)]  # over one read, within what may come early
         client.send(LINE + "".join(line + r"\r\n" for line in early))
         server = await place.accept()
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -36,12 +36,12 @@
     loop = asyncio.get_running_loop()
     now = loop.time
     loop.time = lambda: now() + seconds  # type: ignore[method-assign]
-    place.relay.clock.offset_ns += int(seconds * 1e9)
+    place.relay.runtime.clock.offset_ns += int(seconds * 1e9)
 
 
 async def session_of(place: Place) -> ClientConnectionDriver:
-    await place.until(lambda: bool(place.relay.descriptor_budget.awaiting_first_line))
-    return next(iter(place.relay.descriptor_budget.awaiting_first_line))
+    await place.until(lambda: bool(place.relay.runtime.descriptor_budget.awaiting_first_line))
+    return next(iter(place.relay.runtime.descriptor_budget.awaiting_first_line))
 
 
 async def in_single_bytes(place: Place) -> Peer:
@@ -80,13 +80,13 @@
     client.send(LINE)
     server = await place.accept()
     await server.expect("OPEN 0a")
-    place.relay.clock.offset_ns += (
+    place.relay.runtime.clock.offset_ns += (
         400_000_000  # the client's time is over, and the timers have not had their turn
     )
     server.send(r"UP late\r\n")
     await client.expect("UP late")  # the one final answer
-    place.relay.wake.set()
-    await place.until(lambda: place.relay.engine.next_due() > place.relay.clock())
+    place.relay.runtime.timers.wake.set()
+    await place.until(lambda: place.relay.engine.next_due() > place.relay.runtime.clock())
     client.finish()
     await client.expect("end")
     await server.expect("end")
@@ -99,15 +99,15 @@
         server = await place.accept()
         await server.expect("OPEN 0a")
         server.send(said[:2])  # half of its answer is in
-        place.relay.clock.offset_ns += 400_000_000
-        place.relay.wake.set()
+        place.relay.runtime.clock.offset_ns += 400_000_000
+        place.relay.runtime.timers.wake.set()
         await client.expect("BUSY")
-        await place.until(lambda: place.relay.descriptor_count.open <= 1)
+        await place.until(lambda: place.relay.runtime.descriptor_count.open <= 1)
         with contextlib.suppress(ConnectionError):  # it may know of its end by now
             server.send(said[2:])
         await client.expect("end")
         assert await server._next() in ("end", "reset")
-        await place.until(lambda: place.relay.open_clients == 0)
+        await place.until(lambda: place.relay.clients.open_count == 0)
 
 
 async def up_of_an_attempt_that_was_given_up(place: Place) -> None:
@@ -118,8 +118,8 @@
         client.send(rf"OPEN {ident} 0b c=plain,d=2000\r\n")
         first = await place.accept()
         await first.expect(f"OPEN {ident}")
-        place.relay.clock.offset_ns += 600_000_000  # the attempt's time is over
-        place.relay.wake.set()
+        place.relay.runtime.clock.offset_ns += 600_000_000  # the attempt's time is over
+        place.relay.runtime.timers.wake.set()
         first.send(r"UP late\r\n")  # in the turn in which it is given up
         second = await place.accept()
         await second.expect(f"OPEN {ident}")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -176,14 +176,14 @@
     async def leaves(place: Place) -> None:
         for n in range(20):
             client = await place.client()
-            await place.until(lambda: place.relay.open_clients == 1)
+            await place.until(lambda: place.relay.clients.open_count == 1)
             client.send(rf"OPEN {n:x} 0b c=plain,d=2000\r\n")
             if reset:
                 client.close(True)
             else:
                 client.finish()
                 await client.expect("end")
-            await place.until(lambda: place.relay.open_clients == 0)
+            await place.until(lambda: place.relay.clients.open_count == 0)
         with pytest.raises(BlockingIOError):  # nothing of it is as much as dialled
             place.backend.accept()
         assert reset or place.relay.engine.counters.counts["requests"] == 20  # a reset may come first
@@ -225,7 +225,7 @@
         if asked:  # it rests, as the front's do
             client.send(r"PING\r\n")
             await client.expect("PONG")
-        await place.until(lambda: place.relay.open_clients == 1)
+        await place.until(lambda: place.relay.clients.open_count == 1)
         time.sleep(0.07)  # the time is over, but nobody has had a turn to see that
         client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
         server = await place.accept()
@@ -233,14 +233,16 @@
         server.send(r"UP r1\r\n")
         await client.expect("UP r1")
         client.close()
-        await place.until(lambda: place.relay.open_clients == 0)
+        await place.until(lambda: place.relay.clients.open_count == 0)
 
 
 async def a_first_line_as_its_client_gives_way(place: Place) -> None:
     standing = await served(place, "0c")
     silent = [await place.client() for _ in range(2)]
-    await place.until(lambda: len(place.relay.descriptor_budget.awaiting_first_line) == 2)
-    for session, client in zip(list(place.relay.descriptor_budget.awaiting_first_line), silent, strict=True):
+    await place.until(lambda: len(place.relay.runtime.descriptor_budget.awaiting_first_line) == 2)
+    for session, client in zip(
+        list(place.relay.runtime.descriptor_budget.awaiting_first_line), silent, strict=True
+    ):
 
         def speaks(client: Peer = client) -> bool:
             client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")  # just after it was looked at
@@ -261,8 +263,8 @@
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
     late = await place.accept()
     await late.expect("OPEN 0a 0b c=plain,d=500")
-    place.relay.clock.offset_ns += 600_000_000  # the attempt's time is over: the timer goes first
-    place.relay.wake.set()
+    place.relay.runtime.clock.offset_ns += 600_000_000  # the attempt's time is over: the timer goes first
+    place.relay.runtime.timers.wake.set()
     late.send(r"UP late\r\n")
     await late.expect("reset")  # abandoned over what it has just said
     await client.expect("BUSY")  # the one final answer: there is no other backend
@@ -282,7 +284,7 @@
         ended = "reset" if reset and place.relay.engine.counters.counts["served"] else "end"
         with anyio.fail_after(SOON):
             assert await server._next() in (ended, "reset", "end")
-        await place.until(lambda: place.relay.open_clients == 0)
+        await place.until(lambda: place.relay.clients.open_count == 0)
         with pytest.raises(BlockingIOError):
             place.backend.accept()  # no further attempt for who has left
 
@@ -325,16 +327,19 @@
         sock.connect_ex(full.getsockname())
     await place.client()
     news = NEWS % ("true", HOST % (1, full.getsockname()[1], "Ready", 0))
-    place.relay.run_engine_call(
-        place.relay.engine.endpoint_update_received, read_membership(orjson.loads(news), place.relay.settings)
+    place.relay.runtime.run_engine_call(
+        place.relay.engine.endpoint_update_received,
+        read_membership(orjson.loads(news), place.relay.runtime.settings),
     )
-    clients = place.relay.descriptor_count.open
+    clients = place.relay.runtime.descriptor_count.open
     client = await place.client()
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
-    await place.until(lambda: place.relay.descriptor_count.open == clients + 2)  # its connect is under way
+    await place.until(
+        lambda: place.relay.runtime.descriptor_count.open == clients + 2
+    )  # its connect is under way
     client.finish()
     await client.expect("end")
-    await place.until(lambda: place.relay.descriptor_count.open == clients)
+    await place.until(lambda: place.relay.runtime.descriptor_count.open == clients)
     assert place.relay.engine.counters.counts["flows"] == 1
     for sock in (full, *held):
         sock.close()
@@ -367,9 +372,11 @@
     relay, dial = place.relay, place.relay.engine.endpoint_list.address_of("b1")
     (await place.client()).close()  # it runs by now
     for health in ("Terminating", "Gone"):
-        relay.spawn(partial(run_probe, relay, StartLoadProbe("b1", dial)))
-        news = read_membership(orjson.loads(NEWS % ("false", HOST % (1, 1, health, 0))), relay.settings)
-        relay.run_engine_call(relay.engine.endpoint_update_received, news)  # before the connect is up
+        relay.runtime.spawn(partial(run_probe, relay.runtime, StartLoadProbe("b1", dial)))
+        news = read_membership(
+            orjson.loads(NEWS % ("false", HOST % (1, 1, health, 0))), relay.runtime.settings
+        )
+        relay.runtime.run_engine_call(relay.engine.endpoint_update_received, news)  # before the connect is up
         await (await place.accept()).expect("end")  # without a question
 
 
@@ -381,11 +388,11 @@
         raise KeyError("made to fail")
 
     advance, relay.engine.advance = relay.engine.advance, fails  # type: ignore[method-assign]
-    relay.wake.set()
+    relay.runtime.timers.wake.set()
     await place.until(lambda: relay.engine.counters.counts["driver_faults"] > 0)
     relay.engine.advance = advance  # type: ignore[method-assign]
     relay.engine.counters.counts["driver_faults"] = 0
-    relay.reread_config = fails  # type: ignore[assignment]
+    relay.configuration.reread = fails  # type: ignore[assignment]
     place.hup()
     await place.until(lambda: relay.engine.counters.counts["driver_faults"] == 1)
     client.send(r"still here\r\n")
@@ -399,12 +406,12 @@
     rests, silent = await place.client(), await place.client()
     rests.send(r"PING\r\n")
     await rests.expect("PONG")
-    await place.until(lambda: len(place.relay.descriptor_budget.awaiting_first_line) == 2)
-    place.relay.run_engine_call(place.relay.engine.drain)
-    place.relay.run_engine_call(lambda _now_us: place.relay.engine.draining.exit())
+    await place.until(lambda: len(place.relay.runtime.descriptor_budget.awaiting_first_line) == 2)
+    place.relay.runtime.run_engine_call(place.relay.engine.drain)
+    place.relay.runtime.run_engine_call(lambda _now_us: place.relay.engine.draining.exit())
     # from here on: what no task has had a turn to read, on a connection and in the listener's queue
     rests.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
-    at = place.relay.config.listen_address
+    at = place.relay.runtime.config.listen_address
     queued = [Peer(socket.create_connection((at.host, at.port))) for _ in range(3)]
     for last in queued[1:]:
         last.send(r"OPEN 0a 0b c=plain,d=2000\r\n" * 2)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -40,13 +40,13 @@
 def watch_the_ledger(place: Place) -> list[int]:
     """The most that clients and flows have held at once."""
     most = [0]
-    add = place.relay.descriptor_count.add
+    add = place.relay.runtime.descriptor_count.add
 
     def seen(count: int) -> None:
         add(count)
-        most[0] = max(most[0], place.relay.descriptor_count.open)
+        most[0] = max(most[0], place.relay.runtime.descriptor_count.open)
 
-    place.relay.descriptor_count.add = seen  # type: ignore[method-assign]
+    place.relay.runtime.descriptor_count.add = seen  # type: ignore[method-assign]
     return most
 
 
@@ -62,7 +62,7 @@
 async def with_requests_of_their_own(place: Place) -> None:
     """Neither has been read yet, and both are one too many."""
     late = [await place.client() for _ in range(2)]
-    await place.until(lambda: place.relay.open_clients == 2)
+    await place.until(lambda: place.relay.clients.open_count == 2)
     for n, client in enumerate(late):
         client.send(LINE % f"1{n}")
 
@@ -83,7 +83,7 @@
     async def play(place: Place) -> None:
         most = watch_the_ledger(place)
         mine = [await place.client() for _ in range(2)]
-        await place.until(lambda: place.relay.open_clients == 2)
+        await place.until(lambda: place.relay.clients.open_count == 2)
         await others(place)
         for n, client in enumerate(mine):  # in one turn
             client.send(LINE % f"0{n}")
@@ -93,7 +93,9 @@
             server.send(r"UP r1\r\n")
         for client in mine:
             await client.expect("UP r1")
-        assert most[0] <= place.relay.limits.client_sockets + 1  # the one that is accepted to be told so
+        assert (
+            most[0] <= place.relay.runtime.limits.client_sockets + 1
+        )  # the one that is accepted to be told so
 
     await played(Place(**QUICK | {"sockets": FEW, "linger_us": 2_000_000}), play, capsys)
 
--- a/tests/test_drivers_that_fail.py
+++ b/tests/test_drivers_that_fail.py
@@ -77,7 +77,7 @@
     def held_up(*args: Any) -> None:
         open_flow(*args)
         relay.engine.attempts.open = open_flow
-        relay.spawn(hold)
+        relay.runtime.spawn(hold)
 
     async def hold() -> None:
         time.sleep(0.3)
@@ -114,11 +114,11 @@
     """Its driver fails, or its report's fields have changed meanwhile: no figure, and the next is asked."""
     await place.client()
     engine = place.relay.engine
-    real = place.relay.dial
-    place.relay.dial = once(real, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
+    real = place.relay.runtime.parse_endpoint_address
+    place.relay.runtime.parse_endpoint_address = once(real, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
     for number in (1, 2):
         engine.load_probes.start("b1")
-        place.relay.execute_commands()
+        place.relay.runtime.execute_commands()
         if number == 2:
             server = await place.accept()
             await server.expect("STATS")
@@ -143,7 +143,7 @@
                 tasks.start_soon(run)
                 await (await place.client()).expect("BUSY")
 
-        place.relay.engine.drain(place.relay.clock())
+        place.relay.engine.drain(place.relay.runtime.clock())
         real(serve_and_end)
 
     monkeypatch.setattr(anyio, "run", once(ended_at_once, OSError(errno.ENFILE, "no descriptors")))
@@ -155,7 +155,7 @@
 async def a_client_whose_driver_fails(place: Place) -> None:
     """Its request is given back at once, its backend's side ends, and the guard tells that it was cut off."""
     client, server = await served(place)
-    (session,) = place.relay.clients_by_request.values()
+    (session,) = place.relay.clients.by_request.values()
     session.client.read = once(session.client.read, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
     client.send(r"one\r\ntwo\r\n")
     await server.expect("one")
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -46,7 +46,7 @@
     clients = [await place.client() for _ in range(3)]
 
     def not_before_the_end(sock: socket.socket) -> tuple[socket.socket, object]:
-        if sock is relay.listener.sock and not relay.is_shutting_down:
+        if sock is relay.listener.sock and not relay.shutdown.is_exiting:
             raise BlockingIOError
         return real(sock)
 
@@ -54,8 +54,8 @@
     clients += [await place.client() for _ in range(3)]
     for number, client in enumerate(clients):
         client.send(OPEN.format(f"a{number}"))
-    calls.fail("accept", FOR_A_MOMENT, lambda sock: relay.is_shutting_down)
-    relay.run_engine_call(relay.engine.drain)
+    calls.fail("accept", FOR_A_MOMENT, lambda sock: relay.shutdown.is_exiting)
+    relay.runtime.run_engine_call(relay.engine.drain)
     for client in clients[3:]:
         await client.expect("BUSY")
         await client.expect("end")
@@ -63,7 +63,7 @@
 
 async def answers_that_can_not_be_sent_at_once(place: Place, calls: FailingCalls) -> None:
     """The answer, a line and MOVE: each send fails for a moment before it."""
-    mine = at_port(place.relay.config.listen_address.port)
+    mine = at_port(place.relay.runtime.config.listen_address.port)
     calls.fail("send", NO_BUFFERS, mine)
     client, server = await served(place)
     for error in NO_BUFFERS:
@@ -71,7 +71,7 @@
         server.send(r"a line\r\n")
         await client.expect("a line")
     calls.left["send"].append(errno.ENOBUFS)
-    place.relay.run_engine_call(place.relay.engine.drain)
+    place.relay.runtime.run_engine_call(place.relay.engine.drain)
     await client.expect("MOVE")
     await client.expect("end")
 
@@ -85,7 +85,7 @@
 
 
 async def reads_that_fail(place: Place, calls: FailingCalls) -> None:
-    calls.fail("recv", [errno.ENOMEM, errno.ENOMEM], at_port(place.relay.config.listen_address.port))
+    calls.fail("recv", [errno.ENOMEM, errno.ENOMEM], at_port(place.relay.runtime.config.listen_address.port))
     client, server = await served(place)
     calls.fail("recv", [errno.ENOMEM], to_port(place.backend.getsockname()[1]))
     server.send(r"a line\r\n")
@@ -140,7 +140,7 @@
     client, server = await served(place)
     calls.fail_new_sockets([errno.ENFILE] * 15)
     place.relay.engine.load_probes.start("b1")
-    place.relay.execute_commands()
+    place.relay.runtime.execute_commands()
     counts = place.relay.engine.counters.counts
     await place.until(lambda: counts["probes.moot"] == 1)
     assert place.relay.engine.balancer.nodes["b1"].out_until == 0
@@ -179,15 +179,15 @@
 
 async def no_room_and_no_buffers(place: Place, calls: FailingCalls) -> None:
     """Silent clients fill the descriptors, and the answer to each that gives way can't be sent at first."""
-    room = place.relay.limits.client_sockets
+    room = place.relay.runtime.limits.client_sockets
     clients = [await place.client() for _ in range(room)]
-    calls.fail("send", [], at_port(place.relay.config.listen_address.port))
+    calls.fail("send", [], at_port(place.relay.runtime.config.listen_address.port))
     for _ in range(3):
         calls.left["send"].extend(NO_BUFFERS)
         clients.append(await place.client())
         await place.until(lambda: not calls.left["send"])
     await anyio.sleep(0)
-    assert place.relay.descriptor_count.peak <= room + 1  # the one that has just been accepted
+    assert place.relay.runtime.descriptor_count.peak <= room + 1  # the one that has just been accepted
     for client in clients[:3]:
         await client.expect("BUSY")
         await client.expect("end")
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -178,10 +178,10 @@
 
 async def a_bad_file_changes_nothing(place: Place) -> None:
     client, server = await served(place)
-    before = place.relay.config
+    before = place.relay.runtime.config
     place.hup(seed=BAD)
     await place.until(lambda: place.relay.engine.counters.counts["reload_failures"] == 1)
-    assert place.relay.config is before
+    assert place.relay.runtime.config is before
     classes = [RequestClass("plain"), RequestClass("other", idempotency="repeatable")]
     place.hup(
         seed=1,
@@ -228,7 +228,7 @@
     for _ in range(2):
         await place.call(r"ONLINE b1\r\n", "ok b1 in use")
     await served(place, "0c")
-    place.relay.run_engine_call(place.relay.engine.drain)
+    place.relay.runtime.run_engine_call(place.relay.engine.drain)
     await place.call(r"HEALTH\r\n", "fail draining")
 
 
@@ -244,7 +244,7 @@
         await place.until(
             lambda: hasattr(new, "listener") and new.listener.accepting and bool(place.relay.handover.peers)
         )
-        assert new.handover.count_peer_descriptors() == place.relay.descriptor_count.open >= 2
+        assert new.handover.count_peer_descriptors() == place.relay.runtime.descriptor_count.open >= 2
         await place.call(r"HEALTH\r\n", "ok", door)
         await place.call(r"OFFLINE b1\r\n", "ok b1 out", door)
         waiting = await place.client()
@@ -253,18 +253,18 @@
         await place.call(r"ONLINE b1\r\n", "ok b1 in use")
         await client.expect("MOVE")
         await place.until(lambda: not new.engine.endpoint_list.is_offline("b1"))
-        place.relay.drain()
+        place.relay.shutdown.drain()
         for n in range(8):  # the old one accepts none of these
             again, _ = await served(place, f"1{n}")
         await place.until(lambda: not new.handover.peers)
         assert new.engine.counters.counts["served"] >= 8
-        new.drain()
+        new.shutdown.drain()
         await again.expect("MOVE")
 
 
 async def drains(place: Place) -> None:
     client, server = await served(place)
-    place.relay.run_engine_call(place.relay.engine.drain)
+    place.relay.runtime.run_engine_call(place.relay.engine.drain)
     await client.expect("MOVE")
     await client.expect("end")
     await server.expect("end")
@@ -286,8 +286,8 @@
             server.send(line * 8)
             sent += 8
             await anyio.sleep(0)
-    (session,) = place.relay.clients_by_request.values()
-    assert len(session.client.unsent) <= 2 * place.relay.config.limits.buffer_bytes + 8192
+    (session,) = place.relay.clients.by_request.values()
+    assert len(session.client.unsent) <= 2 * place.relay.runtime.config.limits.buffer_bytes + 8192
     client.close()
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -72,7 +72,7 @@
     clock = WallClock(monkeypatch)
     for clock.offset_s in OFFSETS_S:
         relay = relay_with_six_endpoints()
-        now = relay.clock()
+        now = relay.runtime.clock()
         assert NEW_ENDPOINT not in set(endpoints_chosen(relay, now)), f"{clock.offset_s} s"
         later = now + SLOW_START_WINDOW_US + 1_100_000
         relay.engine.advance(later)
@@ -103,11 +103,11 @@
         place.file.settings, classes=CLASSES, slow_start_window_us=SLOW_START_WINDOW_US, groups_enabled=False
     )
     relay = Relay(replace(place.file, settings=settings, known_endpoints={"seq": 1, "hosts": hosts}))
-    assert len(set(endpoints_chosen(relay, relay.clock(), 200))) == 6
+    assert len(set(endpoints_chosen(relay, relay.runtime.clock(), 200))) == 6
     update = read_membership({"seq": 2, "whole": True, "hosts": hosts}, settings)
-    relay.engine.endpoint_update_received(update, relay.clock())
+    relay.engine.endpoint_update_received(update, relay.runtime.clock())
     relay.engine.commands.clear()
-    assert len(set(endpoints_chosen(relay, relay.clock(), 200))) == 6
+    assert len(set(endpoints_chosen(relay, relay.runtime.clock(), 200))) == 6
 
 
 def test_an_endpoint_back_online_is_in_slow_start_for_its_time_at_both_processes(
@@ -120,10 +120,10 @@
         clock.offset_s = offset_s
         relays.append(relay_with_six_endpoints(tmp_path, has_new_endpoint=False, port=1))
     for offline in (True, False):
-        relays[0].override_endpoint("b1", offline)
+        relays[0].runtime.operator_overrides.override_endpoint("b1", offline)
     for relay in relays:
-        relay.refresh_operator_overrides()
-        now = relay.clock()
+        relay.runtime.operator_overrides.refresh()
+        now = relay.runtime.clock()
         assert "b1" not in set(endpoints_chosen(relay, now))
         later = now + SLOW_START_WINDOW_US + 1_100_000
         relay.engine.advance(later)
--- a/tests/test_yard.py
+++ b/tests/test_yard.py
@@ -148,8 +148,8 @@
             with anyio.fail_after(2.0):
                 while ledger.open < 2:
                     await anyio.sleep(0.005)
-            assert list(host.address_races) == [dialer] and dialer.evict_one() and ledger.open == 1
-            assert not dialer.evict_one() and not lost
+            assert list(host.address_races) == [dialer] and dialer.evict() and ledger.open == 1
+            assert not dialer.evict() and not lost
             host.room = False  # nothing more begins beside the one that is out
             other = AddressRaceDriver(host, paths, "a", paths.new_race("a", host.clock()), ledger)
             tasks.start_soon(dial, other)
