--- a/gannetweir/proto/upstream_connection.py
+++ b/gannetweir/proto/upstream_connection.py
@@ -36,7 +36,7 @@
 class AttemptEnded:
     """The flow is over."""
 
-    status: int
+    status: AttemptStatus
     report: tuple[float, ...] = ()
 
 
@@ -51,9 +51,9 @@
         self.load_report_fields = report_names
         self.unsent_first_line = first_line
         self.established = False
-        self.announced_status = 0  # how the backend said that it ends
+        self.announced_status: AttemptStatus | None = None  # how the backend said that it ends
         self.is_over = False
-        self.status = 0  # the outcome, once it is over
+        self.status: AttemptStatus | None = None  # the outcome, once it is over
 
     def first_line_sent(self, count: int) -> None:
         """So many bytes of the first line were written."""
@@ -79,7 +79,7 @@
             events.append(self._end(AttemptStatus.ERROR))
         return events
 
-    def _end(self, status: int, report: tuple[float, ...] = ()) -> AttemptEnded:
+    def _end(self, status: AttemptStatus, report: tuple[float, ...] = ()) -> AttemptEnded:
         self.is_over, self.status = True, status
         return AttemptEnded(status, report)
 
