--- a/gannetweir/config/kdl.py
+++ b/gannetweir/config/kdl.py
@@ -1,7 +1,7 @@
 """A KDL document as nodes that know their lines.
 
-`ckdl` reads the document; it tells no positions, so a scan of the text finds where each node begins. The two
-are held against each other node by node: where they do not agree, nodes have no line rather than a wrong one.
+`ckdl` reads the document; it reports no positions, so `kdl_lines` scans the text for where each node begins.
+The two are compared node by node: where they do not agree, nodes have no line rather than a wrong one.
 Source: https://kdl.dev, version 2 of the language.
 """
 
@@ -10,16 +10,34 @@
 import re
 from collections.abc import Iterator
 from dataclasses import dataclass, field
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import ckdl
 
-MAX_DOCUMENT_BYTES = 1 << 20
-MAX_LINE_CHARACTERS = 2000  # characters; ckdl takes time that grows with the square of a number's digits
-MAX_NODE_DEPTH = 16
+from gannetweir.config.kdl_lines import NodeStart, scan_node_starts
+from gannetweir.errors import GannetweirError
 
+if TYPE_CHECKING:
+    from typing import Protocol
 
-class KdlError(ValueError):
+    class _ParsedNode(Protocol):
+        """What is used of a node of `ckdl`, which has no types of its own."""
+
+        name: str
+        args: list[KdlValue]
+        properties: dict[str, KdlValue]
+        children: list[_ParsedNode]
+
+
+KdlValue = str | int | float | bool | None
+
+MAX_DOCUMENT_BYTES = 1 << 20  # far over any file that people write; bounds the memory of a read
+MAX_LINE_CHARACTERS = 2000  # ckdl takes time that grows with the square of a number's digits
+MAX_NODE_DEPTH = 16  # ckdl and `_node` recurse: a deep document would end the process
+_NO_LINE = -1  # of a node for which reader and scan do not agree
+
+
+class KdlError(GannetweirError, ValueError):
     """What is wrong with the document, and the line; 0 where it is not known."""
 
     def __init__(self, text: str, line: int = 0) -> None:
@@ -29,149 +47,99 @@
 
 @dataclass(slots=True)
 class Node:
-    """One node: its name, its values, and where it begins."""
+    """One node: its name, its values, and the line where it begins; 0 where that is not known."""
 
     name: str
-    arguments: list[Any]
+    arguments: list[Any]  # `KdlValue`; the lab's readers of plans check the types by hand
     properties: dict[str, Any]
     children: list[Node] = field(default_factory=list)
     line: int = 0
 
 
 def parse_document(text: str, with_lines: bool = True) -> list[Node]:
-    """The top nodes of a document, or `KdlError`. Bounded: size, line length and depth are checked first. The
-    lines cost as much as all the rest, so a start reads without them, and once more with them to complain.
+    """Return the top nodes of a document.
+
+    Size, line length and depth are checked first. Lines cost as much as all the rest: a start reads without
+    them, and once more with them to report mistakes. Raises `KdlError`.
     """
-    if len(text.encode("utf-8", "surrogatepass")) > MAX_DOCUMENT_BYTES:
-        raise KdlError(f"over {MAX_DOCUMENT_BYTES} bytes")
-    for number, line in enumerate(text.split("\n"), 1):
-        if len(line) > MAX_LINE_CHARACTERS:
-            raise KdlError(f"a line of {len(line)} characters; at most {MAX_LINE_CHARACTERS}", number)
-    starts: list[tuple[str, int]] = []
-    if with_lines or _braces(text) > MAX_NODE_DEPTH:
-        starts, deepest = _scan(text)
-        if deepest > MAX_NODE_DEPTH:
-            raise KdlError(f"nodes within nodes {deepest} deep; at most {MAX_NODE_DEPTH}")
+    _check_size(text)
+    starts: list[NodeStart] = []
+    if with_lines or _max_brace_depth(text) > MAX_NODE_DEPTH:
+        starts, depth = scan_node_starts(text)
+        if depth > MAX_NODE_DEPTH:
+            raise KdlError(f"nodes within nodes {depth} deep; at most {MAX_NODE_DEPTH}")
     try:
         document = ckdl.parse(text, version=2)
     except (ckdl.ParseError, ValueError, OverflowError) as error:
-        raise KdlError(f"not KDL: {error}", _line_of_error(text)) from None
-    found = iter(starts)
-    nodes = [_node(node, found) for node in document.nodes]
-    if not with_lines or next(found, None) is not None or any(node.line < 0 for node in _all(nodes)):
-        for node in _all(nodes):
+        raise KdlError(f"not KDL: {error}", _line_of_error(text)) from error
+    remaining_starts = iter(starts)
+    nodes = [_node(node, remaining_starts) for node in document.nodes]
+    all_starts_used = next(remaining_starts, None) is None
+    lines_agree = with_lines and all_starts_used and all(node.line != _NO_LINE for node in _all_nodes(nodes))
+    if not lines_agree:
+        for node in _all_nodes(nodes):
             node.line = 0
     return nodes
 
 
-def _braces(text: str) -> int:
-    """No fewer than the nodes are deep: those in strings and comments count as well."""
-    depth = deepest = 0
+def _check_size(text: str) -> None:
+    if len(text.encode("utf-8", "surrogatepass")) > MAX_DOCUMENT_BYTES:
+        raise KdlError(f"over {MAX_DOCUMENT_BYTES} bytes")
+    for number, line in enumerate(text.split("\n"), 1):
+        if len(line) > MAX_LINE_CHARACTERS:
+            raise KdlError(f"a line of {len(line)} characters; at most {MAX_LINE_CHARACTERS}", number)
+
+
+def _max_brace_depth(text: str) -> int:
+    """Return no less than the depth of nodes: braces in strings and comments count as well."""
+    depth = 0
+    max_depth = 0
     for brace in re.findall("[{}]", text):
         depth += 1 if brace == "{" else -1
-        deepest = max(deepest, depth)
-    return deepest
+        max_depth = max(max_depth, depth)
+    return max_depth
+
 
+def _node(node: _ParsedNode, starts: Iterator[NodeStart]) -> Node:
+    start = next(starts, None)
+    line = start.line if start is not None and start.name == node.name else _NO_LINE
+    arguments = [_plain_value(argument) for argument in node.args]
+    properties = {key: _plain_value(value) for key, value in node.properties.items()}
+    parsed = Node(node.name, arguments, properties, [], line)
+    parsed.children = [_node(child, starts) for child in node.children]
+    return parsed
 
-def _node(node: Any, lines: Iterator[tuple[str, int]]) -> Node:
-    name, line = next(lines, ("", -1))
-    if name != node.name:
-        line = -1
-    values = [arg.value if isinstance(arg, ckdl.Value) else arg for arg in node.args]
-    props = {
-        key: value.value if isinstance(value, ckdl.Value) else value for key, value in node.properties.items()
-    }
-    made = Node(node.name, values, props, [], line)
-    made.children = [_node(child, lines) for child in node.children]
-    return made
 
+def _plain_value(value: KdlValue) -> KdlValue:
+    """Return a value without its type annotation, which no reader of ours uses."""
+    plain: KdlValue = value.value if isinstance(value, ckdl.Value) else value
+    return plain
 
-def _all(nodes: list[Node]) -> Iterator[Node]:
+
+def _all_nodes(nodes: list[Node]) -> Iterator[Node]:
     for node in nodes:
         yield node
-        yield from _all(node.children)
+        yield from _all_nodes(node.children)
 
 
 def _line_of_error(text: str) -> int:
-    """The first line with which the text before it can't be continued."""
+    """Return the first line with which the text up to it can't be continued to a document."""
     lines = text.split("\n")
-    low, high = 0, len(lines)
+    low = 0
+    high = len(lines)
     while high - low > 1:
         middle = (low + high) // 2
-        try:
-            ckdl.parse("\n".join(lines[:middle]) + "\n", version=2)
-            broken = False
-        except ckdl.ParseError as error:
-            broken = "end of data" not in str(error)
-        low, high = (low, middle) if broken else (middle, high)
+        if _is_broken("\n".join(lines[:middle]) + "\n"):
+            high = middle
+        else:
+            low = middle
     return high
 
 
-_TOKEN = re.compile(
-    r'(?P<raw>#+"{3}[\s\S]*?"{3}#+|#+"[^\n]*?"#+)'
-    r'|(?P<multi>"{3}[\s\S]*?"{3})'
-    r'|(?P<string>"(?:\\[\s\S]|[^"\\])*")'
-    r"|(?P<comment>//[^\n]*)"
-    r"|(?P<block>/\*)"
-    r"|(?P<dash>/-)"
-    r"|(?P<escape>\\[^\S\n]*(?://[^\n]*)?\n)"
-    r"|(?P<end>[\n;\r\f\x85\u2028\u2029])"
-    r"|(?P<open>\{)"
-    r"|(?P<close>\})"
-    r"|(?P<space>[^\S\n]+|\ufeff|=)"
-    r"|(?P<type>\([^)\n]*\))"
-    r'|(?P<word>[^\s{}();"=]+)'
-    r"|(?P<other>[\s\S])"
-)
-
-
-def _scan(text: str) -> tuple[list[tuple[str, int]], int]:
-    """The name and line of every node, in their order, and how deep they go. Slashed ones are left out."""
-    found: list[tuple[str, int]] = []
-    at, line, deepest = 0, 1, 0
-    slashed = [False]  # for each open block: is all in it left out?
-    fresh, dash = True, False  # is a node to begin; does a slash stand before what comes
-    gone = False  # the node that is being read is slashed
-    while at < len(text):
-        match = _TOKEN.match(text, at)
-        assert match is not None
-        kind, token = match.lastgroup, match.group()
-        if kind == "block":
-            token = _block(text, at)
-        if kind == "dash":
-            dash = True
-        elif kind == "end":
-            fresh = True if not dash else fresh
-        elif kind == "open":
-            slashed.append(slashed[-1] or gone or dash)
-            deepest = max(deepest, len(slashed) - 1)
-            fresh, dash, gone = True, False, False
-        elif kind == "close":
-            if len(slashed) > 1:
-                slashed.pop()
-            fresh, dash, gone = False, False, False
-        elif kind in ("raw", "multi", "string", "word", "other"):
-            if fresh:
-                gone = dash
-                if not gone and not slashed[-1]:
-                    found.append((_text(kind, token), line))
-                fresh = False
-            dash = False
-        line += token.count("\n")
-        at += len(token)
-    return found, deepest
-
-
-def _block(text: str, at: int) -> str:
-    """A comment over several lines; they may stand within one another."""
-    depth, end = 0, at
-    for match in re.finditer(r"/\*|\*/", text[at:]):
-        depth += 1 if match.group() == "/*" else -1
-        end = at + match.end()
-        if not depth:
-            return text[at:end]
-    return text[at:]
-
-
-def _text(kind: str, token: str) -> str:
-    return token.strip("#").strip('"') if kind in ("raw", "multi", "string") else token
+def _is_broken(text: str) -> bool:
+    """Whether ckdl finds a mistake in the text other than that it ends too early."""
+    try:
+        ckdl.parse(text, version=2)
+    except ckdl.ParseError as error:
+        return "end of data" not in str(error)
+    return False
--- /dev/null
+++ b/gannetweir/config/kdl_forms.py
@@ -0,0 +1,132 @@
+"""What nodes of an operators' file may hold, and the reader that checks nodes against it.
+
+The reader goes on after a mistake, so that all of them are found in one go. It owns the list of mistakes.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Collection, Mapping
+from dataclasses import dataclass
+from typing import Generic, TypeVar, cast
+
+from gannetweir.config.kdl import KdlValue, Node
+from gannetweir.config.kdl_values import ValueFormatError, shown
+from gannetweir.routing.rules import Mistake
+
+T = TypeVar("T")
+T_co = TypeVar("T_co", covariant=True)
+
+
+@dataclass(frozen=True, slots=True)
+class Property(Generic[T_co]):
+    """A named value of a node, as `share="20%"`, and the parser of its kind."""
+
+    name: str
+    parse: Callable[[KdlValue], T_co]
+
+
+@dataclass(frozen=True, slots=True)
+class NodeForm(Generic[T_co]):
+    """What a node without children may hold: values of one kind, and named values, some of them required."""
+
+    argument: Callable[[KdlValue], T_co] | None = None
+    allows_many: bool = False
+    properties: tuple[Property[object], ...] = ()
+    required: tuple[Property[object], ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class NodeValues(Generic[T_co]):
+    """The values of a node, parsed. Those that are wrong have been reported and are left out."""
+
+    arguments: tuple[T_co, ...]
+    properties: Mapping[str, object]
+
+    @property
+    def first(self) -> T_co | None:
+        """The first value; None where there is none that is right."""
+        return self.arguments[0] if self.arguments else None
+
+    def get(self, wanted: Property[T]) -> T | None:
+        """Return a named value; None where it is missing or wrong."""
+        return cast("T | None", self.properties.get(wanted.name))
+
+
+class NodeReader:
+    """Reads nodes by their forms and collects the mistakes of one document."""
+
+    def __init__(self) -> None:
+        self.mistakes: list[Mistake] = []
+
+    def report(self, node: Node, where: str, found: str, allowed: str) -> None:
+        """Add one mistake."""
+        self.mistakes.append(Mistake(node.line, where, found, allowed))
+
+    def parse(self, node: Node, where: str, parse: Callable[[KdlValue], T], value: KdlValue) -> T | None:
+        """Return a parsed value; None, and a mistake, where it is none of its kind."""
+        try:
+            return parse(value)
+        except ValueFormatError as error:
+            self.report(node, where, f"found {shown(value)}", str(error))
+        return None
+
+    def parse_only_argument(self, node: Node, where: str, parse: Callable[[KdlValue], T]) -> T | None:
+        """Return the one value of a node that also has a block, as the name of a route."""
+        return self.parse(node, where, parse, node.arguments[0] if len(node.arguments) == 1 else None)
+
+    def read_values(self, node: Node, where: str, form: NodeForm[T]) -> NodeValues[T]:
+        """Return the values of a node that has no children."""
+        if node.children:
+            self.report(node, where, "found a block", "no block here")
+        arguments = self._read_arguments(node, where, form)
+        properties = self._read_properties(node, where, form)
+        for required in form.required:
+            if required.name not in node.properties:
+                allowed = ", ".join(other.name for other in form.required)
+                self.report(node, where, f"{required.name} is missing", allowed)
+        return NodeValues(arguments, properties)
+
+    def read_block(self, node: Node, where: str, names: Collection[str]) -> dict[str, Node]:
+        """Return the children of a node by name: each name known, and there once."""
+        children: dict[str, Node] = {}
+        for child in node.children:
+            if child.name not in names:
+                self.report(child, f"{where} {child.name}", "unknown", f"one of {', '.join(names)}")
+            elif child.name in children:
+                self.report(child, f"{where} {child.name}", "a second time", "once in a block")
+            else:
+                children[child.name] = child
+        return children
+
+    def check_block_only(self, node: Node, where: str) -> None:
+        """Report values beside a block."""
+        if node.arguments or node.properties:
+            self.report(node, where, "found values", "a block only")
+
+    def _read_arguments(self, node: Node, where: str, form: NodeForm[T]) -> tuple[T, ...]:
+        if form.argument is None:
+            if node.arguments:
+                found = f"found {shown(node.arguments[0])}"
+                self.report(node, where, found, "named values only, as name=value")
+            return ()
+        if not node.arguments or (len(node.arguments) > 1 and not form.allows_many):
+            allowed = "one or more" if form.allows_many else "one value"
+            self.report(node, where, f"{len(node.arguments)} values", allowed)
+        parsed = [self.parse(node, where, form.argument, argument) for argument in node.arguments]
+        arguments = tuple(argument for argument in parsed if argument is not None)
+        if form.allows_many and len(set(map(str, arguments))) < len(arguments):
+            self.report(node, where, "the same value twice", "each value once")
+        return arguments
+
+    def _read_properties(self, node: Node, where: str, form: NodeForm[T]) -> dict[str, object]:
+        known = {known.name: known for known in form.properties}
+        properties: dict[str, object] = {}
+        for name, value in node.properties.items():
+            if name not in known:
+                allowed = f"one of {', '.join(known)}" if known else "no named values here"
+                self.report(node, where, f"unknown name {name!r}", allowed)
+                continue
+            parsed = self.parse(node, f"{where} {name}", known[name].parse, value)
+            if parsed is not None:
+                properties[name] = parsed
+        return properties
--- a/gannetweir/lab/experiments/trial.py
+++ b/gannetweir/lab/experiments/trial.py
@@ -30,7 +30,7 @@
 
 from gannetweir.addresses.address import FAMILIES
 from gannetweir.config.kdl import KdlError, Node, parse_document
-from gannetweir.config.operators_file import parse_duration_us
+from gannetweir.config.kdl_values import parse_duration_us
 from gannetweir.lab.emulator.push_node import FAULTS
 from gannetweir.lab.emulator.yard import Event, Script, Yard, YardPlan, play
 
--- a/gannetweir/lab/scale/fleet_experiment.py
+++ b/gannetweir/lab/scale/fleet_experiment.py
@@ -26,7 +26,7 @@
 from typing import Any
 
 from gannetweir.config.kdl import KdlError, Node, parse_document
-from gannetweir.config.operators_file import parse_duration_us
+from gannetweir.config.kdl_values import parse_duration_us
 
 MOST_RELAYS, MOST_BACKENDS, MOST_HOSTS, MOST_ZONES, MOST_TRUE, MOST_CHANGES = 2000, 20_000, 40, 64, 8, 1000
 MOST_MACHINES = 40
