--- a/gannetweir/config/files.py
+++ b/gannetweir/config/files.py
@@ -6,14 +6,18 @@
 import time
 from pathlib import Path
 
-READ_ATTEMPTS, READ_RETRY_DELAY_S = 10, 0.005
+READ_ATTEMPTS = 10
+READ_RETRY_DELAY_S = 0.005  # with the attempts: 45 ms in all, which a reload can wait
 _TRANSIENT_ERRNOS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS, errno.EIO, errno.EAGAIN}
 )
 
 
 def read_bytes(path: str | Path) -> bytes:
-    """The whole file. What may pass is tried again, for 50 ms in all. Raises `OSError`."""
+    """Return the content of a file. A transient error is retried after a delay.
+
+    Raises `OSError`: the last one of a transient kind, any other at once.
+    """
     for _ in range(READ_ATTEMPTS - 1):
         try:
             return Path(path).read_bytes()
--- a/gannetweir/config/loader.py
+++ b/gannetweir/config/loader.py
@@ -9,25 +9,35 @@
 
 
 def load_config(env: Mapping[str, str], previous: Config | None = None) -> Config:
-    """Read the platform's configuration, and the operators' file if the environment names one: both are right
-    together, or it is a `ConfigError` and nothing of either is taken. `standing` is the one that a reload
-    replaces.
+    """Read the platform's configuration, and the operators' file if the environment names one.
+
+    `previous` is the configuration that a reload replaces. Raises `ConfigError` if either of the two is
+    wrong, or both are not right together; then neither is to be applied.
     """
     config = load_platform_config(env, previous)
-    operators = env.get("RELAY_OPERATORS")
-    return add_operators_file(config, operators) if operators else config
+    operators_path = env.get("RELAY_OPERATORS")
+    return add_operators_file(config, operators_path) if operators_path else config
 
 
 def add_operators_file(config: Config, path: str) -> Config:
-    """A configuration with the operators' file laid over it: both are right together, or an error."""
+    """Return the configuration with the operators' file applied. Raises `ConfigError`, as `load_config`."""
     # Only where it is switched on: a relay without an operators' file does without the code for one.
     from gannetweir.config.operators_file import load_operators_file
     from gannetweir.routing.route_admission import with_routed_classes
 
-    told = config.known_endpoints.get("hosts")
-    entries = told if isinstance(told, list) else []
-    hosts = [str(host.get("host")) for host in entries if isinstance(host, dict)]
-    rules, reach = load_operators_file(path, config.settings, config.limits, endpoint_names=hosts)
+    operators_file = load_operators_file(
+        path, config.settings, config.limits, endpoint_names=_known_endpoint_names(config)
+    )
     return replace(
-        config, settings=with_routed_classes(config.settings, rules), routing_rules=rules, address_rules=reach
+        config,
+        settings=with_routed_classes(config.settings, operators_file.routing_rules),
+        routing_rules=operators_file.routing_rules,
+        address_rules=operators_file.address_rules,
     )
+
+
+def _known_endpoint_names(config: Config) -> list[str]:
+    entries = config.known_endpoints.get("hosts")
+    if not isinstance(entries, list):
+        return []
+    return [str(entry.get("host")) for entry in entries if isinstance(entry, dict)]
--- a/gannetweir/config/platform.py
+++ b/gannetweir/config/platform.py
@@ -1,17 +1,23 @@
-"""What the platform tells a relay: the environment and the JSON file that it names."""
+"""What the platform configures a relay with: the environment and the JSON file that it names."""
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
 import orjson
 
-from gannetweir.config.errors import ConfigError
+from gannetweir.config.errors import ConfigError, SettingError
 from gannetweir.config.files import read_bytes
-from gannetweir.config.settings import parse_settings, read_fields, validate_settings
+from gannetweir.config.settings import (
+    SettingKey,
+    is_integer,
+    parse_settings,
+    read_fields,
+    validate_settings,
+)
 from gannetweir.limits import Limits
 from gannetweir.placement.settings import Settings
 
@@ -19,6 +25,17 @@
     from gannetweir.addresses.rules import AddressRules
     from gannetweir.routing.rules import RoutingRules
 
+MAX_PORT = 65535
+MIN_BUFFER_BYTES = 4096  # of unsent data on one connection: a whole line fits, however small the machine
+SEED_MASK = (1 << 64) - 1
+MAX_MISSING_KEYS_SHOWN = 5
+_HALF_MB_BYTES = 1 << 19
+_IDENTITY_KEYS = ("name", "listen", "discovery")  # in the file, or RELAY_ and the name in the environment
+_MACHINE_KEYS = {
+    "sockets": SettingKey("sockets", is_integer),
+    "memory_mb": SettingKey("memory_mb", is_integer),
+}
+
 
 @dataclass(frozen=True, slots=True)
 class SocketAddress:
@@ -30,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a real relay is told, checked."""
+    """The whole configuration of a relay, checked."""
 
     name: str
     listen_address: SocketAddress
@@ -38,70 +55,60 @@
     seed: int
     settings: Settings
     limits: Limits
-    known_endpoints: dict[str, Any]
-    admin_address: SocketAddress | None = None  # the operators' door
-    inherited_listener_fd: int | None = None  # descriptor of a clients' listener that the platform holds
-    shared_folder: Path | None = None  # the folder that all processes of this relay share
-    named_keys: frozenset[str] = frozenset()  # all that the file named
-    routing_rules: RoutingRules | None = None  # the operators' file; its routes stand in `settings`, too
-    address_rules: AddressRules | None = None  # and what it says of servers' addresses
+    known_endpoints: dict[str, Any]  # the endpoint list as of the start, JSON as discovery sends it
+    admin_address: SocketAddress | None = None
+    inherited_listener_fd: int | None = None  # of a clients' listener that the platform holds
+    shared_folder: Path | None = None  # which all processes of this relay share
+    named_keys: frozenset[str] = frozenset()  # paths of all keys in the file, see `key_paths`
+    routing_rules: RoutingRules | None = None  # of the operators' file; its routes stand in `settings`, too
+    address_rules: AddressRules | None = None  # of the operators' file
 
 
-def parse_socket_address(literal: Any, source: str) -> SocketAddress:
-    """`HOST:PORT`."""
+def parse_socket_address(literal: object, source: str) -> SocketAddress:
+    """Return the address that `HOST:PORT` means. Raises `ConfigError`, which names the `source`."""
     host, _, port = str(literal).rpartition(":")
     # isdecimal alone admits other scripts' digits, which no peer sends
-    if not host or not port.isascii() or not port.isdecimal() or not 0 <= int(port) < 65536:
+    if not host or not port.isascii() or not port.isdecimal() or int(port) > MAX_PORT:
         raise ConfigError(f"{source}: {literal!r} is not HOST:PORT")
     return SocketAddress(host, int(port))
 
 
-def parse_limits(data: Any, settings: Settings) -> Limits:
-    """The limits of a machine as the platform's `limits` tell them; None tells nothing."""
-    data = {} if data is None else data
-    given = read_fields({"sockets": ("sockets", int), "memory_mb": ("memory_mb", int)}, data)
-    for name, value in given.items():
-        if value <= 0:  # less than a relay is known to need is tried all the same: not to start serves nobody
-            raise ConfigError(f"setting limits.{name}: {value} is not over 0")
-    # buffers must fit the memory: half of it, over both directions of each connection
-    limits = Limits(**given, connect_us=int(settings.connect_timeout_us))
-    # no longer than the platform allows as advice; where it allows none, none is given
-    advice = settings.max_retry_after_us if settings.sends_retry_after else 0
-    limits = replace(limits, reject_retry_us=int(max(0, min(limits.reject_retry_us, advice))))
-    room = limits.memory_mb * (1 << 19) // limits.sockets
-    limits = replace(limits, buffer_bytes=max(4096, min(limits.buffer_bytes, room)))
-    return limits.within(max(c.deadline_us for c in settings.classes))
-
-
-def _given(data: dict[str, Any], name: str) -> Any:
-    """A part that may be missing; an empty list in its place is a mistake all the same."""
-    value = data.get(name)
-    return {} if value is None else value
-
+def parse_limits(data: object, settings: Settings) -> Limits:
+    """Return the limits that follow from the machine's size (`data`, may be None) and from the settings.
 
-def _descriptor(text: str | None) -> int | None:
-    if not text:
-        return None
-    if not text.isascii() or not text.isdecimal():
-        raise ConfigError(f"RELAY_INHERITED_FD: {text!r} is no descriptor")
-    return int(text)
+    Raises `SettingError` for a size that is no whole number over 0.
+    """
+    machine = read_fields(_MACHINE_KEYS, {} if data is None else data)
+    for name, value in machine.items():
+        # less than a relay is known to need is tried all the same: not to start serves nobody
+        if value <= 0:
+            raise SettingError(f"limits.{name}", f"{value} is not over 0")
+    limits = Limits(**machine, connect_us=int(settings.connect_timeout_us))
+    # no longer than the platform allows as Retry-After; where it allows none, none is sent
+    max_retry_after_us = settings.max_retry_after_us if settings.sends_retry_after else 0
+    limits = replace(limits, reject_retry_us=int(max(0, min(limits.reject_retry_us, max_retry_after_us))))
+    # buffers must fit the memory: half of it, over both directions of each connection
+    memory_per_socket_bytes = limits.memory_mb * _HALF_MB_BYTES // limits.sockets
+    buffer_bytes = max(MIN_BUFFER_BYTES, min(limits.buffer_bytes, memory_per_socket_bytes))
+    longest_deadline_us = max(request_class.deadline_us for request_class in settings.classes)
+    return replace(limits, buffer_bytes=buffer_bytes).within(longest_deadline_us)
 
 
-def read_json_object(path: str, what: str) -> dict[str, Any]:
-    """The JSON object in a file; `ConfigError` names `what` it is."""
+def read_json_object(path: str, source: str) -> dict[str, Any]:
+    """Return the JSON object in a file. Raises `ConfigError`, which names the `source` of the path."""
     try:
         data = orjson.loads(read_bytes(path))
     except OSError as error:
-        raise ConfigError(f"{what}: {error.strerror}: {path}") from None
+        raise ConfigError(f"{source}: {error.strerror}: {path}") from error
     except ValueError as error:
-        raise ConfigError(f"{what}: not JSON: {error}") from None
+        raise ConfigError(f"{source}: not JSON: {error}") from error
     if not isinstance(data, dict):
-        raise ConfigError(f"{what}: not a JSON object")
+        raise ConfigError(f"{source}: not a JSON object")
     return data
 
 
-def key_paths(data: Any, path: str = "") -> set[str]:
-    """Every key of a configuration, by its path; of a list of objects those that each of them has."""
+def key_paths(data: object, path: str = "") -> set[str]:
+    """Return every key of a configuration, by its path; of a list of objects those that each of them has."""
     if isinstance(data, dict):
         if path == ".known":
             return {path}  # the list itself changes all the time, and may be of thousands
@@ -112,46 +119,77 @@
 
 
 def load_platform_config(env: Mapping[str, str], previous: Config | None = None) -> Config:
-    """Read the environment and the file that it names; `ConfigError` for what is wrong. At a reload, with a
-    configuration that stands, the file goes before the environment, which is still the start's and would hide
-    what the new file says. And it must name all that the standing one named: what it lacks would silently
-    become a default.
+    """Read the environment and the file that it names.
+
+    At a reload, with a `previous` configuration, the file goes before the environment, which is still the
+    start's and would hide what the new file says. And it must name all that the previous one named: what it
+    lacks would silently become a default. Raises `ConfigError`.
     """
     path = env.get("RELAY_CONFIG", "")
     if not path:
         raise ConfigError("RELAY_CONFIG: not set")
     data = read_json_object(path, "RELAY_CONFIG")
-    names = ("name", "listen", "discovery")
-    sources = [{name: env.get("RELAY_" + name.upper()) for name in names}, data]
-    keys = frozenset(key_paths(data))
-    if previous is not None and (missing := previous.named_keys - keys):
-        raise ConfigError(f"missing: {', '.join(sorted(key[1:] for key in missing)[:5])}")
-    first, second = reversed(sources) if previous is not None else sources
-    told = {name: first.get(name) or second.get(name) for name in names}
-    for name, value in told.items():
-        if not value:
-            raise ConfigError(f"RELAY_{name.upper()}: not set, nor {name} in the file")
-    try:
-        seed = int(str(data.get("seed", "0")), 16) & ((1 << 64) - 1)
-    except ValueError:
-        raise ConfigError(f"seed: {data['seed']!r} is not hexadecimal") from None
+    named_keys = frozenset(key_paths(data))
+    if previous is not None:
+        _check_no_key_missing(previous.named_keys - named_keys)
+    identity = _read_identity(env, data, file_first=previous is not None)
+    seed = _read_seed(data)
     settings = parse_settings(data.get("settings"))
     validate_settings(settings)
-    known = _given(data, "known")
-    door = env.get("RELAY_ADMIN_ADDR") or data.get("admin_addr")
-    folder = env.get("TMPDIR")
-    if not isinstance(known, dict):
-        raise ConfigError("known: not an object")
+    admin_literal = env.get("RELAY_ADMIN_ADDR") or data.get("admin_addr")
+    shared_folder = env.get("TMPDIR")
     return Config(
-        name=str(told["name"]),
-        listen_address=parse_socket_address(told["listen"], "RELAY_LISTEN"),
-        discovery_address=parse_socket_address(told["discovery"], "RELAY_DISCOVERY"),
+        name=str(identity["name"]),
+        known_endpoints=_read_known_endpoints(data),
+        listen_address=parse_socket_address(identity["listen"], "RELAY_LISTEN"),
+        discovery_address=parse_socket_address(identity["discovery"], "RELAY_DISCOVERY"),
         seed=seed,
         settings=settings,
-        limits=parse_limits(_given(data, "limits"), settings),
-        known_endpoints=known,
-        named_keys=keys,
-        admin_address=parse_socket_address(door, "RELAY_ADMIN_ADDR") if door else None,
-        inherited_listener_fd=_descriptor(env.get("RELAY_INHERITED_FD")),
-        shared_folder=Path(folder) if folder else None,
+        limits=parse_limits(data.get("limits"), settings),
+        named_keys=named_keys,
+        admin_address=parse_socket_address(admin_literal, "RELAY_ADMIN_ADDR") if admin_literal else None,
+        inherited_listener_fd=_parse_descriptor(env.get("RELAY_INHERITED_FD")),
+        shared_folder=Path(shared_folder) if shared_folder else None,
     )
+
+
+def _check_no_key_missing(missing_keys: Iterable[str]) -> None:
+    if missing := sorted(key.removeprefix(".") for key in missing_keys):
+        raise ConfigError(f"missing: {', '.join(missing[:MAX_MISSING_KEYS_SHOWN])}")
+
+
+def _read_identity(env: Mapping[str, str], data: Mapping[str, object], file_first: bool) -> dict[str, object]:
+    """Return the relay's name and addresses as the environment or the file state them."""
+    identity: dict[str, object] = {}
+    for name in _IDENTITY_KEYS:
+        in_environment = env.get("RELAY_" + name.upper())
+        in_file = data.get(name)
+        identity[name] = (in_file or in_environment) if file_first else (in_environment or in_file)
+    for name, value in identity.items():
+        if not value:
+            raise ConfigError(f"RELAY_{name.upper()}: not set, nor {name} in the file")
+    return identity
+
+
+def _read_seed(data: Mapping[str, object]) -> int:
+    try:
+        return int(str(data.get("seed", "0")), 16) & SEED_MASK
+    except ValueError as error:
+        raise ConfigError(f"seed: {data['seed']!r} is not hexadecimal") from error
+
+
+def _read_known_endpoints(data: Mapping[str, object]) -> dict[str, Any]:
+    known_endpoints = data.get("known")
+    if known_endpoints is None:
+        return {}
+    if not isinstance(known_endpoints, dict):
+        raise ConfigError("known: not an object")
+    return known_endpoints
+
+
+def _parse_descriptor(text: str | None) -> int | None:
+    if not text:
+        return None
+    if not text.isascii() or not text.isdecimal():
+        raise ConfigError(f"RELAY_INHERITED_FD: {text!r} is no descriptor")
+    return int(text)
