--- a/gannetweir/proto/client_connection.py
+++ b/gannetweir/proto/client_connection.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import math
 from dataclasses import dataclass
 from enum import Enum
 
@@ -10,91 +9,127 @@
 from gannetweir.placement.events import RequestArrived, RequestFlag
 from gannetweir.proto.lines import LINE_END, LineBuffer, LineError, parse_fields, printable_text
 
+_DECIMAL_DIGITS = frozenset("0123456789")
+_HEXADECIMAL_DIGITS = frozenset("0123456789abcdefABCDEF")
+_DECIMAL, _HEXADECIMAL = 10, 16  # bases
+_MAX_DIGITS = 16  # of a number on the wire: 64 bits in hexadecimal, as placement takes them
+_MAX_LOAD_HINT = 1e15  # a larger one would cost sums of hints their precision
+_OPEN_WORDS = 4  # OPEN, id, key, fields
+_DEADLINE_FIELD = "d="
+
 
 @dataclass(frozen=True, slots=True)
 class FirstLine:
     """An `OPEN` line as it came, and what it says."""
 
-    before_deadline: bytes  # up to the value of `d`
-    after_deadline: bytes  # after it; all of the line where it names no `d`
-    client_id: str  # the client's word for the request: two that are open at once must not share it
+    before_deadline: bytes  # up to the value of `d`; empty where the line names no `d`
+    after_deadline: bytes  # after that value; the whole line where it names no `d`
+    client_id: str  # the client's id for the request: two that are open at once must not share it
     request: RequestArrived  # the engine gives it its number
-    current_endpoint: str  # the backend that holds this connection already
+    current_endpoint: str  # the endpoint that serves this connection already, if any
 
-    def for_endpoint(self, wait_us: int) -> bytes:
-        """The line for a backend: `d` says how long the relay waits, all else is as it came."""
+    def for_endpoint(self, timeout_us: int) -> bytes:
+        """The line for an endpoint: `d` says in milliseconds how long the relay waits; all else is as it
+        came.
+        """
         if not self.before_deadline:
             return self.after_deadline
-        return self.before_deadline + str(max(1, wait_us // 1000)).encode() + self.after_deadline
-
+        timeout_ms = max(1, timeout_us // 1000)
+        return self.before_deadline + str(timeout_ms).encode() + self.after_deadline
 
-_DECIMAL, _HEX = frozenset("0123456789"), frozenset("0123456789abcdefABCDEF")
 
-
-def _number(text: str, base: int, what: str) -> int:
+def _parse_number(text: str, base: int, what: str) -> int:
     # int() also takes signs, blanks, underscores and prefixes, which no peer sends
-    if not 0 < len(text) <= 16 or not set(text) <= (_HEX if base == 16 else _DECIMAL):
+    digits = _HEXADECIMAL_DIGITS if base == _HEXADECIMAL else _DECIMAL_DIGITS
+    if not 0 < len(text) <= _MAX_DIGITS or not set(text) <= digits:
         raise LineError(f"bad {what} {text[:40]!r}")
     return int(text, base)
 
 
-def _hint(text: str) -> float:
+def _parse_load_hint(text: str) -> int | None:
     try:
-        value = float(text)
+        hint = float(text)
     except ValueError:
-        return math.nan
-    return value if 0.0 <= value < 1e15 else math.nan
+        return None
+    return int(hint) if 0.0 <= hint < _MAX_LOAD_HINT else None  # a NaN fails both
+
 
+def parse_first_line(raw: bytes, class_index_by_name: dict[str, int], limits: Limits) -> FirstLine:
+    """Read an `OPEN` line strictly: an endpoint calls anything odd a line that no client sent.
 
-def parse_first_line(raw: bytes, classes: dict[str, int], limits: Limits) -> FirstLine:
-    """Read an `OPEN` line strictly: a backend calls anything odd a line that no client sent."""
+    Raises `LineError` for the first thing that is wrong with it.
+    """
     words = printable_text(raw).split(" ")
-    if len(words) != 4 or words[0] != "OPEN":
+    if len(words) != _OPEN_WORDS or words[0] != "OPEN":
         raise LineError("not an OPEN line")
-    _number(words[1], 16, "id")
-    fields = parse_fields(words[3])
-    if fields.get("c") not in classes:
+    _, client_id, key, field_text = words
+    _parse_number(client_id, _HEXADECIMAL, "id")
+    fields = parse_fields(field_text)
+    if fields.get("c") not in class_index_by_name:
         raise LineError(f"unknown class {fields.get('c', '')[:40]!r}")
-    at = fields.get("at", "")
-    if "d" not in fields and not at:
+    current_endpoint = fields.get("at", "")
+    deadline_ms = fields.get("d")
+    if deadline_ms is not None:
+        time_budget_us = _parse_number(deadline_ms, _DECIMAL, "deadline") * 1000
+    elif current_endpoint:
+        time_budget_us = limits.resume_us
+    else:
         raise LineError("no deadline")
-    wait_us = _number(fields["d"], 10, "deadline") * 1000 if "d" in fields else limits.resume_us
-    head, tail = b"", raw
-    if "d" in fields:
-        start = len(words[0]) + len(words[1]) + len(words[2]) + 3
-        for part in words[3].split(","):
-            if part.startswith("d="):
-                break
-            start += len(part) + 1
-        head, tail = raw[: start + 2], raw[start + 2 + len(fields["d"]) :]
-    hint = _hint(fields.get("h", ""))
-    flags = 0 if math.isnan(hint) else RequestFlag.LOAD_HINT_VALID
-    flags |= RequestFlag.CLIENT_RETRY if fields.get("r") == "1" else 0
-    flags |= RequestFlag.RETURNED if fields.get("again") == "1" else 0
-    wanted = RequestArrived(
+    before, after = _split_at_deadline(raw, field_text, deadline_ms)
+    class_index = class_index_by_name[fields["c"]]
+    time_budget_us = min(time_budget_us, limits.longest_deadline_us)
+    request = _parse_request(class_index, key, time_budget_us, fields)
+    return FirstLine(before, after, client_id, request, current_endpoint)
+
+
+def _split_at_deadline(raw: bytes, field_text: str, deadline_ms: str | None) -> tuple[bytes, bytes]:
+    """The line before and after the value of `d`, so that another value can stand between."""
+    if deadline_ms is None:
+        return b"", raw
+    start = len(raw) - len(LINE_END) - len(field_text)
+    for field in field_text.split(","):
+        if field.startswith(_DEADLINE_FIELD):
+            break
+        start += len(field) + 1  # and its comma
+    start += len(_DEADLINE_FIELD)
+    return raw[:start], raw[start + len(deadline_ms) :]
+
+
+def _parse_request(class_index: int, key: str, time_budget_us: int, fields: dict[str, str]) -> RequestArrived:
+    hint = _parse_load_hint(fields.get("h", ""))
+    flags = 0
+    if hint is not None:
+        flags |= RequestFlag.LOAD_HINT_VALID
+    if fields.get("r") == "1":
+        flags |= RequestFlag.CLIENT_RETRY
+    if fields.get("again") == "1":
+        flags |= RequestFlag.RETURNED
+    return RequestArrived(
         0,
-        classes[fields["c"]],
-        key=_number(words[2], 16, "key"),
-        time_budget_us=min(wait_us, limits.longest_deadline_us),
-        load_hint=0 if math.isnan(hint) else int(hint),
-        group=_number(fields["g"], 16, "group") if "g" in fields else 0,
+        class_index,
+        key=_parse_number(key, _HEXADECIMAL, "key"),
+        time_budget_us=time_budget_us,
+        load_hint=hint or 0,
+        group=_parse_number(fields["g"], _HEXADECIMAL, "group") if "g" in fields else 0,
         flags=flags,
     )
-    return FirstLine(head, tail, words[1], wanted, at)
 
 
-def rejection_line(retry_us: int) -> bytes:
-    """The line of a refusal, with the advice on when to come again where there is any."""
-    return (f"BUSY {-(-retry_us // 1000)}" if retry_us > 0 else "BUSY").encode() + LINE_END
+def rejection_line(retry_after_us: int) -> bytes:
+    """`BUSY`, with the advice in milliseconds on when to come again where there is any (over 0)."""
+    if retry_after_us <= 0:
+        return b"BUSY" + LINE_END
+    retry_after_ms = -(-retry_after_us // 1000)  # rounded up: a client must not come too early
+    return f"BUSY {retry_after_ms}".encode() + LINE_END
 
 
 class ClientPhase(Enum):
-    """How far a client has come."""
+    """How far a client's connection has come."""
 
-    AWAITING_FIRST_LINE = 1  # its first line is awaited
-    AWAITING_ANSWER = 2  # it waits for its answer
+    AWAITING_FIRST_LINE = 1
+    AWAITING_ANSWER = 2  # the client waits for it
     ESTABLISHED = 3
-    ENDED = 4
+    ENDED = 4  # nothing it sends is read any more, only discarded
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LineReceived:
-    """A whole line for the backend."""
+    """A complete line for the endpoint."""
 
     line: bytes
 
@@ -128,10 +163,10 @@
 
 
 class ClientConnection:
-    """One client's connection."""
+    """The protocol of one client's connection. Bytes in, events out; answers are returned to be written."""
 
-    def __init__(self, classes: dict[str, int], limits: Limits) -> None:
-        self.class_index_by_name, self.limits = classes, limits
+    def __init__(self, class_index_by_name: dict[str, int], limits: Limits) -> None:
+        self.class_index_by_name, self.limits = class_index_by_name, limits
         self.lines = LineBuffer(limits.line_bytes)
         self.phase = ClientPhase.AWAITING_FIRST_LINE
         self.ping_count = 0
@@ -139,57 +174,66 @@
         self.early_bytes = 0
 
     def feed(self, data: bytes) -> list[ClientEvent]:
-        """Take what the client sent."""
+        """What the client's bytes say. Raises nothing: a line that can't be served ends the connection."""
         if self.phase is ClientPhase.ENDED:
             return []
         events: list[ClientEvent] = []
         try:
             for line in self.lines.feed(data):
-                if event := self._line(line):
+                event = self._parse_line(line)
+                if event is not None:
                     events.append(event)
         except LineError as error:
-            owed, self.phase = self.phase is not ClientPhase.ESTABLISHED, ClientPhase.ENDED
-            # whole lines of a connection that stands still pass; a request is not begun just to be given up
+            answer_owed = self.phase is not ClientPhase.ESTABLISHED
+            self.phase = ClientPhase.ENDED
+            # complete lines of an established connection pass; a request is not begun just to be failed
             events = [event for event in events if not isinstance(event, RequestOpened)]
-            events.append(MalformedInput(str(error), owed))
+            events.append(MalformedInput(str(error), answer_owed))
         return events
 
-    def _line(self, line: bytes) -> ClientEvent | None:
+    def _parse_line(self, line: bytes) -> ClientEvent | None:
         if self.phase is ClientPhase.AWAITING_FIRST_LINE:
-            if line == b"PING" + LINE_END:
-                self.ping_count += 1
-                if self.ping_count > self.limits.first_pings:
-                    raise LineError("too many pings")
-                return PingReceived()
-            first = parse_first_line(line, self.class_index_by_name, self.limits)
-            self.phase = ClientPhase.AWAITING_ANSWER
-            return RequestOpened(first)
+            return self._parse_command(line)
         if self.phase is ClientPhase.AWAITING_ANSWER:
-            # The client should wait; what it sends all the same is kept for its backend, within bounds. A
-            # second command is no line of a connection's: its backend would end both.
-            if line.startswith((b"OPEN ", b"PING\r")):
-                raise LineError("a second command before the answer")
-            self.early_bytes += len(line)
-            if self.early_bytes > self.limits.buffer_bytes:
-                raise LineError("too much sent before the answer")
-            self.early_lines.append(line)
+            self._buffer_early_line(line)
             return None
         return LineReceived(line)
 
-    def ping_answer(self, ready: bool) -> bytes:
+    def _parse_command(self, line: bytes) -> PingReceived | RequestOpened:
+        if line == b"PING" + LINE_END:
+            self.ping_count += 1
+            if self.ping_count > self.limits.first_pings:
+                raise LineError("too many pings")
+            return PingReceived()
+        first_line = parse_first_line(line, self.class_index_by_name, self.limits)
+        self.phase = ClientPhase.AWAITING_ANSWER
+        return RequestOpened(first_line)
+
+    def _buffer_early_line(self, line: bytes) -> None:
+        """The client should wait; what it sends all the same is buffered for its endpoint, within bounds. A
+        second command is no line of a connection's: its endpoint would end both.
+        """
+        if line.startswith((b"OPEN ", b"PING\r")):
+            raise LineError("a second command before the answer")
+        self.early_bytes += len(line)
+        if self.early_bytes > self.limits.buffer_bytes:
+            raise LineError("too much sent before the answer")
+        self.early_lines.append(line)
+
+    def ping_answer(self, is_ready: bool) -> bytes:
         """The answer to a ping."""
-        return (b"PONG" if ready else b"ERR") + LINE_END
+        return (b"PONG" if is_ready else b"ERR") + LINE_END
 
     def establish(self) -> list[ClientEvent]:
-        """The backend has answered; the lines that came early are now due."""
+        """The endpoint has answered; the lines that came early are now due."""
         self.phase = ClientPhase.ESTABLISHED
-        early, self.early_lines = self.early_lines, []
-        return [LineReceived(line) for line in early]
+        early_lines, self.early_lines = self.early_lines, []
+        return [LineReceived(line) for line in early_lines]
 
-    def end_rejected(self, retry_us: int) -> bytes:
-        """Refused: trying again is harmless, after that long."""
+    def end_rejected(self, retry_after_us: int) -> bytes:
+        """Rejected: trying again is harmless, after that long."""
         self.phase = ClientPhase.ENDED
-        return rejection_line(retry_us)
+        return rejection_line(retry_after_us)
 
     def end_failed(self) -> bytes:
         """Failed: nothing is promised."""
@@ -197,6 +241,6 @@
         return b"ERR" + LINE_END
 
     def end_migrated(self) -> bytes:
-        """Send the client away. Only whole lines go to it, so this falls between two of them."""
+        """Send the client away. Only complete lines are written to it, so this falls between two of them."""
         self.phase = ClientPhase.ENDED
         return b"MOVE" + LINE_END
--- a/gannetweir/proto/lines.py
+++ b/gannetweir/proto/lines.py
@@ -4,23 +4,26 @@
 
 from collections.abc import Iterator
 
+from gannetweir.errors import GannetweirError
+
 LINE_END = b"\r\n"
+_FIRST_PRINTABLE, _LAST_PRINTABLE = 0x20, 0x7E  # of ASCII
 
 
-class LineError(ValueError):
+class LineError(GannetweirError, ValueError):
     """What is wrong with a line, in a few words."""
 
 
 class LineBuffer:
-    """Cuts a stream into whole lines, their ends kept, and holds no more than one line's worth."""
+    """Cuts a stream into lines, each with its end, and buffers no more than one line's worth."""
 
-    def __init__(self, limit: int) -> None:
-        self.max_line_bytes = limit
+    def __init__(self, max_line_bytes: int) -> None:
+        self.max_line_bytes = max_line_bytes
         self.partial_line = b""
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The lines that are whole now. One over the limit is an error as soon as that is certain, and after
-        the lines before it.
+        """The lines that are complete now. Raises `LineError` for one over the limit as soon as that is
+        certain, and after the lines before it.
         """
         if b"\n" not in data:
             self.partial_line += data
@@ -35,26 +38,28 @@
             raise LineError("line too long")
 
     def pop_partial_line(self) -> bytes:
-        """What came after the last whole line; a stream that ends hands it on unchanged."""
-        rest, self.partial_line = self.partial_line, b""
-        return rest
+        """What came after the last complete line; a stream that ends forwards it unchanged."""
+        partial_line, self.partial_line = self.partial_line, b""
+        return partial_line
 
 
 def printable_text(line: bytes) -> str:
-    """A line's text without its end: CRLF and printable ASCII, or an error."""
+    """A line's text without its end. Raises `LineError` unless it is printable ASCII that ends in CRLF."""
     if not line.endswith(LINE_END):
         raise LineError("line does not end in CRLF")
-    if not all(0x20 <= byte < 0x7F for byte in line[:-2]):
+    if not all(_FIRST_PRINTABLE <= byte <= _LAST_PRINTABLE for byte in line[:-2]):
         raise LineError("line is not printable ASCII")
     return line[:-2].decode("ascii")
 
 
 def parse_fields(text: str) -> dict[str, str]:
-    """`a=1,b=2` as a dict. A name given twice is an error: the two ends could read it differently."""
-    found: dict[str, str] = {}
+    """`a=1,b=2` as a dict. Raises `LineError` for a name without a value, and for one given twice: the two
+    ends could read it differently.
+    """
+    fields: dict[str, str] = {}
     for part in text.split(","):
         name, equals, value = part.partition("=")
-        if not name or not equals or name in found:
+        if not name or not equals or name in fields:
             raise LineError(f"bad field {part[:40]!r}")
-        found[name] = value
-    return found
+        fields[name] = value
+    return fields
--- a/gannetweir/proto/load_probe.py
+++ b/gannetweir/proto/load_probe.py
@@ -1,4 +1,4 @@
-"""A probe: `STATS` out, `PONG` and a load report in."""
+"""A load probe: `STATS` out, `PONG` and a load report in."""
 
 from __future__ import annotations
 
@@ -10,23 +10,25 @@
 
 
 class LoadProbeExchange:
-    """One question to one backend."""
+    """One question to one endpoint."""
 
     REQUEST_LINE = b"STATS" + LINE_END
 
-    def __init__(self, report_names: list[str], limits: Limits) -> None:
+    def __init__(self, load_report_fields: list[str], limits: Limits) -> None:
         self.lines = LineBuffer(limits.line_bytes)
-        self.names = report_names
+        self.load_report_fields = load_report_fields
 
     def feed(self, data: bytes) -> AttemptEnded | None:
-        """The answer, once it is whole."""
+        """The result, once the first line of the answer is complete. Raises nothing: a line that can't be
+        read is an error of the endpoint's.
+        """
         try:
-            for line in self.lines.feed(data):
-                word, _, rest = printable_text(line).partition(" ")
-                return AttemptEnded(
-                    AttemptStatus.OK if word == "PONG" else AttemptStatus.ERROR,
-                    parse_load_report(rest, self.names),
-                )
+            line = next(self.lines.feed(data), None)
+            return None if line is None else self._parse_answer(line)
         except LineError:
             return AttemptEnded(AttemptStatus.ERROR)
-        return None
+
+    def _parse_answer(self, line: bytes) -> AttemptEnded:
+        word, _, report = printable_text(line).partition(" ")
+        status = AttemptStatus.OK if word == "PONG" else AttemptStatus.ERROR
+        return AttemptEnded(status, parse_load_report(report, self.load_report_fields))
--- a/gannetweir/proto/load_report.py
+++ b/gannetweir/proto/load_report.py
@@ -6,7 +6,7 @@
 
 from gannetweir.proto.lines import LineError, parse_fields
 
-# What the sockets call a figure, and what the settings call it.
+# What a report calls a figure on the wire, and what the settings call it.
 SETTINGS_NAMES = {
     "qps": "tps",
     "eps": "err_ps",
@@ -16,16 +16,17 @@
     "latency_ms": "mean_ms",
 }
 
-MAX_FIGURE = 1e9  # requests held, or times a capacity
+# Requests in flight, or times a capacity: past all that an endpoint can have. Sums over all endpoints are
+# kept up to date by differences, and one larger figure would drown the others for good.
+MAX_FIGURE = 1e9
 
 
-def parse_load_report(text: str, names: list[str]) -> tuple[float, ...]:
-    """The figures named in the settings, or nothing where one is missing, is no number or is past all that a
-    backend can hold: sums over all backends are kept, and one such figure would drown the others for good.
-    """
+def parse_load_report(text: str, field_names: list[str]) -> tuple[float, ...]:
+    """The figures named in the settings; empty where one is missing, is no number or is over `MAX_FIGURE`."""
     try:
-        found = {SETTINGS_NAMES.get(name, name): float(value) for name, value in parse_fields(text).items()}
+        figures = {SETTINGS_NAMES.get(name, name): float(value) for name, value in parse_fields(text).items()}
     except (LineError, ValueError):
         return ()
-    report = tuple(found.get(SETTINGS_NAMES.get(name, name), math.nan) for name in names)
-    return report if all(abs(value) <= MAX_FIGURE for value in report) else ()  # no number is not either
+    report = tuple(figures.get(SETTINGS_NAMES.get(name, name), math.nan) for name in field_names)
+    is_valid = all(abs(figure) <= MAX_FIGURE for figure in report)  # False for a NaN, too
+    return report if is_valid else ()
