--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("news", LEAVES.values(), ids=LEAVES.keys())
 def test_a_flow_that_is_not_written_yet_leaves_a_backend_that(news: str) -> None:
     world = play(OPEN + f"pool send {news}\nc1/flow expect end\nc1/flow expect OPEN*", backends=1)
-    assert world.flows["c1"][0].address == "127.0.0.1:3"
+    assert world.upstreams["c1"][0].address == "127.0.0.1:3"
     world.play("c1/flow send UP r1\nc1 expect UP r1\nrelay expect count flows 2")
 
 
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -220,7 +220,7 @@
 def test_a_drain_that_was_told_holds_after(then: str, pushed: bool) -> None:
     script = "\n".join(f"c{n} send OPEN {n}a 0b c=plain,d=2000" for n in range(1, 6))
     world = play(f"{DRAINS}\n{then}\n{script}", pushed=pushed)
-    assert {order.endpoint_id for order, _ in world.flows.values()} == {"b2"} and len(world.flows) == 5
+    assert {order.endpoint_id for order, _ in world.upstreams.values()} == {"b2"} and len(world.upstreams) == 5
 
 
 def test_a_list_that_is_to_be_asked_for_from_now_on_is_asked_for() -> None:
@@ -228,7 +228,7 @@
     world = play(
         "pool expect watch 41\npool close\ntime wait 0\npool expect watch 41\npool close", pushed=True
     )
-    world.engine.reload(replace(world.settings, polls_endpoint_list=True), world.limits, world.now)
+    world.engine.reload(replace(world.settings, polls_endpoint_list=True), world.limits, world.now_us)
     world.play("pool expect nothing\ntime wait 450\npool expect watch 41")
 
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -158,8 +158,8 @@
 def test_a_violation_is_logged_with_the_steps_of_its_request_and_counted() -> None:
     world = World()
     world.play("c1 send OPEN 0a 0b c=plain,d=2000\ntime wait 1")
-    world.engine.guard.attempt_write_started(1, 0, "b1", world.now, 3)
-    world.engine.guard.attempt_write_started(1, 1, "b2", world.now, 3)
+    world.engine.guard.attempt_write_started(1, 0, "b1", world.now_us, 3)
+    world.engine.guard.attempt_write_started(1, 1, "b2", world.now_us, 3)
     line = next(c for c in world.engine.commands if getattr(c, "text", "") == "invariant violated")
     assert line.fields["rule"] == InvariantRule.OVERLAP and line.fields["id"] == "0a"
     assert "opened:plain" in str(line.fields["history"]) and "attempt@b" in str(line.fields["history"])
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -52,10 +52,10 @@
     assert isinstance(whole, MembershipUpdate) and isinstance(news, MembershipUpdate)
     assert len({m.entry.endpoint_id for m in whole.endpoints}) == len(news.endpoints) == COUNT
     world = play("", backends=1)
-    world.engine.endpoint_update_received(whole, world.now)
+    world.engine.endpoint_update_received(whole, world.now_us)
     assert sum(map(world.engine.endpoint_list.accepts_requests, world.engine.endpoint_list.entries)) == COUNT
     world.play("c1 send OPEN 0a 0b c=plain,d=2000\nc1/flow expect OPEN*\nc1/flow send UP r1\nc1 expect UP r1")
-    world.engine.endpoint_update_received(news, world.now)
+    world.engine.endpoint_update_received(news, world.now_us)
     assert not world.engine.endpoint_list.has_ready_endpoint()
     world.play("c1 send still here\nc1/flow expect still here")
 
@@ -80,7 +80,7 @@
     broken = told(watch, data, 8192)[0]
     assert isinstance(broken, WatchFailed) and reason in broken.reason
     world = play("", backends=1)
-    world.engine.endpoint_watch_failed(broken.reason, world.now)
+    world.engine.endpoint_watch_failed(broken.reason, world.now_us)
     world.play(f"""
         time wait 0
         relay expect log pool: *{reason}*
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -9,7 +9,7 @@
 
 
 def ports_connected_to(world: World) -> set[str]:
-    return {order.address.partition(":")[2] for order, _ in world.flows.values()}
+    return {order.address.partition(":")[2] for order, _ in world.upstreams.values()}
 
 
 OFFLINE_SCRIPTS = {
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("script", OFFLINE_SCRIPTS.values(), ids=OFFLINE_SCRIPTS.keys())
 def test_nothing_new_is_sent_to_an_offline_endpoint(script: str) -> None:
     # the seed of the scenario settles which endpoint is drawn
-    drawn = int(play("c1 send OPEN 0a 0b c=plain,d=2000").flows["c1"][0].address[-1])
+    drawn = int(play("c1 send OPEN 0a 0b c=plain,d=2000").upstreams["c1"][0].address[-1])
     play(script.format(there=f"b{drawn}", other=f"b{3 - drawn}"))
 
 
@@ -107,7 +107,7 @@
     world = play("hand out b1")
     balancer = world.engine.balancer
     balancer.nodes["b1"].strikes = 4
-    balancer.nodes["b1"].out_until = world.now + 10**9
+    balancer.nodes["b1"].out_until = world.now_us + 10**9
     world.play("time wait 2000\nhand out b1\nhand back b1\n" + update)
     endpoint = balancer.nodes["b1"]
     assert endpoint in balancer.cold
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -394,7 +394,7 @@
 )
 def test_a_bad_first_line_fails_and_reaches_no_backend(raw: str) -> None:
     world = play(f"c1 raw {raw}")
-    assert world.wires["c1"].seen[-1] == "ERR" and not world.wire("c1/flow").seen
+    assert world.peers["c1"].unread[-1] == "ERR" and not world.peer("c1/flow").unread
     assert not world.engine.requests
 
 
@@ -413,19 +413,19 @@
     for n in range(8):
         world.play(f"c{n} send OPEN 0{n} 0b c=plain,d=2000\nc{n}/flow expect OPEN*\nc{n}/flow send UP r")
         world.play("time wait 1500")
-    dials = {order.address for order, _ in world.flows.values()}
+    dials = {order.address for order, _ in world.upstreams.values()}
     assert dials == {f"127.0.0.1:{rest[1]}"}
 
 
 def test_a_changed_address_counts_from_the_next_flow_on() -> None:
     moved = '{"seq":42,"whole":false,"hosts":[' + MEMBER % ("b1", 77, "Ready") + "]}"
     world = play(f"pool send {moved}\nc1 send OPEN 0a 0b c=plain,d=2000,at=b1")
-    assert world.flows["c1"][0].address == "127.0.0.1:77"
+    assert world.upstreams["c1"][0].address == "127.0.0.1:77"
 
 
 def test_a_host_that_left_a_whole_list_gets_nothing_new() -> None:
     world = play(f"pool send {ONLY_B3}\nc1 send OPEN 0a 0b c=plain,d=2000\nc1/flow expect OPEN*")
-    assert world.flows["c1"][0].address == "127.0.0.1:3"
+    assert world.upstreams["c1"][0].address == "127.0.0.1:3"
 
 
 RELOADED = {
