--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -41,7 +41,7 @@
 B3 = HOST % (3, 3, "Ready", 0)
 OPEN = """
 c1 send OPEN 0a 0b c=plain,d=2000
-c1/flow expect OPEN*
+c1/upstream expect OPEN*
 """
 LEAVES = {  # news that reach a flow to b1 on its way
     "drains": NEWS % ("false", HOST % (1, 1, "Terminating", 0) + "," + B3),
@@ -53,22 +53,25 @@
 
 @pytest.mark.parametrize("news", LEAVES.values(), ids=LEAVES.keys())
 def test_a_flow_that_is_not_written_yet_leaves_a_backend_that(news: str) -> None:
-    world = play(OPEN + f"pool send {news}\nc1/flow expect end\nc1/flow expect OPEN*", backends=1)
+    world = play(
+        OPEN + f"discovery send {news}\nc1/upstream expect end\nc1/upstream expect OPEN*", backends=1
+    )
     assert world.upstreams["c1"][0].address == "127.0.0.1:3"
-    world.play("c1/flow send UP r1\nc1 expect UP r1\nrelay expect count flows 2")
+    world.play("c1/upstream send UP r1\nc1 expect UP r1\nrelay expect count flows 2")
 
 
 @pytest.mark.parametrize("news", LEAVES.values(), ids=LEAVES.keys())
 def test_a_flow_that_is_written_stays_at_a_backend_that(news: str) -> None:
     play(
-        OPEN + f"c1/flow written\npool send {news}\nc1/flow expect nothing\nc1/flow send UP r1\n"
+        OPEN
+        + f"c1/upstream written\ndiscovery send {news}\nc1/upstream expect nothing\nc1/upstream send UP r1\n"
         "c1 expect UP r1\nrelay expect count flows 1",
         backends=1,
     )
 
 
 def test_a_backend_that_was_told_to_leave_is_asked_nothing() -> None:
-    world = play(f"pool send {LEAVES['drains']}", backends=1)
+    world = play(f"discovery send {LEAVES['drains']}", backends=1)
     for server in ("b1", "b3"):
         world.engine.placement_actions.carry_out(ProbeLoad(server))
     assert [c.endpoint_id for c in world.engine.commands if isinstance(c, StartLoadProbe)] == ["b3"]
@@ -77,8 +80,8 @@
 @pytest.mark.parametrize("news", LEAVES.values(), ids=LEAVES.keys())
 def test_a_resumed_connection_is_no_new_work_for_a_backend_that(news: str) -> None:
     play(
-        f"c1 send OPEN 0a 0b c=plain,d=2000,at=b1\nc1/flow expect OPEN*\npool send {news}\n"
-        "c1/flow expect nothing\nc1/flow send UP r1\nc1 expect UP r1",
+        f"c1 send OPEN 0a 0b c=plain,d=2000,at=b1\nc1/upstream expect OPEN*\ndiscovery send {news}\n"
+        "c1/upstream expect nothing\nc1/upstream send UP r1\nc1 expect UP r1",
         backends=1,
     )
 
@@ -86,10 +89,10 @@
 @pytest.mark.parametrize(
     ("effect", "before", "answer"),
     [
-        ("once", "c1/flow written", "ERR"),  # it may run: to come again could do it twice
+        ("once", "c1/upstream written", "ERR"),  # it may run: to come again could do it twice
         ("once", "", "BUSY*"),
-        ("repeatable", "c1/flow written", "BUSY*"),
-        ("by_key", "c1/flow written", "BUSY*"),  # the scenarios' classes are kept by all backends
+        ("repeatable", "c1/upstream written", "BUSY*"),
+        ("by_key", "c1/upstream written", "BUSY*"),  # the scenarios' classes are kept by all backends
     ],
 )
 def test_the_end_of_the_relay_promises_no_more_than_is_true(effect: str, before: str, answer: str) -> None:
@@ -100,7 +103,7 @@
         + f"""
         relay term
         time wait 700
-        c1/flow expect end
+        c1/upstream expect end
         c1 expect {answer}""",
         drain_us=100_000,
         drain_moves_us=100_000,
@@ -120,13 +123,13 @@
 def test_an_older_list_brings_back_nothing_that_was_to_leave(told: str, listed: str, stays: bool) -> None:
     play(
         f"""
-        pool send {NEWS % ("false", told + "," + B3)}
-        pool close
-        pool again {(NEWS % ("true", listed)).replace("42", "7")}
+        discovery send {NEWS % ("false", told + "," + B3)}
+        discovery close
+        discovery reopen {(NEWS % ("true", listed)).replace("42", "7")}
         c1 send OPEN 0a 0b c=plain,d=2000
         time wait {1000 if stays else 0}
-        c1/flow expect {"nothing" if stays else "OPEN*"}
-        c1{"" if stays else "/flow"} expect {"BUSY*" if stays else "nothing"}""",
+        c1/upstream expect {"nothing" if stays else "OPEN*"}
+        c1{"" if stays else "/upstream"} expect {"BUSY*" if stays else "nothing"}""",
         backends=1,
     )
 
@@ -138,10 +141,10 @@
         time wait 300
         relay expect exit
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect nothing
+        c1/upstream expect nothing
         c1 expect BUSY*
         c2 send OPEN 0c 0d c=plain,d=2000,at=b1
-        c2/flow expect nothing
+        c2/upstream expect nothing
         c2 expect BUSY*""",
         drain_us=500_000,
         drain_moves_us=0,
@@ -152,22 +155,22 @@
 def test_a_pushed_list_is_watched_from_the_first_moment_and_again_at_once() -> None:
     play(
         f"""
-        pool expect watch 41
-        pool send {LEAVES["drains"]}
-        pool close
+        discovery expect watch 41
+        discovery send {LEAVES["drains"]}
+        discovery close
         time wait 0
-        pool expect watch 42
-        pool close
+        discovery expect watch 42
+        discovery close
         time wait 99
-        pool expect nothing
+        discovery expect nothing
         time wait 1
-        pool expect watch 42
-        pool send {NEWS.replace("42", "43") % ("true", B3)}
-        pool close
+        discovery expect watch 42
+        discovery send {NEWS.replace("42", "43") % ("true", B3)}
+        discovery close
         time wait 0
-        pool expect watch 43
+        discovery expect watch 43
         time wait 20000
-        pool expect nothing""",
+        discovery expect nothing""",
         pushed=True,
     )
 
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -200,7 +200,7 @@
 LEAVES = '{"seq":%d,"whole":%s,"hosts":[%s]}'
 B1 = '{"host":"b1","dial":"127.0.0.1:1","health":"%s","born_ms":0}'
 B2 = '{"host":"b2","dial":"127.0.0.1:2","health":"Ready"}'
-DRAINS = "pool send " + LEAVES % (42, "false", B1 % "Terminating")
+DRAINS = "discovery send " + LEAVES % (42, "false", B1 % "Terminating")
 
 
 @pytest.mark.parametrize("pushed", [False, True])
@@ -208,28 +208,33 @@
     "then",
     [
         "settings reload 2 plain:repeatable",
-        "pool close\nsettings reload 2 plain:repeatable\ntime wait 4000",
-        "\n".join("pool send " + LEAVES % (seq, "true", B2) for seq in range(43, 63)),  # it is not listed
+        "discovery close\nsettings reload 2 plain:repeatable\ntime wait 4000",
         "\n".join(
-            "pool send " + LEAVES % (seq, "true", B1 % "Terminating" + "," + B2) for seq in range(43, 63)
+            "discovery send " + LEAVES % (seq, "true", B2) for seq in range(43, 63)
+        ),  # it is not listed
+        "\n".join(
+            "discovery send " + LEAVES % (seq, "true", B1 % "Terminating" + "," + B2) for seq in range(43, 63)
         ),
-        f"pool close\npool again {LEAVES % (7, 'true', B1 % 'Ready' + ',' + B2)}",
+        f"discovery close\ndiscovery reopen {LEAVES % (7, 'true', B1 % 'Ready' + ',' + B2)}",
     ],
     ids=["reload", "reload, no watch", "whole lists without it", "whole lists with it", "an old whole list"],
 )
 def test_a_drain_that_was_told_holds_after(then: str, pushed: bool) -> None:
     script = "\n".join(f"c{n} send OPEN {n}a 0b c=plain,d=2000" for n in range(1, 6))
     world = play(f"{DRAINS}\n{then}\n{script}", pushed=pushed)
-    assert {order.endpoint_id for order, _ in world.upstreams.values()} == {"b2"} and len(world.upstreams) == 5
+    assert {order.endpoint_id for order, _ in world.upstreams.values()} == {"b2"} and len(
+        world.upstreams
+    ) == 5
 
 
 def test_a_list_that_is_to_be_asked_for_from_now_on_is_asked_for() -> None:
     """The reload comes between two calls of a pushed list's watch: nobody else would open it again."""
     world = play(
-        "pool expect watch 41\npool close\ntime wait 0\npool expect watch 41\npool close", pushed=True
+        "discovery expect watch 41\ndiscovery close\ntime wait 0\ndiscovery expect watch 41\ndiscovery close",
+        pushed=True,
     )
     world.engine.reload(replace(world.settings, polls_endpoint_list=True), world.limits, world.now_us)
-    world.play("pool expect nothing\ntime wait 450\npool expect watch 41")
+    world.play("discovery expect nothing\ntime wait 450\ndiscovery expect watch 41")
 
 
 # ---- on sockets: the driver's own times, and its move
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -172,15 +172,15 @@
     world.play(
         """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect OPEN*
-        c1/flow send BUSY
-        c1/flow expect OPEN*
-        c1/flow send UP r1
+        c1/upstream expect OPEN*
+        c1/upstream send BUSY
+        c1/upstream expect OPEN*
+        c1/upstream send UP r1
         c1 expect UP r1
         c1 close
         c2 send OPEN 0c 0b c=plain,d=2000
-        c2/flow expect OPEN*
-        c2/flow send UP r2
+        c2/upstream expect OPEN*
+        c2/upstream send UP r2
         c2 expect UP r2
         relay term
         time wait 600
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -54,10 +54,12 @@
     world = play("", backends=1)
     world.engine.endpoint_update_received(whole, world.now_us)
     assert sum(map(world.engine.endpoint_list.accepts_requests, world.engine.endpoint_list.entries)) == COUNT
-    world.play("c1 send OPEN 0a 0b c=plain,d=2000\nc1/flow expect OPEN*\nc1/flow send UP r1\nc1 expect UP r1")
+    world.play(
+        "c1 send OPEN 0a 0b c=plain,d=2000\nc1/upstream expect OPEN*\nc1/upstream send UP r1\nc1 expect UP r1"
+    )
     world.engine.endpoint_update_received(news, world.now_us)
     assert not world.engine.endpoint_list.has_ready_endpoint()
-    world.play("c1 send still here\nc1/flow expect still here")
+    world.play("c1 send still here\nc1/upstream expect still here")
 
 
 @pytest.mark.parametrize(
@@ -85,7 +87,7 @@
         time wait 0
         relay expect log pool: *{reason}*
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect OPEN*""")
+        c1/upstream expect OPEN*""")
 
 
 def test_the_lab_has_no_cap_below() -> None:
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -5,7 +5,7 @@
 from tests.scenario import World, play
 from tests.test_scenarios import MEMBER
 
-UPDATE = "pool send " + '{"seq":%d,"whole":%s,"hosts":[' + MEMBER % ("b1", 1, "%s") + "]}\n"
+UPDATE = "discovery send " + '{"seq":%d,"whole":%s,"hosts":[' + MEMBER % ("b1", 1, "%s") + "]}\n"
 
 
 def ports_connected_to(world: World) -> set[str]:
@@ -15,10 +15,10 @@
 OFFLINE_SCRIPTS = {
     "its clients are migrated, spread out": """
         c1 send OPEN 0a 0b c=plain,d=2000,at=b1
-        c1/flow send UP r1
+        c1/upstream send UP r1
         c2 send OPEN 0c 0b c=plain,d=2000,at=b1
-        c2/flow send UP r2
-        hand out b1
+        c2/upstream send UP r2
+        operators offline b1
         time wait 10
         c1 expect UP r1
         c1 expect MOVE
@@ -28,50 +28,50 @@
         c2 expect MOVE""",
     "an attempt that is not written yet is made elsewhere": """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect OPEN*
-        hand out {there}
-        c1/flow expect end
-        c1/flow expect OPEN*
-        c1/flow send UP r1
+        c1/upstream expect OPEN*
+        operators offline {there}
+        c1/upstream expect end
+        c1/upstream expect OPEN*
+        c1/upstream send UP r1
         c1 expect UP r1""",
     "an attempt that is written is answered, and its client migrated": """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow written
-        hand out {there}
-        c1/flow send UP r1
+        c1/upstream written
+        operators offline {there}
+        c1/upstream send UP r1
         c1 expect UP r1
         time wait 1
         c1 expect MOVE""",
     "a retry": """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow written
-        hand out {other}
-        c1/flow send ERR
-        c1/flow expect OPEN*
-        c1/flow expect nothing
+        c1/upstream written
+        operators offline {other}
+        c1/upstream send ERR
+        c1/upstream expect OPEN*
+        c1/upstream expect nothing
         c1 expect BUSY*""",
     "a resumption": """
-        hand out b1
+        operators offline b1
         c1 send OPEN 0a 0b c=plain,d=2000,at=b1
-        c1/flow expect nothing
+        c1/upstream expect nothing
         c1 expect BUSY 250""",
     "a resumption that was refused once": """
         c1 send OPEN 0a 0b c=plain,d=2000,at=b1
-        c1/flow refuse
-        hand out b1
+        c1/upstream refuse
+        operators offline b1
         time wait 300
         c1 expect BUSY 250""",
     "no endpoint is left": """
-        hand out b1
-        hand out b2
-        hand out b2
+        operators offline b1
+        operators offline b2
+        operators offline b2
         c1 send PING
         c1 expect ERR
         c2 send OPEN 0a 0b c=plain,d=2000
         time wait 500
         c2 expect BUSY*
-        hand back b1
-        hand back b1
+        operators online b1
+        operators online b1
         c3 send PING
         c3 expect PONG""",
 }
@@ -94,9 +94,9 @@
     ids=["no update", "reported as ready", "reported as draining, then as ready"],
 )
 def test_no_update_of_discovery_brings_an_offline_endpoint_back(updates: str) -> None:
-    world = play("hand out b1\n" + updates)
+    world = play("operators offline b1\n" + updates)
     for n in range(8):
-        world.play(f"c{n} send OPEN 0{n} 0b c=plain,d=2000\nc{n}/flow send UP r\ntime wait 1500")
+        world.play(f"c{n} send OPEN 0{n} 0b c=plain,d=2000\nc{n}/upstream send UP r\ntime wait 1500")
     assert ports_connected_to(world) == {"2"}
 
 
@@ -104,20 +104,20 @@
     "update", ["", UPDATE % (42, "false", "Ready")], ids=["no update", "reported with its old start"]
 )
 def test_an_endpoint_back_online_starts_slowly_whatever_discovery_reports(update: str) -> None:
-    world = play("hand out b1")
+    world = play("operators offline b1")
     balancer = world.engine.balancer
     balancer.nodes["b1"].strikes = 4
     balancer.nodes["b1"].out_until = world.now_us + 10**9
-    world.play("time wait 2000\nhand out b1\nhand back b1\n" + update)
+    world.play("time wait 2000\noperators offline b1\noperators online b1\n" + update)
     endpoint = balancer.nodes["b1"]
     assert endpoint in balancer.cold
     assert endpoint.strikes == 0
     assert endpoint.out_until == 0
     back_online_us = endpoint.started_us
-    world.play("time wait 1000\nhand back b1")  # a second call must not restart the slow start
+    world.play("time wait 1000\noperators online b1")  # a second call must not restart the slow start
     assert endpoint.started_us == back_online_us
 
 
 def test_an_endpoint_removed_while_it_was_offline_stays_removed() -> None:
-    world = play("hand out b1\n" + UPDATE % (42, "false", "Gone") + "hand back b1")
+    world = play("operators offline b1\n" + UPDATE % (42, "false", "Gone") + "operators online b1")
     assert [endpoint.id for endpoint in world.engine.balancer.ready] == ["b2"]
--- a/tests/test_replaced_process.py
+++ b/tests/test_replaced_process.py
@@ -15,8 +15,8 @@
         relay term replaced
         time wait 100
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect OPEN*
-        c1/flow send UP r1
+        c1/upstream expect OPEN*
+        c1/upstream send UP r1
         c1 expect UP r1
         time wait 3000
         c1 expect MOVE
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -19,76 +19,76 @@
         default(PLAN),
         OPEN
         + """
-        c1/flow expect OPEN 0a 0b c=plain,d=300
-        c1/flow written
+        c1/upstream expect OPEN 0a 0b c=plain,d=300
+        c1/upstream written
         time wait 299
-        c1/flow expect nothing
+        c1/upstream expect nothing
         time wait 1
-        c1/flow expect end
-        c1/flow expect OPEN 0a 0b c=plain,d=300
+        c1/upstream expect end
+        c1/upstream expect OPEN 0a 0b c=plain,d=300
         relay expect count attempts.timeout 1""",
     ),
     "a connect that takes too long never ran; the attempt's time counts from the line": (
         default(PLAN),
         OPEN
         + """
-        c1/flow expect OPEN*
+        c1/upstream expect OPEN*
         time wait 99
-        c1/flow expect nothing
+        c1/upstream expect nothing
         time wait 1
-        c1/flow expect end
-        c1/flow expect OPEN*
+        c1/upstream expect end
+        c1/upstream expect OPEN*
         relay expect count attempts.connect_failed 1
         time wait 90
-        c1/flow written
+        c1/upstream written
         time wait 299
-        c1/flow expect nothing
+        c1/upstream expect nothing
         time wait 1
-        c1/flow expect end""",
+        c1/upstream expect end""",
     ),
     "a wait stands between two attempts, and a client may leave in it": (
         default(PLAN + '\nwait "exponential" first="50ms"'),
         OPEN
         + """
-        c1/flow expect OPEN*
-        c1/flow send BUSY
+        c1/upstream expect OPEN*
+        c1/upstream send BUSY
         c1 expect nothing
         time wait 49
-        c1/flow expect nothing
+        c1/upstream expect nothing
         time wait 1
-        c1/flow expect OPEN*
-        c1/flow send BUSY
+        c1/upstream expect OPEN*
+        c1/upstream send BUSY
         time wait 99
-        c1/flow expect nothing
+        c1/upstream expect nothing
         c1 close
         time wait 2000
-        c1/flow expect nothing
+        c1/upstream expect nothing
         c1 expect nothing""",
     ),
     "a cadence counts from the start of the attempt before": (
         default(PLAN + '\nwait "every" first="450ms"'),
         OPEN
         + """
-        c1/flow expect OPEN*
-        c1/flow written
+        c1/upstream expect OPEN*
+        c1/upstream written
         time wait 200
-        c1/flow send BUSY
+        c1/upstream send BUSY
         time wait 249
-        c1/flow expect nothing
+        c1/upstream expect nothing
         time wait 1
-        c1/flow expect OPEN*""",
+        c1/upstream expect OPEN*""",
     ),
     "a backend that drains in the wait gets nothing after it": (
         default(PLAN + '\nwait "fixed" first="200ms"'),
         OPEN
         + """
-        c1/flow expect OPEN*
-        c1/flow send BUSY
+        c1/upstream expect OPEN*
+        c1/upstream send BUSY
         time wait 100
-        hand out b1
-        hand out b2
+        operators offline b1
+        operators offline b2
         time wait 1000
-        c1/flow expect nothing
+        c1/upstream expect nothing
         c1 expect BUSY*
         c1 expect end
         c1 expect nothing""",
@@ -97,8 +97,8 @@
         default('give-up "800ms"\nattempts 2\nattempt "100ms"\nconnect "20ms"\nwait "fixed" first="300ms"'),
         """
         c1 send OPEN 0a 0b c=plain,d=250
-        c1/flow expect OPEN*
-        c1/flow send BUSY
+        c1/upstream expect OPEN*
+        c1/upstream send BUSY
         c1 expect BUSY*
         c1 expect end""",
     ),
@@ -106,8 +106,8 @@
         default('give-up "400ms"\nattempts 1\nattempt "180ms"\nconnect "10ms"'),
         OPEN
         + """
-        c1/flow expect OPEN*
-        c1/flow written
+        c1/upstream expect OPEN*
+        c1/upstream written
         time wait 180
         c1 expect BUSY*""",
     ),
@@ -115,32 +115,32 @@
         default(PLAN + '\nretry-budget share="1%" window="10s" floor=1'),
         OPEN
         + """
-        c1/flow expect OPEN*
-        c1/flow send BUSY
-        c1/flow expect OPEN*
-        c1/flow send BUSY
+        c1/upstream expect OPEN*
+        c1/upstream send BUSY
+        c1/upstream expect OPEN*
+        c1/upstream send BUSY
         c1 expect BUSY*
         c2 send OPEN 0c 0d c=plain,d=2000
-        c2/flow expect OPEN*
-        c2/flow send BUSY
+        c2/upstream expect OPEN*
+        c2/upstream send BUSY
         c2 expect BUSY*
         c2 expect end
-        c2/flow expect nothing
+        c2/upstream expect nothing
         relay expect count held_back.retry-budget 1
         time wait 12000
         c3 send OPEN 0e 0f c=plain,d=2000
-        c3/flow expect OPEN*
-        c3/flow send BUSY
-        c3/flow expect OPEN*""",
+        c3/upstream expect OPEN*
+        c3/upstream send BUSY
+        c3/upstream expect OPEN*""",
     ),
     "what may have run is not tried again where the route says so, and is refused": (
         default(PLAN + '\nretry-on "never-ran"'),
         OPEN
         + """
-        c1/flow expect OPEN*
-        c1/flow send BUSY
-        c1/flow expect OPEN*
-        c1/flow send ERR
+        c1/upstream expect OPEN*
+        c1/upstream send BUSY
+        c1/upstream expect OPEN*
+        c1/upstream send ERR
         c1 expect BUSY*
         c1 expect end""",
     ),
@@ -148,51 +148,51 @@
         default("limits open=1"),
         OPEN
         + """
-        c1/flow send UP r
+        c1/upstream send UP r
         c1 expect UP r
         c2 send OPEN 0c 0d c=plain,d=2000
         c2 expect BUSY *
         c2 expect end
-        c2/flow expect nothing
+        c2/upstream expect nothing
         relay expect count over.default 1
         c1 close
         c3 send OPEN 0e 0f c=plain,d=2000
-        c3/flow expect OPEN*
-        c3/flow send ERR
-        c3/flow send ERR""",
+        c3/upstream expect OPEN*
+        c3/upstream send ERR
+        c3/upstream send ERR""",
     ),
     "over the set-ups a second": (
         default("limits setups-per-second=2 burst=1"),
         OPEN
         + """
-        c1/flow expect OPEN*
+        c1/upstream expect OPEN*
         c2 send OPEN 0c 0d c=plain,d=2000
         c2 expect BUSY *
         time wait 500
         c3 send OPEN 0e 0f c=plain,d=2000
-        c3/flow expect OPEN*""",
+        c3/upstream expect OPEN*""",
     ),
     "set-ups at a backend: the third goes nowhere while both have one": (
         default("limits setups-at-backend=1"),
         OPEN
         + """
         c2 send OPEN 0c 0d c=plain,d=2000
-        c1/flow expect OPEN*
-        c2/flow expect OPEN*
+        c1/upstream expect OPEN*
+        c2/upstream expect OPEN*
         c3 send OPEN 0e 0f c=plain,d=2000
-        c3/flow expect nothing
+        c3/upstream expect nothing
         c3 expect BUSY*
-        c1/flow send UP r
+        c1/upstream send UP r
         c4 send OPEN 10 11 c=plain,d=2000
-        c4/flow expect OPEN*""",
+        c4/upstream expect OPEN*""",
     ),
     "a returning client has a route of its own": (
         default('attempt "300ms"\nattempts 2', 'route "back" {\nmatch {\nagain #true\n}\nattempt "200ms"\n}'),
         """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect *,d=300
+        c1/upstream expect *,d=300
         c2 send OPEN 0c 0d c=plain,d=2000,again=1
-        c2/flow expect *,d=200,again=1""",
+        c2/upstream expect *,d=200,again=1""",
     ),
     "a group has a route of its own": (
         default(
@@ -201,54 +201,54 @@
         ),
         """
         c1 send OPEN 0a 0b c=plain,d=2000,g=5c0f6e1a2b3d4c59
-        c1/flow expect *,d=200,g=*
+        c1/upstream expect *,d=200,g=*
         c2 send OPEN 0c 0d c=plain,d=2000,g=5c0e6e1a2b3d4c59
-        c2/flow expect *,d=300,g=*""",
+        c2/upstream expect *,d=300,g=*""",
     ),
     "a reload in the middle: the plan stays, a lower cap binds, what stands still counts": (
         default(PLAN + "\nlimits open=2")
         | {"less": HEAD + 'default {\nattempts 1\nattempt "200ms"\nlimits open=1\n}\n'},
         OPEN
         + """
-        c1/flow expect *d=300
-        c1/flow written
+        c1/upstream expect *d=300
+        c1/upstream written
         routes reload less
         time wait 299
-        c1/flow expect nothing
+        c1/upstream expect nothing
         c2 send OPEN 0c 0d c=plain,d=2000
         c2 expect BUSY*
         time wait 1
-        c1/flow expect end
-        c1/flow expect nothing
+        c1/upstream expect end
+        c1/upstream expect nothing
         c1 expect BUSY*
         c1 expect end
         c3 send OPEN 0e 0f c=plain,d=2000
-        c3/flow expect *d=200""",
+        c3/upstream expect *d=200""",
     ),
     "a reload that takes a route away leaves its transactions whole": (
         default('attempt "300ms"\nattempts 2', 'route "back" {\nmatch {\nagain #true\n}\nlimits open=1\n}')
         | {"less": HEAD + "default {\nlimits open=1\n}\n"},
         """
         c1 send OPEN 0a 0b c=plain,d=2000,again=1
-        c1/flow send UP r
+        c1/upstream send UP r
         c1 expect UP r
         routes reload less
         c2 send OPEN 0c 0d c=plain,d=2000
-        c2/flow expect OPEN*
+        c2/upstream expect OPEN*
         c1 send hello
-        c1/flow expect OPEN*
-        c1/flow expect hello
+        c1/upstream expect OPEN*
+        c1/upstream expect hello
         c1 close
-        c1/flow expect end""",
+        c1/upstream expect end""",
     ),
     "what resumes is counted, not turned away": (
         default("limits open=1"),
         """
         c1 send OPEN 0a 0b c=plain,at=b1
-        c1/flow send UP r
+        c1/upstream send UP r
         c1 expect UP r
         c2 send OPEN 0c 0d c=plain,at=b2
-        c2/flow send UP r
+        c2/upstream send UP r
         c2 expect UP r
         c3 send OPEN 0e 0f c=plain,d=2000
         c3 expect BUSY*""",
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -6,8 +6,8 @@
 
 UP = """
 c1 send OPEN 0a 0b c=plain,d=2000
-c1/flow expect OPEN 0a 0b c=plain,d=500
-c1/flow send UP r1
+c1/upstream expect OPEN 0a 0b c=plain,d=500
+c1/upstream send UP r1
 c1 expect UP r1
 """
 MEMBER = '{"host":"%s","dial":"127.0.0.1:%d","site":"a","class":"m","health":"%s"}'
@@ -18,162 +18,162 @@
     "lines pass both ways": UP
     + """
         c1 send hello 1
-        c1/flow expect hello 1
-        c1/flow send hello 1
+        c1/upstream expect hello 1
+        c1/upstream send hello 1
         c1 expect hello 1
         c1 expect nothing""",
     "only d changes in the first line": """
         c1 send OPEN 0a 0b zz=Q,c=plain,g=0c,d=1999,h=12.5,r=1
-        c1/flow expect OPEN 0a 0b zz=Q,c=plain,g=0c,d=500,h=12.5,r=1""",
+        c1/upstream expect OPEN 0a 0b zz=Q,c=plain,g=0c,d=500,h=12.5,r=1""",
     "a load note passes unchanged and is told": UP
     + """
-        c1/flow send LOAD 125.5
+        c1/upstream send LOAD 125.5
         c1 expect LOAD 125.5
         relay expect count load_notes 1""",
     "a load that is no number is not told": UP
     + """
-        c1/flow send LOAD nan
+        c1/upstream send LOAD nan
         c1 expect LOAD nan
         relay expect count load_notes 0""",
     "late answers are told once a second, and once more when they are back in time": UP
     + """
         c1 send 1
         time wait 30
-        c1/flow send 1
+        c1/upstream send 1
         relay expect count delay_notes 0
         c1 send 2
         time wait 40
-        c1/flow send 2
+        c1/upstream send 2
         relay expect count delay_notes 1
         c1 send 3
         time wait 40
-        c1/flow send 3
+        c1/upstream send 3
         relay expect count delay_notes 1
         time wait 1000
         c1 send 4
         time wait 40
-        c1/flow send 4
+        c1/upstream send 4
         relay expect count delay_notes 2
         c1 send 5
-        c1/flow send 5
+        c1/upstream send 5
         relay expect count delay_notes 3
         c1 send 6
-        c1/flow send 6
+        c1/upstream send 6
         relay expect count delay_notes 3""",
     "a load line answers no line of the client's": UP
     + """
         c1 send 1
-        c1/flow send LOAD 3
+        c1/upstream send LOAD 3
         time wait 40
-        c1/flow send 1
+        c1/upstream send 1
         relay expect count delay_notes 1""",
     "lines sent before the answer are kept for the backend": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1 send early
-        c1/flow expect OPEN*
-        c1/flow expect nothing
-        c1/flow send UP r1
-        c1/flow expect early""",
+        c1/upstream expect OPEN*
+        c1/upstream expect nothing
+        c1/upstream send UP r1
+        c1/upstream expect early""",
     "the id of another client's open request is refused, and that one is unharmed": UP
     + """
         c2 send OPEN 0a 0c c=plain,d=2000
         c2 expect ERR
-        c2/flow expect nothing
+        c2/upstream expect nothing
         c2 close
         c1 send hello
-        c1/flow expect hello
+        c1/upstream expect hello
         c1 close
         c3 send OPEN 0a 0c c=plain,d=2000
-        c3/flow expect OPEN 0a 0c*""",
+        c3/upstream expect OPEN 0a 0c*""",
     "a second command before the answer ends both": """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect OPEN*
+        c1/upstream expect OPEN*
         c1 send OPEN 0c 0b c=plain,d=2000
         c1 expect ERR
-        c1/flow expect end
+        c1/upstream expect end
         c2 send OPEN 0a 0b c=plain,d=2000
-        c2/flow expect OPEN*""",
+        c2/upstream expect OPEN*""",
     "a backend's FIN is passed on": UP
     + """
-        c1/flow close
+        c1/upstream close
         c1 expect end""",
     "a backend's RST is passed on": UP
     + """
-        c1/flow reset
+        c1/upstream reset
         c1 expect reset
         relay expect count connections.reset 1""",
     "BYE is a service to its end": UP
     + """
-        c1/flow send BYE
-        c1/flow close
+        c1/upstream send BYE
+        c1/upstream close
         c1 expect BYE
         c1 expect end
         relay expect count connections.ok 1""",
     "a backend that drains sends the client away": UP
     + """
-        c1/flow send MOVE
-        c1/flow close
+        c1/upstream send MOVE
+        c1/upstream close
         c1 expect MOVE
         c1 expect end
         relay expect count connections.cancelled 1""",
     "a client's FIN is passed on": UP
     + """
         c1 close
-        c1/flow expect end""",
+        c1/upstream expect end""",
     "a client's RST is passed on": UP
     + """
         c1 reset
-        c1/flow expect reset""",
+        c1/upstream expect reset""",
 }
 
 FAILING = {
     "a busy backend: another one, after the first has ended": """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect OPEN*
-        c1/flow send BUSY qps=1,inflight=90,x0=2.5
-        c1/flow expect OPEN*
+        c1/upstream expect OPEN*
+        c1/upstream send BUSY qps=1,inflight=90,x0=2.5
+        c1/upstream expect OPEN*
         relay expect count attempts.full 1
-        c1/flow send UP r2
+        c1/upstream send UP r2
         c1 expect UP r2""",
     "a refused connection never ran": """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow refuse
+        c1/upstream refuse
         relay expect count attempts.connect_failed 1""",
     "a connection that breaks after the last byte may have run": """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow reset
+        c1/upstream reset
         relay expect count attempts.reset 1""",
     "one that does not come up in the settings' time is closed, then the next is opened": """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect OPEN*
+        c1/upstream expect OPEN*
         time wait 249
-        c1/flow expect nothing
+        c1/upstream expect nothing
         time wait 1
-        c1/flow expect end
-        c1/flow expect OPEN*
+        c1/upstream expect end
+        c1/upstream expect OPEN*
         relay expect count attempts.connect_failed 1""",
     "a backend that fails is a reason to try another": """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow send ERR
-        c1/flow expect OPEN*
-        c1/flow expect OPEN*
+        c1/upstream send ERR
+        c1/upstream expect OPEN*
+        c1/upstream expect OPEN*
         relay expect count attempts.error 1""",
     "what no backend serves is refused as soon as the module gives up, not near the deadline": """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow send BUSY
-        c1/flow send BUSY
+        c1/upstream send BUSY
+        c1/upstream send BUSY
         c1 expect BUSY [1-9]*
         c1 expect end""",
     "an UP that comes too late serves nobody": """
         c1 send OPEN 0a 0b c=plain,d=200
-        c1/flow expect OPEN*
+        c1/upstream expect OPEN*
         time wait 159
         c1 expect nothing
         time wait 1
-        c1/flow expect end
+        c1/upstream expect end
         c1 expect BUSY*""",
     "a module that holds a transaction does not hold it past its deadline": """
-        module hold
+        balancer ignore
         c1 send OPEN 0a 0b c=plain,d=2000
         time wait 1960
         c1 expect nothing
@@ -183,30 +183,30 @@
         relay expect count overdue 1""",
     "a module that raises fails the transaction and nothing else": UP
     + """
-        module raise
+        balancer raise
         c2 send OPEN 0c 0b c=plain,d=2000
         c2 expect ERR
         c1 send still here
-        c1/flow expect still here
+        c1/upstream expect still here
         relay expect count module_faults 2""",
     "a client that leaves takes its flow along": """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect OPEN*
+        c1/upstream expect OPEN*
         c1 close
-        c1/flow expect end
+        c1/upstream expect end
         time wait 3000
-        c1/flow expect nothing""",
+        c1/upstream expect nothing""",
     "a backend that vanishes: the client is moved before it has waited seven seconds": UP
     + """
         time wait 2000
         c1 send 1
-        c1/flow expect 1
+        c1/upstream expect 1
         time wait 3900
         c1 expect nothing
         time wait 600
         c1 expect MOVE
         c1 expect end
-        c1/flow expect end
+        c1/upstream expect end
         relay expect count silent 1""",
     "a line without an answer for over a second is told as a late one, once a second": UP
     + """
@@ -223,7 +223,7 @@
     + """
         c1 send 1
         time wait 3900
-        c1/flow send 1
+        c1/upstream send 1
         c1 expect 1
         time wait 3900
         c1 expect nothing""",
@@ -232,58 +232,58 @@
 RESUMED = {
     "a resumed connection goes to its backend and is no request": """
         c1 send OPEN 0a 0b c=plain,d=2000,at=b2
-        c1/flow expect OPEN 0a 0b c=plain,d=1960,at=b2
-        c1/flow send UP r1
+        c1/upstream expect OPEN 0a 0b c=plain,d=1960,at=b2
+        c1/upstream send UP r1
         c1 expect UP r1
         relay expect count requests 0
         relay expect count resumed 1""",
     "one that does not come up is tried again there": """
         c1 send OPEN 0a 0b c=plain,d=2000,at=b2
-        c1/flow expect OPEN*
-        c1/flow refuse
+        c1/upstream expect OPEN*
+        c1/upstream refuse
         time wait 199
-        c1/flow expect nothing
+        c1/upstream expect nothing
         time wait 1
-        c1/flow expect OPEN*
-        c1/flow send UP r1
+        c1/upstream expect OPEN*
+        c1/upstream send UP r1
         c1 expect UP r1""",
     "a backend that was never listed is not sent to": """
         c1 send OPEN 0a 0b c=plain,d=2000,at=b9
         c1 expect ERR
-        c1/flow expect nothing""",
+        c1/upstream expect nothing""",
     "one whose backend says nothing is given up, however long its deadline": """
         c1 send OPEN 0a 0b c=plain,d=4294967,at=b2
-        c1/flow expect OPEN 0a 0b c=plain,d=20000,at=b2
-        c1/flow written
+        c1/upstream expect OPEN 0a 0b c=plain,d=20000,at=b2
+        c1/upstream written
         time wait 20000
-        c1/flow expect end
+        c1/upstream expect end
         c1 expect ERR""",
     "it names its backend even if that one drains": f"""
-        pool send {B1_ENDS}
+        discovery send {B1_ENDS}
         c1 send OPEN 0a 0b c=plain,d=2000,at=b1
-        c1/flow expect OPEN*""",
+        c1/upstream expect OPEN*""",
 }
 
 POOL = {
     "ready with a pool, not without": f"""
         front send PING
         front expect ERR
-        pool send {ONLY_B3}
+        discovery send {ONLY_B3}
         front send PING
         front expect PONG""",
     "a watch is asked for, and again after it ended, later each time": """
         time wait 2600
-        pool expect watch 41
-        pool close
+        discovery expect watch 41
+        discovery close
         time wait 174
-        pool expect nothing
+        discovery expect nothing
         time wait 176
-        pool expect watch 41
-        pool close
+        discovery expect watch 41
+        discovery close
         time wait 349
-        pool expect nothing
+        discovery expect nothing
         time wait 351
-        pool expect watch 41""",
+        discovery expect watch 41""",
 }
 
 DRAIN = {
@@ -294,14 +294,14 @@
         front expect ERR
         time wait 300
         c2 send OPEN 0c 0d c=plain,d=2000
-        c2/flow send UP r2
+        c2/upstream send UP r2
         c2 expect UP r2
         time wait 190
         c1 expect nothing
         time wait 700
         c1 expect MOVE
         c1 expect end
-        c1/flow expect end
+        c1/upstream expect end
         c2 expect nothing
         c3 send OPEN 0e 0f c=plain,d=2000
         c3 expect BUSY*
@@ -314,13 +314,13 @@
         time wait 400
         c1 send OPEN 0a 0b c=plain,d=2000
         time wait 200
-        c1/flow send UP r1
+        c1/upstream send UP r1
         c1 expect UP r1
         time wait 1
         c1 expect MOVE
         c1 expect end""",
     "what is still without an answer at the end is refused": """
-        module hold
+        balancer ignore
         c1 send OPEN 0a 0b c=plain,d=9000
         relay term
         time wait 3099
@@ -330,16 +330,16 @@
         relay expect exit
         relay expect nothing""",
     "a first line just before, at and after the end of taking new ones; and a second SIGTERM": """
-        probes wait
+        probes hang
         relay term
         time wait 499
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect OPEN*
+        c1/upstream expect OPEN*
         relay term
         time wait 1
         c2 send OPEN 0c 0b c=plain,d=2000
         c2 expect BUSY 250
-        c1/flow send UP r1
+        c1/upstream send UP r1
         c1 expect UP r1
         time wait 1
         c1 expect MOVE
@@ -394,14 +394,14 @@
 )
 def test_a_bad_first_line_fails_and_reaches_no_backend(raw: str) -> None:
     world = play(f"c1 raw {raw}")
-    assert world.peers["c1"].unread[-1] == "ERR" and not world.peer("c1/flow").unread
+    assert world.peers["c1"].unread[-1] == "ERR" and not world.peer("c1/upstream").unread
     assert not world.engine.requests
 
 
 def test_a_transaction_more_than_fits_is_rejected_at_once() -> None:
     play(
         "c1 send OPEN 0a 0b c=plain,d=2000\nc2 send OPEN 0c 0d c=plain,d=2000\nc2 expect BUSY*\n"
-        "c1/flow send UP r1\nc1 expect UP r1",
+        "c1/upstream send UP r1\nc1 expect UP r1",
         sockets=28,
     )
 
@@ -409,9 +409,11 @@
 @pytest.mark.parametrize("rest", ["b2", "b1"])
 def test_a_host_that_drains_gets_nothing_new(rest: str) -> None:
     news = B1_ENDS.replace("b1", "b2" if rest == "b1" else "b1")
-    world = play(f"pool send {news}")
+    world = play(f"discovery send {news}")
     for n in range(8):
-        world.play(f"c{n} send OPEN 0{n} 0b c=plain,d=2000\nc{n}/flow expect OPEN*\nc{n}/flow send UP r")
+        world.play(
+            f"c{n} send OPEN 0{n} 0b c=plain,d=2000\nc{n}/upstream expect OPEN*\nc{n}/upstream send UP r"
+        )
         world.play("time wait 1500")
     dials = {order.address for order, _ in world.upstreams.values()}
     assert dials == {f"127.0.0.1:{rest[1]}"}
@@ -419,44 +421,44 @@
 
 def test_a_changed_address_counts_from_the_next_flow_on() -> None:
     moved = '{"seq":42,"whole":false,"hosts":[' + MEMBER % ("b1", 77, "Ready") + "]}"
-    world = play(f"pool send {moved}\nc1 send OPEN 0a 0b c=plain,d=2000,at=b1")
+    world = play(f"discovery send {moved}\nc1 send OPEN 0a 0b c=plain,d=2000,at=b1")
     assert world.upstreams["c1"][0].address == "127.0.0.1:77"
 
 
 def test_a_host_that_left_a_whole_list_gets_nothing_new() -> None:
-    world = play(f"pool send {ONLY_B3}\nc1 send OPEN 0a 0b c=plain,d=2000\nc1/flow expect OPEN*")
+    world = play(f"discovery send {ONLY_B3}\nc1 send OPEN 0a 0b c=plain,d=2000\nc1/upstream expect OPEN*")
     assert world.upstreams["c1"][0].address == "127.0.0.1:3"
 
 
 RELOADED = {
     "what is open keeps its class": """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect OPEN*
+        c1/upstream expect OPEN*
         settings reload 3 new:once,other:once
-        c1/flow reset
-        c1/flow expect OPEN*
-        c1/flow send UP r1
+        c1/upstream reset
+        c1/upstream expect OPEN*
+        c1/upstream send UP r1
         c1 expect UP r1""",
     "a stricter effect binds what comes after it": """
         settings reload 3 other:repeatable,plain:once
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect OPEN*
-        c1/flow reset
-        c1/flow expect nothing
+        c1/upstream expect OPEN*
+        c1/upstream reset
+        c1/upstream expect nothing
         c1 expect ERR""",
     "fewer attempts bind what is open as well": """
         c1 send OPEN 0a 0b c=plain,d=2000
-        c1/flow expect OPEN*
+        c1/upstream expect OPEN*
         settings reload 1 plain:repeatable
-        c1/flow reset
-        c1/flow expect nothing
+        c1/upstream reset
+        c1/upstream expect nothing
         c1 expect BUSY*""",
     "a class that is gone": """
         settings reload 3 new:repeatable
         c1 send OPEN 0a 0b c=plain,d=2000
         c1 expect ERR
         c2 send OPEN 0a 0b c=new,d=2000
-        c2/flow expect OPEN*""",
+        c2/upstream expect OPEN*""",
 }
 
 
