--- a/gannetweir/proto/endpoint_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -1,5 +1,4 @@
-"""Discovery's endpoint list: a watch over chunked HTTP, JSON objects by the line; empty lines are heartbeats.
-"""
+"""Discovery's endpoint list: a watch over chunked HTTP, a JSON object a line; empty lines are heartbeats."""
 
 from __future__ import annotations
 
