--- a/gannetweir/cli.py
+++ b/gannetweir/cli.py
@@ -130,6 +130,6 @@
 
         known = read_cached_membership(config.known_endpoints, config.settings)
         routes = f", {len(config.routing_rules.routes)} routes" if config.routing_rules is not None else ""
-        counts = f"{len(known.endpoints)} backends known, {config.limits.clients} clients at most{routes}"
+        counts = f"{len(known.endpoints)} backends known, {config.limits.max_clients} clients at most{routes}"
         print(f"{config.name}: {counts}")
     return 0
--- a/gannetweir/config/platform.py
+++ b/gannetweir/config/platform.py
@@ -83,15 +83,17 @@
         # less than a relay is known to need is tried all the same: not to start serves nobody
         if value <= 0:
             raise SettingError(f"limits.{name}", f"{value} is not over 0")
-    limits = Limits(**machine, connect_us=int(settings.connect_timeout_us))
+    limits = Limits(**machine, connect_timeout_us=int(settings.connect_timeout_us))
     # no longer than the platform allows as Retry-After; where it allows none, none is sent
     max_retry_after_us = settings.max_retry_after_us if settings.sends_retry_after else 0
-    limits = replace(limits, reject_retry_us=int(max(0, min(limits.reject_retry_us, max_retry_after_us))))
+    limits = replace(
+        limits, rejection_retry_after_us=int(max(0, min(limits.rejection_retry_after_us, max_retry_after_us)))
+    )
     # buffers must fit the memory: half of it, over both directions of each connection
     memory_per_socket_bytes = limits.memory_mb * _HALF_MB_BYTES // limits.sockets
-    buffer_bytes = max(MIN_BUFFER_BYTES, min(limits.buffer_bytes, memory_per_socket_bytes))
+    buffer_bytes = max(MIN_BUFFER_BYTES, min(limits.max_buffered_bytes, memory_per_socket_bytes))
     longest_deadline_us = max(request_class.deadline_us for request_class in settings.classes)
-    return replace(limits, buffer_bytes=buffer_bytes).within(longest_deadline_us)
+    return replace(limits, max_buffered_bytes=buffer_bytes).with_drain_before_kill(longest_deadline_us)
 
 
 def read_json_object(path: str, source: str) -> dict[str, Any]:
--- a/gannetweir/core/answer_delays.py
+++ b/gannetweir/core/answer_delays.py
@@ -38,7 +38,7 @@
         objective_us = min(settings.message_latency_objectives_us, default=_NO_OBJECTIVE_US)
         self._delay_threshold_ms = objective_us / _US_PER_MS / _DELAY_THRESHOLD_DIVISOR
         self._reports_delay = settings.reports_message_delay
-        self._max_unanswered = limits.unanswered_lines
+        self._max_unanswered = limits.max_unanswered_lines
 
     def client_line_forwarded(self, request_id: int, now_us: int) -> None:
         """Await the answer to a line of the client's that has been forwarded."""
@@ -56,8 +56,9 @@
         self._report_delay(request, delay_us / _US_PER_MS)
 
     def _report_delay(self, request: RequestState, delay_ms: float) -> None:
-        """Report late answers to the balancer, as the simulator does: at most once in `limits.delay_note_us`
-        for an endpoint while they are late, and once more when they are in time again.
+        """Report late answers to the balancer, as the simulator does: at most once in
+        `limits.delay_report_interval_us` for an endpoint while they are late, and once more when they are in
+        time again.
         """
         if not self._reports_delay:
             return
@@ -65,7 +66,10 @@
         now_us = self.context.now_us
         reported_us = self._reported_us.get(endpoint_id)
         if delay_ms > self._delay_threshold_ms:
-            if reported_us is not None and now_us - reported_us < self.context.limits.delay_note_us:
+            if (
+                reported_us is not None
+                and now_us - reported_us < self.context.limits.delay_report_interval_us
+            ):
                 return
             self._reported_us[endpoint_id] = now_us
         elif reported_us is not None:
@@ -82,7 +86,7 @@
     def watchdog_due(self) -> None:
         """Check the answers that are due: a machine that vanished says nothing, and only they show it."""
         limits = self.context.limits
-        self.context.set_timer(limits.watchdog_us, Timer.WATCHDOG)
+        self.context.set_timer(limits.watchdog_interval_us, Timer.WATCHDOG)
         awaiting = [
             request
             for request in self._requests.values()
@@ -90,9 +94,9 @@
         ]
         for request in awaiting:
             waited_us = self.context.now_us - request.unanswered_since_us[0]
-            if waited_us > limits.answer_silence_us:
+            if waited_us > limits.answer_timeout_us:
                 self.context.counters.add("silent")
                 self.final_answers.migrate_client(request, AttemptStatus.RESET, Reason.ENDPOINT_SILENT)
-            elif waited_us > limits.answer_late_us:
+            elif waited_us > limits.slow_answer_us:
                 # early enough for the balancer to check the endpoint's health before all answers are lost
                 self._report_delay(request, waited_us / _US_PER_MS)
--- a/gannetweir/core/attempts.py
+++ b/gannetweir/core/attempts.py
@@ -115,7 +115,7 @@
         the time for the connect, and set anew when that byte is out.
         """
         context = self.context
-        connect_us = context.limits.connect_us
+        connect_us = context.limits.connect_timeout_us
         if not request.resumed:
             connect_us = request.request_class.connect_timeout_us or connect_us
             if request.request_class.attempt_timeout_us:
--- a/gannetweir/core/draining.py
+++ b/gannetweir/core/draining.py
@@ -15,8 +15,9 @@
     """Migrates clients: those of the whole relay as it drains, or of endpoints that operators took offline.
 
     A drain has these phases, each begun by a timer: admission as before while clients still come
-    (`limits.drain_us`), then no admission and migration of every client (`limits.drain_moves_us`), then the
-    exit, early once no request is left, and at `limits.drain_end_us` in any case.
+    (`limits.drain_grace_us`), then no admission and migration of every client
+    (`limits.drain_migration_us`), then the exit, early once no request is left, and at `limits.drain_end_us`
+    in any case.
     """
 
     def __init__(self, context: EngineContext, final_answers: FinalAnswers) -> None:
@@ -33,16 +34,18 @@
         self.started = True
         self.context.now_us = now_us
         limits = self.context.limits
-        self.context.set_timer(limits.drain_us, Timer.ADMISSION_END)
+        self.context.set_timer(limits.drain_grace_us, Timer.ADMISSION_END)
         self.context.set_timer(limits.drain_end_us, Timer.EXIT)
         if replaced:
-            time_us = limits.drain_us + limits.drain_moves_us
+            time_us = limits.drain_grace_us + limits.drain_migration_us
             self.migrate_over(self._connections_to_migrate(), time_us, Reason.DRAIN)
 
     def stop_admission(self) -> None:
         """Admit nothing new, as clients are not sent here any more, and migrate every one that is left."""
         self.context.admission_closed = True
-        self.migrate_over(self._connections_to_migrate(), self.context.limits.drain_moves_us, Reason.DRAIN)
+        self.migrate_over(
+            self._connections_to_migrate(), self.context.limits.drain_migration_us, Reason.DRAIN
+        )
         self._exit_if_empty()
 
     def _connections_to_migrate(self) -> list[RequestState]:
@@ -80,6 +83,6 @@
                 self.final_answers.migrate_client(request, AttemptStatus.CANCELLED, Reason.DRAIN_TIME_OVER)
             else:
                 self.final_answers.reject(
-                    request, self.context.limits.reject_retry_us, Reason.DRAIN_TIME_OVER
+                    request, self.context.limits.rejection_retry_after_us, Reason.DRAIN_TIME_OVER
                 )
         self.context.commands.append(Exit())
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -80,7 +80,7 @@
             self.balancer.start_us = 0
         self._create_concerns(seed, trace)
         self._bind_calls()
-        self.context.set_timer(limits.watchdog_us, Timer.WATCHDOG)
+        self.context.set_timer(limits.watchdog_interval_us, Timer.WATCHDOG)
         if address_rules is not None:
             self.membership_updates.apply_address_rules(address_rules)
         self.membership_updates.apply(UpdateKind.CACHED, initial_membership)
--- a/gannetweir/core/load_probes.py
+++ b/gannetweir/core/load_probes.py
@@ -9,7 +9,7 @@
 
 
 class LoadProbes:
-    """At most one probe of an endpoint is in flight, and `limits.probes` in all."""
+    """At most one probe of an endpoint is in flight, and `limits.max_load_probes` in all."""
 
     def __init__(self, context: EngineContext, dispatcher: PlacementDispatcher) -> None:
         self.context = context
@@ -33,7 +33,7 @@
     def _may_start(self, endpoint_id: EndpointId) -> bool:
         return (
             self.context.endpoint_list.accepts_requests(endpoint_id)
-            and len(self._started_us) < self.context.limits.probes
+            and len(self._started_us) < self.context.limits.max_load_probes
         )
 
     def probe_ended(
--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -83,7 +83,7 @@
         if self.context.settings.polls_endpoint_list:
             self._report_failed_poll()
             return
-        pause_us = self.context.limits.pool_push_retry_us if self.consecutive_watch_failures else 0
+        pause_us = self.context.limits.endpoint_watch_retry_us if self.consecutive_watch_failures else 0
         self.context.set_timer(pause_us, Timer.ENDPOINT_WATCH)
         self.consecutive_watch_failures += 1
 
@@ -122,9 +122,11 @@
 
         rules = rules or AddressRules()
         if self.context.address_selector is not None:
-            self.context.address_selector.apply_rules(rules, self.context.limits.connect_us)
+            self.context.address_selector.apply_rules(rules, self.context.limits.connect_timeout_us)
             return
-        self.context.address_selector = AddressSelector(rules, self.seed, self.context.limits.connect_us)
+        self.context.address_selector = AddressSelector(
+            rules, self.seed, self.context.limits.connect_timeout_us
+        )
         for endpoint_id in self.context.endpoint_list.entries:
             self._update_addresses(endpoint_id)
 
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -48,4 +48,4 @@
             for request in self.context.requests.values()
             if request.endpoint_id in newly_offline and request.established
         ]
-        self.draining.migrate_over(established, self.context.limits.hand_moves_us, Reason.OPERATORS)
+        self.draining.migrate_over(established, self.context.limits.override_migration_us, Reason.OPERATORS)
--- a/gannetweir/core/placement_dispatcher.py
+++ b/gannetweir/core/placement_dispatcher.py
@@ -70,5 +70,5 @@
         self.context.log(f"the decision module failed on {kind}: {type(error).__name__}: {error}")
         if isinstance(event, TimerExpired):
             # the balancer sets its next timer while it handles this one: its upkeep must not end here
-            self.context.set_timer(self.context.limits.module_again_us, Timer.PLACEMENT, event.token)
+            self.context.set_timer(self.context.limits.placement_timer_retry_us, Timer.PLACEMENT, event.token)
         self._handler.placement_failed(getattr(event, "request_id", 0))
--- a/gannetweir/core/request_intake.py
+++ b/gannetweir/core/request_intake.py
@@ -77,7 +77,7 @@
             self._reject(request, Reason.ADMISSION_CLOSED)
         elif resumed_endpoint_id:
             self.resumption.start(request, arrival, resumed_endpoint_id)
-        elif len(context.requests) > context.limits.clients:
+        elif len(context.requests) > context.limits.max_clients:
             self._reject(request, Reason.TOO_MANY_REQUESTS)
         elif self._admitted_by_route(request, arrival):
             self._request_placement(request, arrival)
@@ -123,7 +123,7 @@
         return request
 
     def _reject(self, request: RequestState, reason: Reason) -> None:
-        answer = RejectClient(request.request_id, self.context.limits.reject_retry_us)
+        answer = RejectClient(request.request_id, self.context.limits.rejection_retry_after_us)
         self.final_answers.send(request, answer, reason)
 
     def _request_placement(self, request: RequestState, arrival: RequestArrived) -> None:
--- a/gannetweir/core/resumption.py
+++ b/gannetweir/core/resumption.py
@@ -48,7 +48,9 @@
             request.admission_permit = self.context.route_admission.permit_for(request.request_class)
             self.context.route_admission.resume(request.admission_permit)
         # its deadline may be an hour away; an endpoint that is silent for so long does not have it any more
-        request.deadline_us = min(request.deadline_us, self.context.now_us + self.context.limits.resume_us)
+        request.deadline_us = min(
+            request.deadline_us, self.context.now_us + self.context.limits.resumption_timeout_us
+        )
         self.attempts.open(request, endpoint_id, address, request.deadline_us - self.context.now_us)
         self.dispatcher.dispatch(
             ConnectionResumed(
@@ -68,7 +70,7 @@
         """Retry at its endpoint while nothing has executed and there is time, or give the final answer."""
         request.end_attempt(status)
         not_executed = status in NOT_EXECUTED
-        retry_us = self.context.limits.resume_retry_us
+        retry_us = self.context.limits.resumption_retry_us
         if not_executed and self.context.endpoint_list.is_offline(request.endpoint_id):
             self._reject_offline(request)
         elif not_executed and self.context.now_us + retry_us < request.deadline_us:
@@ -80,7 +82,7 @@
 
     def _reject_offline(self, request: RequestState) -> None:
         """The operators bring the endpoint back, so the client may retry."""
-        rejection = RejectClient(request.request_id, self.context.limits.reject_retry_us)
+        rejection = RejectClient(request.request_id, self.context.limits.rejection_retry_after_us)
         self.final_answers.send(request, rejection, Reason.OPERATORS)
 
     def retry(self, request: RequestState) -> None:
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -188,7 +188,9 @@
         self.dead_us = self.drains_us = 0  # since when it is dead, or was told to end
         self.missed: list[MembershipUpdate] = []  # while it is cut off
         told = world.plan.settings(zone)
-        self.limits = replace(Limits(sockets=world.plan.sockets), connect_us=int(told.connect_timeout_us))
+        self.limits = replace(
+            Limits(sockets=world.plan.sockets), connect_timeout_us=int(told.connect_timeout_us)
+        )
         rules, reach = parse_operators_file(file, told, self.limits) if file else (None, None)
         self.settings = with_routed_classes(told, rules) if rules is not None else told
         keeper = RouteAdmission(rules, self.settings) if rules is not None else None
@@ -421,10 +423,10 @@
     def _probe(self, order: e.StartLoadProbe) -> None:
         backend = self.world.by_dial[order.address]
         if order.races_addresses:
-            self._probe_paths(order, backend, [], self.world.clock.now + self.limits.probe_us)
+            self._probe_paths(order, backend, [], self.world.clock.now + self.limits.load_probe_timeout_us)
             return
         report = backend.report() if not self.world.severed(self, backend) else None
-        took = 2 * self.world.plan.one_way_us if report is not None else self.limits.probe_us
+        took = 2 * self.world.plan.one_way_us if report is not None else self.limits.load_probe_timeout_us
         status = AttemptStatus.OK if report is not None else AttemptStatus.TIMEOUT
         ended = self.engine.load_probe_ended
         self.world.clock.after(took, lambda: self.tell(ended, order.endpoint_id, status, report or ()))
@@ -435,7 +437,7 @@
         """One address after another, as `net.probes` does."""
         clock, paths, server = self.world.clock, self.engine.address_selector, str(order.endpoint_id)
         assert paths is not None
-        share = self.limits.probe_us // max(1, len(backend.paths))
+        share = self.limits.load_probe_timeout_us // max(1, len(backend.paths))
         over: list[bool] = []
 
         def end(status: int, report: tuple[float, ...] = ()) -> None:
--- a/gannetweir/lab/scale/events.py
+++ b/gannetweir/lab/scale/events.py
@@ -30,7 +30,7 @@
 
 def _watch_back_s() -> float:
     """From a silent watch to the first byte of the next."""
-    return Limits().pool_silence_us / 1e6 + AGAIN_S
+    return Limits().endpoint_watch_silence_us / 1e6 + AGAIN_S
 
 
 def events(load: Load, processes: int) -> list[Event]:
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -108,7 +108,7 @@
     """A list read by a watch: what it tells, processor microseconds in all, milliseconds of the last read."""
     limits = Limits()
     watch = EndpointWatch("127.0.0.1:1", 0, relay_settings(), limits)
-    *before, last = chunks(line(entries), limits.read_bytes)
+    *before, last = chunks(line(entries), limits.max_read_bytes)
     spent = math.fsum(processor_us(lambda d=data: watch.feed(d)) for data in before)  # type: ignore[misc]
     told: list[object] = []
     held = 0.0
--- a/gannetweir/lab/scale/model.py
+++ b/gannetweir/lab/scale/model.py
@@ -134,7 +134,7 @@
 def most_entries(record: Record) -> int:
     """Entries at which a whole list is longer than a line of the watch may be."""
     wire = record["list.wire"].fitted
-    return math.floor((Limits().pool_line_bytes - wire.fixed) / wire.per_unit)
+    return math.floor((Limits().endpoint_watch_line_bytes - wire.fixed) / wire.per_unit)
 
 
 def window_entries(record: Record) -> int:
--- a/gannetweir/lab/scale/page.py
+++ b/gannetweir/lab/scale/page.py
@@ -94,8 +94,9 @@
 def _lists(record: Record, load: Load) -> str:
     entry, memory = load.entry_bytes(), record["list.memory"]
     shards = "not known (refused)" if memory.refusal else f"{memory.line.at(t.SHARDS) / 1048576:.2f} GB"
-    about = f"""A line of the watch may be {most_entries(record):,} entries long (`pool_line_bytes`). In
-        {t.IN_FORCE_S:.0f} s at {t.CONTROL_BYTES_S / 1e3:.0f} KB/s a relay can be told
+    about = f"""A line of the watch may be {most_entries(record):,} entries long
+        (`endpoint_watch_line_bytes`). In {t.IN_FORCE_S:.0f} s at {t.CONTROL_BYTES_S / 1e3:.0f} KB/s a relay
+        can be told
         {window_entries(record):,} entries of {entry:.0f} bytes. {t.SHARDS:,} shards listed one by one would
         be {shards} in memory and {t.SHARDS * entry / 1e6:.0f} MB on the wire. "A line waits": through a real
         relay, while the list comes."""
--- a/gannetweir/net/admin.py
+++ b/gannetweir/net/admin.py
@@ -21,7 +21,7 @@
 
 class AdminListener:
     """Accepts callers and answers one call on each connection. Owns the listener and the callers'
-    connections; of more than `Limits.admin_callers` the oldest is closed.
+    connections; of more than `Limits.max_admin_connections` the oldest is closed.
     """
 
     def __init__(self, context: LoggingContext, operations: AdminOperations, address: SocketAddress) -> None:
@@ -49,7 +49,7 @@
 
     def _accept_caller(self, sock: socket.socket) -> None:
         set_low_latency(sock)
-        while len(self.callers) >= self.limits.admin_callers:
+        while len(self.callers) >= self.limits.max_admin_connections:
             # idle callers must not keep out the one who calls: the oldest has had the longest time for it
             oldest = next(iter(self.callers))
             del self.callers[oldest]
@@ -61,7 +61,7 @@
     async def _answer_caller(self, caller: Transport) -> None:
         call = AdminCall(self.limits)
         try:
-            with anyio.move_on_after(self.limits.admin_idle_us / 1e6):
+            with anyio.move_on_after(self.limits.admin_idle_timeout_us / 1e6):
                 answer = b""
                 while not answer and (data := await caller.read()):
                     answer = call.feed(data, self.operations)
--- a/gannetweir/net/client_connection.py
+++ b/gannetweir/net/client_connection.py
@@ -132,7 +132,7 @@
 
     async def _await_first_line(self) -> None:
         """Read until the first line is in, or the time for it is over and the client has its answer."""
-        with anyio.move_on_after(self.limits.first_line_us / 1e6):
+        with anyio.move_on_after(self.limits.first_line_timeout_us / 1e6):
             while self._awaits_first_line() and (data := await self.client.read()):
                 self._feed(data)
                 await self.client.wait_drained()  # one that pings without end has to read its answers
@@ -163,7 +163,7 @@
             if self.upstream is not None and self.upstream.transport is not None:
                 await self.upstream.transport.wait_drained()
         # It may be sending still, by megabytes: read on, for a while, so that it hears how this ended.
-        last = anyio.current_time() + self.limits.waste_us / 1e6
+        last = anyio.current_time() + self.limits.discard_timeout_us / 1e6
         while await self.client.discard(self.clients.discard_buffer):
             self.scope.deadline = min(last, anyio.current_time() + self.limits.linger_us / 1e6)
         return False
@@ -220,7 +220,7 @@
         if late:
             self._finish(self.protocol.end_failed())
         else:
-            self._finish(self.protocol.end_rejected(self.limits.reject_retry_us))
+            self._finish(self.protocol.end_rejected(self.limits.rejection_retry_after_us))
 
     def evict(self) -> None:
         """Give all descriptors back now; a client without a request is rejected first."""
--- a/gannetweir/net/client_registry.py
+++ b/gannetweir/net/client_registry.py
@@ -20,7 +20,7 @@
         self.runtime = runtime
         self.by_request: dict[int, ClientConnectionDriver] = {}
         self.open_count = 0
-        self.discard_buffer = bytearray(runtime.limits.waste_bytes)
+        self.discard_buffer = bytearray(runtime.limits.discard_buffer_bytes)
         self.class_index_by_name = class_indexes(runtime.settings)
         self._removed = anyio.Event()
 
@@ -40,7 +40,7 @@
                 runtime.spawn(client.run)
             else:
                 runtime.engine.counters.add("turned_away")
-                transport.write(rejection_line(runtime.limits.reject_retry_us))
+                transport.write(rejection_line(runtime.limits.rejection_retry_after_us))
                 transport.close_now(self.discard_buffer)
 
     def open_request(self, client: ClientConnectionDriver, first_line: FirstLine) -> None:
--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -63,6 +63,6 @@
         ):
             if was and now != was:  # the entries of the list that is held are counted by these
                 return f"{name} change only at a restart"
-        if limits.drain_end_us - limits.drain_us < MIN_MIGRATION_US:
+        if limits.drain_end_us - limits.drain_grace_us < MIN_MIGRATION_US:
             return f"deadlines too short: a drain has {limits.drain_end_us / 1000:g} ms before SIGKILL"
         return ""
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -113,7 +113,7 @@
                     data = await endpoint.read()
                 # bytes alone prove nothing: a machine that trickles says nothing whole, and is left
                 if await self._receive(watch, data, at):
-                    due = anyio.current_time() + limits.pool_silence_us / 1e6
+                    due = anyio.current_time() + limits.endpoint_watch_silence_us / 1e6
             return True
         except TimeoutError:
             self.last_error = "the watch fell silent"
--- a/gannetweir/net/descriptors.py
+++ b/gannetweir/net/descriptors.py
@@ -7,7 +7,7 @@
 1. second connects of races between an endpoint's addresses, since one connect is left to each race;
 2. clients that have had their final answer, whose remaining input is only read to be discarded;
 3. clients that have had the answer to a ping;
-4. clients that owe their first line for longer than `Limits.settle_us`, the latest first;
+4. clients that owe their first line for longer than `Limits.eviction_grace_us`, the latest first;
 5. all others that owe their first line, the oldest first;
 6. for a request's attempt alone: clients that have ended, whose endpoint may still send lines.
 
@@ -104,7 +104,7 @@
         """Is a descriptor free for one more client or attempt?"""
         limits, in_use = self.current_limits(), self.descriptor_count.open
         if self.handover.peers:  # during an upgrade the limits hold for both processes together
-            in_use += self.handover.count_peer_descriptors() + limits.spare_sockets
+            in_use += self.handover.count_peer_descriptors() + limits.reserved_sockets
         return in_use < limits.client_sockets
 
     def make_capacity(self, for_request: bool = False) -> bool:
@@ -142,7 +142,7 @@
         """
         yield from list(self.finally_answered)
         yield from list(self.ping_answered)
-        settled_before_s = anyio.current_time() - self.current_limits().settle_us / 1e6
+        settled_before_s = anyio.current_time() - self.current_limits().eviction_grace_us / 1e6
         awaiting = list(self.awaiting_first_line)
         yield from (client for client in reversed(awaiting) if client.accepted_at_s < settled_before_s)
         yield from awaiting
--- a/gannetweir/net/endpoint_watch.py
+++ b/gannetweir/net/endpoint_watch.py
@@ -130,8 +130,8 @@
         watch = EndpointWatch(f"{address.host}:{address.port}", since_version, self.context.settings, limits)
         transport: Transport | None = None
         try:
-            due = anyio.current_time() + limits.pool_call_us / 1e6
-            with anyio.fail_after(limits.pool_call_us / 1e6):
+            due = anyio.current_time() + limits.endpoint_watch_response_timeout_us / 1e6
+            with anyio.fail_after(limits.endpoint_watch_response_timeout_us / 1e6):
                 transport = await connect_endpoint(
                     lambda: (tcp_socket(address.host), (address.host, address.port)),
                     lambda sock: self.make_transport(sock, limits, self.context.spawn),
@@ -141,7 +141,7 @@
                 with anyio.fail_after(due - anyio.current_time()):
                     data = await transport.read()
                 if self._feed(watch, data, scope):
-                    due = anyio.current_time() + limits.pool_silence_us / 1e6
+                    due = anyio.current_time() + limits.endpoint_watch_silence_us / 1e6
         finally:
             if transport is not None:
                 transport.close()
--- a/gannetweir/net/load_probes.py
+++ b/gannetweir/net/load_probes.py
@@ -65,9 +65,11 @@
         self.transport: Transport | None = None
 
     async def run(self) -> AttemptEnded:
-        """The result within `Limits.probe_us`. Raises nothing of the socket's; the transport is closed."""
+        """The result within `Limits.load_probe_timeout_us`. Raises nothing of the socket's; the transport is
+        closed.
+        """
         try:
-            with anyio.move_on_after(self.context.limits.probe_us / 1e6):
+            with anyio.move_on_after(self.context.limits.load_probe_timeout_us / 1e6):
                 await self._connect()
         except TimeoutError:
             pass
@@ -82,7 +84,7 @@
     async def _connect(self) -> None:
         limits = self.context.limits
         address = self.context.parse_endpoint_address(self.command.address)
-        with anyio.fail_after(limits.connect_us / 1e6):
+        with anyio.fail_after(limits.connect_timeout_us / 1e6):
             self.transport = await connect_endpoint(
                 lambda: (tcp_socket(address[0]), address),
                 lambda sock: Transport(sock, limits, self.context.spawn),
@@ -104,7 +106,7 @@
     selector = context.engine.address_selector
     assert selector is not None
     result = AttemptEnded(AttemptStatus.TIMEOUT)
-    with anyio.move_on_after(context.limits.probe_us / 1e6):
+    with anyio.move_on_after(context.limits.load_probe_timeout_us / 1e6):
         result = await _AddressesProbe(context, command, selector).run()
     return result
 
@@ -118,7 +120,7 @@
         self.context, self.command, self.selector = context, command, selector
         self.endpoint = str(command.endpoint_id)
         address_count = len(selector.states_by_endpoint.get(self.endpoint, ()))
-        self.time_per_address_us = context.limits.probe_us / max(1, address_count)
+        self.time_per_address_us = context.limits.load_probe_timeout_us / max(1, address_count)
         self.tried: list[Address] = []
         self.asked_us = 0  # when the last question was written
         self.address: Address | None = None  # that the last question went to
--- a/gannetweir/net/operator_overrides.py
+++ b/gannetweir/net/operator_overrides.py
@@ -44,9 +44,11 @@
             self.context.run_engine_call(engine.apply_operator_overrides, overrides)
 
     async def poll(self) -> None:
-        """Look for other processes and refresh the overrides every `Limits.handover_us`, until cancelled."""
+        """Look for other processes and refresh the overrides, every `Limits.handover_refresh_interval_us`,
+        until cancelled.
+        """
         while True:
-            await anyio.sleep(self.context.limits.handover_us / 1e6)
+            await anyio.sleep(self.context.limits.handover_refresh_interval_us / 1e6)
             try:
                 self.handover.refresh_peers()
             except OSError as error:  # the folder has been removed, or may not be read
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -56,7 +56,9 @@
         self.engine = _make_engine(config, clock, self.handover, traced)
         self.standard_error = standard_error()
         count_dropped = partial(self.engine.counters.add, "log_lines_dropped")
-        log = Log(config.name, config.limits.log_lines, log_form, self.standard_error, dropped=count_dropped)
+        log = Log(
+            config.name, config.limits.log_lines_per_s, log_form, self.standard_error, dropped=count_dropped
+        )
         self.runtime = RelayRuntime(config, clock, self.engine, log, self.handover)
         self.clients = ClientRegistry(self.runtime)
         self.endpoint_watch = EndpointWatchDriver(self.runtime)
--- a/gannetweir/net/transport.py
+++ b/gannetweir/net/transport.py
@@ -71,7 +71,7 @@
     sock = tcp_socket(at.host)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((at.host, at.port))
-    sock.listen(limits.backlog)
+    sock.listen(limits.listen_backlog)
     return sock
 
 
@@ -165,21 +165,21 @@
             self.reads_without_waiting = 0
             await self._readable()
         self.reads_without_waiting += 1
-        is_full_read = len(data) == self.limits.read_bytes
-        if is_full_read or self.reads_without_waiting > self.limits.reads_at_once:
+        is_full_read = len(data) == self.limits.max_read_bytes
+        if is_full_read or self.reads_without_waiting > self.limits.max_consecutive_reads:
             # a peer that sends without a pause always has more: the others get their turn all the same
             self.reads_without_waiting = 0
             self.yields_before_read = True
         return data
 
     def read_nowait(self) -> bytes | None:
-        """What has come by now, at most `Limits.read_bytes`: None if nothing, empty at its end. Raises
+        """What has come by now, at most `Limits.max_read_bytes`: None if nothing, empty at its end. Raises
         `OSError` if the connection broke or was closed here.
         """
         if self.closed:
             raise OSError(errno.EBADF, "closed here")
         try:
-            return self.sock.recv(self.limits.read_bytes)
+            return self.sock.recv(self.limits.max_read_bytes)
         except (BlockingIOError, InterruptedError):
             return None
         except OSError as error:
@@ -281,7 +281,7 @@
                     if not is_shortage(error):
                         raise
                     await anyio.sleep(SHORTAGE_RETRY_S)
-                if len(self.unsent) <= self.limits.buffer_bytes:
+                if len(self.unsent) <= self.limits.max_buffered_bytes:
                     self._wake_writers()
         except (OSError, anyio.ClosedResourceError):
             self.unsent.clear()
@@ -296,8 +296,8 @@
         self.unsent_shrank = anyio.Event()
 
     async def wait_drained(self) -> None:
-        """Back-pressure: returns once no more than `Limits.buffer_bytes` are unsent, or it was closed."""
-        while len(self.unsent) > self.limits.buffer_bytes and not self.closed:
+        """Back-pressure: returns once at most `Limits.max_buffered_bytes` are unsent, or it was closed."""
+        while len(self.unsent) > self.limits.max_buffered_bytes and not self.closed:
             await self.unsent_shrank.wait()
 
     def finish(self) -> None:
--- a/gannetweir/proto/admin.py
+++ b/gannetweir/proto/admin.py
@@ -32,7 +32,7 @@
     """One caller's connection."""
 
     def __init__(self, limits: Limits) -> None:
-        self.lines = LineBuffer(limits.line_bytes)
+        self.lines = LineBuffer(limits.max_line_bytes)
 
     def feed(self, data: bytes, operations: AdminOperations) -> bytes:
         """The answer, once the line is complete; empty before. Raises what `operations` raise beside
--- a/gannetweir/proto/client_connection.py
+++ b/gannetweir/proto/client_connection.py
@@ -72,12 +72,12 @@
     if deadline_ms is not None:
         time_budget_us = _parse_number(deadline_ms, _DECIMAL, "deadline") * 1000
     elif current_endpoint:
-        time_budget_us = limits.resume_us
+        time_budget_us = limits.resumption_timeout_us
     else:
         raise LineError("no deadline")
     before, after = _split_at_deadline(raw, field_text, deadline_ms)
     class_index = class_index_by_name[fields["c"]]
-    time_budget_us = min(time_budget_us, limits.longest_deadline_us)
+    time_budget_us = min(time_budget_us, limits.max_deadline_us)
     request = _parse_request(class_index, key, time_budget_us, fields)
     return FirstLine(before, after, client_id, request, current_endpoint)
 
@@ -167,7 +167,7 @@
 
     def __init__(self, class_index_by_name: dict[str, int], limits: Limits) -> None:
         self.class_index_by_name, self.limits = class_index_by_name, limits
-        self.lines = LineBuffer(limits.line_bytes)
+        self.lines = LineBuffer(limits.max_line_bytes)
         self.phase = ClientPhase.AWAITING_FIRST_LINE
         self.ping_count = 0
         self.early_lines: list[bytes] = []  # lines that came before the answer
@@ -202,7 +202,7 @@
     def _parse_command(self, line: bytes) -> PingReceived | RequestOpened:
         if line == b"PING" + LINE_END:
             self.ping_count += 1
-            if self.ping_count > self.limits.first_pings:
+            if self.ping_count > self.limits.max_pings_before_request:
                 raise LineError("too many pings")
             return PingReceived()
         first_line = parse_first_line(line, self.class_index_by_name, self.limits)
@@ -216,7 +216,7 @@
         if line.startswith((b"OPEN ", b"PING\r")):
             raise LineError("a second command before the answer")
         self.early_bytes += len(line)
-        if self.early_bytes > self.limits.buffer_bytes:
+        if self.early_bytes > self.limits.max_buffered_bytes:
             raise LineError("too much sent before the answer")
         self.early_lines.append(line)
 
--- a/gannetweir/proto/endpoint_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -119,7 +119,7 @@
     ) -> None:
         """`extra_parameters` are appended to the target's; a list's watch has none."""
         self.settings = settings
-        self.lines = LineBuffer(limits.pool_line_bytes)
+        self.lines = LineBuffer(limits.endpoint_watch_line_bytes)
         self.http = h11.Connection(h11.CLIENT)
         target = f"/registry/instances?follow=1&since={since_version}{extra_parameters}"
         request = h11.Request(method="GET", target=target, headers=[("Host", host)])
--- a/gannetweir/proto/load_probe.py
+++ b/gannetweir/proto/load_probe.py
@@ -15,7 +15,7 @@
     REQUEST_LINE = b"STATS" + LINE_END
 
     def __init__(self, load_report_fields: list[str], limits: Limits) -> None:
-        self.lines = LineBuffer(limits.line_bytes)
+        self.lines = LineBuffer(limits.max_line_bytes)
         self.load_report_fields = load_report_fields
 
     def feed(self, data: bytes) -> AttemptEnded | None:
--- a/gannetweir/proto/upstream_connection.py
+++ b/gannetweir/proto/upstream_connection.py
@@ -53,7 +53,7 @@
     """
 
     def __init__(self, first_line: bytes, load_report_fields: list[str], limits: Limits) -> None:
-        self.lines = LineBuffer(limits.line_bytes)
+        self.lines = LineBuffer(limits.max_line_bytes)
         self.load_report_fields = load_report_fields
         self.unsent_first_line = first_line
         self.established = False
--- a/gannetweir/routing/route_checks.py
+++ b/gannetweir/routing/route_checks.py
@@ -108,8 +108,8 @@
 def _limits(where: str, rule: ConnectionLimitRule, limits: Limits | None, line: int) -> Iterator[Mistake]:
     if limits is not None:
         for name, value in (("open", rule.max_open), ("setups-at-backend", rule.max_setups_per_endpoint)):
-            if value > limits.clients:
-                allowed = f"at most {limits.clients}, which is what {limits.sockets} descriptors hold"
+            if value > limits.max_clients:
+                allowed = f"at most {limits.max_clients}, which is what {limits.sockets} descriptors hold"
                 yield Mistake(line, where, f"{name} {value}", allowed)
     if rule.max_open and rule.max_setups_per_endpoint > rule.max_open:
         found = f"setups-at-backend {rule.max_setups_per_endpoint} is over open {rule.max_open}"
--- a/tests/place.py
+++ b/tests/place.py
@@ -171,7 +171,7 @@
     yield request.param
 
 
-QUICK = {"drain_us": 20_000, "drain_moves_us": 0, "drain_end_us": 300_000, "linger_us": 50_000}
+QUICK = {"drain_grace_us": 20_000, "drain_migration_us": 0, "drain_end_us": 300_000, "linger_us": 50_000}
 
 
 async def played(place: Place, play: Play, capsys: pytest.CaptureFixture[str], lines: int = 1) -> None:
--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -34,7 +34,7 @@
     RequestClass(f"{repeat}-{scope}", 300_000, 2_000_000, worth, repeat, scope, 1_000_000)
     for worth, (repeat, scope) in enumerate(EFFECTS, 1)
 ]
-LIMITS = Limits(connect_us=400_000).within(2_000_000)
+LIMITS = Limits(connect_timeout_us=400_000).with_drain_before_kill(2_000_000)
 SLACK_US = 45_000  # of an answer: the timer of last resort is 5 ms behind the module's deadline
 MOST = 4
 
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -207,7 +207,7 @@
             place.backend.accept()
         assert not place.relay.engine.requests
 
-    await played(Place(**QUICK | {"connect_us": 5_000_000}), play, capsys)
+    await played(Place(**QUICK | {"connect_timeout_us": 5_000_000}), play, capsys)
 
 
 @pytest.mark.anyio
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -38,10 +38,14 @@
 def test_what_is_told_is_taken(tmp_path: Path) -> None:
     config = load_config(environment(tmp_path, {}) | {"RELAY_NAME": "n4"})
     assert (config.name, config.listen_address.port, config.seed) == ("n4", 0, 0x8C1F30D27A5BE964)
-    assert (config.limits.sockets, config.limits.memory_mb, config.limits.connect_us) == (1100, 192, 123000)
-    assert config.limits.clients * 2 + config.limits.spare_sockets <= 1100
+    assert (config.limits.sockets, config.limits.memory_mb, config.limits.connect_timeout_us) == (
+        1100,
+        192,
+        123000,
+    )
+    assert config.limits.max_clients * 2 + config.limits.reserved_sockets <= 1100
     # what waits unsent, in both directions of every connection, leaves half the memory
-    assert config.limits.clients * 2 * config.limits.buffer_bytes <= 96 << 20
+    assert config.limits.max_clients * 2 * config.limits.max_buffered_bytes <= 96 << 20
 
 
 @pytest.mark.parametrize(
@@ -59,7 +63,7 @@
     tmp_path: Path, told: dict[str, object], advice: int
 ) -> None:
     config = load_config(environment(tmp_path, {"settings": {"categories": [{"name": "a"}], "limits": told}}))
-    assert config.limits.reject_retry_us == advice
+    assert config.limits.rejection_retry_after_us == advice
     assert rejection_line(advice) == (b"BUSY %d\r\n" % (advice // 1000) if advice else b"BUSY\r\n")
     balancer = Balancer(config.settings, 1, 0)  # knows no server: it refuses
     advised = [
@@ -74,7 +78,7 @@
 
 def test_the_smallest_machine_in_service_is_enough(tmp_path: Path) -> None:
     assert (
-        load_config(environment(tmp_path, {"limits": {"sockets": 256, "memory_mb": 32}})).limits.clients
+        load_config(environment(tmp_path, {"limits": {"sockets": 256, "memory_mb": 32}})).limits.max_clients
         == 112
     )
 
@@ -149,9 +153,9 @@
 @pytest.mark.parametrize("sockets", [64, 256, 384, 1024])
 def test_the_smallest_limits_hold_every_role(sockets: int) -> None:
     limits = Limits(sockets=sockets)
-    assert limits.client_sockets + limits.probes + limits.fixed_sockets <= sockets
-    assert limits.clients >= sockets / 3 or sockets < 256  # so many are the usual ones
-    assert 2_300_000 < limits.first_line_us < 2_800_000 and limits.waste_us < 4_000_000
+    assert limits.client_sockets + limits.max_load_probes + limits.fixed_sockets <= sockets
+    assert limits.max_clients >= sockets / 3 or sockets < 256  # so many are the usual ones
+    assert 2_300_000 < limits.first_line_timeout_us < 2_800_000 and limits.discard_timeout_us < 4_000_000
 
 
 @pytest.mark.parametrize(
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -259,7 +259,7 @@
 def test_waits_have_full_jitter_and_fit_the_rule_of_six_seconds() -> None:
     longest = MachineSelector("r", MACHINES, lambda: 1.0)
     waits = [longest.record_failure() for _ in range(40)]
-    silent = Limits().pool_silence_us
+    silent = Limits().endpoint_watch_silence_us
     assert (
         silent + waits[0] + CALL_TIMEOUT_US + waits[1] + CALL_TIMEOUT_US <= 6_000_000
     )  # two dead machines in a row
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -105,10 +105,10 @@
         time wait 700
         c1/upstream expect end
         c1 expect {answer}""",
-        drain_us=100_000,
-        drain_moves_us=100_000,
+        drain_grace_us=100_000,
+        drain_migration_us=100_000,
         drain_end_us=400_000,
-        connect_us=5_000_000,
+        connect_timeout_us=5_000_000,
     )
 
 
@@ -146,8 +146,8 @@
         c2 send OPEN 0c 0d c=plain,d=2000,at=b1
         c2/upstream expect nothing
         c2 expect BUSY*""",
-        drain_us=500_000,
-        drain_moves_us=0,
+        drain_grace_us=500_000,
+        drain_migration_us=0,
         drain_end_us=300_000,
     )
 
@@ -434,16 +434,16 @@
     [
         (leaves_at_once(False), {}),
         (leaves_at_once(True), {}),
-        (a_watch_that_trickles, {"pool_silence_us": 60_000}),
+        (a_watch_that_trickles, {"endpoint_watch_silence_us": 60_000}),
         (the_old_address_speaks_once_more, {}),
-        (a_first_line_as_the_time_for_it_ends, {"first_line_us": 60_000}),
+        (a_first_line_as_the_time_for_it_ends, {"first_line_timeout_us": 60_000}),
         (a_first_line_as_its_client_gives_way, {"sockets": 30}),
         (a_probe_of_a_backend_that_leaves, {}),
         (up_as_its_time_is_over, {}),
         (up_as_its_client(False), {}),
         (up_as_its_client(True), {}),
         (two_answers, {}),
-        (the_client_leaves_while_the_connect_is_held, {"connect_us": 5_000_000}),
+        (the_client_leaves_while_the_connect_is_held, {"connect_timeout_us": 5_000_000}),
         (discovery_moves_to_where_nobody_listens, {}),
         (a_fault_in_a_timer_and_in_a_signal, {}),
         (the_exit, {}),
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -63,9 +63,12 @@
         if kind == "503":  # it was there until then
             return min(self.back_us, now + self.rng.randrange(2 * SECOND)), False
         if kind == "half":  # a head, and from then on nothing: no later than what cut it off ended
-            head = min(self.back_us, now + self.rng.randrange(LIMITS.pool_call_us))
-            return head + LIMITS.pool_silence_us, False
-        return now + LIMITS.pool_call_us, False  # no head, or bytes of one that never ends
+            head = min(self.back_us, now + self.rng.randrange(LIMITS.endpoint_watch_response_timeout_us))
+            return head + LIMITS.endpoint_watch_silence_us, False
+        return (
+            now + LIMITS.endpoint_watch_response_timeout_us,
+            False,
+        )  # no head, or bytes of one that never ends
 
 
 class Relay:
@@ -116,7 +119,7 @@
 
 def watching(rng: random.Random, back_us: int, begin: int, **changes: object) -> Relay:
     """A relay whose watch is open at `begin`; discovery is away from then until `back_us`."""
-    slow = rng.choice([50_000, SECOND, LIMITS.pool_call_us - 20_000])
+    slow = rng.choice([50_000, SECOND, LIMITS.endpoint_watch_response_timeout_us - 20_000])
     discovery = Discovery(rng, 0, slow)
     relay = Relay(rng.getrandbits(32), discovery, begin - 5 * SECOND, **changes)
     relay.run(begin)
@@ -137,7 +140,9 @@
         rng, begin + away, begin, polls_endpoint_list=seed % 4 > 0, poll_interval_us=asked_within
     )
     lost = rng.choice(["reset", "silent", "silent"])  # the watch that was open
-    relay.ends_us = begin + (LIMITS.pool_silence_us if lost == "silent" else rng.randrange(1 + away // 2))
+    relay.ends_us = begin + (
+        LIMITS.endpoint_watch_silence_us if lost == "silent" else rng.randrange(1 + away // 2)
+    )
     relay.answers = False
     relay.run(begin + away + TOLD_US)
     assert relay.heard(), (lost, away / SECOND, asked_within / SECOND)
@@ -147,7 +152,7 @@
 def test_a_new_relay_hears_within_6_s(asked_within: int) -> None:
     for seed in range(50):
         rng, begin = random.Random(seed), 1_700_000_000 * SECOND
-        there = Discovery(rng, 0, LIMITS.pool_call_us, drains=True)
+        there = Discovery(rng, 0, LIMITS.endpoint_watch_response_timeout_us, drains=True)
         relay = Relay(seed, there, begin, poll_interval_us=asked_within)
         relay.run(begin + TOLD_US)
         assert relay.heard()
@@ -155,11 +160,11 @@
 
 def test_the_times_of_a_round_fit() -> None:
     """A call that hangs, a refused one and a silent watch; then the wait, and the slowest answer."""
-    again, call = brain.AGAIN_US, LIMITS.pool_call_us
+    again, call = brain.AGAIN_US, LIMITS.endpoint_watch_response_timeout_us
     assert max(call, brain.ROUND_US) + call < TOLD_US - 50_000
-    assert LIMITS.pool_silence_us + again + call < TOLD_US - 50_000
+    assert LIMITS.endpoint_watch_silence_us + again + call < TOLD_US - 50_000
     assert call + again + call <= TOLD_US - 50_000  # after a move, whose call the module has not asked for
-    assert LIMITS.pool_silence_us >= BEAT_US + 500_000
+    assert LIMITS.endpoint_watch_silence_us >= BEAT_US + 500_000
 
 
 def test_a_slow_answer_is_waited_for_however_short_the_time_for_asking() -> None:
@@ -325,10 +330,10 @@
 @pytest.mark.parametrize(
     ("crossing", "limits"),
     [
-        (beats_then_silence, {"pool_silence_us": 60_000}),
-        (a_head_that_trickles, {"pool_call_us": 60_000}),
-        (half_an_answer, {"pool_silence_us": 60_000}),
-        (the_new_address_hangs, {"pool_call_us": 60_000}),
+        (beats_then_silence, {"endpoint_watch_silence_us": 60_000}),
+        (a_head_that_trickles, {"endpoint_watch_response_timeout_us": 60_000}),
+        (half_an_answer, {"endpoint_watch_silence_us": 60_000}),
+        (the_new_address_hangs, {"endpoint_watch_response_timeout_us": 60_000}),
         (the_new_address_has_an_older_list, {}),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -174,7 +174,7 @@
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     await play_with(no_socket_for_longer, monkeypatch, capsys)
-    await play_with(a_probe_without_a_socket, monkeypatch, capsys, connect_us=100_000)
+    await play_with(a_probe_without_a_socket, monkeypatch, capsys, connect_timeout_us=100_000)
 
 
 async def no_room_and_no_buffers(place: Place, calls: FailingCalls) -> None:
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -74,7 +74,7 @@
     spoilt: dict[str, Any], limit: int, reason: str
 ) -> None:
     watch = EndpointWatch(
-        "d:1", 0, settings(zone_names=["a"], machine_types=["m1"]), Limits(pool_line_bytes=limit)
+        "d:1", 0, settings(zone_names=["a"], machine_types=["m1"]), Limits(endpoint_watch_line_bytes=limit)
     )
     listed = hosts()
     listed[500] |= spoilt
--- a/tests/test_pool_watch.py
+++ b/tests/test_pool_watch.py
@@ -27,7 +27,7 @@
 
 def watch(limit: int = 4096) -> EndpointWatch:
     s = settings(zone_names=["a", "b"], machine_types=["m1", "m2"])
-    return EndpointWatch("10.2.0.1:8500", 41, s, Limits(pool_line_bytes=limit))
+    return EndpointWatch("10.2.0.1:8500", 41, s, Limits(endpoint_watch_line_bytes=limit))
 
 
 def test_the_request_names_the_version() -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -287,7 +287,7 @@
             sent += 8
             await anyio.sleep(0)
     (session,) = place.relay.clients.by_request.values()
-    assert len(session.client.unsent) <= 2 * place.relay.runtime.config.limits.buffer_bytes + 8192
+    assert len(session.client.unsent) <= 2 * place.relay.runtime.config.limits.max_buffered_bytes + 8192
     client.close()
 
 
@@ -298,17 +298,17 @@
         (lines_pass, {}),
         (ends_in_kind, {}),
         (bad_first_lines, {}),
-        (half_a_first_line, {"first_line_us": 30_000}),
+        (half_a_first_line, {"first_line_timeout_us": 30_000}),
         (pings, {}),
-        (a_ping_alone, {"first_line_us": 30_000}),
+        (a_ping_alone, {"first_line_timeout_us": 30_000}),
         (a_beat_confirms_the_pool, {}),
         (a_reload_moves_the_watch, {}),
         (a_bad_file_changes_nothing, {}),
         (too_many, {"sockets": 30}),
-        (who_gives_way, {"sockets": 30, "settle_us": 20_000}),
+        (who_gives_way, {"sockets": 30, "eviction_grace_us": 20_000}),
         (megabytes_that_mean_nothing, {}),
         (pings_without_end, {}),
-        (bytes_that_trickle, {"first_line_us": 60_000}),
+        (bytes_that_trickle, {"first_line_timeout_us": 60_000}),
         (refused_backend, {}),
         (the_door, {}),
         (an_upgrade, {}),
