--- a/gannetweir/lab/scale/flips.py
+++ b/gannetweir/lab/scale/flips.py
@@ -10,7 +10,7 @@
 from gannetweir.lab.scale.record import Record
 from gannetweir.lab.scale.slopes import FitRefusedError
 from gannetweir.lab.scale.target import Assumptions, sweep
-from gannetweir.placement.balancer import LOOKS
+from gannetweir.placement.balancer import MAX_CANDIDATES
 
 STEPS = 60  # of a bisection
 
@@ -58,7 +58,7 @@
     ),
     Conclusion(
         "the largest topic fits in the eight backends that are looked at",
-        lambda load: load.topic_backends() / LOOKS,
+        lambda load: load.topic_backends() / MAX_CANDIDATES,
     ),
     Conclusion(
         "a zone's backends are told within 12 s at 10 KB/s",
--- a/gannetweir/lab/scale/module.py
+++ b/gannetweir/lab/scale/module.py
@@ -14,7 +14,7 @@
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.placement.actions import ProbeLoad, StartAttempt
-from gannetweir.placement.balancer import TICK, TICK_US, Balancer
+from gannetweir.placement.balancer import TICK_INTERVAL_US, TICK_TIMER, Balancer
 from gannetweir.placement.events import (
     AttemptStatus,
     ClientDisconnected,
@@ -184,8 +184,8 @@
     for second in range(2 * UPKEEP_S):
         if second == UPKEEP_S:
             module.probes, module.spent_us = 0, 0.0
-        module.now += TICK_US
-        module.give(TimerExpired(TICK))
+        module.now += TICK_INTERVAL_US
+        module.give(TimerExpired(TICK_TIMER))
     return {PROBES.key: module.probes / UPKEEP_S, UPKEEP.key: module.spent_us / UPKEEP_S}
 
 
--- a/gannetweir/lab/scale/page.py
+++ b/gannetweir/lab/scale/page.py
@@ -17,7 +17,7 @@
 from gannetweir.lab.scale.slopes import LARGEST_ERROR
 from gannetweir.lab.scale.tables import Table, count_of, number
 from gannetweir.lab.scale.target import Assumptions, life
-from gannetweir.placement.balancer import KEEP, LOOKS
+from gannetweir.placement.balancer import GROUP_ENDPOINTS, MAX_CANDIDATES
 
 FOLDER = "measurements/capacity"
 WIDTH = 110
@@ -132,8 +132,8 @@
         )
     about = f"""{t.LARGEST_TOPIC:,} listeners are {listeners:.0f} at each relay: one message is
         {listeners * each_us / 1e3:.0f} ms of processor time there, spread over its processes. The topic fills
-        {"; ".join(parts)}. A group is placed at the first {KEEP} of its order and looks at {LOOKS} at most.
-        What a backend pays for such a topic was not measured."""
+        {"; ".join(parts)}. A group is placed at the first {GROUP_ENDPOINTS} of its order and looks at
+        {MAX_CANDIDATES} at most. What a backend pays for such a topic was not measured."""
     return section("The largest topic", paragraph(about))
 
 
--- a/gannetweir/lab/scale/role_loads.py
+++ b/gannetweir/lab/scale/role_loads.py
@@ -15,7 +15,7 @@
     Carrier,
     RoleLoad,
 )
-from gannetweir.placement.balancer import LOOKS
+from gannetweir.placement.balancer import MAX_CANDIDATES
 
 PRESENT, NEW = Carrier.PRESENT, Carrier.NEW
 MISSING, UNMEASURED = Carrier.MISSING, Carrier.UNMEASURED
@@ -223,7 +223,7 @@
     RoleLoad(
         "backends that the largest topic fills",
         lambda a, n: a.topic_backends(),
-        Budget("", float(LOOKS)),
+        Budget("", float(MAX_CANDIDATES)),
         "a group's order, eight looked at",
         PRESENT,
         "told",
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -19,18 +19,18 @@
         "overload_multiple": 4.0,
     } | changes
     g = Gateway(8, seed=seed, starts=starts, relay_count=RELAYS, groups_enabled=True, **changes)
-    for n, node in g.balancer.nodes.items():
-        node.kind = FAST if n % 2 else SLOW
+    for n, node in g.balancer.endpoints.items():
+        node.machine_type = FAST if n % 2 else SLOW
         if n not in starts:
-            g.balancer.table.enter(node, 21.0 if n % 2 else 9.0, 0.5)
+            g.balancer.table.record(node, 21.0 if n % 2 else 9.0, 0.5)
     return g
 
 
 def turns(g: Gateway, server: int, ticks: int) -> int:
     count = 0
     for _ in range(ticks):
-        g.balancer._give_turns(g.now)
-        count += sum(node.id == server for node in g.balancer.turns)
+        g.balancer.grant_permits(g.now)
+        count += sum(node.id == server for node in g.balancer.permits)
     return count
 
 
@@ -62,8 +62,8 @@
 def test_a_kind_without_a_warm_server_is_taken_for_the_slowest() -> None:
     g = gateway(1, dict.fromkeys((0, 2, 4, 6), 95 * SECOND))
     for n in (3, 5, 7):
-        g.balancer.nodes[n].kind = n  # 42 connections each at full load, but one
-    g.balancer.table.enter(g.balancer.nodes[7], 5.0, 0.5)
+        g.balancer.endpoints[n].machine_type = n  # 42 connections each at full load, but one
+    g.balancer.table.record(g.balancer.endpoints[7], 5.0, 0.5)
     other = gateway(1, dict.fromkeys((0, 2, 4, 6), 95 * SECOND))
     assert 0 < turns(g, 0, 4000) < 0.5 * turns(other, 0, 4000)
 
@@ -78,10 +78,10 @@
     g = Gateway(4, relay_count=1, slow_start_window_us=30 * SECOND)
     g.arrive()
     draw = g.balancer.draw
-    target = draw.target = g.balancer.nodes[2]
-    draw.fill, draw.answered_us = 5, g.now
+    target = draw.target = g.balancer.endpoints[2]
+    draw.remaining_fill, draw.sampled_us = 5, g.now
     g.give(EndpointListUpdate(UpdateKind.DELTA, 2, [EndpointEntry(2, started_us=g.now)]))
-    draw.target, draw.fill = target, 5
+    draw.target, draw.remaining_fill = target, 5
     g.arrive()
     assert g.sent[-1].endpoint_id != 2
 
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -113,8 +113,8 @@
         self.obey()
 
     def heard(self) -> bool:
-        node = self.engine.balancer.nodes["b1"]
-        return not self.engine.endpoint_list.accepts_requests("b1") and node.state == EndpointStatus.DRAINING
+        node = self.engine.balancer.endpoints["b1"]
+        return not self.engine.endpoint_list.accepts_requests("b1") and node.status == EndpointStatus.DRAINING
 
 
 def watching(rng: random.Random, back_us: int, begin: int, **changes: object) -> Relay:
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -4,8 +4,8 @@
 
 from gannetweir.placement import endpoint_state as records
 from gannetweir.placement.actions import MigrateConnection, RejectRequest, StartAttempt
-from gannetweir.placement.balancer import TICK
-from gannetweir.placement.endpoint_state import spread
+from gannetweir.placement.balancer import TICK_TIMER
+from gannetweir.placement.endpoint_state import rendezvous_rank
 from gannetweir.placement.events import (
     AttemptEnded,
     AttemptStatus,
@@ -75,7 +75,7 @@
 def test_a_group_belongs_to_the_same_two_servers_in_every_zone_once_room_is_short(load: float) -> None:
     """Each zone had its own place for every group: 26 places that were paid for became 150 in a release."""
     for group in range(1, 13):
-        places = [node.id for node in gateway().balancer.pools.first(group, 2, ())]
+        places = [node.id for node in gateway().balancer.ready_endpoints.highest_ranked(group, 2, ())]
         for zone in (0, 1):
             g = gateway(zone=zone, **ZONES)
             g.loads = dict.fromkeys(range(6), (10.0, load))
@@ -84,12 +84,14 @@
             if load > 0.5:  # a group more would be too much for any
                 assert found in (own or places)
             else:
-                assert found == next(n.id for n in g.balancer.pools.order(group) if n.zone == zone)
+                assert found == next(
+                    n.id for n in g.balancer.ready_endpoints.ranking(group) if n.zone == zone
+                )
 
 
 def test_a_group_is_new_elsewhere_only_where_its_whole_cost_fits() -> None:
     g = gateway()
-    order = [node.id for node in g.balancer.pools.order(5)]
+    order = [node.id for node in g.balancer.ready_endpoints.ranking(5)]
     g.loads = {order[0]: (30.0, 0.85), order[1]: (30.0, 0.82), order[2]: (10.0, 0.7)}
     g.loads |= dict.fromkeys(order[3:], (10.0, 0.3))
     assert place(g, 5) == order[3]  # the third has room for a connection, not for a group more
@@ -100,7 +102,7 @@
 
 def test_groups_that_begin_at_one_server_go_on_to_different_ones() -> None:
     """Their order was a crc, which is linear: from a full server all of its groups went to the same next."""
-    order = gateway().balancer.pools.order
+    order = gateway().balancer.ready_endpoints.ranking
     after: dict[object, set[object]] = {}
     for group in range(1, 60):
         first, second = order(group)[:2]
@@ -112,7 +114,9 @@
     """Every look sorted all servers; now a group's order is made once for each list of them."""
     g = gateway()
     asked: list[int] = []
-    monkeypatch.setattr(records, "spread", lambda group, at: asked.append(group) or spread(group, at))
+    monkeypatch.setattr(
+        records, "rendezvous_rank", lambda group, at: asked.append(group) or rendezvous_rank(group, at)
+    )
     for _ in range(5):
         place(g, 1)
     assert len(asked) == 6
@@ -137,7 +141,7 @@
     g.pass_time(2 * SECOND)
     for group in range(1, 4):
         g.arrive(group=group)
-    assert len(g.balancer.walks) == 3 and not g.sent
+    assert len(g.balancer.searches) == 3 and not g.sent
     if end == "answer":
         for server in range(6):
             g.give(LoadProbeResult(server, AttemptStatus.OK, 1000, (10.0, 0.2)))
@@ -147,7 +151,7 @@
     else:
         for rid in range(1, 4):
             g.give(ClientDisconnected(rid))
-    assert not g.balancer.walks and len(g.sent) == (0 if end == "leave" else 3)
+    assert not g.balancer.searches and len(g.sent) == (0 if end == "leave" else 3)
 
 
 def test_set_ups_that_come_together_are_spread_and_wait_a_little() -> None:
@@ -187,9 +191,12 @@
     )
     for n in range(20):
         g.pass_time(SECOND)
-        g.balancer.lived_us, g.balancer.ended = 0.0, 0  # connections are short: a turn every few seconds
+        g.balancer.connection_time_us, g.balancer.ended_connections = (
+            0.0,
+            0,
+        )  # connections are short: a turn every few seconds
         g.give(TimerExpired(1))
-        assert len(g.balancer.turns) < 2
+        assert len(g.balancer.permits) < 2
         g.arrive(group=77 + n)
     assert 5 in [send.endpoint_id for send in g.sent]
 
@@ -208,9 +215,9 @@
             g.give(LoadProbeResult(n, AttemptStatus.OK, 1000, g.loads[n]))
         total = 0
         for _ in range(400):
-            g.balancer.lived_us, g.balancer.ended = 0.0, 0
-            g.balancer._give_turns(g.now)
-            total += len(g.balancer.turns)
+            g.balancer.connection_time_us, g.balancer.ended_connections = 0.0, 0
+            g.balancer.grant_permits(g.now)
+            total += len(g.balancer.permits)
         given.append(total)
     assert given[0] == given[1] > 0
 
@@ -228,7 +235,7 @@
     g.arrive(group=7, flags=flags)
     assert ([send.endpoint_id for send in g.sent] == [first]) == same
     if same:  # nor does it make the server look fuller to the next of its group
-        assert g.balancer.nodes[first].x0 < 0.77
+        assert g.balancer.endpoints[first].load < 0.77
 
 
 def crosses(load: float, seed: int, **changes: object) -> Gateway:
@@ -246,7 +253,7 @@
     found = []
     for _ in range(seconds):
         g.pass_time(SECOND)
-        found.append(len(of(g.give(TimerExpired(TICK)), MigrateConnection)))
+        found.append(len(of(g.give(TimerExpired(TICK_TIMER)), MigrateConnection)))
     return found
 
 
@@ -283,7 +290,7 @@
         g.loads |= {1: (30.0, 0.3), 3: (10.0, 0.3), 5: (10.0, 0.3)}  # where it stands there is room
         for _ in range(6):
             g.pass_time(SECOND)
-            if moved := of(g.give(TimerExpired(TICK)), MigrateConnection):
+            if moved := of(g.give(TimerExpired(TICK_TIMER)), MigrateConnection):
                 g.give(AttemptEnded(moved[0].request_id, 0, AttemptStatus.CANCELLED, 1, 1, 0))
                 g.pass_time(200_000)
                 g.arrive(group=5, flags=RequestFlag.RETURNED)
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -34,9 +34,11 @@
 
 
 def test_a_fleet_that_takes_cold_servers_for_warm_ones_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(EndpointState, "warmth", lambda *_: 1.0)
+    monkeypatch.setattr(EndpointState, "slow_start_share", lambda *_: 1.0)
     monkeypatch.setattr(Backend, "able", lambda backend: backend.capacity)  # and their reports say the same
-    monkeypatch.setattr(records, "spread", lambda _group, place: place)  # all groups begin at the same
+    monkeypatch.setattr(
+        records, "rendezvous_rank", lambda _group, place: place
+    )  # all groups begin at the same
     assert ": cold: " in broken("join")
 
 
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -106,13 +106,13 @@
 def test_an_endpoint_back_online_starts_slowly_whatever_discovery_reports(update: str) -> None:
     world = play("operators offline b1")
     balancer = world.engine.balancer
-    balancer.nodes["b1"].strikes = 4
-    balancer.nodes["b1"].out_until = world.now_us + 10**9
+    balancer.endpoints["b1"].ejection_count = 4
+    balancer.endpoints["b1"].ejected_until_us = world.now_us + 10**9
     world.play("time wait 2000\noperators offline b1\noperators online b1\n" + update)
-    endpoint = balancer.nodes["b1"]
-    assert endpoint in balancer.cold
-    assert endpoint.strikes == 0
-    assert endpoint.out_until == 0
+    endpoint = balancer.endpoints["b1"]
+    assert endpoint in balancer.warming_up
+    assert endpoint.ejection_count == 0
+    assert endpoint.ejected_until_us == 0
     back_online_us = endpoint.started_us
     world.play("time wait 1000\noperators online b1")  # a second call must not restart the slow start
     assert endpoint.started_us == back_online_us
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -29,7 +29,7 @@
         before = len(g.sent)
         g.loads = {n: (float(c), 0.0) for n, c in counts.items()}
         for node in g.balancer.ready:
-            node.placed.clear()  # these reports count what was just placed
+            node.recent_placements.clear()  # these reports count what was just placed
         g.arrive()
         assert len(g.sent) == before + 1
         chosen = g.sent[-1].endpoint_id
@@ -43,7 +43,7 @@
         if left == 0:  # the draw that follows is made from the counts as they now are
             g.balancer.draw.target = None
             for n in range(5):
-                g.balancer.nodes[n].placed.clear()
+                g.balancer.endpoints[n].recent_placements.clear()
                 g.give(LoadProbeResult(n, AttemptStatus.OK, 1000, (float(counts[n]),)))
 
 
@@ -54,36 +54,36 @@
 def test_fill_at_the_mean_and_with_ceilings(x: float, mean: float, fill: int) -> None:
     g = Gateway(2, load_report_fields=["concurrent"])
     b = g.balancer
-    node, other = b.nodes[0], b.nodes[1]
-    b.table.enter(node, x, 0.0)
-    b.table.enter(other, 2 * mean - x, 0.0)
-    assert max(1, b._allotment(node, g.now)) == fill
+    node, other = b.endpoints[0], b.endpoints[1]
+    b.table.record(node, x, 0.0)
+    b.table.record(other, 2 * mean - x, 0.0)
+    assert max(1, b.allotment(node, g.now)) == fill
 
 
 def test_unequal_servers_are_filled_to_equal_load() -> None:
     """Count 10 at a quarter of the mean load has room for far more than the mean count."""
     g = Gateway(2)
     b = g.balancer
-    b.table.enter(b.nodes[0], 10.0, 0.2)
-    b.table.enter(b.nodes[1], 10.0, 0.6)
-    assert b._allotment(b.nodes[0], g.now) == math.ceil(10 * 0.4 / 0.2) + 1 - 10
-    assert b._allotment(b.nodes[1], g.now) == 0
+    b.table.record(b.endpoints[0], 10.0, 0.2)
+    b.table.record(b.endpoints[1], 10.0, 0.6)
+    assert b.allotment(b.endpoints[0], g.now) == math.ceil(10 * 0.4 / 0.2) + 1 - 10
+    assert b.allotment(b.endpoints[1], g.now) == 0
 
 
 def test_no_load_near_zero_divides() -> None:
     g = Gateway(2)
     b = g.balancer
-    b.table.enter(b.nodes[0], 1.0, 0.0)
-    b.table.enter(b.nodes[1], 9.0, 0.6)
-    assert b._allotment(b.nodes[0], g.now) == 5
+    b.table.record(b.endpoints[0], 1.0, 0.0)
+    b.table.record(b.endpoints[1], 9.0, 0.6)
+    assert b.allotment(b.endpoints[0], g.now) == 5
 
 
 def test_many_gateways_share_a_fill() -> None:
     g = Gateway(2, relay_count=20, load_report_fields=["concurrent"])
     b = g.balancer
-    b.table.enter(b.nodes[0], 0.0, 0.0)
-    b.table.enter(b.nodes[1], 40.0, 0.0)
-    fills = [b._allotment(b.nodes[0], g.now) for _ in range(200)]
+    b.table.record(b.endpoints[0], 0.0, 0.0)
+    b.table.record(b.endpoints[1], 40.0, 0.0)
+    fills = [b.allotment(b.endpoints[0], g.now) for _ in range(200)]
     assert 1.8 < sum(fills) / 200 < 2.5  # 21 over ten gateways a server
 
 
@@ -172,7 +172,7 @@
     g = Gateway(3)
     g.give(LoadProbeResult(0, AttemptStatus.OK, 1000, bad))
     g.give(LoadProbeResult("nobody", AttemptStatus.OK, 1000, (1.0, 0.1)))
-    assert math.isfinite(g.balancer.table.sum_x) and math.isfinite(g.balancer.table.sum_x0)
+    assert math.isfinite(g.balancer.table.total_connections) and math.isfinite(g.balancer.table.total_load)
     assert of(g.arrive(), StartAttempt)
 
 
@@ -202,7 +202,7 @@
     """Unprobed draws found hung servers; the last one that answered is not hung."""
     for seed in range(20):
         g = Gateway(8, seed=seed)
-        last = g.balancer.drawn[0]
+        last = g.balancer.last_reporter[0]
         g.silent = set(range(8))
         g.pass_time(3 * SECOND)
         timer = of(g.arrive(), SetTimer)[-1]
