--- a/gannetweir/control/status_report.py
+++ b/gannetweir/control/status_report.py
@@ -3,7 +3,7 @@
 
 A report is bounded, however many relays there are: it counts all relays and names a few. It is an immutable
 snapshot of a publisher's state. `gannetweir control status` prints the merged reports; their wire form is
-in `proto.control_calls`.
+in `proto.control_status`.
 """
 
 from __future__ import annotations
--- a/gannetweir/control/versions.py
+++ b/gannetweir/control/versions.py
@@ -4,7 +4,7 @@
 A version (a revision in etcd's words) is an epoch, a number that rises within the epoch, and the digest of
 the content. A publisher sends it as a snapshot (everything) or as a delta from a base version, cut into
 slices; a relay answers with an ACK or a NACK, as in xDS. All types are immutable values but `Content`,
-which belongs to whoever made it. What `canonical` JSON is, `gannetweir.proto.control_watch` defines.
+which belongs to whoever made it. What `canonical` JSON is, `gannetweir.proto.control_messages` defines.
 
 The limits below are part of the protocol: raise one only at the relays first, since they reject what
 exceeds theirs.
--- a/gannetweir/lab/scale/control_costs.py
+++ b/gannetweir/lab/scale/control_costs.py
@@ -30,7 +30,8 @@
 from gannetweir.net.control_check import RelayCheck
 from gannetweir.placement.settings import RequestClass, Settings
 from gannetweir.proto.control_calls import chunk
-from gannetweir.proto.control_watch import canonical_json, read_slice, write_compressed_slice, write_slice
+from gannetweir.proto.control_messages import canonical_json, read_slice, write_slice
+from gannetweir.proto.control_watch import write_compressed_slice
 from gannetweir.proto.endpoint_watch import read_membership
 
 SIZES = (500, 1_500, 5_000, 15_000)
--- a/gannetweir/lab/scale/control_machine.py
+++ b/gannetweir/lab/scale/control_machine.py
@@ -36,7 +36,7 @@
 from gannetweir.limits import Limits
 from gannetweir.net.control_server import ControlServer
 from gannetweir.net.transport import Transport
-from gannetweir.proto.control_watch import canonical_json
+from gannetweir.proto.control_messages import canonical_json
 
 TRICKLE_S = 1.0  # between two bytes
 
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -5,6 +5,7 @@
 import socket
 from collections.abc import Callable, Mapping
 from contextlib import suppress
+from http import HTTPStatus
 
 import anyio
 import anyio.abc
@@ -31,10 +32,11 @@
     WatchCall,
     chunk,
     response,
-    status_body,
-    watch_head,
+    watch_header,
 )
-from gannetweir.proto.control_watch import compress_line, stream_head, write_compressed_slice, write_slice
+from gannetweir.proto.control_messages import write_slice
+from gannetweir.proto.control_status import status_body
+from gannetweir.proto.control_watch import compress_line, stream_header, write_compressed_slice
 from gannetweir.proto.endpoint_watch import EndpointListError
 
 HEARTBEAT_INTERVAL_S = 2.0
@@ -163,7 +165,7 @@
                 return
             await self._reply(endpoint, self._answer_call(call))
         except EndpointListError as error:
-            await self._reply(endpoint, response(400, str(error).encode()))
+            await self._reply(endpoint, response(HTTPStatus.BAD_REQUEST, str(error).encode()))
         except (OSError, TimeoutError):
             pass
         except Exception as error:  # a fault ends one connection, not the machine
@@ -182,18 +184,20 @@
 
     def _answer_call(self, call: object) -> bytes:
         if self.machine is None:
-            return response(503, b"the store has not been read")
+            return response(HTTPStatus.SERVICE_UNAVAILABLE, b"the store has not been read")
         if not isinstance(call, AnswerCall):
-            return response(200, status_body(self.name, self.machine.status_reports()))
+            return response(HTTPStatus.OK, status_body(self.name, self.machine.status_reports()))
         self.machine.record_answer(call.relay, call.answer, call.totals)
         if call.relay in self.watches:
             self.watches[call.relay][1].set()  # what waited for this goes now
-        return response(204)
+        return response(HTTPStatus.NO_CONTENT)
 
     async def _watch(self, endpoint: Transport, call: WatchCall, spawn: Spawn) -> None:
         relay = call.relay
         if self.machine is None:
-            await self._reply(endpoint, response(503, b"the store has not been read"))
+            await self._reply(
+                endpoint, response(HTTPStatus.SERVICE_UNAVAILABLE, b"the store has not been read")
+            )
             return
         try:
             if relay in self.watches:  # the relay has given that one up
@@ -201,13 +205,13 @@
             self._extend_logs_back(self.machine, call.applied)
             self.machine.connect(relay, call.applied, _now_us())
         except MachineBehindError as error:
-            await self._reply(endpoint, response(503, str(error).encode()))
+            await self._reply(endpoint, response(HTTPStatus.SERVICE_UNAVAILABLE, str(error).encode()))
             return
         self.watches[relay] = (endpoint, anyio.Event())
         spawn(lambda: self._until_closed(endpoint, relay))
         try:
             beat = _COMPRESSED_HEARTBEAT if call.gzip else _HEARTBEAT
-            self._write(endpoint, watch_head(call.gzip) + chunk(stream_head(call.gzip) + beat))
+            self._write(endpoint, watch_header(call.gzip) + chunk(stream_header(call.gzip) + beat))
             await self._send_slices(
                 endpoint, relay, self.machine, write_compressed_slice if call.gzip else write_slice, beat
             )
--- a/gannetweir/net/control_status.py
+++ b/gannetweir/net/control_status.py
@@ -8,7 +8,8 @@
 from gannetweir.config import SocketAddress
 from gannetweir.control.status_report import StatusReport, merge_reports
 from gannetweir.control.versions import Resource
-from gannetweir.proto.control_calls import STATUS_TARGET, read_status
+from gannetweir.proto.control_calls import STATUS_TARGET
+from gannetweir.proto.control_status import read_status
 from gannetweir.proto.endpoint_watch import EndpointListError
 
 CALL_TIMEOUT_S = 3.0
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -25,7 +25,8 @@
 from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.net.transport import Spawn, Transport, connect, tcp_socket
 from gannetweir.placement.settings import Settings
-from gannetweir.proto.control_watch import ACK_TARGET, ControlWatch, write_answer
+from gannetweir.proto.control_messages import ACK_TARGET, write_answer
+from gannetweir.proto.control_watch import ControlWatch
 from gannetweir.proto.endpoint_watch import EndpointListError, WatchFailed, read_membership
 
 RETURN_TO_FIRST_CHOICE_US = (
--- a/gannetweir/proto/control_calls.py
+++ b/gannetweir/proto/control_calls.py
@@ -1,34 +1,32 @@
-"""What a control machine is called for: a relay's watch, an answer to a version, the status."""
+"""The calls that a control machine answers: a relay's watch, its ACK or NACK, and the status.
+
+Sans-IO, a control machine's side of HTTP: `CallReader` takes a connection's bytes and returns the one call
+on it; the functions below return the bytes of an answer. A reader belongs to the connection's task in
+`net.control_server`.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from http import HTTPStatus
 from urllib.parse import parse_qs, urlsplit
 
 import h11
-import orjson
 
-from gannetweir.control.stage import ServiceTotals, StageReport
-from gannetweir.control.status_report import StatusReport
+from gannetweir.control.stage import ServiceTotals
 from gannetweir.control.versions import NO_VERSION, Ack, Nack, Resource, Version
-from gannetweir.proto.control_json import json_list, json_object, number_field, text_field, texts_field
-from gannetweir.proto.control_watch import (
-    ACK_TARGET,
-    MAX_ANSWER_BYTES,
-    read_answer,
-    read_version,
-    version_text,
-)
+from gannetweir.proto.control_messages import ACK_TARGET, read_answer, read_version
 from gannetweir.proto.endpoint_watch import EndpointListError
 
 WATCH_TARGET = "/registry/instances"
 STATUS_TARGET = "/control/status"
-MAX_RELAY_BYTES = 200
+MAX_CALL_BYTES = 4_096  # of a call's header, and of its body: an ACK or NACK is far smaller
+MAX_RELAY_CHARS = 200  # of a relay's name
 
 
 @dataclass(frozen=True, slots=True)
 class WatchCall:
-    """A relay wants a watch, from the versions that it holds."""
+    """A relay wants a watch, from the versions that it has applied."""
 
     relay: str
     applied: dict[Resource, Version]
@@ -37,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerCall:
-    """A relay's ACK or NACK."""
+    """A relay's ACK or NACK, and what it has served so far."""
 
     relay: str
     answer: Ack | Nack
@@ -46,163 +44,84 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusCall:
-    """Where does each version stand?"""
+    """An operator wants to know where each version stands."""
 
 
 Call = WatchCall | AnswerCall | StatusCall
 
 
 class CallReader:
-    """Reads one call from a connection."""
+    """Reads the one call of a connection."""
 
     def __init__(self) -> None:
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_ANSWER_BYTES)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_CALL_BYTES)
         self.request: h11.Request | None = None
         self.body = b""
 
     def feed(self, data: bytes) -> Call | None:
-        """The call once it is whole. Raises `PoolError` for what is none."""
+        """The call once it is complete; empty data is the end of the connection.
+
+        Raises `EndpointListError` for what is no call, or too long.
+        """
         try:
             self.http.receive_data(data)
             while (event := self.http.next_event()) is not h11.NEED_DATA:
-                if isinstance(event, h11.Request):
-                    self.request = event
-                elif isinstance(event, h11.Data):
-                    self.body += event.data
-                    if len(self.body) > MAX_ANSWER_BYTES:
-                        raise EndpointListError("a call's body is too long")
-                elif isinstance(event, h11.EndOfMessage) and self.request is not None:
-                    return self._call(self.request)
-                else:
-                    raise EndpointListError("the caller left")
+                if isinstance(event, h11.EndOfMessage) and self.request is not None:
+                    return _read_call(self.request, self.body)
+                self._receive(event)
         except h11.RemoteProtocolError as error:
-            raise EndpointListError(str(error)) from None
+            raise EndpointListError(str(error)) from error
         return None
 
-    def _call(self, request: h11.Request) -> Call:
-        target = urlsplit(request.target.decode("ascii", "replace"))
-        called = (request.method.decode(), target.path)
-        if called == ("POST", ACK_TARGET):
-            return AnswerCall(*read_answer(self.body))
-        if called == ("GET", STATUS_TARGET):
-            return StatusCall()
-        if called == ("GET", WATCH_TARGET):
-            return _watch_call(target.query)
-        raise EndpointListError("no such call")
-
-
-def _watch_call(query: str) -> WatchCall:
+    def _receive(self, event: object) -> None:
+        if isinstance(event, h11.Request):
+            self.request = event
+        elif isinstance(event, h11.Data):
+            self.body += event.data
+            if len(self.body) > MAX_CALL_BYTES:
+                raise EndpointListError("a call's body is too long")
+        else:
+            raise EndpointListError("the caller left")
+
+
+def _read_call(request: h11.Request, body: bytes) -> Call:
+    target = urlsplit(request.target.decode("ascii", "replace"))
+    call = (request.method.decode(), target.path)
+    if call == ("POST", ACK_TARGET):
+        return AnswerCall(*read_answer(body))
+    if call == ("GET", STATUS_TARGET):
+        return StatusCall()
+    if call == ("GET", WATCH_TARGET):
+        return _read_watch_call(target.query)
+    raise EndpointListError("no such call")
+
+
+def _read_watch_call(query: str) -> WatchCall:
     fields = {name: values[-1] for name, values in parse_qs(query).items()}
     relay = fields.get("relay", "")
-    if not 0 < len(relay) <= MAX_RELAY_BYTES:
+    if not 0 < len(relay) <= MAX_RELAY_CHARS:
         raise EndpointListError("relay: missing or too long")
-    held = {r: read_version(fields[r]) if r in fields else NO_VERSION for r in Resource}
-    return WatchCall(relay, held, fields.get("gzip") == "1")
+    applied = dict.fromkeys(Resource, NO_VERSION)
+    for resource in Resource:
+        if resource in fields:
+            applied[resource] = read_version(fields[resource])
+    return WatchCall(relay, applied, fields.get("gzip") == "1")
 
 
-def response(status: int, body: bytes = b"") -> bytes:
-    """A whole answer; the connection ends with it."""
-    reason = {200: "OK", 204: "No Content", 400: "Bad Request", 503: "Service Unavailable"}[status]
-    head = f"HTTP/1.1 {status} {reason}\r\nConnection: close\r\n"
-    return (head + ("\r\n" if status == 204 else f"Content-Length: {len(body)}\r\n\r\n")).encode() + body
+def response(status: HTTPStatus, body: bytes = b"") -> bytes:
+    """A complete answer; the connection ends with it. An answer without content must have no body."""
+    header = f"HTTP/1.1 {status.value} {status.phrase}\r\nConnection: close\r\n"
+    if status is not HTTPStatus.NO_CONTENT:
+        header += f"Content-Length: {len(body)}\r\n"
+    return f"{header}\r\n".encode() + body
 
 
-def watch_head(gzip: bool) -> bytes:
-    """The head of a watch's answer."""
+def watch_header(gzip: bool) -> bytes:
+    """The header of a watch's answer, whose body follows in chunks."""
     coding = "Content-Encoding: gzip\r\n" if gzip else ""
     return f"HTTP/1.1 200 OK\r\n{coding}Transfer-Encoding: chunked\r\n\r\n".encode()
 
 
 def chunk(data: bytes) -> bytes:
-    """A part of its body."""
+    """A part of a watch's body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
-
-
-def read_status(body: bytes) -> tuple[str, list[StatusReport]]:
-    """What `status_body` wrote: the machine's name and its reports. Raises `EndpointListError`."""
-    try:
-        data = json_object(orjson.loads(body), "status")
-        reports = json_list(data["resources"], "resources")
-        return str(data["machine"]), [_read_report(report) for report in reports]
-    except (KeyError, TypeError, ValueError) as error:
-        raise EndpointListError(f"not a status: {type(error).__name__}: {error}"[:200]) from error
-
-
-def status_body(machine: str, reports: list[StatusReport]) -> bytes:
-    """Where the versions stand, for `gannetweir control status`."""
-    return orjson.dumps({"machine": machine, "resources": [_report_object(report) for report in reports]})
-
-
-# The keys of the two objects, in the order in which they are written, are the protocol's.
-_REPORT_KEYS = frozenset(
-    (
-        "resource",
-        "newest",
-        "released",
-        "lowest",
-        "relays",
-        "at_newest",
-        "behind",
-        "refusing",
-        "stragglers",
-        "refusals",
-        "stage",
-    )
-)
-_STAGE_KEYS = frozenset(("version", "in_force", "waiting", "against"))
-
-
-def _report_object(report: StatusReport) -> dict[str, object]:
-    return {
-        "resource": report.resource,
-        "newest": report.newest,
-        "released": report.released,
-        "lowest": report.lowest,
-        "relays": report.relays,
-        "at_newest": report.at_newest,
-        "behind": report.behind,
-        "refusing": report.rejecting,
-        "stragglers": report.stragglers,
-        "refusals": report.rejections,
-        "stage": None if report.stage is None else _stage_object(report.stage),
-    }
-
-
-def _stage_object(stage: StageReport) -> dict[str, object]:
-    return {
-        "version": version_text(stage.version),  # as text: a digest is larger than JSON's numbers
-        "in_force": stage.applied,
-        "waiting": stage.pending,
-        "against": stage.objections,
-    }
-
-
-def _read_report(value: object) -> StatusReport:
-    data = json_object(value, "resources")
-    if data.keys() != _REPORT_KEYS:
-        raise EndpointListError("resources: a report with other keys")
-    return StatusReport(
-        resource=Resource(text_field(data, "resource")),
-        newest=number_field(data, "newest"),
-        released=number_field(data, "released"),
-        lowest=number_field(data, "lowest"),
-        relays=number_field(data, "relays"),
-        at_newest=number_field(data, "at_newest"),
-        behind=number_field(data, "behind"),
-        rejecting=number_field(data, "refusing"),
-        stragglers=texts_field(data, "stragglers"),
-        rejections=texts_field(data, "refusals"),
-        stage=None if data["stage"] is None else _read_stage(data["stage"]),
-    )
-
-
-def _read_stage(value: object) -> StageReport:
-    data = json_object(value, "stage")
-    if data.keys() != _STAGE_KEYS:
-        raise EndpointListError("stage: an object with other keys")
-    return StageReport(
-        version=read_version(text_field(data, "version")),
-        applied=texts_field(data, "in_force"),
-        pending=texts_field(data, "waiting"),
-        objections=texts_field(data, "against"),
-    )
--- /dev/null
+++ b/gannetweir/proto/control_messages.py
@@ -0,0 +1,206 @@
+"""The messages of the control protocol as JSON: slices of a version down to the relays, ACK and NACK up
+from them.
+
+A slice is a line, an object as discovery's watch has them, with its version beside it:
+
+    {"seq":43,"whole":false,"hosts":[...],"resource":"membership","epoch":3,"digest":"...","base":41,
+     "index":0,"count":1}
+
+`base` is missing in a snapshot. Settings are an object `settings` in place of `hosts`; null removes a key.
+ACK and NACK are objects too, each the body of a POST; a NACK has `reason`, `detail` and `held`, the applied
+version.
+
+The keys and their order are the protocol's. The functions have no state but a cache of written slices;
+whatever is malformed raises `EndpointListError`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from functools import lru_cache
+
+import orjson
+
+from gannetweir.control.stage import ServiceTotals
+from gannetweir.control.versions import (
+    DIGEST_BYTES,
+    MAX_SLICE_ENTRIES,
+    Ack,
+    Entry,
+    Nack,
+    Reason,
+    Resource,
+    Slice,
+    Version,
+)
+from gannetweir.proto.control_json import json_list, json_object, number_field, text_field
+from gannetweir.proto.endpoint_watch import EndpointListError
+
+ACK_TARGET = "/control/answers"  # of the POST of an ACK or NACK
+MAX_DETAIL_CHARS = 200  # of a NACK, and of what is said of a malformed message
+MAX_VERSION_DIGITS = 16  # of an epoch or number in a version's text: as many as the largest of them has
+MAX_CACHED_LINES = 256  # slices in the written form: one set of lines serves all relays on the same version
+
+_DIGEST_CHARS = 2 * DIGEST_BYTES  # in hexadecimal
+
+
+def canonical_json(value: object) -> bytes:
+    """The one form of a JSON value over which digests are taken. Raises `TypeError` for what JSON lacks."""
+    data = orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
+    return bytes(memoryview(data))  # a copy: behind what orjson returns stays its whole buffer, 4 KB an entry
+
+
+def version_text(version: Version) -> str:
+    """A version as `EPOCH.NUMBER.DIGEST`."""
+    return f"{version.epoch}.{version.number}.{version.digest:0{_DIGEST_CHARS}x}"
+
+
+def read_version(text: str) -> Version:
+    """Read `EPOCH.NUMBER.DIGEST`. Raises `EndpointListError`."""
+    epoch, _, rest = text.partition(".")
+    number, _, digest = rest.partition(".")
+    if not (_is_number(epoch) and _is_number(number)):
+        raise EndpointListError("held: not a version")
+    return Version(int(epoch), int(number), _read_digest(digest))
+
+
+def _is_number(text: str) -> bool:
+    return text.isascii() and text.isdecimal() and len(text) <= MAX_VERSION_DIGITS
+
+
+def _read_digest(text: object) -> int:
+    if not isinstance(text, str) or len(text) != _DIGEST_CHARS or not text.isascii() or not text.isalnum():
+        raise EndpointListError("digest: ill-typed")
+    try:
+        return int(text, 16)
+    except ValueError as error:
+        raise EndpointListError("digest: not hexadecimal") from error
+
+
+def read_slice(value: object) -> Slice:
+    """Read a line's object. Raises `EndpointListError` for what is missing, ill-typed or too long."""
+    try:
+        fields = json_object(value, "slice")
+        resource = Resource(text_field(fields, "resource"))
+        digest = _read_digest(fields["digest"])
+        return Slice(
+            resource=resource,
+            target=Version(number_field(fields, "epoch"), number_field(fields, "seq"), digest),
+            base=None if fields["whole"] is True else number_field(fields, "base"),
+            index=number_field(fields, "index"),
+            count=number_field(fields, "count"),
+            entries=_read_entries(fields, resource),
+        )
+    except (KeyError, TypeError, ValueError, RecursionError) as error:
+        raise _malformed("a slice", error) from error
+
+
+def _read_entries(fields: Mapping[str, object], resource: Resource) -> tuple[Entry, ...]:
+    if resource is Resource.MEMBERSHIP:
+        hosts = json_list(fields["hosts"], "hosts")
+        if len(hosts) > MAX_SLICE_ENTRIES:
+            raise EndpointListError("hosts: too long")
+        return tuple(map(_read_host, hosts))
+    settings = json_object(fields["settings"], "settings")
+    if len(settings) > MAX_SLICE_ENTRIES:
+        raise EndpointListError("settings: too long")
+    return tuple(_read_setting(key, value) for key, value in settings.items())
+
+
+def _read_host(value: object) -> Entry:
+    fields = json_object(value, "hosts")
+    host = text_field(fields, "host")
+    is_removed = fields.get("health") == "Gone"
+    return Entry(host, None if is_removed else canonical_json(fields))
+
+
+def _read_setting(key: str, value: object) -> Entry:
+    return Entry(key, None if value is None else canonical_json(value))
+
+
+@lru_cache(maxsize=MAX_CACHED_LINES)
+def write_slice(part: Slice) -> bytes:
+    """The line that carries a slice. Bodies go out as they are: they are canonical JSON already."""
+    target = part.target
+    fields: dict[str, object] = {
+        "seq": target.number,
+        "whole": part.base is None,
+        "resource": part.resource,
+        "epoch": target.epoch,
+        "digest": f"{target.digest:0{_DIGEST_CHARS}x}",
+        "index": part.index,
+        "count": part.count,
+    }
+    if part.base is not None:
+        fields["base"] = part.base
+    if part.resource is Resource.MEMBERSHIP:
+        content = b'"hosts":[%s]' % b",".join(_host_objects(part.entries))
+    else:
+        content = b'"hosts":[],"settings":{%s}' % b",".join(map(_setting_member, part.entries))
+    return orjson.dumps(fields)[:-1] + b"," + content + b"}\n"
+
+
+def _host_objects(entries: tuple[Entry, ...]) -> list[bytes]:
+    """Hosts that stay, then those that are removed."""
+    present = [entry.body for entry in entries if entry.body is not None]
+    removed = [
+        b'{"host":%s,"health":"Gone"}' % orjson.dumps(entry.key) for entry in entries if entry.body is None
+    ]
+    return present + removed
+
+
+def _setting_member(entry: Entry) -> bytes:
+    return b"%s:%s" % (orjson.dumps(entry.key), entry.body or b"null")
+
+
+def write_answer(relay: str, answer: Ack | Nack, totals: ServiceTotals | None = None) -> bytes:
+    """The body of an ACK or NACK, with what the relay has served so far."""
+    fields: dict[str, object] = {
+        "relay": relay,
+        "resource": answer.resource,
+        "version": version_text(answer.version),
+    }
+    if isinstance(answer, Nack):
+        fields["reason"] = answer.reason
+        fields["detail"] = answer.detail
+        fields["held"] = version_text(answer.applied)
+    if totals is not None:
+        fields["served"] = totals.served
+        fields["failed"] = totals.failed
+    return orjson.dumps(fields)
+
+
+def read_answer(body: bytes) -> tuple[str, Ack | Nack, ServiceTotals | None]:
+    """The relay's name, its answer, and what it has served so far. Raises `EndpointListError`."""
+    try:
+        fields = json_object(orjson.loads(body), "answer")
+        relay = text_field(fields, "relay")
+        if not relay:
+            raise EndpointListError("relay: ill-typed")
+        return relay, _read_ack_or_nack(fields), _read_totals(fields)
+    except (KeyError, TypeError, ValueError) as error:
+        raise _malformed("an answer", error) from error
+
+
+def _read_ack_or_nack(fields: Mapping[str, object]) -> Ack | Nack:
+    resource = Resource(text_field(fields, "resource"))
+    version = read_version(text_field(fields, "version"))
+    if "reason" not in fields:
+        return Ack(resource, version)
+    return Nack(
+        resource=resource,
+        version=version,
+        reason=Reason(text_field(fields, "reason")),
+        detail=str(fields["detail"])[:MAX_DETAIL_CHARS],
+        applied=read_version(text_field(fields, "held")),
+    )
+
+
+def _read_totals(fields: Mapping[str, object]) -> ServiceTotals | None:
+    if "served" not in fields:
+        return None
+    return ServiceTotals(number_field(fields, "served"), number_field(fields, "failed"))
+
+
+def _malformed(what: str, error: Exception) -> EndpointListError:
+    return EndpointListError(f"not {what}: {type(error).__name__}: {error}"[:MAX_DETAIL_CHARS])
--- /dev/null
+++ b/gannetweir/proto/control_status.py
@@ -0,0 +1,108 @@
+"""What `gannetweir control status` reads from a control machine: where its versions stand, as JSON.
+
+The keys, and their order, are the protocol's, not the names of the dataclasses' fields. There is no state
+here.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+import orjson
+
+from gannetweir.control.stage import StageReport
+from gannetweir.control.status_report import StatusReport
+from gannetweir.control.versions import Resource
+from gannetweir.proto.control_json import json_list, json_object, number_field, text_field, texts_field
+from gannetweir.proto.control_messages import MAX_DETAIL_CHARS, read_version, version_text
+from gannetweir.proto.endpoint_watch import EndpointListError
+
+_REPORT_KEYS = frozenset(
+    (
+        "resource",
+        "newest",
+        "released",
+        "lowest",
+        "relays",
+        "at_newest",
+        "behind",
+        "refusing",
+        "stragglers",
+        "refusals",
+        "stage",
+    )
+)
+_STAGE_KEYS = frozenset(("version", "in_force", "waiting", "against"))
+
+
+def read_status(body: bytes) -> tuple[str, list[StatusReport]]:
+    """What `status_body` wrote: the machine's name and its reports. Raises `EndpointListError`."""
+    try:
+        data = json_object(orjson.loads(body), "status")
+        reports = json_list(data["resources"], "resources")
+        return str(data["machine"]), [_read_report(report) for report in reports]
+    except (KeyError, TypeError, ValueError) as error:
+        raise EndpointListError(
+            f"not a status: {type(error).__name__}: {error}"[:MAX_DETAIL_CHARS]
+        ) from error
+
+
+def status_body(machine: str, reports: Iterable[StatusReport]) -> bytes:
+    """Where the versions stand, for `gannetweir control status`."""
+    return orjson.dumps({"machine": machine, "resources": [_report_object(report) for report in reports]})
+
+
+def _report_object(report: StatusReport) -> dict[str, object]:
+    return {
+        "resource": report.resource,
+        "newest": report.newest,
+        "released": report.released,
+        "lowest": report.lowest,
+        "relays": report.relays,
+        "at_newest": report.at_newest,
+        "behind": report.behind,
+        "refusing": report.rejecting,
+        "stragglers": report.stragglers,
+        "refusals": report.rejections,
+        "stage": None if report.stage is None else _stage_object(report.stage),
+    }
+
+
+def _stage_object(stage: StageReport) -> dict[str, object]:
+    return {
+        "version": version_text(stage.version),  # as text: a digest is larger than JSON's numbers
+        "in_force": stage.applied,
+        "waiting": stage.pending,
+        "against": stage.objections,
+    }
+
+
+def _read_report(value: object) -> StatusReport:
+    data = json_object(value, "resources")
+    if data.keys() != _REPORT_KEYS:
+        raise EndpointListError("resources: a report with other keys")
+    return StatusReport(
+        resource=Resource(text_field(data, "resource")),
+        newest=number_field(data, "newest"),
+        released=number_field(data, "released"),
+        lowest=number_field(data, "lowest"),
+        relays=number_field(data, "relays"),
+        at_newest=number_field(data, "at_newest"),
+        behind=number_field(data, "behind"),
+        rejecting=number_field(data, "refusing"),
+        stragglers=texts_field(data, "stragglers"),
+        rejections=texts_field(data, "refusals"),
+        stage=None if data["stage"] is None else _read_stage(data["stage"]),
+    )
+
+
+def _read_stage(value: object) -> StageReport:
+    data = json_object(value, "stage")
+    if data.keys() != _STAGE_KEYS:
+        raise EndpointListError("stage: an object with other keys")
+    return StageReport(
+        version=read_version(text_field(data, "version")),
+        applied=texts_field(data, "in_force"),
+        pending=texts_field(data, "waiting"),
+        objections=texts_field(data, "against"),
+    )
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -26,7 +26,7 @@
 )
 from gannetweir.limits import Limits
 from gannetweir.net.control_check import RelayCheck
-from gannetweir.proto.control_watch import canonical_json
+from gannetweir.proto.control_messages import canonical_json
 from tests.helpers import settings
 
 M = Resource.MEMBERSHIP
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -28,16 +28,10 @@
 from gannetweir.net.control_status import fleet_status
 from gannetweir.net.control_watch import ControlDriver
 from gannetweir.placement.settings import Settings
-from gannetweir.proto.control_calls import chunk, read_status, status_body, watch_head
-from gannetweir.proto.control_watch import (
-    ControlWatch,
-    canonical_json,
-    compress_line,
-    read_answer,
-    stream_head,
-    write_answer,
-    write_slice,
-)
+from gannetweir.proto.control_calls import chunk, watch_header
+from gannetweir.proto.control_messages import canonical_json, read_answer, write_answer, write_slice
+from gannetweir.proto.control_status import read_status, status_body
+from gannetweir.proto.control_watch import ControlWatch, compress_line, stream_header
 from gannetweir.proto.endpoint_watch import EndpointListError, Heartbeat, WatchFailed
 from tests.helpers import settings
 from tests.test_start import START, started
@@ -67,7 +61,7 @@
 def test_slices_come_through_in_pieces_of_any_size(gzip: bool, step: int) -> None:
     lines = [write_slice(part) for part in PARTS] + [b"\n"]
     blocks = [compress_line(line) for line in lines] if gzip else lines
-    data = watch_head(gzip) + b"".join(map(chunk, [stream_head(gzip) + blocks[0], *blocks[1:]]))
+    data = watch_header(gzip) + b"".join(map(chunk, [stream_header(gzip) + blocks[0], *blocks[1:]]))
     w, found = watch(), list[object]()
     for at in range(0, len(data), step):
         found += w.events(data[at : at + step])
@@ -104,7 +98,7 @@
     ],
 )
 def test_a_hostile_object_breaks_the_watch_and_tells_nothing(changes: dict[str, Any]) -> None:
-    (broken,) = watch().events(watch_head(False) + chunk(orjson.dumps(GOOD | changes) + b"\n"))
+    (broken,) = watch().events(watch_header(False) + chunk(orjson.dumps(GOOD | changes) + b"\n"))
     assert isinstance(broken, WatchFailed) and broken.reason
 
 
@@ -117,10 +111,10 @@
 
 
 def test_what_unpacks_without_measure_breaks_the_watch() -> None:
-    bomb = stream_head(True) + compress_line(b" " * (64 << 20))
-    (broken,) = watch().events(watch_head(True) + chunk(bomb))
+    bomb = stream_header(True) + compress_line(b" " * (64 << 20))
+    (broken,) = watch().events(watch_header(True) + chunk(bomb))
     assert isinstance(broken, WatchFailed) and "too much" in broken.reason
-    (broken,) = watch().events(watch_head(True) + chunk(stream_head(True) + b"\xff\xff\xff"))
+    (broken,) = watch().events(watch_header(True) + chunk(stream_header(True) + b"\xff\xff\xff"))
     assert isinstance(broken, WatchFailed) and "gzip" in broken.reason
 
 
@@ -295,7 +289,7 @@
                 await anyio.wait_readable(silent)
                 sock = silent.accept()[0]
                 with suppress(OSError):  # the relay leaves in the middle of it
-                    for byte in (watch_head(False) + b'ff\r\n{"seq":1') if trickles else b"":
+                    for byte in (watch_header(False) + b'ff\r\n{"seq":1') if trickles else b"":
                         sock.send(bytes([byte]))
                         await anyio.sleep(0.05)
                 await anyio.sleep_forever()
