--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -1,4 +1,8 @@
-"""A relay's own checks of what a control machine sends: the readers and rules that a start would apply."""
+"""A relay's own checks of a version from a control machine: the readers and rules that a start would apply.
+
+A version that a relay could not start with, or with which it could not drain in time, is rejected, and a
+NACK carries what is wrong. The checks have no state; they read the relay's present settings each time.
+"""
 
 from __future__ import annotations
 
@@ -10,59 +14,71 @@
 from gannetweir.config.platform import key_paths, parse_limits
 from gannetweir.config.settings import parse_settings, validate_settings
 from gannetweir.control.versions import Entry, Resource
+from gannetweir.limits import Limits
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.endpoint_watch import EndpointListError, read_membership
 
-MIN_MIGRATION_US = 200_000  # a drain whose moves have less time than this breaks connections
+MIN_MIGRATION_US = 200_000  # for a drain to migrate its connections: with less it breaks them
+MAX_NAMED_KEYS = 5  # of settings that a version would lose
 
 
 class RelayCheck:
-    """`control.follower.Check`, with the settings that hold at the moment."""
+    """`control.assembly.VersionCheck` over the relay's present settings."""
 
     def __init__(self, settings: Callable[[], Settings]) -> None:
         self.settings = settings
 
     def check_entry(self, resource: Resource, entry: Entry) -> str:
-        """Can this entry be used?"""
+        """What is wrong with one entry of the membership, if anything; settings are checked together."""
         if entry.body is None or resource is Resource.SETTINGS:
-            return ""  # settings are read together
-        data = orjson.loads(entry.body)
+            return ""
+        data = {"seq": 0, "whole": False, "hosts": [orjson.loads(entry.body)]}
         try:
-            (member,) = read_membership(
-                {"seq": 0, "whole": False, "hosts": [data]}, self.settings()
-            ).endpoints
+            (endpoint,) = read_membership(data, self.settings()).endpoints
         except EndpointListError as error:
             return str(error)
-        return (
-            ""
-            if member.entry.endpoint_id == entry.key
-            else f"{entry.key!r} names {member.entry.endpoint_id!r}"
-        )
+        if endpoint.entry.endpoint_id != entry.key:
+            return f"{entry.key!r} names {endpoint.entry.endpoint_id!r}"
+        return ""
 
     def check_version(
         self, resource: Resource, applied: Mapping[str, bytes], changes: Mapping[str, bytes | None]
     ) -> str:
-        """Would a relay start with these settings, and end in good order?"""
+        """What would keep a relay from starting with these settings, or from draining in time, if
+        anything.
+        """
         if resource is Resource.MEMBERSHIP:
             return ""
         merged = {**applied, **changes}
         data = {key: orjson.loads(body) for key, body in merged.items() if body is not None}
-        lost = key_paths({key: orjson.loads(body) for key, body in applied.items()}) - key_paths(data)
-        if lost:  # it would silently become a default
-            return f"missing: {', '.join(sorted(key[1:] for key in lost)[:5])}"
+        if fault := _lost_keys(applied, data):
+            return fault
         try:
             settings = parse_settings(data)
             validate_settings(settings)
             limits = parse_limits(None, settings)
         except (ConfigError, TypeError, OverflowError) as error:
             return str(error)
-        standing = self.settings()
-        for name, was, now in (
-            ("zones", standing.zone_names, settings.zone_names),
-            ("kinds", standing.machine_types, settings.machine_types),
-        ):
-            if was and now != was:  # the entries of the list that is held are counted by these
-                return f"{name} change only at a restart"
-        if limits.drain_end_us - limits.drain_grace_us < MIN_MIGRATION_US:
-            return f"deadlines too short: a drain has {limits.drain_end_us / 1000:g} ms before SIGKILL"
-        return ""
+        return _restart_needed(self.settings(), settings) or _too_short_drain(limits)
+
+
+def _lost_keys(applied: Mapping[str, bytes], data: dict[str, object]) -> str:
+    """A key that is lost would silently become a default."""
+    present = {key: orjson.loads(body) for key, body in applied.items()}
+    lost = sorted(key[1:] for key in key_paths(present) - key_paths(data))
+    return f"missing: {', '.join(lost[:MAX_NAMED_KEYS])}" if lost else ""
+
+
+def _restart_needed(present: Settings, settings: Settings) -> str:
+    """The entries of the present endpoint list refer to zones and machine types by their position."""
+    if present.zone_names and settings.zone_names != present.zone_names:
+        return "zones change only at a restart"
+    if present.machine_types and settings.machine_types != present.machine_types:
+        return "kinds change only at a restart"
+    return ""
+
+
+def _too_short_drain(limits: Limits) -> str:
+    if limits.drain_end_us - limits.drain_grace_us < MIN_MIGRATION_US:
+        return f"deadlines too short: a drain has {limits.drain_end_us / 1000:g} ms before SIGKILL"
+    return ""
--- a/gannetweir/net/control_host.py
+++ b/gannetweir/net/control_host.py
@@ -1,9 +1,11 @@
-"""The control plane's place in a relay: the engine takes membership, the relay its settings."""
+"""The control plane's adapter to a relay: the engine takes the membership, the relay its settings.
+
+It owns nothing: what a reload replaces is read from the relay each time.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 from gannetweir.config.settings import parse_settings
 from gannetweir.control.stage import ServiceTotals
@@ -23,36 +25,43 @@
         relay: DriverContext,
         name: str,
         apply_checked_settings: Callable[[Settings], None],
-        version_applied: Callable[[Resource, Version], None] = lambda resource, version: None,
+        on_version_applied: Callable[[Resource, Version], None] | None = None,
     ) -> None:
-        """`take_settings` brings checked settings into force; `in_force` hears of each version that is."""
-        self.relay, self.name = relay, name
-        self.apply_checked_settings, self.version_applied = apply_checked_settings, version_applied
+        """`on_version_applied` is called after each version that was applied."""
+        self.relay = relay
+        self.name = name
+        self.apply_checked_settings = apply_checked_settings
+        self.on_version_applied = on_version_applied
 
     @property
     def settings(self) -> Settings:
-        """The relay's present ones."""
+        """The relay's present settings."""
         return self.relay.settings
 
     @property
     def limits(self) -> Limits:
-        """The relay's present ones."""
+        """The relay's present limits."""
         return self.relay.limits
 
     @property
     def spawn(self) -> Spawn:
-        """The relay's."""
+        """Starts a task of the relay's."""
         return self.relay.spawn
 
     def apply_membership(self, update: MembershipUpdate) -> None:
-        """To the engine, as news of discovery's."""
+        """Pass an update to the engine, as those of discovery's watch."""
         self.relay.run_engine_call(self.relay.engine.endpoint_update_received, update)
 
-    def apply_settings(self, values: dict[str, Any]) -> None:
-        """To the relay. `ConfigError` can't come: the follower's check has read them the same way."""
+    def apply_settings(self, values: dict[str, object]) -> None:
+        """Pass settings to the relay. `ConfigError` can't come: `RelayCheck` has read them the same way."""
         self.apply_checked_settings(parse_settings(values))
 
+    def version_applied(self, resource: Resource, version: Version) -> None:
+        """All of the version was applied."""
+        if self.on_version_applied is not None:
+            self.on_version_applied(resource, version)
+
     def service_totals(self) -> ServiceTotals:
-        """What clients were answered since the start."""
+        """How many answers clients got since the start."""
         counts = self.relay.engine.counters.counts
         return ServiceTotals(counts["served"], counts["failed"] + counts["rejected"])
--- a/gannetweir/net/control_status.py
+++ b/gannetweir/net/control_status.py
@@ -1,70 +1,90 @@
-"""`gannetweir control status`: asks control machines where each version stands, and prints it."""
+"""`gannetweir control status`: polls control machines for where each version stands, and formats the answers.
+
+Runs by itself, in a blocking way, outside of any event loop; there is no state.
+"""
 
 from __future__ import annotations
 
 import http.client
 from collections.abc import Iterable, Iterator
+from http import HTTPStatus
 
 from gannetweir.config import SocketAddress
+from gannetweir.control.stage import StageReport
 from gannetweir.control.status_report import StatusReport, merge_reports
 from gannetweir.control.versions import Resource
 from gannetweir.proto.control_calls import STATUS_TARGET
 from gannetweir.proto.control_status import read_status
 from gannetweir.proto.endpoint_watch import EndpointListError
 
-CALL_TIMEOUT_S = 3.0
-MAX_STATUS_BYTES = 1 << 20
+CALL_TIMEOUT_S = 3.0  # of each step of a call to a machine
+MAX_STATUS_BYTES = 1 << 20  # of a machine's answer, whose report is bounded far below
+MAX_ERROR_BYTES = 200  # of what a machine answers in place of a status
 
 
 def read_machine_status(at: SocketAddress) -> tuple[str, list[StatusReport]]:
-    """A machine's name and reports. Raises `OSError` or `PoolError`."""
-    caller = http.client.HTTPConnection(at.host, at.port, timeout=CALL_TIMEOUT_S)
+    """A machine's name and reports. Raises `OSError` or `EndpointListError`."""
+    connection = http.client.HTTPConnection(at.host, at.port, timeout=CALL_TIMEOUT_S)
     try:
-        caller.request("GET", STATUS_TARGET)
-        answer = caller.getresponse()
+        connection.request("GET", STATUS_TARGET)
+        answer = connection.getresponse()
         body = answer.read(MAX_STATUS_BYTES)
     except http.client.HTTPException as error:
-        raise EndpointListError(f"no HTTP: {type(error).__name__}") from None
+        raise EndpointListError(f"no HTTP: {type(error).__name__}") from error
     finally:
-        caller.close()
-    if answer.status != 200:
-        raise EndpointListError(body[:200].decode("utf-8", "replace"))
+        connection.close()
+    if answer.status != HTTPStatus.OK:
+        raise EndpointListError(body[:MAX_ERROR_BYTES].decode("utf-8", "replace"))
     return read_status(body)
 
 
 def fleet_status(machines: Iterable[SocketAddress]) -> tuple[list[str], bool]:
-    """The lines to print, and whether every released version is in force everywhere that could be asked."""
-    lines, found, fine = list[str](), list[tuple[str, list[StatusReport]]](), True
+    """The lines to print, and whether each machine answered and every relay applied every released
+    version.
+    """
+    lines = list[str]()
+    statuses = list[tuple[str, list[StatusReport]]]()
     for at in machines:
         try:
-            found.append(read_machine_status(at))
+            statuses.append(read_machine_status(at))
         except (OSError, EndpointListError) as error:
             reason = getattr(error, "strerror", None) or error
             lines.append(f"{at.host}:{at.port}: {reason}")
-            fine = False
+    all_applied = not lines
     for resource in Resource:
-        reports = {name: r for name, given in found for r in given if r.resource == resource}
+        reports = {
+            name: report for name, given in statuses for report in given if report.resource == resource
+        }
         if reports:
-            fine = fine and not any(r.behind or r.rejecting for r in reports.values())
-            lines += _lines(resource, reports)
-    return lines, fine
+            all_applied = all_applied and not any(r.behind or r.rejecting for r in reports.values())
+            lines += _resource_lines(resource, reports)
+    return lines, all_applied
 
 
-def _lines(resource: Resource, reports: dict[str, StatusReport]) -> Iterator[str]:
-    everywhere = merge_reports(reports.values())
-    yield f"{resource}: version {everywhere.newest}, released {everywhere.released}"
+def _resource_lines(resource: Resource, reports: dict[str, StatusReport]) -> Iterator[str]:
+    """The lines of one resource, by its reports from machines by name."""
+    merged = merge_reports(reports.values())
+    yield f"{resource}: version {merged.newest}, released {merged.released}"
     yield (
-        f"  {everywhere.relays} relays at {len(reports)} machines: {everywhere.at_newest} at the newest,"
-        f" {everywhere.behind} behind, lowest in force {everywhere.lowest}"
+        f"  {merged.relays} relays at {len(reports)} machines: {merged.at_newest} at the newest,"
+        f" {merged.behind} behind, lowest in force {merged.lowest}"
     )
     for name, report in sorted(reports.items()):
-        if report.released < everywhere.released:
+        if report.released < merged.released:
             yield f"  machine {name} has only version {report.released}"
         if report.stage is not None:
-            stage = report.stage
-            state = "; ".join(stage.objections) or ("in force" if not stage.pending else "waited for")
-            relays = ", ".join(stage.applied + stage.pending) or "no relay"
-            yield f"  staged version {stage.version.number} at {relays} ({name}): {state}"
-    if everywhere.stragglers:
-        yield f"  behind: {', '.join(everywhere.stragglers)}"
-    yield from (f"  refused by {refusal}" for refusal in everywhere.rejections)
+            yield _stage_line(name, report.stage)
+    if merged.stragglers:
+        yield f"  behind: {', '.join(merged.stragglers)}"
+    yield from (f"  refused by {rejection}" for rejection in merged.rejections)
+
+
+def _stage_line(machine: str, stage: StageReport) -> str:
+    if stage.objections:
+        state = "; ".join(stage.objections)
+    elif stage.pending:
+        state = "waited for"
+    else:
+        state = "in force"
+    relays = ", ".join(stage.applied + stage.pending) or "no relay"
+    return f"  staged version {stage.version.number} at {relays} ({machine}): {state}"
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -1,15 +1,18 @@
-"""The relay's driver of the control plane: one watch of one control machine, and the answers to it.
+"""The relay's driver of the control plane: one watch of one control machine, and the answers to its versions.
 
-Off unless configured. The relay serves on with its last good versions whether or not any machine answers.
+The relay starts with its first choice of a machine and goes on to the next when a watch fails
+(`machine_selector`); slices go to the `Follower` of their resource, and its events to the `ControlHost`.
+Off unless configured. The relay serves on with the last good versions whether or not any machine answers.
 """
 
 from __future__ import annotations
 
 import contextlib
+import math
 import socket
 from collections.abc import Callable, Mapping
 from functools import partial
-from typing import Any, Protocol
+from typing import Protocol
 
 import anyio
 import anyio.lowlevel
@@ -20,7 +23,7 @@
 from gannetweir.control.follower import ApplyEntries, Follower, FollowerEvent
 from gannetweir.control.machine_selector import CALL_TIMEOUT_US, MachineSelector
 from gannetweir.control.stage import ServiceTotals
-from gannetweir.control.versions import Ack, Nack, Reason, Resource, Slice, Version
+from gannetweir.control.versions import Ack, Entry, Nack, Reason, Resource, Slice, Version
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.net.transport import Spawn, Transport, connect, tcp_socket
@@ -29,106 +32,132 @@
 from gannetweir.proto.control_watch import ControlWatch
 from gannetweir.proto.endpoint_watch import EndpointListError, WatchFailed, read_membership
 
-RETURN_TO_FIRST_CHOICE_US = (
-    60_000_000  # a watch of another machine's ends for the first choice after this, or up to twice this
-)
+# A watch of another machine ends in favour of the first choice after this time, or up to twice this.
+RETURN_TO_FIRST_CHOICE_US = 60_000_000
+ACK_REPEAT_S = 0.7  # between an ACK of settings and its repetitions, which bring later service totals
+ACK_REPEATS = 4  # within the time for which a canary stage is observed
+_US_PER_S = 1e6
+_CALL_TIMEOUT_S = CALL_TIMEOUT_US / _US_PER_S
 
-ACK_REPEAT_S = 0.7
-ACK_REPEATS = 4  # within the time for which a first stage is observed
+# A machine that rejects what this relay has applied may be restored from a copy; another one may be in step.
+_OUT_OF_STEP_REASONS = frozenset({Reason.OLDER, Reason.CONFLICT})
 
 
 class ControlHost(Protocol):
     """What the driver needs of a relay."""
 
     @property
-    def name(self) -> str: ...
+    def name(self) -> str:
+        """The relay's name, by which machines know it."""
 
     @property
-    def settings(self) -> Settings: ...
+    def settings(self) -> Settings:
+        """The present settings."""
 
     @property
-    def limits(self) -> Limits: ...
+    def limits(self) -> Limits:
+        """The present limits."""
 
     @property
-    def spawn(self) -> Spawn: ...
+    def spawn(self) -> Spawn:
+        """Starts a task that ends with the relay."""
 
     def apply_membership(self, update: MembershipUpdate) -> None:
-        """Changes to the list, at most `ENTRIES_A_STEP` of them."""
+        """Apply changes to the endpoint list, at most `ENTRIES_PER_STEP` of them."""
 
-    def apply_settings(self, values: dict[str, Any]) -> None:
-        """The whole settings, checked. `ValueError` if they can't be taken after all."""
+    def apply_settings(self, values: dict[str, object]) -> None:
+        """Apply the complete settings, which were checked. Raises `ValueError` if that fails after all."""
 
     def service_totals(self) -> ServiceTotals | None:
-        """What was answered to clients since the start; None where there are none."""
+        """What was answered to clients since the start; None for a relay without clients."""
 
     def version_applied(self, resource: Resource, version: Version) -> None:
         """All of the version was applied."""
 
 
 class ControlDriver:
-    """Holds the one watch; starts at the relay's first choice and goes on to the next when one fails."""
+    """Owns the one watch, the choice of its machine, and the followers of all resources."""
 
     def __init__(
         self,
         host: ControlHost,
         machines: Mapping[str, SocketAddress],
         followers: Mapping[Resource, Follower],
-        draw: Callable[[], float],
-        endpoint: Callable[[socket.socket, Limits, Spawn], Transport] = Transport,
+        random_fraction: Callable[[], float],
+        make_transport: Callable[[socket.socket, Limits, Spawn], Transport] = Transport,
     ) -> None:
-        """`machines` by their names; `draw` gives numbers from 0 to 1. `ValueError` without a machine."""
-        self.host, self.machines, self.followers, self.random_fraction = host, machines, followers, draw
-        self.make_transport = endpoint  # a measurement counts the bytes in its own
-        self.selector = MachineSelector(host.name, list(machines), draw)
-        self.bytes_read = self.bytes_written = self.nacks = 0
+        """`machines` by their names; `random_fraction` draws from 0 to 1. Raises `ValueError` without a
+        machine.
+        """
+        self.host = host
+        self.machines = machines
+        self.followers = followers
+        self.random_fraction = random_fraction
+        self.make_transport = make_transport
+        self.selector = MachineSelector(host.name, list(machines), random_fraction)
+        self.bytes_read = 0
+        self.bytes_written = 0
+        self.nacks = 0
         self.last_error = ""
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Watch one machine after the other until cancelled."""
         while True:
-            stays = await self._watch(self.machines[self.selector.machine])
+            ended_for_first_choice = await self._watch(self.machines[self.selector.machine])
             for follower in self.followers.values():
                 follower.disconnected()
-            if stays:
+            if ended_for_first_choice:
                 self.selector.return_to_first_choice()
             else:
-                await anyio.sleep(self.selector.record_failure() / 1e6)
+                await anyio.sleep(self.selector.record_failure() / _US_PER_S)
 
     async def _watch(self, at: SocketAddress) -> bool:
-        """One watch. True if it ended only for the first choice's sake."""
+        """One watch, to its end. True if it ended only in favour of the first choice; else see
+        `last_error`.
+        """
         limits = self.host.limits
-        endpoint = self.make_transport(tcp_socket(at.host), limits, self.host.spawn)
-        held = {resource: follower.applied_version for resource, follower in self.followers.items()}
-        watch = ControlWatch(f"{at.host}:{at.port}", self.host.name, held, self.host.settings, limits)
+        transport = self.make_transport(tcp_socket(at.host), limits, self.host.spawn)
         try:
-            due = anyio.current_time() + CALL_TIMEOUT_US / 1e6
-            with anyio.fail_after(CALL_TIMEOUT_US / 1e6):
-                await connect(endpoint.sock, (at.host, at.port))
-            self._write(endpoint, watch.request)
-            home = self.selector.machine == self.selector.ranked[0]
-            leave = due + (
-                float("inf") if home else RETURN_TO_FIRST_CHOICE_US * (1 + self.random_fraction()) / 1e6
-            )
-            while anyio.current_time() < leave:
-                with anyio.fail_after(due - anyio.current_time()):
-                    data = await endpoint.read()
-                # bytes alone prove nothing: a machine that trickles says nothing whole, and is left
-                if await self._receive(watch, data, at):
-                    due = anyio.current_time() + limits.endpoint_watch_silence_us / 1e6
-            return True
+            await self._follow_machine(transport, at, limits)
         except TimeoutError:
             self.last_error = "the watch fell silent"
         except (OSError, EndpointListError) as error:
             self.last_error = str(error)
+        else:
+            return True
         finally:
-            endpoint.close()
+            transport.close()
         return False
 
-    def _write(self, endpoint: Transport, data: bytes) -> None:
+    async def _follow_machine(self, transport: Transport, at: SocketAddress, limits: Limits) -> None:
+        """Receive versions until the first choice is due. Raises `TimeoutError`, `OSError`,
+        `EndpointListError`.
+        """
+        applied = {resource: follower.applied_version for resource, follower in self.followers.items()}
+        watch = ControlWatch(f"{at.host}:{at.port}", self.host.name, applied, self.host.settings, limits)
+        message_due = anyio.current_time() + _CALL_TIMEOUT_S
+        with anyio.fail_after(_CALL_TIMEOUT_S):
+            await connect(transport.sock, (at.host, at.port))
+        self._write(transport, watch.request)
+        end = message_due + self._longest_watch_s()
+        while anyio.current_time() < end:
+            with anyio.fail_after(message_due - anyio.current_time()):
+                data = await transport.read()
+            # bytes alone prove nothing: a machine that trickles completes no message, and is left
+            if await self._receive(watch, data, at):
+                message_due = anyio.current_time() + limits.endpoint_watch_silence_us / _US_PER_S
+
+    def _longest_watch_s(self) -> float:
+        if self.selector.machine == self.selector.ranked[0]:
+            return math.inf
+        return RETURN_TO_FIRST_CHOICE_US * (1 + self.random_fraction()) / _US_PER_S
+
+    def _write(self, transport: Transport, data: bytes) -> None:
         self.bytes_written += len(data)
-        endpoint.write(data)
+        transport.write(data)
 
     async def _receive(self, watch: ControlWatch, data: bytes, at: SocketAddress) -> bool:
+        """Process what was read; True if it completed a message. Raises `EndpointListError`."""
         self.bytes_read += len(data)
         events = watch.events(data)
         for event in events:
@@ -150,33 +179,40 @@
 
     def _dispatch(self, follower: Follower, events: list[FollowerEvent], at: SocketAddress) -> None:
         for event in events:
-            if isinstance(event, ApplyEntries):
-                self._apply(follower, event)
-                continue
-            self.host.spawn(partial(self._send_answer, event, at))
-            if isinstance(event, Ack) and event.resource is Resource.SETTINGS:
-                self.host.spawn(partial(self._repeat_ack, event, at))
-            if isinstance(event, Nack):
-                self.nacks += 1
-                if event.reason in (Reason.OLDER, Reason.CONFLICT):  # another machine may be in step
-                    raise EndpointListError(f"the control machine is out of step: {event.reason}")
+            match event:
+                case ApplyEntries():
+                    self._apply(follower, event)
+                case Ack():
+                    self._acknowledge(event, at)
+                case Nack():
+                    self._reject(event, at)
 
     def _apply(self, follower: Follower, event: ApplyEntries) -> None:
         if event.resource is Resource.MEMBERSHIP:
-            hosts = [
-                {"host": entry.key, "health": "Gone"} if entry.body is None else orjson.loads(entry.body)
-                for entry in event.entries
-            ]
+            hosts = [_host_object(entry) for entry in event.entries]
             data = {"seq": event.version.number, "whole": False, "hosts": hosts}
             self.host.apply_membership(read_membership(data, self.host.settings))
         elif event.completes_version:
-            held = follower.applied.entries
-            self.host.apply_settings({key: orjson.loads(body) for key, body in held.items()})
+            values = {key: orjson.loads(body) for key, body in follower.applied.entries.items()}
+            self.host.apply_settings(values)
         if event.completes_version:
             self.host.version_applied(event.resource, event.version)
 
+    def _acknowledge(self, answer: Ack, at: SocketAddress) -> None:
+        self.host.spawn(partial(self._send_answer, answer, at))
+        if answer.resource is Resource.SETTINGS:
+            self.host.spawn(partial(self._repeat_ack, answer, at))
+
+    def _reject(self, answer: Nack, at: SocketAddress) -> None:
+        self.host.spawn(partial(self._send_answer, answer, at))
+        self.nacks += 1
+        if answer.reason in _OUT_OF_STEP_REASONS:
+            raise EndpointListError(f"the control machine is out of step: {answer.reason}")
+
     async def _repeat_ack(self, answer: Ack, at: SocketAddress) -> None:
-        """Repeat the ACK while the relay may be one of the first with this version: its totals tell."""
+        """Repeat the ACK while the relay may be a canary of this version: its later totals show the
+        service.
+        """
         for _ in range(ACK_REPEATS):
             if self.host.service_totals() is None:
                 return
@@ -184,25 +220,35 @@
             await self._send_answer(answer, at)
 
     async def _send_answer(self, answer: Ack | Nack, at: SocketAddress) -> None:
-        """On a connection of its own. One that is lost is asked for again: the machine ends the watch."""
-        endpoint = self.make_transport(tcp_socket(at.host), self.host.limits, self.host.spawn)
+        """Send an ACK or NACK on a connection of its own; a failure is ignored.
+
+        A machine that misses an answer ends the watch (`ACK_TIMEOUT_US`), and the next one says what is
+        applied.
+        """
+        transport = self.make_transport(tcp_socket(at.host), self.host.limits, self.host.spawn)
         try:
-            with anyio.move_on_after(CALL_TIMEOUT_US / 1e6), contextlib.suppress(OSError, h11.ProtocolError):
-                await connect(endpoint.sock, (at.host, at.port))
-                self._write(
-                    endpoint,
-                    _post(
-                        f"{at.host}:{at.port}",
-                        write_answer(self.host.name, answer, self.host.service_totals()),
-                    ),
-                )
-                self.bytes_read += len(await endpoint.read())
+            with anyio.move_on_after(_CALL_TIMEOUT_S), contextlib.suppress(OSError, h11.ProtocolError):
+                await connect(transport.sock, (at.host, at.port))
+                body = write_answer(self.host.name, answer, self.host.service_totals())
+                self._write(transport, _post(f"{at.host}:{at.port}", body))
+                self.bytes_read += len(await transport.read())
         finally:
-            endpoint.close()
+            transport.close()
+
+
+def _host_object(entry: Entry) -> object:
+    """An entry of the membership as discovery's list has it."""
+    if entry.body is None:
+        return {"host": entry.key, "health": "Gone"}
+    return orjson.loads(entry.body)
 
 
 def _post(host: str, body: bytes) -> bytes:
     http = h11.Connection(h11.CLIENT)
     headers = [("Host", host), ("Content-Length", str(len(body))), ("Connection", "close")]
-    request = http.send(h11.Request(method="POST", target=ACK_TARGET, headers=headers)) or b""
-    return request + (http.send(h11.Data(data=body)) or b"") + (http.send(h11.EndOfMessage()) or b"")
+    events = (
+        h11.Request(method="POST", target=ACK_TARGET, headers=headers),
+        h11.Data(data=body),
+        h11.EndOfMessage(),
+    )
+    return b"".join(http.send(event) or b"" for event in events)
