--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -352,7 +352,7 @@
             plane.store.down = True  # seen from this region
             plane.store.put(M, {"a": host("a", born_ms=5)})
             with anyio.fail_after(SOON):
-                while not plane.servers["c0"].last_error:
+                while not plane.servers["c0"].store_sync.last_error:
                     await anyio.sleep(0.01)
             assert relay.versions[M] == 1
             plane.store.down = False
