--- a/gannetweir/lab/soak/clients.py
+++ b/gannetweir/lab/soak/clients.py
@@ -13,12 +13,11 @@
 import anyio.abc
 
 from gannetweir.lab.soak import standin
-from gannetweir.lab.soak.plan import CLASSES
+from gannetweir.lab.soak.plan import CLASSES, PATIENCE_S
 from gannetweir.lab.soak.records import ClientSaw, RecordFile, now_us
 from gannetweir.lab.soak.standin import Connection, ConnectionEndedError
 
 TICK_S = 0.5
-PATIENCE_S = 0.7  # beyond the deadline: an answer that is later than half a second is a lost one
 NONSENSE = (b"\xff\xfe\r\n", b"OPEN x\r\n", b"x" * 5000, b"PING", b"OPEN 1 2 c=none,d=1\r\n")
 
 
@@ -104,6 +103,8 @@
         except ConnectionEndedError as end:
             saw.end, saw.ended_us = ("reset" if end.reset else "eof"), now_us()
         finally:
+            if not (saw.answer or saw.end or saw.left_us):
+                saw.gave_up_us, saw.unheard = now_us(), saw.unheard or connection.is_unheard()
             if saw.sent_us:
                 self.records.write(saw)
         if tries < 2 and (saw.moved or saw.answer in ("BUSY", "ERR") or saw.end == "reset"):
@@ -128,8 +129,9 @@
             saw.answer, saw.answered_us = (words or ["?"])[0], now_us()
             saw.receipt = words[1] if saw.answer == "UP" and len(words) > 1 else ""
         if not saw.answer:
-            saw.left_us = now_us() if leaves else 0
+            saw.unheard = connection.is_unheard()
             connection.close(reset=self.rng.random() < 0.5)
+            saw.left_us = now_us() if leaves else 0  # after it: the relay can't have known before
             return
         if saw.answer == "UP":
             await self._stay(connection, saw)
@@ -158,8 +160,8 @@
             with anyio.move_on_after(2.0):
                 await connection.read()
             return
-        saw.left_us = now_us()
         connection.close(reset=self.rng.random() < 0.2)
+        saw.left_us = now_us()
 
     @staticmethod
     async def _rest(connection: Connection, until: float) -> bool:
--- a/gannetweir/lab/soak/judge.py
+++ b/gannetweir/lab/soak/judge.py
@@ -17,7 +17,16 @@
 
 import orjson
 
-from gannetweir.lab.soak.plan import CLASSES, COLD_FROM, FALL_US, GRACE_US, WARM_US, Kind, SoakPlan
+from gannetweir.lab.soak.plan import (
+    CLASSES,
+    COLD_FROM,
+    FALL_US,
+    GRACE_US,
+    WARM_US,
+    Kind,
+    SoakPlan,
+    proxy_name,
+)
 from gannetweir.lab.soak.records import (
     BackendSaw,
     Called,
@@ -27,6 +36,7 @@
     Life,
     ProxySaw,
     Record,
+    RunQueueWait,
     Started,
     Told,
     TroubleSpan,
@@ -40,6 +50,7 @@
 TOLD_AT_LATEST_US = 6_000_000
 NOTICED_US = 500_000  # a process's death is noticed by then
 NEVER_US = 1 << 62
+FINAL_ANSWERS = "UP", "BUSY", "ERR"
 BROKEN_AT = "broken_at"  # a span in which the kernel of one relay broke its connections to backends
 _DEADLINE = re.compile(r"([ ,]d=)\d+")
 
@@ -106,8 +117,11 @@
         self.at_backends: dict[tuple[str, str], list[BackendSaw]] = defaultdict(list)
         for saw in self.all(BackendSaw):
             self.at_backends[saw.request, saw.backend].append(saw)
-        late = sorted((late.at_us, late.late_us) for late in self.all(Late))
-        self.late_at, self.late_us = [at for at, _ in late], [us for _, us in late]
+        self.late = sorted(self.all(Late), key=lambda late: late.at_us)
+        self.late_at = [late.at_us for late in self.late]
+        self.waits: dict[str, list[RunQueueWait]] = defaultdict(list)
+        for wait in self.all(RunQueueWait):
+            self.waits[wait.process].append(wait)
         self.killed = {
             span.target for span in self.troubles if span.kind in (Kind.CRASH, Kind.DRAIN)
         }  # backends whose last records may be missing
@@ -118,9 +132,25 @@
 
     def slack(self, from_us: int, to_us: int) -> int:
         """How late a stand-in may have seen what it noted in this time."""
+        return SLACK_US + self.lateness(from_us, to_us)
+
+    def lateness(self, from_us: int, to_us: int, process: str = "") -> int:
+        """The most that stand-ins whose name begins like this were held up, as they measured themselves."""
         begin = bisect_left(self.late_at, from_us - 50_000)
         end = bisect_left(self.late_at, to_us + 500_000)
-        return SLACK_US + max(self.late_us[begin:end], default=0)
+        seen = (late.late_us for late in self.late[begin:end] if late.process.startswith(process))
+        return max(seen, default=0)
+
+    def without_processor(self, from_us: int, to_us: int, *processes: str) -> int:
+        """How long, in this time, these processes were ready to run and the machine gave them no turn."""
+        waits = [wait for process in processes for wait in self.waits[process]]
+        overlaps = [(min(to_us, wait.to_us) - max(from_us, wait.from_us), wait.waited_us) for wait in waits]
+        return sum(min(overlap, waited) for overlap, waited in overlaps if overlap > 0)
+
+    def proxy_of(self, backend: str) -> str:
+        """The stand-in between the relays and a backend; empty for one that a relay has made up."""
+        number = backend.removeprefix("b")
+        return proxy_name(int(number) % self.plan.proxies) if number.isdecimal() else ""
 
     def killed_between(self, relay: int, from_us: int, to_us: int) -> bool:
         """Did this relay die by force in that time?"""
@@ -150,19 +180,28 @@
 def _requests(evidence: Evidence) -> Findings:
     """One final answer in time, made by a backend where it is UP."""
     for saw in evidence.clients.values():
-        until = saw.ended_us or saw.answered_us or saw.deadline_us + LOST_AFTER_US
         if saw.left_us and not saw.answer:
             continue
-        slack = evidence.slack(saw.sent_us, until)
-        if not saw.answer and not evidence.killed_between(saw.relay, saw.sent_us - 1_000_000, until + slack):
-            how = saw.end or "no answer"
-            took = (until - saw.sent_us) // 1000
-            yield Finding(SoakRule.LOST, saw.relay, until, f"{saw.request} {saw.cls}: {how}, {took} ms")
-        elif saw.answer and saw.answered_us > saw.deadline_us + LIMIT_US + LOST_AFTER_US + slack:
+        gave_up_us = saw.gave_up_us or saw.deadline_us + LOST_AFTER_US  # older records don't say when
+        waited_until = saw.ended_us or saw.answered_us or gave_up_us
+        no_turn = evidence.without_processor(saw.sent_us, waited_until, f"n{saw.relay}")
+        slack = evidence.slack(saw.sent_us, waited_until)
+        due = saw.deadline_us + LIMIT_US + LOST_AFTER_US + slack + no_turn
+        if saw.answer not in FINAL_ANSWERS:
+            # Where its relay had no processor for a while, a client must have waited for that long, and have
+            # been let into the listener's queue, to tell.
+            waited_enough = waited_until >= due and not saw.unheard
+            can_be_told = saw.end or saw.answer or waited_enough or no_turn <= LIMIT_US
+            until = min(waited_until, due) + slack
+            if can_be_told and not evidence.killed_between(saw.relay, saw.sent_us - 1_000_000, until):
+                how, took = saw.answer or saw.end or "no answer", (waited_until - saw.sent_us) // 1000
+                detail = f"{saw.request} {saw.cls}: {how}, {took} ms"
+                yield Finding(SoakRule.LOST, saw.relay, waited_until, detail)
+        elif saw.answered_us > due:
             late = (saw.answered_us - saw.deadline_us) // 1000
-            yield Finding(SoakRule.LOST, saw.relay, until, f"{saw.request}: answered {late} ms late")
+            yield Finding(SoakRule.LOST, saw.relay, waited_until, f"{saw.request}: answered {late} ms late")
         if saw.answer == "UP" and saw.receipt.split(".")[-1] != saw.request:
-            yield Finding(SoakRule.FABRICATED, saw.relay, until, f"{saw.request}: {saw.receipt}")
+            yield Finding(SoakRule.FABRICATED, saw.relay, waited_until, f"{saw.request}: {saw.receipt}")
 
 
 def _end_of(evidence: Evidence, attempt: ProxySaw) -> int:
@@ -184,7 +223,10 @@
             # Both were out for certain from the later line to the earlier end, less how late either was read.
             begun = max(one.whole_us, other.whole_us)
             ended = min(_end_of(evidence, one), _end_of(evidence, other))
-            if ended > begun + evidence.slack(begun, ended):
+            ways = {evidence.proxy_of(one.backend), evidence.proxy_of(other.backend)}
+            late = max(evidence.lateness(begun, ended, way) for way in (*ways, one.backend, other.backend))
+            late += evidence.without_processor(begun, ended, *ways)
+            if ended > begun + SLACK_US + late:
                 detail = f"{request}: at {other.backend} while it was out at {one.backend}"
                 yield Finding(SoakRule.OVERLAP, saw.relay, other.whole_us, detail)
             if not _repeatable(evidence, one, other, effects[saw.cls].repeat, effects[saw.cls].scope):
@@ -194,8 +236,9 @@
             if _DEADLINE.sub(r"\1", attempt.line) != _DEADLINE.sub(r"\1", saw.line):
                 yield Finding(SoakRule.ALTERED, saw.relay, attempt.whole_us, f"{saw.line} as {attempt.line}")
         for attempt in seen:
-            slack = evidence.slack(saw.left_us, attempt.first_us)
-            if saw.left_us and attempt.first_us > saw.left_us + 100_000 + LIMIT_US + slack:
+            # Both times are exact, however late the stand-ins were: the end had been sent, the line has come.
+            no_turn = evidence.without_processor(saw.left_us, attempt.first_us, f"n{saw.relay}")
+            if saw.left_us and attempt.first_us > saw.left_us + 100_000 + LIMIT_US + SLACK_US + no_turn:
                 late = (attempt.first_us - saw.left_us) // 1000
                 yield Finding(SoakRule.CLIENT_GONE, saw.relay, attempt.first_us, f"{request}: {late} ms")
 
@@ -226,8 +269,9 @@
             since = _left_since(told[relay, attempt.backend], attempt.first_us)
             latest = _counts_as_told(changes[attempt.backend], outages, attempt.first_us)
             since = min((us for us in (since, latest) if us), default=0)
-            slack = evidence.slack(since, attempt.first_us)
-            if since and attempt.first_us > since + GRACE_US + LIMIT_US + slack:
+            # Both times are exact, as of a client that left: discovery had written it, the line has come.
+            no_turn = evidence.without_processor(since, attempt.first_us, f"n{relay}")
+            if since and attempt.first_us > since + GRACE_US + LIMIT_US + SLACK_US + no_turn:
                 late = (attempt.first_us - since) // 1000
                 detail = f"{request} at {attempt.backend}, {late} ms after it was told"
                 yield Finding(SoakRule.DRAIN, relay, attempt.first_us, detail)
@@ -264,8 +308,11 @@
             yield Finding(SoakRule.ALTERED, saw.relay, saw.answered_us, f"{saw.request}: lines changed")
         if saw.end and not saw.moved and not _ended_elsewhere(evidence, saw, backend):
             yield Finding(SoakRule.CUT_OFF, saw.relay, saw.ended_us, f"{saw.request} at {backend}: {saw.end}")
-        slack = evidence.slack(saw.echo_at_us, saw.echo_at_us + saw.echo_us)
         until = saw.echo_at_us + saw.echo_us
+        # the stand-ins that the line passes
+        passed = evidence.proxy_of(backend), backend, evidence.proxy_of(backend), "clients"
+        slack = SLACK_US + sum(evidence.lateness(saw.echo_at_us, until, process) for process in passed)
+        slack += evidence.without_processor(saw.echo_at_us, until, f"n{saw.relay}")
         disturbed = any(
             evidence.troubled(target, saw.echo_at_us - 500_000, until)
             for target in (backend, f"n{saw.relay}")
@@ -276,7 +323,8 @@
 
 def _ended_elsewhere(evidence: Evidence, saw: ClientSaw, backend: str) -> bool:
     """Was it ended by its backend, by the network, or by the death of a process?"""
-    if evidence.killed_between(saw.relay, saw.answered_us, saw.ended_us + SLACK_US):
+    # from the sent line on: its answer may have been read after the process was killed that had written it
+    if evidence.killed_between(saw.relay, saw.sent_us, saw.ended_us + SLACK_US):
         return True
     if any(seen.ended_us for seen in evidence.at_backends[saw.request, backend]):
         return True
@@ -323,7 +371,8 @@
             yield Finding(SoakRule.CRASH, life.relay, life.ended_us, detail)
         if life.how == "crash" and life.code == 0:
             yield Finding(SoakRule.CRASH, life.relay, life.ended_us, "it ended unasked")
-        if life.how == "no start" or life.ready_us - life.started_us > READY_US:
+        no_turn = evidence.without_processor(life.started_us, life.ready_us, f"n{life.relay}")
+        if life.how == "no start" or life.ready_us - life.started_us > READY_US + no_turn:
             yield Finding(SoakRule.START, life.relay, life.started_us, f"{life.how}: not ready in time")
         if life.how == "late":
             took = (life.ended_us - life.asked_to_end_us) // 1000
@@ -365,8 +414,8 @@
         relay = evidence.clients[request].relay
         for attempt in seen:
             for since, until in spans[relay, attempt.backend]:
-                slack = evidence.slack(since, attempt.first_us)
-                if since + LIMIT_US + slack < attempt.first_us < until:
+                no_turn = evidence.without_processor(since, attempt.first_us, f"n{relay}")
+                if since + LIMIT_US + SLACK_US + no_turn < attempt.first_us < until:
                     late = (attempt.first_us - since) // 1000
                     detail = f"{request} at {attempt.backend}, {late} ms after the answer"
                     yield Finding(SoakRule.OPERATORS, relay, attempt.first_us, detail)
@@ -392,5 +441,5 @@
     counts["requests"] = len(evidence.clients)
     counts["attempts"] = sum(len(seen) for seen in evidence.attempts.values())
     counts["troubles"] = len(evidence.troubles)
-    counts["latest stand-in, ms"] = max(evidence.late_us, default=0) // 1000
+    counts["latest stand-in, ms"] = evidence.lateness(0, NEVER_US) // 1000
     return Verdict(sorted(findings, key=lambda finding: finding.at_us), counts)
--- a/gannetweir/lab/soak/plan.py
+++ b/gannetweir/lab/soak/plan.py
@@ -31,6 +31,9 @@
 COLD_FROM, WARM_US, FALL_MULTIPLE, FALL_US = 0.12, 8_000_000, 4.0, 1_500_000
 GRACE_US = 500_000
 MAX_ATTEMPTS = 4
+# Clients wait so long beyond the deadline. An answer that is half a second late is a lost one; the rest is
+# for the time in which a busy machine gives its relay no processor.
+PATIENCE_S = 10.0
 
 
 class Kind(StrEnum):
@@ -134,6 +137,11 @@
         return FALL_MULTIPLE * self.capacity / self.life_s
 
 
+def proxy_name(number: int) -> str:
+    """Of the proxy before every backend whose number leaves this remainder, divided by the plan's proxies."""
+    return f"proxy{number}"
+
+
 def shares_listener(number: int) -> bool:
     """Does the platform hold this relay's listener, so that a second process can take over?"""
     return number % 3 == 1
--- a/gannetweir/lab/soak/proxy.py
+++ b/gannetweir/lab/soak/proxy.py
@@ -135,7 +135,7 @@
     def _look(self, data: bytes) -> None:
         """The first line that a relay writes, as it comes."""
         if self.saw is None and data[:1] == b"O":
-            self.saw = ProxySaw("", self.backend, "", now_us())
+            self.saw = ProxySaw("", self.backend, "", self.near.received_us())
         if self.saw is None or self.saw.whole_us:
             return
         self.head += data
--- a/gannetweir/lab/soak/records.py
+++ b/gannetweir/lab/soak/records.py
@@ -27,10 +27,12 @@
     line: str  # the first line as it was sent
     sent_us: int = 0  # its last byte
     deadline_us: int = 0
-    left_us: int = 0  # the client began to end the connection
+    left_us: int = 0  # the client has ended the connection
     answer: str = ""  # UP, BUSY, ERR; empty: none
     receipt: str = ""
     answered_us: int = 0
+    gave_up_us: int = 0  # it waited no longer for an answer: the end of its patience, or of the run
+    unheard: bool = False  # when it gave up, the relay's kernel had not even taken its line
     moved: bool = False
     end: str = ""  # eof or reset; empty: the client ended it
     ended_us: int = 0
@@ -46,7 +48,7 @@
     request: str
     backend: str
     line: str
-    first_us: int
+    first_us: int  # its first byte came to this machine, whenever it was read
     whole_us: int = 0
     relay_ended_us: int = 0
     cut_us: int = 0  # the proxy broke it
@@ -103,6 +105,16 @@
     late_us: int
 
 
+@dataclass(slots=True)
+class RunQueueWait:
+    """A process was ready to run and had no processor, for so much of this time, by the kernel's count."""
+
+    process: str
+    from_us: int
+    to_us: int
+    waited_us: int
+
+
 @dataclass(slots=True)
 class Life:
     """One relay process. `how`: term, kill or crash; empty while it runs."""
@@ -138,7 +150,17 @@
 
 
 Record: TypeAlias = (
-    ClientSaw | ProxySaw | BackendSaw | Started | Change | Told | Late | Life | Called | TroubleSpan
+    ClientSaw
+    | ProxySaw
+    | BackendSaw
+    | Started
+    | Change
+    | Told
+    | Late
+    | RunQueueWait
+    | Life
+    | Called
+    | TroubleSpan
 )
 _TYPES: dict[str, type[Any]] = {kind.__name__: kind for kind in get_args(Record)}
 
--- a/gannetweir/lab/soak/relays.py
+++ b/gannetweir/lab/soak/relays.py
@@ -17,6 +17,7 @@
 from gannetweir.lab.soak import standin
 from gannetweir.lab.soak.plan import SoakPlan, settings, shares_listener
 from gannetweir.lab.soak.records import Life, RecordFile, Told, now_us
+from gannetweir.lab.soak.run_queue import waited_us
 from gannetweir.lab.soak.shim import Shim
 from gannetweir.lab.soak.standin import ConnectionEndedError
 
@@ -169,13 +170,11 @@
             self.life.ready_us = now_us()
         life.asked_to_end_us = now_us()
         old.send_signal(signal.SIGTERM)
-        with anyio.move_on_after(self.plan.killed_after_s):
-            while old.poll() is None:
-                await anyio.sleep(0.01)
+        await self._wait_for_end(old)
         life.how = "term" if old.poll() is not None else "late"
-        life.ended_us = now_us()
         old.kill()
         life.code, self.before = old.wait(), None
+        life.ended_us = now_us()
         self.records.write(life)
 
     def signal(self, number: signal.Signals) -> None:
@@ -187,19 +186,27 @@
         """After SIGTERM: wait for its exit, and kill it if that does not come."""
         self.life.asked_to_end_us = now_us()
         self.signal(signal.SIGTERM)
-        with anyio.move_on_after(self.plan.killed_after_s):
-            while self.process is not None and self.process.poll() is None:
-                await anyio.sleep(0.01)
+        if self.process is not None:
+            await self._wait_for_end(self.process)
         late = self.process is not None and self.process.poll() is None
         self.kill("late" if late else "term")
 
+    async def _wait_for_end(self, process: subprocess.Popen[bytes]) -> None:
+        """Until its exit, or its time is over. Time in which it had no processor is not counted."""
+        asked_us, waited_before_us = now_us(), waited_us(process.pid)
+        while process.poll() is None:
+            not_counted_us = waited_us(process.pid) - waited_before_us
+            if now_us() - asked_us - not_counted_us > self.plan.killed_after_s * 1e6:
+                return
+            await anyio.sleep(0.01)
+
     def kill(self, how: str) -> None:
         """It is over: kill what is left, and write its life down."""
         if self.process is None:
             return
-        self.life.ended_us = now_us()
         self.process.kill()
         self.life.code = self.process.wait()
+        self.life.ended_us = now_us()  # after it: nothing that this process did comes later
         self.life.how = how
         self.records.write(self.life)
         self.process = None
--- a/gannetweir/lab/soak/run.py
+++ b/gannetweir/lab/soak/run.py
@@ -7,7 +7,7 @@
 import subprocess
 import sys
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from contextlib import suppress
 from pathlib import Path
 from typing import Any
@@ -18,9 +18,18 @@
 
 from gannetweir.lab.soak import relays as relay_processes
 from gannetweir.lab.soak.judge import BROKEN_AT, Verdict, judge
-from gannetweir.lab.soak.plan import COLD_FROM, WARM_US, Kind, SoakPlan, Trouble, draw_troubles
+from gannetweir.lab.soak.plan import (
+    COLD_FROM,
+    WARM_US,
+    Kind,
+    SoakPlan,
+    Trouble,
+    draw_troubles,
+    proxy_name,
+)
 from gannetweir.lab.soak.records import Called, RecordFile, Started, TroubleSpan, now_us, read
 from gannetweir.lab.soak.relays import READY_S, Relay
+from gannetweir.lab.soak.run_queue import SAMPLE_INTERVAL_S, RunQueueSampler
 from gannetweir.lab.soak.shim import Call, Shim, build
 
 SETTLE_S = 1.5  # before the first trouble and after the last one
@@ -97,7 +106,7 @@
         ports = {name: await self._start_backend(name) for name in names}
         for n in range(self.plan.proxies):
             mine = [f"{name}={ports[name]}" for name in names[n :: self.plan.proxies]]
-            self.proxies.append(StandIn("proxy", f"proxy{n}", str(self.folder), *mine))
+            self.proxies.append(StandIn("proxy", proxy_name(n), str(self.folder), *mine))
         self.discovery = StandIn("discovery", str(self.folder), str(self.plan.relays))
         dials: dict[str, int] = {}
         for proxy in self.proxies:
@@ -345,11 +354,29 @@
                     self._withdraw(relay)
             await anyio.sleep(0.05)
 
+    async def _sample_run_queue(self) -> None:
+        sampler = RunQueueSampler(self.records)
+        while True:
+            sampler.sample(self._processes())
+            await anyio.sleep(SAMPLE_INTERVAL_S)
+
+    def _processes(self) -> Iterator[tuple[str, int]]:
+        """Every process whose lateness the judge allows for, by the name that the records have for it."""
+        for relay in self.relays:
+            for process in (relay.process, relay.before):
+                if process is not None:
+                    yield f"n{relay.number}", process.pid
+        for name, backend in self.backends.items():
+            yield name, backend.process.pid
+        for number, proxy in enumerate(self.proxies):
+            yield proxy_name(number), proxy.process.pid
+
     async def play(self, troubles: list[Trouble] | None = None) -> Verdict:
         """Run it to its end, and judge it."""
         troubles = draw_troubles(self.plan) if troubles is None else troubles
         try:
             async with anyio.create_task_group() as self.tasks:
+                self.tasks.start_soon(self._sample_run_queue)
                 await self._start()
                 self.tasks.start_soon(self._watch)
                 await anyio.sleep(SETTLE_S)
--- a/gannetweir/lab/soak/standin.py
+++ b/gannetweir/lab/soak/standin.py
@@ -20,6 +20,8 @@
 
 BEAT_S = 0.01
 LATE_US = 20_000
+_UNACKNOWLEDGED = slice(24, 28)  # of Linux's struct tcp_info: segments
+_LAST_DATA_RECEIVED = slice(52, 56)  # milliseconds ago
 _RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # struct linger: on, 0 s
 
 
@@ -55,6 +57,18 @@
                 raise ConnectionEndedError(False)
             return data
 
+    def received_us(self) -> int:
+        """When the kernel received the last data, which may have been read much later. Exact to 1 ms."""
+        return now_us() - self._tcp_info(_LAST_DATA_RECEIVED) * 1000
+
+    def is_unheard(self) -> bool:
+        """Has the peer's kernel not taken all that was sent? So it is where the peer's listener is full."""
+        return not self.closed and self._tcp_info(_UNACKNOWLEDGED) > 0
+
+    def _tcp_info(self, part: slice) -> int:
+        info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, part.stop)
+        return int.from_bytes(info[part], sys.byteorder)
+
     async def _wait_readable(self) -> None:
         try:
             await anyio.wait_readable(self.sock)
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -10,10 +10,12 @@
 import sys
 import time
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 import anyio
 
+from gannetweir.core import OpenUpstream
 from gannetweir.core.draining import Draining
 from gannetweir.core.operator_overrides import OverrideUpdates
 from gannetweir.core.placement_dispatcher import PlacementDispatcher
@@ -120,7 +122,9 @@
 
 def draining() -> None:
     """What discovery says of a backend's leaving is not heeded."""
-    EndpointList.accepts_requests = lambda self, server: server in self.entries  # type: ignore[method-assign]
+    EndpointList.accepts_requests = (  # type: ignore[method-assign]
+        lambda self, endpoint_id: endpoint_id in self.entries
+    )
     _replace(
         PlacementDispatcher,
         "dispatch",
@@ -141,26 +145,24 @@
 
 
 def client_gone() -> None:
-    """A client's end before its answer is not noticed."""
-    ClientConnectionDriver.read_pending_input = lambda self: None  # type: ignore[method-assign]
+    """Four seconds after a client has left without an answer, an attempt for it begins."""
 
     def wrap(left: Any) -> Any:
         def wrong(self: ClientConnectionDriver, reset: bool) -> None:
-            if self.upstream is None or self.upstream.protocol.established:
-                left(self, reset)
+            if self.upstream is not None and not self.upstream.protocol.established:
+                self.context.spawn(partial(_attempt_later, self, self.upstream.command))
+            left(self, reset)
 
         return wrong
 
     _replace(ClientConnectionDriver, "_report_disconnect", wrap)
-    _replace(UpstreamDriver, "_connect", _later)
-
 
-def _later(connect: Any) -> Any:
-    async def wrong(self: UpstreamDriver) -> None:
-        await anyio.sleep(0.235)  # the connect has 0.25 s
-        await connect(self)
 
-    return wrong
+async def _attempt_later(client: ClientConnectionDriver, command: OpenUpstream) -> None:
+    await anyio.sleep(4.0)
+    assert client.first_line is not None
+    async with await anyio.connect_tcp(*client.context.parse_endpoint_address(command.address)) as backend:
+        await backend.send(client.first_line.for_endpoint(command.timeout_us))
 
 
 def cut_off() -> None:
@@ -169,8 +171,8 @@
 
 
 def held_back() -> None:
-    """A line of a connection that has stood for a while waits for more than a second."""
-    left = [1.4]
+    """A line of a connection that has stood for a while waits for four seconds."""
+    left = [4.0]
 
     def wrap(to_client: Any) -> Any:
         def wrong(self: ClientConnectionDriver, line: bytes) -> None:
@@ -188,21 +190,31 @@
 
 
 def crash() -> None:
-    """The process dies after a while."""
-    signal.signal(signal.SIGALRM, lambda *_: os._exit(3))
-    signal.setitimer(signal.ITIMER_REAL, 3.0)
+    """The process dies as it serves its seventh client."""
+
+    def wrap(serve: Any) -> Any:
+        def wrong(self: ClientConnectionDriver) -> None:
+            if self.request_id >= EVERY:
+                os._exit(3)
+            serve(self)
+
+        return wrong
+
+    _replace(ClientConnectionDriver, "start_forwarding", wrap)
 
 
 def descriptors() -> None:
     """Descriptors are not given back."""
-    kept: list[int] = []
-    _replace(
-        Transport,
-        "close",
-        lambda close: (
-            lambda self: (kept.append(os.dup(self.sock.fileno())) if not self.closed else None) or close(self)
-        ),
-    )
+
+    def wrap(close: Any) -> Any:
+        def wrong(self: Transport) -> None:
+            if not self.closed:
+                os.dup(self.sock.fileno())
+            close(self)
+
+        return wrong
+
+    _replace(Transport, "close", wrap)
 
 
 def invariant() -> None:
@@ -255,7 +267,7 @@
     """Break one rule, then serve."""
     name = sys.argv.pop(1)
     if name == "no_start":
-        time.sleep(12.0)
+        time.sleep(4.0)
         return 0
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1})
     SABOTAGES[name]()
--- a/tests/test_reproductions.py
+++ b/tests/test_reproductions.py
@@ -11,7 +11,7 @@
 import pytest
 
 from gannetweir.lab.soak.plan import Kind, SoakPlan, Trouble
-from gannetweir.lab.soak.records import BackendSaw, ClientSaw, Life, Started, read
+from gannetweir.lab.soak.records import BackendSaw, ClientSaw, Life, Started, TroubleSpan, now_us, read
 from gannetweir.lab.soak.run import Soak
 from gannetweir.lab.soak.shim import Call
 
@@ -83,7 +83,10 @@
     """
 
     async def start_anew(soak: Soak) -> None:
+        killed_us = now_us()
         await soak.restart_backend("b0", 0.0, signal.SIGKILL)
+        # else the ends of its clients' connections would be put down to the relay
+        soak.records.write(TroubleSpan(Kind.CRASH, "b0", killed_us, now_us()))
         (relay,) = soak.relays
         relay.busy = True
         relay.life.asked_to_end_us = 1
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 import contextlib
+import os
 import shutil
+import socket
 import subprocess
 import sys
 import time
@@ -14,7 +16,7 @@
 import anyio
 import pytest
 
-from gannetweir.lab.soak import shim
+from gannetweir.lab.soak import shim, standin
 from gannetweir.lab.soak.judge import SoakRule, Verdict, judge
 from gannetweir.lab.soak.plan import Kind, SoakPlan, Trouble, draw_troubles
 from gannetweir.lab.soak.records import (
@@ -25,12 +27,17 @@
     Life,
     ProxySaw,
     Record,
+    RecordFile,
+    RunQueueWait,
     Started,
     Told,
     TroubleSpan,
+    now_us,
+    read,
 )
 from gannetweir.lab.soak.relays import command
 from gannetweir.lab.soak.run import Soak
+from gannetweir.lab.soak.run_queue import RunQueueSampler
 
 PLAN = SoakPlan(sockets=100)
 LINE = "OPEN r1 2 c=once,d={},g=3"
@@ -69,6 +76,18 @@
     "no answer": (SoakRule.LOST, [client(**UNANSWERED)]),
     "too late": (SoakRule.LOST, [client(answered_us=11_700_000, left_us=12 * SECOND), attempt(), AT_B1]),
     "made up": (SoakRule.FABRICATED, [client(receipt="b1.1.r2"), attempt(), AT_B1]),
+    "MOVE in place of an answer": (SoakRule.LOST, [client(answer="MOVE", receipt="", left_us=0)]),
+    "no answer, with a processor": (
+        SoakRule.LOST,
+        [
+            client(**UNANSWERED, gave_up_us=21 * SECOND),
+            RunQueueWait("n0", 11 * SECOND, 20 * SECOND, 8 * SECOND),
+        ],
+    ),
+    "not heard, with a processor": (
+        SoakRule.LOST,
+        [client(**UNANSWERED, gave_up_us=11_200_000, unheard=True)],
+    ),
     "two at once": (
         SoakRule.OVERLAP,
         [client(cls="free"), attempt("b0", relay_ended_us=10_900_000), attempt(at=10 * SECOND + 2000), AT_B1],
@@ -84,6 +103,22 @@
     "drain told": (SoakRule.DRAIN, [*SERVED, Told(0, "b1", "Terminating", 0, 9 * SECOND)]),
     "drain not heard": (SoakRule.DRAIN, [*SERVED, Change("b1", "Terminating", 0, 3 * SECOND)]),
     "client gone": (SoakRule.CLIENT_GONE, [client(**UNANSWERED | {"left_us": 9 * SECOND}), attempt()]),
+    "client gone, with a processor": (
+        SoakRule.CLIENT_GONE,
+        [
+            client(**UNANSWERED | {"left_us": 9 * SECOND}),
+            attempt(),
+            RunQueueWait("n0", 9 * SECOND, 10 * SECOND, 700_000),
+        ],
+    ),
+    "client gone, others without a processor": (
+        SoakRule.CLIENT_GONE,
+        [
+            client(**UNANSWERED | {"left_us": 9 * SECOND}),
+            attempt(),
+            RunQueueWait("n1", 9 * SECOND, 10 * SECOND, SECOND),
+        ],
+    ),
     "no MOVE": (SoakRule.CUT_OFF, [client(left_us=0, end="eof", ended_us=11 * SECOND), attempt(), AT_B1]),
     "held": (SoakRule.HELD_BACK, [client(echo_us=1_200_000, echo_at_us=10_100_000), attempt(), AT_B1]),
     "cold": (
@@ -103,6 +138,31 @@
 }
 ALLOWED: dict[str, list[Record]] = {
     "served": SERVED,
+    "answered late, without a processor": [
+        client(answered_us=12_700_000, left_us=13 * SECOND),
+        attempt(),
+        AT_B1,
+        RunQueueWait("n0", 11 * SECOND, 13 * SECOND, 1_600_000),
+    ],
+    "no answer, without a processor": [
+        client(**UNANSWERED, gave_up_us=21 * SECOND),
+        RunQueueWait("n0", 11 * SECOND, 21 * SECOND, 10 * SECOND),
+    ],
+    "not heard, without a processor": [
+        client(**UNANSWERED, gave_up_us=21 * SECOND, unheard=True),
+        RunQueueWait("n0", 10 * SECOND, 11 * SECOND, 200_000),
+    ],
+    "left while its relay had no processor": [
+        client(**UNANSWERED | {"left_us": 9 * SECOND}),
+        attempt(),
+        RunQueueWait("n0", 9 * SECOND, 10 * SECOND, 900_000),
+    ],
+    "its answer read after its relay was killed": [
+        client(left_us=0, end="reset", ended_us=10 * SECOND + 6000),
+        attempt(),
+        AT_B1,
+        KILLED,
+    ],
     "its relay was killed": [client(**UNANSWERED, end="reset", ended_us=10 * SECOND + 1), KILLED],
     "refused, then elsewhere": [client(), GIVEN_UP, BackendSaw("r1", "b0", 10 * SECOND, "BUSY"), *SERVED[1:]],
     "read late, and in another order": [
@@ -185,6 +245,47 @@
     assert drawn == set(Kind)
 
 
+def test_waits_for_a_processor_are_written_by_name_and_none_of_an_ended_process(tmp_path: Path) -> None:
+    sampler = RunQueueSampler(RecordFile(tmp_path / "soak.jsonl"))
+    busy = [subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(2)]
+    for process in busy:  # both on one processor: each waits about half of the time
+        os.sched_setaffinity(process.pid, {min(os.sched_getaffinity(0))})
+    time.sleep(0.5)
+    sampler.sample((f"n{number}", process.pid) for number, process in enumerate(busy))
+    for process in busy:
+        process.kill()
+        process.wait()
+    sampler.sample([("n2", busy[0].pid)])
+    waits = read(tmp_path)
+    assert [wait.process for wait in waits if isinstance(wait, RunQueueWait)] == ["n0", "n1"]
+
+
+def test_a_stand_in_knows_when_data_came_however_late_it_reads() -> None:
+    with standin.listener() as listening, socket.create_connection(listening.getsockname()) as sender:
+        reader = standin.Connection(listening.accept()[0])
+        sender.send(b"OPEN")
+        sent_us = now_us()
+        time.sleep(0.3)
+        assert abs(reader.received_us() - sent_us) < 100_000
+        reader.sock.close()
+
+
+def test_a_stand_in_knows_that_a_full_listener_has_not_taken_its_line() -> None:
+    with socket.create_server(("127.0.0.1", 0), backlog=1) as listening:
+        clients = [socket.create_connection(listening.getsockname()) for _ in range(2)]
+        late = socket.socket()
+        late.setblocking(False)
+        late.connect_ex(listening.getsockname())
+        connections = [standin.Connection(sock) for sock in (*clients, late)]
+        for connection in connections[:2]:
+            connection.sock.send(b"OPEN")
+        time.sleep(0.1)
+        heard = [not connection.is_unheard() for connection in connections]
+        for connection in connections:
+            connection.sock.close()
+    assert heard == [True, True, False]
+
+
 def test_without_a_compiler_the_soak_says_so(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     monkeypatch.setattr(shutil, "which", lambda name: None)
     with pytest.raises(shim.SoakError, match="no C compiler"):
