--- a/gannetweir/lab/emulator/push_node.py
+++ b/gannetweir/lab/emulator/push_node.py
@@ -19,7 +19,8 @@
 from gannetweir.addresses.address import IPV6, UNIX, Address, parse_address
 from gannetweir.lab.emulator.attempts import OpenAttempts
 from gannetweir.limits import Limits
-from gannetweir.net.transport import Spawn, Transport, accept_connection
+from gannetweir.net.sockets import accept_connection
+from gannetweir.net.transport import Spawn, Transport
 
 FAULTS = ("", "refuse", "hole", "stall", "reset", "slow")
 SLOW_S = 0.15  # a slow address reads nothing for so long
--- a/gannetweir/lab/emulator/registry.py
+++ b/gannetweir/lab/emulator/registry.py
@@ -12,7 +12,8 @@
 
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.limits import Limits
-from gannetweir.net.transport import Transport, accept_connection, set_low_latency
+from gannetweir.net.sockets import accept_connection, set_low_latency
+from gannetweir.net.transport import Transport
 
 
 class Registry:
--- a/gannetweir/lab/scale/discovery_stub.py
+++ b/gannetweir/lab/scale/discovery_stub.py
@@ -31,7 +31,7 @@
     SetMembership,
     SetMode,
 )
-from gannetweir.net.transport import accept_connection, set_low_latency
+from gannetweir.net.sockets import accept_connection, set_low_latency
 from gannetweir.proto.control_calls import chunk
 
 HEARTBEAT_S = 2.0
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -24,7 +24,8 @@
 from gannetweir.limits import Limits
 from gannetweir.net.load_probes import run_probe
 from gannetweir.net.ports import ConnectContext
-from gannetweir.net.transport import Transport, connect, set_low_latency, tcp_socket
+from gannetweir.net.sockets import connect, set_low_latency, tcp_socket
+from gannetweir.net.transport import Transport
 from gannetweir.placement.events import AttemptStatus, EndpointId
 from gannetweir.placement.settings import Settings
 
--- a/gannetweir/net/admin.py
+++ b/gannetweir/net/admin.py
@@ -12,7 +12,8 @@
 from gannetweir.core import Engine
 from gannetweir.net.listener import open_listener
 from gannetweir.net.ports import LoggingContext
-from gannetweir.net.transport import Transport, accept_connection, set_low_latency
+from gannetweir.net.sockets import accept_connection, set_low_latency
+from gannetweir.net.transport import Transport
 from gannetweir.proto.admin import AdminCall, AdminCallError, AdminOperations
 
 ACCEPT_RETRY_S = 0.02  # between accepts that fail; an operator doesn't notice it
--- a/gannetweir/net/client_registry.py
+++ b/gannetweir/net/client_registry.py
@@ -8,7 +8,8 @@
 
 from gannetweir.net.client_connection import ClientConnectionDriver
 from gannetweir.net.runtime import RelayRuntime
-from gannetweir.net.transport import Transport, set_low_latency
+from gannetweir.net.sockets import set_low_latency
+from gannetweir.net.transport import Transport
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.client_connection import FirstLine, rejection_line
 
--- a/gannetweir/net/connecting.py
+++ b/gannetweir/net/connecting.py
@@ -9,7 +9,8 @@
 import anyio
 
 from gannetweir.net.errors import LocalResourceError, backoff_delays_s
-from gannetweir.net.transport import Transport, connect
+from gannetweir.net.sockets import connect
+from gannetweir.net.transport import Transport
 
 # `Any`: what a socket connects to differs by the family of addresses, as in the standard library.
 OpenSocket = Callable[[], tuple[socket.socket, Any]]
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -26,13 +26,8 @@
 from gannetweir.limits import Limits
 from gannetweir.net.control_store import StoreSync, monotonic_us
 from gannetweir.net.errors import MAX_BACKOFF_S
-from gannetweir.net.transport import (
-    Spawn,
-    Transport,
-    accept_connection,
-    open_listening_socket,
-    set_low_latency,
-)
+from gannetweir.net.sockets import accept_connection, open_listening_socket, set_low_latency
+from gannetweir.net.transport import Spawn, Transport
 from gannetweir.proto.control_calls import (
     AnswerCall,
     Call,
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -26,7 +26,8 @@
 from gannetweir.control.versions import Ack, Entry, Nack, Reason, Resource, Slice, Version
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import MembershipUpdate
-from gannetweir.net.transport import Spawn, Transport, connect, tcp_socket
+from gannetweir.net.sockets import connect, tcp_socket
+from gannetweir.net.transport import Spawn, Transport
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.control_messages import ACK_TARGET, write_answer
 from gannetweir.proto.control_watch import ControlWatch
--- a/gannetweir/net/dialer.py
+++ b/gannetweir/net/dialer.py
@@ -21,7 +21,8 @@
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.errors import LocalResourceError
 from gannetweir.net.ports import RaceContext
-from gannetweir.net.transport import DescriptorCount, Transport, socket_to
+from gannetweir.net.sockets import socket_to
+from gannetweir.net.transport import DescriptorCount, Transport
 
 
 class AddressRaceDriver:
--- a/gannetweir/net/endpoint_watch.py
+++ b/gannetweir/net/endpoint_watch.py
@@ -18,7 +18,8 @@
 from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.ports import DriverContext
-from gannetweir.net.transport import Spawn, Transport, tcp_socket
+from gannetweir.net.sockets import tcp_socket
+from gannetweir.net.transport import Spawn, Transport
 from gannetweir.proto.endpoint_watch import EndpointListError, EndpointWatch, Heartbeat, WatchFailed
 
 
--- a/gannetweir/net/listener.py
+++ b/gannetweir/net/listener.py
@@ -20,7 +20,7 @@
     backoff_delays_s,
 )
 from gannetweir.net.ports import LoggingContext
-from gannetweir.net.transport import accept_connection, open_listening_socket
+from gannetweir.net.sockets import accept_connection, open_listening_socket
 
 # At a start the address may be held by another process, not be there yet, or the machine be short.
 _TRANSIENT_BIND_ERRORS = SHORTAGE_ERRORS | {errno.EADDRINUSE, errno.EADDRNOTAVAIL}
--- a/gannetweir/net/load_probes.py
+++ b/gannetweir/net/load_probes.py
@@ -10,7 +10,8 @@
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.errors import LocalResourceError
 from gannetweir.net.ports import ConnectContext, DriverContext
-from gannetweir.net.transport import Transport, tcp_socket
+from gannetweir.net.sockets import tcp_socket
+from gannetweir.net.transport import Transport
 from gannetweir.placement.events import AttemptStatus, EndpointId
 from gannetweir.proto.load_probe import LoadProbeExchange
 from gannetweir.proto.upstream_connection import AttemptEnded
--- a/gannetweir/net/upstream_connection.py
+++ b/gannetweir/net/upstream_connection.py
@@ -21,7 +21,8 @@
     wait_writable,
 )
 from gannetweir.net.ports import Arguments, ConnectContext
-from gannetweir.net.transport import DescriptorCount, Transport, tcp_socket
+from gannetweir.net.sockets import tcp_socket
+from gannetweir.net.transport import DescriptorCount, Transport
 from gannetweir.placement.events import AttemptStatus
 from gannetweir.proto.upstream_connection import (
     AttemptEnded,
