--- a/gannetweir/lab/emulator/registry.py
+++ b/gannetweir/lab/emulator/registry.py
@@ -12,7 +12,7 @@
 
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.limits import Limits
-from gannetweir.net.sockets import accept_connection, set_low_latency
+from gannetweir.net.sockets import accept_connection, set_nonblocking_nodelay
 from gannetweir.net.transport import Transport
 
 
@@ -48,7 +48,7 @@
             try:
                 while True:
                     sock = await accept_connection(self.listener)
-                    set_low_latency(sock)
+                    set_nonblocking_nodelay(sock)
                     caller = Transport(sock, Limits(), spawn_in(tasks))
                     tasks.start_soon(self._serve, caller)
             finally:
--- a/gannetweir/lab/scale/discovery_stub.py
+++ b/gannetweir/lab/scale/discovery_stub.py
@@ -31,7 +31,7 @@
     SetMembership,
     SetMode,
 )
-from gannetweir.net.sockets import accept_connection, set_low_latency
+from gannetweir.net.sockets import accept_connection, set_nonblocking_nodelay
 from gannetweir.proto.control_calls import chunk
 
 HEARTBEAT_S = 2.0
@@ -154,7 +154,7 @@
     async def _accept(self, listener: socket.socket) -> None:
         while True:
             sock = await accept_connection(listener)
-            set_low_latency(sock)
+            set_nonblocking_nodelay(sock)
             self.tasks.start_soon(self._serve, sock)
 
     async def _serve(self, sock: socket.socket) -> None:
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -24,7 +24,7 @@
 from gannetweir.limits import Limits
 from gannetweir.net.load_probes import run_probe
 from gannetweir.net.ports import ConnectContext
-from gannetweir.net.sockets import connect, set_low_latency, tcp_socket
+from gannetweir.net.sockets import connect, set_nonblocking_nodelay, tcp_socket
 from gannetweir.net.transport import Transport
 from gannetweir.placement.events import AttemptStatus, EndpointId
 from gannetweir.placement.settings import Settings
@@ -103,7 +103,7 @@
 def _pair(listener: socket.socket) -> tuple[socket.socket, socket.socket]:
     other = socket.create_connection(listener.getsockname())
     one, _ = listener.accept()
-    set_low_latency(one)
+    set_nonblocking_nodelay(one)
     return one, other
 
 
--- a/gannetweir/lab/scale/peer.py
+++ b/gannetweir/lab/scale/peer.py
@@ -15,7 +15,7 @@
 
 from gannetweir.lab.emulator.push_node import spawn_in
 from gannetweir.limits import Limits
-from gannetweir.net.sockets import accept_connection, connect, set_low_latency, tcp_socket
+from gannetweir.net.sockets import accept_connection, connect, set_nonblocking_nodelay, tcp_socket
 from gannetweir.net.transport import Transport
 
 REPORT = b"PONG tps=1,concurrent=90000,x0=0.2\r\n"  # so many that one more makes no difference
@@ -95,7 +95,7 @@
 
         while True:
             sock = await accept_connection(listener)
-            set_low_latency(sock)
+            set_nonblocking_nodelay(sock)
             tasks.start_soon(one, Transport(sock, limits, spawn))
 
 
--- a/gannetweir/net/admin.py
+++ b/gannetweir/net/admin.py
@@ -12,7 +12,7 @@
 from gannetweir.core import Engine
 from gannetweir.net.listener import open_listener
 from gannetweir.net.ports import LoggingContext
-from gannetweir.net.sockets import accept_connection, set_low_latency
+from gannetweir.net.sockets import accept_connection, set_nonblocking_nodelay
 from gannetweir.net.transport import Transport
 from gannetweir.proto.admin import AdminCall, AdminCallError, AdminOperations
 
@@ -49,7 +49,7 @@
             self.listener.close()
 
     def _accept_caller(self, sock: socket.socket) -> None:
-        set_low_latency(sock)
+        set_nonblocking_nodelay(sock)
         while len(self.callers) >= self.limits.max_admin_connections:
             # idle callers must not keep out the one who calls: the oldest has had the longest time for it
             oldest = next(iter(self.callers))
--- a/gannetweir/net/client_registry.py
+++ b/gannetweir/net/client_registry.py
@@ -8,7 +8,7 @@
 
 from gannetweir.net.client_connection import ClientConnectionDriver
 from gannetweir.net.runtime import RelayRuntime
-from gannetweir.net.sockets import set_low_latency
+from gannetweir.net.sockets import set_nonblocking_nodelay
 from gannetweir.net.transport import Transport
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.client_connection import FirstLine, rejection_line
@@ -31,7 +31,7 @@
         """
         runtime = self.runtime
         with runtime.guarded():
-            set_low_latency(sock)
+            set_nonblocking_nodelay(sock)
             has_capacity = runtime.descriptor_budget.make_capacity()
             transport = Transport(sock, runtime.limits, runtime.spawn, runtime.descriptor_count)
             if has_capacity:
--- a/gannetweir/net/connecting.py
+++ b/gannetweir/net/connecting.py
@@ -4,16 +4,14 @@
 
 import socket
 from collections.abc import Callable
-from typing import Any
 
 import anyio
 
 from gannetweir.net.errors import LocalResourceError, backoff_delays_s
-from gannetweir.net.sockets import connect
+from gannetweir.net.sockets import SocketName, connect
 from gannetweir.net.transport import Transport
 
-# `Any`: what a socket connects to differs by the family of addresses, as in the standard library.
-OpenSocket = Callable[[], tuple[socket.socket, Any]]
+OpenSocket = Callable[[], tuple[socket.socket, SocketName]]
 
 
 def _ignore(*_: object) -> None:
@@ -41,7 +39,6 @@
             sock, address = open_socket()
             transport = make_transport(sock)
             await connect(sock, address, on_started)
-            return transport
         except LocalResourceError as error:
             if transport is not None:
                 transport.close()
@@ -50,5 +47,7 @@
             if transport is not None:
                 transport.close()
             raise
+        else:
+            return transport
         await anyio.sleep(delay_s)
     raise AssertionError("backoff delays never end")
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -26,7 +26,7 @@
 from gannetweir.limits import Limits
 from gannetweir.net.control_store import StoreSync, monotonic_us
 from gannetweir.net.errors import MAX_BACKOFF_S
-from gannetweir.net.sockets import accept_connection, open_listening_socket, set_low_latency
+from gannetweir.net.sockets import accept_connection, open_listening_socket, set_nonblocking_nodelay
 from gannetweir.net.transport import Spawn, Transport
 from gannetweir.proto.control_calls import (
     AnswerCall,
@@ -105,7 +105,7 @@
                 await anyio.sleep(MAX_BACKOFF_S)
 
     def _begin_connection(self, sock: socket.socket, spawn: Spawn) -> None:
-        set_low_latency(sock)
+        set_nonblocking_nodelay(sock)
         transport = Transport(sock, self.limits, spawn)
         if len(self.connections) >= MAX_CONNECTIONS:
             transport.close()
--- a/gannetweir/net/descriptors.py
+++ b/gannetweir/net/descriptors.py
@@ -101,7 +101,7 @@
             group.pop(connection, None)
 
     def has_capacity(self) -> bool:
-        """Is a descriptor free for one more client or attempt?"""
+        """Whether a descriptor is free for one more client or attempt."""
         limits, in_use = self.current_limits(), self.descriptor_count.open
         if self.handover.peers:  # during an upgrade the limits hold for both processes together
             in_use += self.handover.count_peer_descriptors() + limits.reserved_sockets
--- a/gannetweir/net/errors.py
+++ b/gannetweir/net/errors.py
@@ -53,7 +53,7 @@
 
 
 def is_shortage(error: OSError) -> bool:
-    """Is the machine short of something that the call needs, for a moment?"""
+    """Whether the machine is short of something that the call needs, for a moment."""
     return error.errno in SHORTAGE_ERRORS
 
 
--- a/gannetweir/net/listener.py
+++ b/gannetweir/net/listener.py
@@ -64,7 +64,7 @@
 
     @property
     def accepting(self) -> bool:
-        """Are clients accepted now, or were they until it was stopped?"""
+        """Whether clients are accepted now, or were until it was stopped."""
         return self.scope is not None
 
     def stop(self) -> None:
--- a/gannetweir/net/load_probes.py
+++ b/gannetweir/net/load_probes.py
@@ -106,10 +106,9 @@
     """Over one of an endpoint's addresses after another: an answer on any is the endpoint's."""
     selector = context.engine.address_selector
     assert selector is not None
-    result = AttemptEnded(AttemptStatus.TIMEOUT)
     with anyio.move_on_after(context.limits.load_probe_timeout_us / 1e6):
-        result = await _AddressesProbe(context, command, selector).run()
-    return result
+        return await _AddressesProbe(context, command, selector).run()
+    return AttemptEnded(AttemptStatus.TIMEOUT)
 
 
 class _AddressesProbe:
@@ -122,15 +121,15 @@
         self.endpoint = str(command.endpoint_id)
         address_count = len(selector.states_by_endpoint.get(self.endpoint, ()))
         self.time_per_address_us = context.limits.load_probe_timeout_us / max(1, address_count)
-        self.tried: list[Address] = []
-        self.asked_us = 0  # when the last question was written
+        self.tried_addresses: list[Address] = []
+        self.question_sent_us = 0  # when the last question was sent, or its connect begun
         self.address: Address | None = None  # that the last question went to
         self.result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
 
     async def run(self) -> AttemptEnded:
         """The result, over the first address that answers. Raises nothing of the sockets'."""
         context, selector = self.context, self.selector
-        while selector.ordered_addresses(self.endpoint, context.clock(), True, self.tried):
+        while selector.ordered_addresses(self.endpoint, context.clock(), True, self.tried_addresses):
             await self._ask_next()
             if self.address is None:
                 return self.result  # none could be connected
@@ -139,11 +138,11 @@
             if self.result.status in (AttemptStatus.OK, AttemptStatus.ERROR):
                 now_us = context.clock()
                 selector.record_response(
-                    self.endpoint, self.address, now_us, max(1, context.clock() - self.asked_us)
+                    self.endpoint, self.address, now_us, max(1, context.clock() - self.question_sent_us)
                 )
                 return self.result
             selector.record_no_response(self.endpoint, self.address, context.clock())
-            self.tried.append(self.address)
+            self.tried_addresses.append(self.address)
         return self.result
 
     async def _ask_next(self) -> None:
@@ -151,13 +150,13 @@
 
         context = self.context
         transport: Transport | None = None
-        self.address, self.asked_us = None, context.clock()
+        self.address, self.question_sent_us = None, context.clock()
         try:
             with anyio.fail_after(self.time_per_address_us / 1e6):
-                race = self.selector.new_race(self.endpoint, context.clock(), True, self.tried)
+                race = self.selector.new_race(self.endpoint, context.clock(), True, self.tried_addresses)
                 driver = AddressRaceDriver(context, self.selector, self.endpoint, race, None)
                 transport, self.address = await driver.connect()
-                self.result, self.asked_us = AttemptEnded(AttemptStatus.TIMEOUT), context.clock()
+                self.result, self.question_sent_us = AttemptEnded(AttemptStatus.TIMEOUT), context.clock()
                 self.result = await _exchange(context, self.command.endpoint_id, transport)
         except (TimeoutError, OSError):
             pass  # the result says how far it came
--- a/gannetweir/net/ports.py
+++ b/gannetweir/net/ports.py
@@ -76,7 +76,7 @@
         """Microseconds of a monotonic clock."""
 
     def has_capacity(self) -> bool:
-        """Is a descriptor free for one more client or attempt?"""
+        """Whether a descriptor is free for one more client or attempt."""
 
 
 class ConnectContext(DriverContext, RaceContext, Protocol):
--- a/gannetweir/net/runtime.py
+++ b/gannetweir/net/runtime.py
@@ -31,6 +31,7 @@
         self.offset_ns = 0
 
     def __call__(self) -> int:
+        """Microseconds since a moment that is the same for the whole run."""
         return (self.offset_ns + time.monotonic_ns()) // 1000
 
 
@@ -70,7 +71,7 @@
         return self.descriptor_budget.address_races
 
     def has_capacity(self) -> bool:
-        """Is a descriptor free for one more client or attempt?"""
+        """Whether a descriptor is free for one more client or attempt."""
         return self.descriptor_budget.has_capacity()
 
     def apply_config(self, config: Config) -> None:
@@ -120,7 +121,7 @@
         """
         try:
             yield
-        except Exception as error:
+        except Exception as error:  # the guarded edge of every task: one fault ends one task
             self.engine.counters.add("driver_faults")
             self.log("a driver failed", reason=f"{type(error).__name__}: {error}")
 
--- a/gannetweir/net/transport.py
+++ b/gannetweir/net/transport.py
@@ -7,7 +7,6 @@
 import socket
 import struct
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 import anyio
 import anyio.lowlevel
@@ -20,8 +19,10 @@
     wait_writable,
 )
 
-Spawn = Callable[[Callable[[], Awaitable[Any]]], None]
-FINAL_SEND_ATTEMPTS = 8  # to send, before a close that can't wait
+# Starts a task of the relay; a fault in it ends that task alone.
+Spawn = Callable[[Callable[[], Awaitable[object]]], None]
+# Of what a close that can't wait still has to send: a shortage of buffers passes within a few calls.
+FINAL_SEND_ATTEMPTS = 8
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -155,7 +156,7 @@
         return b""
 
     def has_unread_input(self) -> bool:
-        """Has the peer sent something that was not read yet, or ended?"""
+        """Whether the peer has sent something that was not read yet, or has ended."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
--- a/gannetweir/proto/endpoint_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -181,8 +181,10 @@
         return data
 
     def _read_event(self, data: JsonValue) -> JsonValue:
-        """The event that one object is. Raises `EndpointListError` if it is none. (A watch of another kind,
-        which derives from this one, has events of its own.)
+        """The event that one object is.
+
+        Raises `EndpointListError` if it is none. The control plane's watch derives from this one and has
+        events of its own, so neither type is narrower here.
         """
         return self._check_version(read_membership(data, self.settings))
 
--- a/gannetweir/proto/upstream_connection.py
+++ b/gannetweir/proto/upstream_connection.py
@@ -67,7 +67,7 @@
 
     @property
     def may_have_executed(self) -> bool:
-        """Can the endpoint have executed what was written so far?"""
+        """Whether the endpoint can have executed what was written so far."""
         return not self.unsent_first_line and self.status not in NOT_EXECUTED
 
     def feed(self, data: bytes) -> list[UpstreamEvent]:
