--- a/gannetweir/lab/scale/charts.py
+++ b/gannetweir/lab/scale/charts.py
@@ -9,7 +9,7 @@
 
 from gannetweir.lab.scale.model import Load
 from gannetweir.lab.scale.record import Record
-from gannetweir.lab.scale.roles import rows
+from gannetweir.lab.scale.role_table import rows
 from gannetweir.lab.scale.target import Assumptions
 
 LISTS = "list.read", "list.apply", "list.repeat", "list.module"
--- a/gannetweir/lab/scale/control_distribution.py
+++ b/gannetweir/lab/scale/control_distribution.py
@@ -8,7 +8,6 @@
 import anyio
 
 from gannetweir.lab.scale.child import Child, Usage
-from gannetweir.lab.scale.control_relay import machine_name
 from gannetweir.lab.scale.distribution import ServedTotals, Store, free_port
 from gannetweir.lab.scale.fleet_experiment import Fault
 from gannetweir.lab.scale.link import LinkError
@@ -20,6 +19,7 @@
     ServerMode,
     SetMode,
     StartMachine,
+    machine_name,
 )
 
 FAULTY = 0  # the machine that faults of one machine befall
--- a/gannetweir/lab/scale/control_relay.py
+++ b/gannetweir/lab/scale/control_relay.py
@@ -3,21 +3,18 @@
 from __future__ import annotations
 
 import random
-from typing import TYPE_CHECKING
 
 from gannetweir.config import SocketAddress
 from gannetweir.control.follower import Follower
 from gannetweir.control.versions import Entry, Resource, Version
 from gannetweir.core import SetEndpointWatch
-from gannetweir.lab.scale.messages import RelayRecord
+from gannetweir.lab.scale.hollow_relay import HollowRelay, KnownList
+from gannetweir.lab.scale.messages import RelayRecord, machine_name
 from gannetweir.net.control_check import RelayCheck
 from gannetweir.net.control_host import EngineHost
 from gannetweir.net.control_watch import ControlDriver
 from gannetweir.placement.settings import Settings
 
-if TYPE_CHECKING:
-    from gannetweir.lab.scale.hollow_relay import HollowRelay, KnownList
-
 
 class RecordedDriver(ControlDriver):
     """Notes each watch that failed, and each version that was turned down."""
@@ -34,11 +31,6 @@
         return stays
 
 
-def machine_name(number: int) -> str:
-    """What relays know a control machine by."""
-    return f"c{number:02}"
-
-
 class ControlledMembership:
     """The first order to watch starts the driver. Any other is ignored: the driver never stops by itself."""
 
@@ -77,8 +69,6 @@
             self.relay.note_version()
 
     def _known(self) -> KnownList | None:
-        from gannetweir.lab.scale.hollow_relay import KnownList
-
         follower = self.membership
         if follower.unapplied is not None or not follower.applied_version.number:  # half of a version is none
             return None
--- a/gannetweir/lab/scale/distribution.py
+++ b/gannetweir/lab/scale/distribution.py
@@ -1,6 +1,7 @@
-"""How a hollow fleet's relays learn of changes: the servers. The relays' side is in `hollow_relay.DRIVERS`.
+"""What servers tell a hollow fleet's relays of changes: their interface, and the store of record behind them.
 
-A second way is a class here, under its name in `MAKERS`, and a driver under that name there.
+Another distribution is a class of its own, under its name in `distributions.MAKERS`, and a driver under that
+name in `membership_drivers.DRIVERS`.
 """
 
 from __future__ import annotations
@@ -10,20 +11,14 @@
 import socket
 import time
 from collections import Counter
-from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from gannetweir.lab.scale.child import Child, Usage
-from gannetweir.lab.scale.fleet_experiment import Fault, FleetExperiment
+from gannetweir.lab.scale.child import Usage
+from gannetweir.lab.scale.fleet_experiment import Fault
 from gannetweir.lab.scale.messages import (
-    AskServed,
-    Message,
     Publish,
-    Served,
-    ServerMode,
     SetMembership,
-    SetMode,
 )
 
 HOST = "127.0.0.1"
@@ -139,89 +134,3 @@
 
     def stop(self) -> None:
         """End them all."""
-
-
-class Direct:
-    """Today's way: one discovery, which each relay watches directly. It has an address more for each true
-    relay, so that what it sends to each can be told apart.
-    """
-
-    def __init__(self, store: Store, true_relays: int = 0) -> None:
-        self.store = store
-        hosts = [HOST, *(f"127.0.0.{n + 2}" for n in range(true_relays))]
-        port = free_port(hosts)
-        self.listen = [f"{host}:{port}" for host in hosts]
-        self.discovery: Child | None = None
-        self.before = ServedTotals()  # what processes that were killed had sent
-
-    @property
-    def servers(self) -> list[str]:
-        """The discovery that hollow relays are told."""
-        return self.listen[:1]
-
-    @property
-    def for_true_relays(self) -> list[str]:
-        """The same discovery's other addresses."""
-        return self.listen[1:]
-
-    async def start(self) -> None:
-        """Start it with the store's list; it knows no earlier version."""
-        self.discovery = Child("gannetweir.lab.scale.discovery_stub", self.listen)
-        await self.discovery.call(self.store.whole())
-
-    async def publish(self, change: Publish) -> None:
-        """Tell it, if it runs; else it starts with it."""
-        await self._call(change)
-
-    async def begin(self, fault: Fault) -> None:
-        """Killed, silent, trickling or slow."""
-        if fault is Fault.KILLED and self.discovery is not None:
-            self.before = await self.served()
-            self.discovery.kill()
-            self.discovery = None
-        elif fault is Fault.SILENT:
-            await self._call(SetMode(ServerMode.SILENT))
-        elif fault is Fault.TRICKLES:
-            await self._call(SetMode(ServerMode.TRICKLE))
-        elif fault is Fault.ZONE_SLOW:
-            await self._call(SetMode(ServerMode.SLOW))
-
-    async def end(self, fault: Fault) -> None:
-        """Back as it was."""
-        if fault is Fault.KILLED:
-            await self.start()
-        elif fault in (Fault.SILENT, Fault.TRICKLES, Fault.ZONE_SLOW):
-            await self._call(SetMode(ServerMode.NORMAL))
-
-    async def served(self) -> ServedTotals:
-        """What was sent so far, the processes that were killed included."""
-        answer = await self._call(AskServed())
-        if not isinstance(answer, Served):
-            return self.before
-        return ServedTotals(self.before.snapshots + answer.snapshots, self.before.sent + Counter(answer.sent))
-
-    def usage(self) -> list[Usage]:
-        """Of the process that runs."""
-        return [self.discovery.usage()] if self.discovery is not None else []
-
-    def stop(self) -> None:
-        """End it."""
-        if self.discovery is not None:
-            self.discovery.stop()
-            self.discovery = None
-
-    async def _call(self, message: Message) -> Message | None:
-        return await self.discovery.call(message) if self.discovery is not None else None
-
-
-def _control(store: Store, experiment: FleetExperiment, settings: dict[str, Any]) -> Distribution:
-    from gannetweir.lab.scale.control_distribution import ControlPlane
-
-    return ControlPlane(store, experiment.machines, settings)
-
-
-MAKERS: dict[str, Callable[[Store, FleetExperiment, dict[str, Any]], Distribution]] = {
-    "direct": lambda store, experiment, settings: Direct(store, experiment.true_relays),
-    "control": _control,
-}
-"""What starts the servers of each distribution, by its name in the experiment's file."""
--- a/gannetweir/lab/scale/fleet.py
+++ b/gannetweir/lab/scale/fleet.py
@@ -9,7 +9,8 @@
 import anyio
 
 from gannetweir.lab.scale.child import Child, Usage
-from gannetweir.lab.scale.distribution import MAKERS, Distribution, Store
+from gannetweir.lab.scale.distribution import Distribution, Store
+from gannetweir.lab.scale.distributions import MAKERS
 from gannetweir.lab.scale.fleet_experiment import REGISTRY_MODES, FleetExperiment
 from gannetweir.lab.scale.messages import (
     AskInForce,
--- a/gannetweir/lab/scale/hollow_host.py
+++ b/gannetweir/lab/scale/hollow_host.py
@@ -8,8 +8,9 @@
 
 from gannetweir.config import parse_settings, parse_socket_address
 from gannetweir.config.platform import parse_limits
-from gannetweir.lab.scale.hollow_relay import DRIVERS, HollowConfig, HollowRelay, KnownList
+from gannetweir.lab.scale.hollow_relay import HollowConfig, HollowRelay, KnownList
 from gannetweir.lab.scale.link import answer_calls
+from gannetweir.lab.scale.membership_drivers import DRIVERS
 from gannetweir.lab.scale.messages import (
     AskInForce,
     AskRecords,
--- a/gannetweir/lab/scale/hollow_relay.py
+++ b/gannetweir/lab/scale/hollow_relay.py
@@ -188,24 +188,3 @@
                 self.record.watch_failures += 1
         if self.engine.next_due() < self.sleep_until:
             self.wake.set()
-
-
-def direct_driver(relay: HollowRelay) -> MembershipDriver:
-    """Today's way: a watch on the one discovery."""
-    from gannetweir.net.endpoint_watch import EndpointWatchDriver
-
-    return EndpointWatchDriver(relay, relay.counted_endpoint)
-
-
-def control_driver(relay: HollowRelay) -> MembershipDriver:
-    """A watch on one of the control machines."""
-    from gannetweir.lab.scale.control_relay import ControlledMembership
-
-    return ControlledMembership(relay)
-
-
-DRIVERS: dict[str, Callable[[HollowRelay], MembershipDriver]] = {
-    "direct": direct_driver,
-    "control": control_driver,
-}
-"""How a hollow relay's driver is built, by the name of the distribution in the experiment's file."""
--- /dev/null
+++ b/gannetweir/lab/scale/membership_drivers.py
@@ -0,0 +1,31 @@
+"""What brings a hollow relay its membership, by the distribution's name in the experiment's file.
+
+Each driver is imported when a relay of its kind is made: a process of hollow relays has memory for one kind.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from gannetweir.lab.scale.hollow_relay import HollowRelay, MembershipDriver
+
+
+def direct_driver(relay: HollowRelay) -> MembershipDriver:
+    """Today's way: a watch on the one discovery."""
+    from gannetweir.net.endpoint_watch import EndpointWatchDriver
+
+    return EndpointWatchDriver(relay, relay.counted_endpoint)
+
+
+def control_driver(relay: HollowRelay) -> MembershipDriver:
+    """A watch on one of the control machines."""
+    from gannetweir.lab.scale.control_relay import ControlledMembership
+
+    return ControlledMembership(relay)
+
+
+DRIVERS: dict[str, Callable[[HollowRelay], MembershipDriver]] = {
+    "direct": direct_driver,
+    "control": control_driver,
+}
+"""How a hollow relay's driver is built, by the name of the distribution in the experiment's file."""
--- a/gannetweir/lab/scale/messages.py
+++ b/gannetweir/lab/scale/messages.py
@@ -19,6 +19,11 @@
     DIES = "dies"  # a control machine, by SIGKILL, once half of its relays were sent the next change
 
 
+def machine_name(number: int) -> str:
+    """What relays know a control machine by."""
+    return f"c{number:02}"
+
+
 @dataclass(slots=True)
 class Configure:
     """To a host process: what all of its relays are told."""
--- a/gannetweir/lab/scale/page.py
+++ b/gannetweir/lab/scale/page.py
@@ -12,7 +12,7 @@
 from gannetweir.lab.scale.flips import findings
 from gannetweir.lab.scale.model import LOAD_LIMIT, MEAN_LOAD, Load, most_entries, window_entries
 from gannetweir.lab.scale.record import Record
-from gannetweir.lab.scale.roles import rows
+from gannetweir.lab.scale.role_table import rows
 from gannetweir.lab.scale.seen import NEAR
 from gannetweir.lab.scale.slopes import LARGEST_ERROR
 from gannetweir.lab.scale.tables import Table, count_of, number
--- a/gannetweir/lab/scale/tables.py
+++ b/gannetweir/lab/scale/tables.py
@@ -7,7 +7,7 @@
 from gannetweir.lab.scale.flips import Finding
 from gannetweir.lab.scale.model import Load
 from gannetweir.lab.scale.record import Record
-from gannetweir.lab.scale.roles import Row
+from gannetweir.lab.scale.role_table import Row
 from gannetweir.lab.scale.seen import SEEN
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.lab.scale.target import Assumptions, life, sweep
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,7 +12,7 @@
 from gannetweir.lab.scale.flips import CONCLUSIONS, Conclusion, edge, find
 from gannetweir.lab.scale.model import Load, window_entries
 from gannetweir.lab.scale.record import GROUPS, Record, read_record
-from gannetweir.lab.scale.roles import rows
+from gannetweir.lab.scale.role_table import rows
 from gannetweir.lab.scale.slopes import Cost, FitRefusedError, Sample, fit
 from gannetweir.lab.scale.target import Assumptions, sweep
 
--- a/tests/test_hollow_fleet.py
+++ b/tests/test_hollow_fleet.py
@@ -12,8 +12,9 @@
 import anyio
 import pytest
 
+from gannetweir.lab.scale.direct_distribution import Direct
 from gannetweir.lab.scale.discovery_stub import HEAD, HEARTBEAT, Membership, Watch
-from gannetweir.lab.scale.distribution import Direct, Store
+from gannetweir.lab.scale.distribution import Store
 from gannetweir.lab.scale.fleet import Fleet, with_fleet
 from gannetweir.lab.scale.fleet_experiment import FAULTS, Fault, FleetError, parse_fleet, select
 from gannetweir.lab.scale.fleet_figures import (
