--- a/gannetweir/lab/__main__.py
+++ b/gannetweir/lab/__main__.py
@@ -47,7 +47,8 @@
 from docopt import DocoptExit, docopt
 from rich.progress import Progress, TaskID
 
-from gannetweir.lab.experiments import herd, ways
+from gannetweir.lab.experiments import address_faults as ways
+from gannetweir.lab.experiments import fleet_simulation as herd
 from gannetweir.lab.experiments.budgets import COLUMNS, STEP_S, budgets
 from gannetweir.lab.experiments.report import chart, markdown, show
 from gannetweir.lab.experiments.results import compare
@@ -55,8 +56,8 @@
 
 def play_trial(path: Path, folder: Path) -> int:
     """Run an experiment, with a bar; 1 if a rule was broken in it."""
+    from gannetweir.lab.experiments.experiment_run import Run, parse_trial, run_one
     from gannetweir.lab.experiments.results import keep, table
-    from gannetweir.lab.experiments.trial import Run, parse_trial, run_one
 
     trial = parse_trial(path.read_text(), path.parent)
     runs: list[Run] = []
--- a/gannetweir/lab/emulator/yard.py
+++ b/gannetweir/lab/emulator/emulator.py
@@ -27,7 +27,7 @@
 import orjson
 
 from gannetweir.lab.emulator.attempts import OpenAttempts
-from gannetweir.lab.emulator.push_node import PushNode, Store, loopback
+from gannetweir.lab.emulator.backend import PushNode, Store, loopback
 from gannetweir.lab.emulator.registry import Registry
 from gannetweir.lab.model.checker import Checker
 
--- a/gannetweir/lab/emulator/registry.py
+++ b/gannetweir/lab/emulator/registry.py
@@ -10,7 +10,7 @@
 import anyio.abc
 import orjson
 
-from gannetweir.lab.emulator.push_node import spawn_in
+from gannetweir.lab.emulator.backend import spawn_in
 from gannetweir.limits import Limits
 from gannetweir.net.sockets import accept_connection, set_nonblocking_nodelay
 from gannetweir.net.transport import Transport
--- a/gannetweir/lab/experiments/ways.py
+++ b/gannetweir/lab/experiments/address_faults.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from gannetweir.lab.emulator.yard import Yard, YardPlan
+from gannetweir.lab.emulator.emulator import Yard, YardPlan
 from gannetweir.lab.model.world import Plan, World
 
 FAMILIES = ("unix", "ipv6", "ipv4")
--- a/gannetweir/lab/experiments/demo.py
+++ b/gannetweir/lab/experiments/demo.py
@@ -10,8 +10,8 @@
 from rich.table import Table
 from rich.text import Text
 
-from gannetweir.lab.emulator.yard import Script, Yard, YardPlan, play
-from gannetweir.lab.experiments.trial import events_of, parse_trial
+from gannetweir.lab.emulator.emulator import Script, Yard, YardPlan, play
+from gannetweir.lab.experiments.experiment_run import events_of, parse_trial
 
 LENGTH_S = 30.0
 LIFE_SHARE = 0.2  # of its length: how long a client stays in the mean
--- a/gannetweir/lab/experiments/trial.py
+++ b/gannetweir/lab/experiments/experiment_run.py
@@ -31,8 +31,8 @@
 from gannetweir.addresses.address import FAMILIES
 from gannetweir.config.kdl import KdlError, Node, parse_document
 from gannetweir.config.kdl_values import parse_duration_us
-from gannetweir.lab.emulator.push_node import FAULTS
-from gannetweir.lab.emulator.yard import Event, Script, Yard, YardPlan, play
+from gannetweir.lab.emulator.backend import FAULTS
+from gannetweir.lab.emulator.emulator import Event, Script, Yard, YardPlan, play
 
 IN_WORDS = {
     "": "is mended",
--- a/gannetweir/lab/experiments/results.py
+++ b/gannetweir/lab/experiments/results.py
@@ -13,8 +13,8 @@
 import orjson
 import pygal
 
+from gannetweir.lab.experiments.experiment_run import Run, Trial
 from gannetweir.lab.experiments.report import markdown
-from gannetweir.lab.experiments.trial import Run, Trial
 
 
 def _mean(values: list[float]) -> float:
--- a/gannetweir/lab/scale/peer.py
+++ b/gannetweir/lab/scale/comparison_peers.py
@@ -1,6 +1,6 @@
 """Processes beside a measured relay: a backend that answers at once, and a proxy that only copies bytes.
 
-    python -m gannetweir.lab.scale.peer backend|proxy PORT [BACKEND_PORT]
+    python -m gannetweir.lab.scale.comparison_peers backend|proxy PORT [BACKEND_PORT]
 
 The proxy stands on the same event loop and the same endpoints as the relay, so that what they differ by is
 what a relay does with lines: it is what the relay's cost is compared with.
@@ -13,7 +13,7 @@
 
 import anyio
 
-from gannetweir.lab.emulator.push_node import spawn_in
+from gannetweir.lab.emulator.backend import spawn_in
 from gannetweir.limits import Limits
 from gannetweir.net.sockets import accept_connection, connect, set_nonblocking_nodelay, tcp_socket
 from gannetweir.net.transport import Transport
--- a/gannetweir/lab/scale/control_relay.py
+++ b/gannetweir/lab/scale/control_relay.py
@@ -8,8 +8,8 @@
 from gannetweir.control.follower import Follower
 from gannetweir.control.versions import Entry, Resource, Version
 from gannetweir.core import SetEndpointWatch
-from gannetweir.lab.scale.hollow_relay import HollowRelay, KnownList
 from gannetweir.lab.scale.messages import RelayRecord, machine_name
+from gannetweir.lab.scale.skeleton_relay import HollowRelay, KnownList
 from gannetweir.net.control_check import RelayCheck
 from gannetweir.net.control_host import EngineHost
 from gannetweir.net.control_watch import ControlDriver
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -15,7 +15,7 @@
 import orjson
 
 from gannetweir.core import StartLoadProbe
-from gannetweir.lab.emulator.push_node import spawn_in
+from gannetweir.lab.emulator.backend import spawn_in
 from gannetweir.lab.emulator.registry import Registry
 from gannetweir.lab.scale.lists import host, relay_settings
 from gannetweir.lab.scale.measure import Named, Step, Sweep, processor_us, sweep
--- a/gannetweir/lab/scale/fleet.py
+++ b/gannetweir/lab/scale/fleet.py
@@ -60,7 +60,8 @@
         """Servers first, then true relays, then the hollow ones in waves: each has its list at the end."""
         await self.distribution.start()
         self.hosts = [
-            Child("gannetweir.lab.scale.hollow_host") for _ in range(min(self.experiment.hosts, self.relays))
+            Child("gannetweir.lab.scale.skeleton_host")
+            for _ in range(min(self.experiment.hosts, self.relays))
         ]
         told = Configure(
             self.experiment.distribution,
--- a/gannetweir/lab/scale/fleets.py
+++ b/gannetweir/lab/scale/fleets.py
@@ -6,7 +6,7 @@
 
 from concurrent.futures import ProcessPoolExecutor
 
-from gannetweir.lab.experiments.herd import plan_of
+from gannetweir.lab.experiments.fleet_simulation import plan_of
 from gannetweir.lab.model.world import World
 from gannetweir.lab.scale.measure import Named, Step
 from gannetweir.lab.scale.slopes import Cost, Sample
--- a/gannetweir/lab/scale/membership_drivers.py
+++ b/gannetweir/lab/scale/membership_drivers.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from gannetweir.lab.scale.hollow_relay import HollowRelay, MembershipDriver
+from gannetweir.lab.scale.skeleton_relay import HollowRelay, MembershipDriver
 
 
 def direct_driver(relay: HollowRelay) -> MembershipDriver:
--- a/gannetweir/lab/scale/processes.py
+++ b/gannetweir/lab/scale/processes.py
@@ -17,7 +17,7 @@
 
 import orjson
 
-from gannetweir.lab.emulator.yard import settings as platform_settings
+from gannetweir.lab.emulator.emulator import settings as platform_settings
 
 START_S = 20.0  # a process that does not answer by then has failed
 SOCKETS = 18_000
@@ -71,7 +71,7 @@
 def backend() -> Iterator[int]:
     """A backend process; its port."""
     port = free_port()
-    process = Measured(["-m", "gannetweir.lab.scale.peer", "backend", str(port)], {}, port)
+    process = Measured(["-m", "gannetweir.lab.scale.comparison_peers", "backend", str(port)], {}, port)
     try:
         process.wait_for(b"STATS\r\n", b"PONG")
         yield port
@@ -83,7 +83,7 @@
 def proxy(backend_port: int) -> Iterator[Measured]:
     """A copying proxy before that backend."""
     port = free_port()
-    command = ["-m", "gannetweir.lab.scale.peer", "proxy", str(port), str(backend_port)]
+    command = ["-m", "gannetweir.lab.scale.comparison_peers", "proxy", str(port), str(backend_port)]
     process = Measured(command, {}, port)
     try:
         process.wait_for(b"STATS\r\n", b"PONG")
--- a/gannetweir/lab/scale/hollow_host.py
+++ b/gannetweir/lab/scale/skeleton_host.py
@@ -1,4 +1,4 @@
-"""A process that holds many hollow relays on one event loop: python -m gannetweir.lab.scale.hollow_host"""
+"""A process that holds many hollow relays on one event loop: python -m gannetweir.lab.scale.skeleton_host"""
 
 from __future__ import annotations
 
@@ -8,7 +8,6 @@
 
 from gannetweir.config import parse_settings, parse_socket_address
 from gannetweir.config.platform import parse_limits
-from gannetweir.lab.scale.hollow_relay import HollowConfig, HollowRelay, KnownList
 from gannetweir.lab.scale.link import answer_calls
 from gannetweir.lab.scale.membership_drivers import DRIVERS
 from gannetweir.lab.scale.messages import (
@@ -23,6 +22,7 @@
     RestartRelays,
     StartRelays,
 )
+from gannetweir.lab.scale.skeleton_relay import HollowConfig, HollowRelay, KnownList
 from gannetweir.net.runtime import Clock
 from gannetweir.placement.settings import Settings
 
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gannetweir.lab.experiments.herd import plan_of, play
+from gannetweir.lab.experiments.fleet_simulation import plan_of, play
 from gannetweir.lab.model.checker import Cold
 from gannetweir.placement.events import EndpointEntry, EndpointListUpdate, EndpointStatus, UpdateKind
 from tests.helpers import SECOND, Gateway
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -18,7 +18,7 @@
 from gannetweir.control.stage import ServiceTotals
 from gannetweir.control.versions import Ack, Entry, Nack, Reason, Resource, Slice, Version
 from gannetweir.core import Engine
-from gannetweir.lab.emulator.push_node import spawn_in
+from gannetweir.lab.emulator.backend import spawn_in
 from gannetweir.lab.scale.store import MemoryStore
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import MembershipUpdate
--- a/tests/test_yard.py
+++ b/tests/test_emulator.py
@@ -15,8 +15,8 @@
 from gannetweir.addresses.address_selector import AddressSelector
 from gannetweir.addresses.rules import AddressRules
 from gannetweir.lab.emulator.attempts import BEATS_BACK, RESOLUTION_MS, OpenAttempts, now_ms
-from gannetweir.lab.emulator.push_node import PushNode, Store, loopback, spawn_in
-from gannetweir.lab.emulator.yard import Yard, YardPlan
+from gannetweir.lab.emulator.backend import PushNode, Store, loopback, spawn_in
+from gannetweir.lab.emulator.emulator import Yard, YardPlan
 from gannetweir.lab.model.checker import Checker
 from gannetweir.limits import Limits
 from gannetweir.net.dialer import AddressRaceDriver
--- a/tests/test_herd.py
+++ b/tests/test_fleet_simulation.py
@@ -6,7 +6,7 @@
 
 from gannetweir import core as e
 from gannetweir.core.draining import Draining
-from gannetweir.lab.experiments.herd import DAYS, plan_of, play
+from gannetweir.lab.experiments.fleet_simulation import DAYS, plan_of, play
 from gannetweir.lab.model.backends import Backend
 from gannetweir.lab.model.checker import Checker
 from gannetweir.lab.model.world import Relay, World
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,8 +11,8 @@
 
 from gannetweir.cli import main
 from gannetweir.lab.__main__ import main as lab
+from gannetweir.lab.experiments.experiment_run import Run, TrialError, parse_trial
 from gannetweir.lab.experiments.results import compare, keep
-from gannetweir.lab.experiments.trial import Run, TrialError, parse_trial
 from gannetweir.lab.model.world import Plan, Traffic, World
 
 ROOT = Path(__file__).parent.parent
@@ -93,7 +93,7 @@
         assert sum(run["paths"]["unix"]) + sum(run["paths"]["ipv4"]) > 50
     good, refused = (sum(run["paths"]["ipv4"]) for run in data["runs"])
     # A way that was measured much slower goes behind, and on a busy machine a measure may say so. Then the
-    # relay has counted it; for no other reason is another taken. By a clock that stands: tests/test_yard.py
+    # relay has counted it; for no other reason is another taken. With a fed clock: tests/test_emulator.py
     assert good <= data["runs"][0]["counts"]["passed over"] and good < refused
     page = (tmp_path / "out/index.html").read_text()
     assert page.count("<svg") == 4 and "http://" not in page.replace("http://www.w3.org", "")
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gannetweir.config import key_paths
-from gannetweir.lab.experiments.trial import MOST_NODES, MOST_RELAYS
+from gannetweir.lab.experiments.experiment_run import MOST_NODES, MOST_RELAYS
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import EndpointList
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -6,8 +6,8 @@
 import pytest
 
 from gannetweir.config.operators_file import OperatorsFileError, parse_routing_rules
+from gannetweir.lab.experiments.address_faults import one_day
 from gannetweir.lab.experiments.budgets import BUDGET_FILE, failing_fleet
-from gannetweir.lab.experiments.ways import one_day
 from gannetweir.lab.model.checker import Checker
 from gannetweir.lab.model.world import SECOND, Plan, Traffic, World
 from gannetweir.limits import Limits
