--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -128,17 +128,17 @@
 
 
 @dataclass
-class _Pool:
-    def may_send(self, server: EndpointId) -> bool:
+class _ProbedList:
+    def accepts_requests(self, endpoint_id: EndpointId) -> bool:
         return True
 
 
 @dataclass
 class _Engine:
-    pool: _Pool = field(default_factory=_Pool)
+    endpoint_list: _ProbedList = field(default_factory=_ProbedList)
     answers: int = 0
 
-    def probe_ended(self, server: EndpointId, status: int, report: tuple[float, ...]) -> None:
+    def load_probe_ended(self, endpoint_id: EndpointId, status: int, report: tuple[float, ...]) -> None:
         self.answers += status == AttemptStatus.OK
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,16 +1,18 @@
 """Fits that are checked and refused, the model over them, and a page that agrees with its record."""
 
+import asyncio
 from dataclasses import replace
 from pathlib import Path
 
 import pytest
 
 from gannetweir.lab.__main__ import main
-from gannetweir.lab.scale import lists, page, run
+from gannetweir.lab.scale import fanout, lists, page, run
 from gannetweir.lab.scale import target as t
 from gannetweir.lab.scale.charts import draw
 from gannetweir.lab.scale.flips import CONCLUSIONS, Conclusion, edge, find
 from gannetweir.lab.scale.model import Load, window_entries
+from gannetweir.lab.scale.processes import backend
 from gannetweir.lab.scale.record import GROUPS, Record, read_record
 from gannetweir.lab.scale.role_table import rows
 from gannetweir.lab.scale.slopes import Cost, FitRefusedError, Sample, fit
@@ -183,3 +185,8 @@
     assert (tmp_path / "CAPACITY.md").read_text() == (ROOT / run.PAGE).read_text()
     assert main(["capacity", "--only", "lists,nonsense"]) == 2
     assert "nonsense: not one of lists, decisions" in capsys.readouterr().err
+
+
+def test_measured_load_probes_are_answered() -> None:
+    with backend() as port:
+        assert asyncio.run(fanout._probes(port, 3)) > 0.0
