--- a/gannetweir/lab/__main__.py
+++ b/gannetweir/lab/__main__.py
@@ -49,35 +49,35 @@
 
 from gannetweir.lab.experiments import address_faults as ways
 from gannetweir.lab.experiments import fleet_simulation as herd
-from gannetweir.lab.experiments.budgets import COLUMNS, STEP_S, budgets
-from gannetweir.lab.experiments.report import chart, markdown, show
+from gannetweir.lab.experiments.budgets import COLUMNS, STEP_S, compare_budgets
+from gannetweir.lab.experiments.report import bar_chart, markdown, print_table
 from gannetweir.lab.experiments.results import compare
 
 
-def play_trial(path: Path, folder: Path) -> int:
+def run_experiment(path: Path, folder: Path) -> int:
     """Run an experiment, with a bar; 1 if a rule was broken in it."""
-    from gannetweir.lab.experiments.experiment_run import Run, parse_trial, run_one
-    from gannetweir.lab.experiments.results import keep, table
+    from gannetweir.lab.experiments.experiment_run import ExperimentRun, parse_experiment, run_variant
+    from gannetweir.lab.experiments.results import results_table, write_results
 
-    trial = parse_trial(path.read_text(), path.parent)
-    runs: list[Run] = []
+    trial = parse_experiment(path.read_text(), path.parent)
+    runs: list[ExperimentRun] = []
     todo = [(variant, seed) for variant in trial.variants for seed in trial.seeds]
     with Progress() as bar:
         for variant, seed in todo:
             task = bar.add_task(f"{variant}, seed {seed}", total=1.0)
 
-            async def one(v: str = variant, s: int = seed, t: TaskID = task) -> Run:
-                return await run_one(trial, v, s, lambda share: bar.update(t, completed=share))
+            async def one(v: str = variant, s: int = seed, t: TaskID = task) -> ExperimentRun:
+                return await run_variant(trial, v, s, lambda share: bar.update(t, completed=share))
 
             runs.append(anyio.run(one))
             bar.update(task, completed=1.0)
-    keep(trial, runs, folder)
-    show(trial.name, *table(runs))
+    write_results(trial, runs, folder)
+    print_table(trial.name, *results_table(runs))
     print(f"kept in {folder}: results.json, README.md, index.html and charts")
     return int(any(run.broken for run in runs))
 
 
-def hollow_fleet(
+def run_skeleton_fleet(
     path: Path, relays_told: str | None, backends_told: str | None, phases: str | None, folder: Path
 ) -> int:
     """Play the sizes of an experiment, a bar for each; 1 if a change never came in force on some relay."""
@@ -104,21 +104,21 @@
 
                 new.append(anyio.run(play_fleet, experiment, relays, backends, tell))
                 keep(whole, new, folder)
-    show(experiment.name, RUN_COLUMNS, [run_row(run) for run in new])
+    print_table(experiment.name, RUN_COLUMNS, [run_row(run) for run in new])
     print(f"kept in {folder}: results.json, README.md and charts")
     return int(any(phase.missing for run in new for phase in run.phases))
 
 
-def broken_ways(requests: int, seeds: int, keep_in: str | None) -> int:
+def run_address_faults(requests: int, seeds: int, keep_in: str | None) -> int:
     """Broken addresses on sockets and on virtual time; 1 if a rule was broken."""
     rows = []
     with Progress() as bar:
         task = bar.add_task("on sockets", total=len(list(ways.cases())))
-        for row in ways.on_sockets(requests):
+        for row in ways.emulate_cases(requests):
             rows.append(row)
             bar.advance(task)
-    show(f"{requests} requests each", ways.COLUMNS, rows)
-    total = ways.on_virtual_time(seeds)
+    print_table(f"{requests} requests each", ways.COLUMNS, rows)
+    total = ways.simulate_days(seeds)
     days = ", ".join(f"{name} {count}" for name, count in total.items())
     print(f"on virtual time: {days}")
     if keep_in:
@@ -131,12 +131,12 @@
     return int(total["broken"] > 0 or any(row[-1] != "0" for row in rows))
 
 
-def whole_fleets(seeds: int, keep_in: str | None) -> int:
+def run_fleet_simulation(seeds: int, keep_in: str | None) -> int:
     """The days that hurt a whole fleet; 1 if a rule was broken."""
-    rows = herd.table(seeds)
-    show(f"{seeds} seeds", herd.COLUMNS, rows)
+    rows = herd.fleet_table(seeds)
+    print_table(f"{seeds} seeds", herd.COLUMNS, rows)
     if keep_in:
-        text = herd.PAGE.format(seeds=seeds, table=markdown(herd.COLUMNS, rows), seconds=herd.LENGTH)
+        text = herd.PAGE.format(seeds=seeds, table=markdown(herd.COLUMNS, rows), seconds=herd.DAY_S)
         (Path(keep_in) / "herd.md").write_text(text)
     return int(any(row[-1] != "0" for row in rows))
 
@@ -151,15 +151,15 @@
     try:
         if args["run"]:
             path = Path(args["EXPERIMENT"])
-            return play_trial(path, Path(args["--keep"] or f"results/{path.stem}"))
+            return run_experiment(path, Path(args["--keep"] or f"results/{path.stem}"))
         if args["ways"]:
-            return broken_ways(int(args["--requests"]), int(args["--seeds"]), args["--keep"])
+            return run_address_faults(int(args["--requests"]), int(args["--seeds"]), args["--keep"])
         if args["herd"]:
-            return whole_fleets(int(args["--seeds"]), args["--keep"])
+            return run_fleet_simulation(int(args["--seeds"]), args["--keep"])
         if args["hollow"]:
             path = Path(args["EXPERIMENT"])
             folder = Path(args["--keep"] or f"results/{path.stem}")
-            return hollow_fleet(path, args["--relays"], args["--size"], args["--phases"], folder)
+            return run_skeleton_fleet(path, args["--relays"], args["--size"], args["--phases"], folder)
         if args["capacity"]:
             from gannetweir.lab.scale.run import capacity
 
@@ -172,7 +172,7 @@
             return soak(played, float(args["--seconds"]), int(args["--fleet"]), args["--keep"])
         if args["compare"]:
             rows = compare(Path(args["ONE"]), Path(args["OTHER"]))
-            show("compared", ("variant", "figure", args["ONE"], args["OTHER"], ""), rows)
+            print_table("compared", ("variant", "figure", args["ONE"], args["OTHER"], ""), rows)
             return 0
     except (OSError, ValueError) as error:
         print(f"lab: {error}", file=sys.stderr)
@@ -180,10 +180,10 @@
     except KeyboardInterrupt:
         return 130
     seeds, backends, rate = int(args["--seeds"]), int(args["--backends"]), float(args["--rate"])
-    rows, lines = budgets(Path(args["--file"]), seeds, backends, rate)
+    rows, lines = compare_budgets(Path(args["--file"]), seeds, backends, rate)
     title = f"{backends} backends, {rate:g} new connections a second, failing 40 to 90% from 40 to 70 s"
-    show(title, COLUMNS, rows)
-    drawn = chart(lines, "connections served a second", STEP_S)
+    print_table(title, COLUMNS, rows)
+    drawn = bar_chart(lines, "connections served a second", STEP_S)
     print(drawn)
     if args["--keep"]:
         table = markdown(COLUMNS, rows)
--- a/gannetweir/lab/emulator/attempts.py
+++ b/gannetweir/lab/emulator/attempts.py
@@ -19,107 +19,116 @@
 
 import anyio
 
-from gannetweir.lab.model.checker import Checker
+from gannetweir.lab.model.checker import RuleChecker
 
 RESOLUTION_MS = 8.0  # two ticks of the kernel's coarsest usual clock (250 Hz), by which its times are rounded
-BEAT_MS = 1.0
-BEATS_BACK = 3  # what is read now came after the third last beat: each takes two turns of a late loop, and
+TICK_MS = 1.0
+TICKS_REMEMBERED = (
+    3  # what is read now came after the third last beat: each takes two turns of a late loop, and
+)
 # from a listener's event to the first read of the new connection there are three
 _ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 _LAST_DATA_AT, _LAST_ACK_AT, _TCP_INFO_BYTES = 52, 56, 60  # offsets in Linux's `struct tcp_info`
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
+class TimeSpan:
     """When something came, in milliseconds of the monotonic clock: not before `first`, not after `last`."""
 
-    first: float
-    last: float
+    earliest: float
+    latest: float
 
 
-NOT_YET = Span(float("inf"), float("inf"))
+NOT_YET = TimeSpan(float("inf"), float("inf"))
 
 
 @dataclass(slots=True)
-class Attempt:
+class ObservedAttempt:
     """One attempt as a stand-in saw it."""
 
-    server: str
-    sock: socket.socket
-    line: Span
-    end: Span | None = None  # None: it is asked of the kernel whether the end has come
+    backend: str
+    connection: socket.socket
+    first_line: TimeSpan
+    end: TimeSpan | None = None  # None: it is asked of the kernel whether the end has come
 
 
-class LoopBeat:
+class LoopDelayMonitor:
     """How late the stand-ins' loop is: the moments of its last beats."""
 
     def __init__(self) -> None:
-        self.beats: deque[float] = deque([now_ms()] * BEATS_BACK, BEATS_BACK)
-        self.latest_ms = 0.0  # the longest time between two beats, beyond what was meant
+        self.recent_ticks: deque[float] = deque([now_ms()] * TICKS_REMEMBERED, TICKS_REMEMBERED)
+        self.largest_delay_ms = 0.0  # the longest time between two beats, beyond what was meant
 
     async def run(self) -> None:
         """Beat until cancelled."""
-        self.beats.append(now_ms())
+        self.recent_ticks.append(now_ms())
         while True:
             now = now_ms()
-            self.latest_ms = max(self.latest_ms, now - self.beats[-1] - BEAT_MS)
-            self.beats.append(now)
-            await anyio.sleep(BEAT_MS / 1000)
+            self.largest_delay_ms = max(self.largest_delay_ms, now - self.recent_ticks[-1] - TICK_MS)
+            self.recent_ticks.append(now)
+            await anyio.sleep(TICK_MS / 1000)
 
     def unread_since_ms(self) -> float:
         """What is read now has come after this moment."""
-        return self.beats[0]
+        return self.recent_ticks[0]
 
 
-class OpenAttempts:
+class AttemptOverlaps:
     """The attempts over all stand-ins of one yard. `now_us` is the yard's clock. Run `beat` beside them."""
 
-    def __init__(self, checker: Checker, now_us: Callable[[], int]) -> None:
-        self.checker, self.now_us, self.beat = checker, now_us, LoopBeat()
-        self.seen: dict[int, list[Attempt]] = {}  # by request, in the order in which their lines were read
-        self.not_judged: dict[int, str] = {}  # by request: the pair that could not be told apart
+    def __init__(self, checker: RuleChecker, now_us: Callable[[], int]) -> None:
+        self.checker, self.now_us, self.loop_delay = checker, now_us, LoopDelayMonitor()
+        self.by_request: dict[
+            int, list[ObservedAttempt]
+        ] = {}  # by request, in the order in which their lines were read
+        self.undecided_overlaps: dict[int, str] = {}  # by request: the pair that could not be told apart
 
-    def arrived(self, number: int, server: str, sock: socket.socket, waited_ms: float = 0.0) -> None:
+    def first_line_read(
+        self, request_number: int, backend: str, connection: socket.socket, waited_ms: float = 0.0
+    ) -> None:
         """A first line has been read from this connection, `waited_ms` after it could have been."""
-        story = self.checker.stories.get(number)
-        if story is None:
+        trace = self.checker.traces.get(request_number)
+        if trace is None:
             return
-        new = Attempt(server, sock, self._line(sock, waited_ms))
-        earlier = self.seen.setdefault(number, [])
-        overlaps = [other for other in earlier if self._overlap(number, other, new)]
-        story.out = {position: other.server for position, other in enumerate(overlaps)}
-        self.checker.attempt(number, story.attempts, server, self.now_us())
+        new = ObservedAttempt(backend, connection, self._first_line_span(connection, waited_ms))
+        earlier = self.by_request.setdefault(request_number, [])
+        overlaps = [other for other in earlier if self._overlap(request_number, other, new)]
+        trace.open_attempts = {position: other.backend for position, other in enumerate(overlaps)}
+        self.checker.attempt_arrived(request_number, trace.attempts, backend, self.now_us())
         earlier.append(new)
 
-    def ended(self, number: int, sock: socket.socket) -> None:
+    def attempt_ended(self, request_number: int, connection: socket.socket) -> None:
         """The attempt on this connection was answered or given up; call it before an answer is written.
         Nothing, if that is known.
         """
-        for attempt in self.seen.get(number, []):
-            if attempt.sock is sock and attempt.end is None:
+        for attempt in self.by_request.get(request_number, []):
+            if attempt.connection is connection and attempt.end is None:
                 now = now_ms()
-                attempt.end = self._end(sock) if has_ended(sock) else Span(now, now)
+                attempt.end = self._end_span(connection) if has_ended(connection) else TimeSpan(now, now)
 
-    def _overlap(self, number: int, one: Attempt, other: Attempt) -> bool:
+    def _overlap(self, request_number: int, one: ObservedAttempt, other: ObservedAttempt) -> bool:
         """Were both out at once? False also if that can't be told, which is kept."""
-        ends = [a.end or (self._end(a.sock) if has_ended(a.sock) else NOT_YET) for a in (one, other)]
-        pairs = [(one.line, ends[1]), (other.line, ends[0])]  # each began before the other's end?
-        if all(line.last + RESOLUTION_MS < end.first for line, end in pairs):
+        ends = [
+            a.end or (self._end_span(a.connection) if has_ended(a.connection) else NOT_YET)
+            for a in (one, other)
+        ]
+        pairs = [(one.first_line, ends[1]), (other.first_line, ends[0])]  # each began before the other's end?
+        if all(line.latest + RESOLUTION_MS < end.earliest for line, end in pairs):
             return True
-        if all(line.first + RESOLUTION_MS < end.last for line, end in pairs):
-            self.not_judged[number] = f"at {one.server} and {other.server}"
+        if all(line.earliest + RESOLUTION_MS < end.latest for line, end in pairs):
+            self.undecided_overlaps[request_number] = f"at {one.backend} and {other.backend}"
         return False
 
-    def _line(self, sock: socket.socket, waited_ms: float) -> Span:
+    def _first_line_span(self, sock: socket.socket, waited_ms: float) -> TimeSpan:
         if sock.family == socket.AF_UNIX:
-            return Span(self.beat.unread_since_ms() - waited_ms, now_ms())
-        return _ago(sock, _LAST_DATA_AT)
+            return TimeSpan(self.loop_delay.unread_since_ms() - waited_ms, now_ms())
+        return _span_since(sock, _LAST_DATA_AT)
 
-    def _end(self, sock: socket.socket) -> Span:
+    def _end_span(self, sock: socket.socket) -> TimeSpan:
         """When the end came that is in the kernel."""
         if sock.family == socket.AF_UNIX or sock.fileno() < 0:
-            return Span(self.beat.unread_since_ms(), now_ms())
-        return _ago(sock, _LAST_ACK_AT)  # the end is the last segment that came, and carries an ACK
+            return TimeSpan(self.loop_delay.unread_since_ms(), now_ms())
+        return _span_since(sock, _LAST_ACK_AT)  # the end is the last segment that came, and carries an ACK
 
 
 def now_ms() -> float:
@@ -136,9 +145,9 @@
     return any(events & _ENDED for _, events in poll.poll(0))
 
 
-def _ago(sock: socket.socket, offset: int) -> Span:
+def _span_since(sock: socket.socket, offset: int) -> TimeSpan:
     """The moment that a field of the connection's `tcp_info` tells as a time since, in milliseconds."""
     before = now_ms()
     info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
     since = float(struct.unpack_from("=I", info, offset)[0])
-    return Span(before - since, now_ms() - since)
+    return TimeSpan(before - since, now_ms() - since)
--- a/gannetweir/lab/emulator/backend.py
+++ b/gannetweir/lab/emulator/backend.py
@@ -17,7 +17,7 @@
 import anyio.abc
 
 from gannetweir.addresses.address import IPV6, UNIX, Address, parse_address
-from gannetweir.lab.emulator.attempts import OpenAttempts
+from gannetweir.lab.emulator.attempts import AttemptOverlaps
 from gannetweir.limits import Limits
 from gannetweir.net.sockets import accept_connection
 from gannetweir.net.transport import Spawn, Transport
@@ -38,33 +38,33 @@
     return spawn
 
 
-class Store:
+class EmulatedSessionStore:
     """The session store that all nodes share: so many calls a second, one after another."""
 
     def __init__(self, calls_per_s: float) -> None:
-        self.gap_s, self.slow, self.free_s, self.calls = 1.0 / calls_per_s, 1.0, 0.0, 0
+        self.call_interval_s, self.slowdown, self.idle_from_s, self.calls = 1.0 / calls_per_s, 1.0, 0.0, 0
 
     async def call(self) -> None:
         """One set-up's call; it is worked off also if nobody waits for it any more."""
         now = anyio.current_time()
         self.calls += 1
-        self.free_s = max(self.free_s, now) + self.gap_s * self.slow
-        await anyio.sleep(self.free_s - now)
+        self.idle_from_s = max(self.idle_from_s, now) + self.call_interval_s * self.slowdown
+        await anyio.sleep(self.idle_from_s - now)
 
 
 @dataclass(slots=True)
-class Door:
+class AddressListener:
     """One address that a node listens on, and what is wrong with it."""
 
     address: Address
     fault: str = ""
     listener: socket.socket | None = None
-    filler: list[socket.socket] = field(default_factory=list)  # what fills the queue of a black hole
+    queue_fillers: list[socket.socket] = field(default_factory=list)  # what fills the queue of a black hole
     accepted: int = 0
-    delivered: int = 0  # first lines that came in whole
+    first_lines: int = 0  # first lines that came in whole
 
 
-class PushNode:
+class EmulatedBackend:
     """One node. `attempts`, which a yard's nodes share, hears of every first line as the rules count it."""
 
     def __init__(
@@ -72,31 +72,31 @@
         name: str,
         addresses: list[Address],
         capacity: int,
-        store: Store,
-        attempts: OpenAttempts,
+        store: EmulatedSessionStore,
+        attempts: AttemptOverlaps,
         rng: random.Random,
     ) -> None:
         self.name, self.capacity, self.store = name, capacity, store
         self.attempts, self.rng = attempts, rng
-        self.doors = {str(address): Door(address) for address in addresses}
-        self.held: dict[Transport, str] = {}
+        self.listeners = {str(address): AddressListener(address) for address in addresses}
+        self.established: dict[Transport, str] = {}
         self.limits = Limits()
         self.deliveries: dict[str, int] = {}  # by request, wherever they came in
-        self.fails = 0.0
-        self.base = 0  # connections that are reported beside those of the yard
+        self.failure_rate = 0.0
+        self.other_connections = 0  # connections that are reported beside those of the yard
         self.draining = False
         self.started_s = 0.0  # 0: long ago
-        self.cold_from, self.warm_s = 0.12, 23.0
-        self.probes = self.loads = 0
+        self.slow_start_min_share, self.slow_start_window_s = 0.12, 23.0
+        self.load_probes = self.load_lines = 0
         self.tasks: anyio.abc.TaskGroup | None = None
         self.scope = anyio.CancelScope()
 
-    def able(self) -> float:
+    def current_capacity(self) -> float:
         """Connections that it can hold now."""
         if not self.started_s:
             return float(self.capacity)
-        warm = min(1.0, (anyio.current_time() - self.started_s) / self.warm_s)
-        return self.capacity * (self.cold_from + (1.0 - self.cold_from) * warm)
+        warmed_share = min(1.0, (anyio.current_time() - self.started_s) / self.slow_start_window_s)
+        return self.capacity * (self.slow_start_min_share + (1.0 - self.slow_start_min_share) * warmed_share)
 
     # ---- its life
 
@@ -106,17 +106,17 @@
         try:
             with self.scope:
                 async with anyio.create_task_group() as self.tasks:
-                    for door in self.doors.values():
-                        self._open(door)
+                    for listener in self.listeners.values():
+                        self._listen(listener)
                     task_status.started()
                     await anyio.sleep_forever()
         finally:
             self.tasks = None
-            for door in self.doors.values():
-                self._shut(door)
-            for end in list(self.held):
-                end.abort()
-            self.held.clear()
+            for listener in self.listeners.values():
+                self._stop_listening(listener)
+            for connection in list(self.established):
+                connection.abort()
+            self.established.clear()
 
     def stop(self) -> None:
         """As a process that is killed: connections are reset, new ones refused."""
@@ -125,36 +125,36 @@
     def set_fault(self, address: str, fault: str) -> None:
         """Something is wrong with one of its addresses from now on, or is mended."""
         assert fault in FAULTS, fault
-        door = self.doors[address]
-        self._shut(door)
-        door.fault = fault
+        listener = self.listeners[address]
+        self._stop_listening(listener)
+        listener.fault = fault
         if self.tasks is not None:
-            self._open(door)
+            self._listen(listener)
 
-    def _open(self, door: Door) -> None:
-        if door.fault == "refuse":
+    def _listen(self, listener: AddressListener) -> None:
+        if listener.fault == "refuse":
             return
-        at = door.address
-        if at.family == UNIX:
+        address = listener.address
+        if address.family == UNIX:
             with suppress(FileNotFoundError):
-                os.unlink(at.host)
+                os.unlink(address.host)
             sock = socket.socket(socket.AF_UNIX)
-            sock.bind(at.host)
+            sock.bind(address.host)
         else:
-            sock = socket.socket(socket.AF_INET6 if at.family == IPV6 else socket.AF_INET)
+            sock = socket.socket(socket.AF_INET6 if address.family == IPV6 else socket.AF_INET)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            sock.bind((at.host, at.port))
+            sock.bind((address.host, address.port))
         sock.setblocking(False)
-        door.listener = sock
-        if door.fault == "hole":
-            self._fill(door, sock)
+        listener.listener = sock
+        if listener.fault == "hole":
+            self._fill_accept_queue(listener, sock)
             return
         sock.listen(1024)
         assert self.tasks is not None
-        self.tasks.start_soon(self._accept, door, sock)
+        self.tasks.start_soon(self._accept, listener, sock)
 
     @staticmethod
-    def _fill(door: Door, sock: socket.socket) -> None:
+    def _fill_accept_queue(listener: AddressListener, sock: socket.socket) -> None:
         """A queue that is full and never emptied: a connect to it gets no answer, as to a black hole. A Unix
         socket has no such state; there a full queue refuses.
         """
@@ -164,26 +164,26 @@
             filler.setblocking(False)
             with suppress(BlockingIOError, OSError):
                 filler.connect(sock.getsockname())
-            door.filler.append(filler)
+            listener.queue_fillers.append(filler)
 
     @staticmethod
-    def _shut(door: Door) -> None:
-        if door.listener is not None:
+    def _stop_listening(listener: AddressListener) -> None:
+        if listener.listener is not None:
             with suppress(anyio.ClosedResourceError, OSError):
-                anyio.notify_closing(door.listener)
-            door.listener.close()
-            door.listener = None
-            if door.address.family == UNIX:
+                anyio.notify_closing(listener.listener)
+            listener.listener.close()
+            listener.listener = None
+            if listener.address.family == UNIX:
                 with suppress(FileNotFoundError):
-                    os.unlink(door.address.host)
-        for filler in door.filler:
+                    os.unlink(listener.address.host)
+        for filler in listener.queue_fillers:
             filler.close()
-        door.filler.clear()
+        listener.queue_fillers.clear()
 
-    async def _accept(self, door: Door, listener: socket.socket) -> None:
-        while door.listener is listener:
+    async def _accept(self, listener: AddressListener, listening: socket.socket) -> None:
+        while listener.listener is listening:
             try:
-                sock = await accept_connection(listener)
+                sock = await accept_connection(listening)
             except (anyio.ClosedResourceError, ValueError):  # shut here
                 return
             except OSError as error:
@@ -191,76 +191,76 @@
                     return
                 await anyio.sleep(0.01)
                 continue
-            door.accepted += 1
+            listener.accepted += 1
             sock.setblocking(False)
             assert self.tasks is not None
-            self.tasks.start_soon(self._serve, door, Transport(sock, self.limits, spawn_in(self.tasks)))
+            self.tasks.start_soon(self._serve, listener, Transport(sock, self.limits, spawn_in(self.tasks)))
 
     # ---- a connection
 
-    async def _serve(self, door: Door, end: Transport) -> None:
-        ident = ""
+    async def _serve(self, listener: AddressListener, connection: Transport) -> None:
+        request_id = ""
         try:
-            if door.fault == "slow":
+            if listener.fault == "slow":
                 await anyio.sleep(SLOW_S)
             buffer = b""
             while True:
-                data = await end.read()
+                data = await connection.read()
                 if not data:
                     return
                 buffer += data
                 while b"\n" in buffer:
                     line, _, buffer = buffer.partition(b"\n")
-                    if not ident and line.startswith(b"OPEN "):
-                        ident = line.split(b" ")[1].decode()
-                        if not await self._opened(door, end, ident):
+                    if not request_id and line.startswith(b"OPEN "):
+                        request_id = line.split(b" ")[1].decode()
+                        if not await self._set_up(listener, connection, request_id):
                             return
-                    elif not self._line(door, end, line + b"\n", bool(ident)):
+                    elif not self._answer_line(listener, connection, line + b"\n", bool(request_id)):
                         return
         except OSError:
             pass
         finally:
-            if ident:
-                self.attempts.ended(int(ident, 16), end.sock)
-            self.held.pop(end, None)
-            (end.abort if door.fault == "reset" else end.close)()
+            if request_id:
+                self.attempts.attempt_ended(int(request_id, 16), connection.sock)
+            self.established.pop(connection, None)
+            (connection.abort if listener.fault == "reset" else connection.close)()
 
-    async def _opened(self, door: Door, end: Transport, ident: str) -> bool:
+    async def _set_up(self, listener: AddressListener, connection: Transport, request_id: str) -> bool:
         """A first line is whole: this is the delivery that counts."""
-        door.delivered += 1
-        self.deliveries[ident] = self.deliveries.get(ident, 0) + 1
-        waited_ms = 1000 * SLOW_S if door.fault == "slow" else 0.0
-        self.attempts.arrived(int(ident, 16), self.name, end.sock, waited_ms)
-        if door.fault == "reset":
+        listener.first_lines += 1
+        self.deliveries[request_id] = self.deliveries.get(request_id, 0) + 1
+        waited_ms = 1000 * SLOW_S if listener.fault == "slow" else 0.0
+        self.attempts.first_line_read(int(request_id, 16), self.name, connection.sock, waited_ms)
+        if listener.fault == "reset":
             return False
-        if door.fault == "stall":
-            while await end.read():  # till the relay gives it up
+        if listener.fault == "stall":
+            while await connection.read():  # till the relay gives it up
                 pass
             return False
-        if self.draining or self.base + len(self.held) >= 1.6 * self.able():
-            self.attempts.ended(int(ident, 16), end.sock)
-            end.write(b"BUSY\r\n")
+        if self.draining or self.other_connections + len(self.established) >= 1.6 * self.current_capacity():
+            self.attempts.attempt_ended(int(request_id, 16), connection.sock)
+            connection.write(b"BUSY\r\n")
             return False
-        self.held[end] = ident
+        self.established[connection] = request_id
         with anyio.CancelScope() as scope:
-            async with anyio.create_task_group() as both:
-                both.start_soon(self._gone, end.sock, scope)
+            async with anyio.create_task_group() as setup_tasks:
+                setup_tasks.start_soon(self._cancel_when_closed, connection.sock, scope)
                 await self.store.call()
                 await anyio.sleep(self.rng.uniform(0.002, 0.006))
-                both.cancel_scope.cancel()
+                setup_tasks.cancel_scope.cancel()
         if scope.cancelled_caught:
             return False
-        self.attempts.ended(int(ident, 16), end.sock)
-        if self.rng.random() < self.fails:
-            end.write(b"ERR\r\n")
+        self.attempts.attempt_ended(int(request_id, 16), connection.sock)
+        if self.rng.random() < self.failure_rate:
+            connection.write(b"ERR\r\n")
             return False
-        end.write(f"UP {self.name}-{self.deliveries[ident]}\r\n".encode())
-        self.loads += 1
-        end.write(f"LOAD {self.rng.uniform(0.5, 2.0):.2f}\r\n".encode())
+        connection.write(f"UP {self.name}-{self.deliveries[request_id]}\r\n".encode())
+        self.load_lines += 1
+        connection.write(f"LOAD {self.rng.uniform(0.5, 2.0):.2f}\r\n".encode())
         return True
 
     @staticmethod
-    async def _gone(sock: socket.socket, scope: anyio.CancelScope) -> None:
+    async def _cancel_when_closed(sock: socket.socket, scope: anyio.CancelScope) -> None:
         """The relay gives an attempt up by closing it: a set-up that nobody waits for ends."""
         while True:
             await anyio.wait_readable(sock)
@@ -274,35 +274,37 @@
                 scope.cancel()
                 return
 
-    def _line(self, door: Door, end: Transport, line: bytes, up: bool) -> bool:
-        if up:
-            end.write(line)  # a sound connection returns a line at once
+    def _answer_line(
+        self, listener: AddressListener, connection: Transport, line: bytes, is_established: bool
+    ) -> bool:
+        if is_established:
+            connection.write(line)  # a sound connection returns a line at once
             return True
-        if door.fault in ("stall", "reset"):
-            return door.fault == "stall"
+        if listener.fault in ("stall", "reset"):
+            return listener.fault == "stall"
         if line.startswith(b"STATS"):
-            self.probes += 1
-            held = self.base + len(self.held)
-            report = f"tps=1,concurrent={held},x0={held / self.able():.4f}"
-            end.write(f"PONG {report}\r\n".encode())
+            self.load_probes += 1
+            connections = self.other_connections + len(self.established)
+            report = f"tps=1,concurrent={connections},x0={connections / self.current_capacity():.4f}"
+            connection.write(f"PONG {report}\r\n".encode())
         elif line.startswith(b"PING"):
-            end.write(b"PONG\r\n")
+            connection.write(b"PONG\r\n")
         else:
-            end.write(b"SYNTAX\r\n")
+            connection.write(b"SYNTAX\r\n")
             return False
         return True
 
-    async def move_all(self, over_s: float) -> None:
+    async def migrate_all(self, duration_s: float) -> None:
         """A drain sends its clients away bit by bit."""
         self.draining = True
-        leaving = list(self.held)
-        for end in leaving:
-            end.write(b"MOVE\r\n")
-            end.finish()
-            await anyio.sleep(over_s / len(leaving))
+        migrated = list(self.established)
+        for connection in migrated:
+            connection.write(b"MOVE\r\n")
+            connection.finish()
+            await anyio.sleep(duration_s / len(migrated))
 
 
-def loopback(number: int, folder: str, families: tuple[str, ...]) -> list[Address]:
+def loopback_addresses(number: int, folder: str, families: tuple[str, ...]) -> list[Address]:
     """Addresses of a node, on ports that are free now."""
 
     def free(family: socket.AddressFamily, host: str) -> int:
--- a/gannetweir/lab/emulator/registry.py
+++ b/gannetweir/lab/emulator/registry.py
@@ -16,13 +16,13 @@
 from gannetweir.net.transport import Transport
 
 
-class Registry:
+class EmulatedDiscovery:
     """Holds the list; `change` tells every watch. Answers one call at a time, after a delay."""
 
-    def __init__(self, delay_s: float = 0.02, beat_s: float = 2.0) -> None:
+    def __init__(self, delay_s: float = 0.02, heartbeat_s: float = 2.0) -> None:
         self.version, self.hosts = 1, dict[str, dict[str, Any]]()
-        self.delay_s, self.beat_s = delay_s, beat_s
-        self.down = False
+        self.delay_s, self.heartbeat_s = delay_s, heartbeat_s
+        self.is_down = False
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
         self.port = int(self.listener.getsockname()[1])
@@ -38,7 +38,7 @@
         for event in list(self.watches):
             event.set()
 
-    def whole(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
         """The list as a call gives it, and as a relay is started with."""
         return {"seq": self.version, "whole": True, "hosts": list(self.hosts.values())}
 
@@ -70,43 +70,49 @@
             data += more
         target = data.split(b" ", 2)[1].decode("ascii", "replace")
         await anyio.sleep(self.delay_s)
-        if self.down:
+        if self.is_down:
             caller.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             return
         if "follow=1" in target:
-            await self._follow(caller, target)
+            await self._serve_watch(caller, target)
             return
-        body = orjson.dumps(self.whole())
+        body = orjson.dumps(self.snapshot())
         head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
         caller.write(head.encode() + body)
         await caller.wait_drained()
 
-    async def _follow(self, caller: Transport, target: str) -> None:
+    async def _serve_watch(self, caller: Transport, target: str) -> None:
         since = int(target.rpartition("since=")[2] or 0)
         caller.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         event = anyio.Event()
         self.watches.add(event)
         try:
-            told = self.version
-            known = [entry for version, entry in self.history if version > since]
-            first = {"seq": told, "whole": False, "hosts": known} if 0 < since <= told else self.whole()
-            await self._chunk(caller, orjson.dumps(first))
-            while not self.down:
-                with anyio.move_on_after(self.beat_s) as beat:
+            sent_version = self.version
+            newer = [entry for version, entry in self.history if version > since]
+            first = (
+                {"seq": sent_version, "whole": False, "hosts": newer}
+                if 0 < since <= sent_version
+                else self.snapshot()
+            )
+            await self._write_chunk(caller, orjson.dumps(first))
+            while not self.is_down:
+                with anyio.move_on_after(self.heartbeat_s) as heartbeat:
                     await event.wait()
                 self.watches.discard(event)
                 event = anyio.Event()
                 self.watches.add(event)
-                if beat.cancelled_caught and told == self.version:
-                    await self._chunk(caller, b"")
+                if heartbeat.cancelled_caught and sent_version == self.version:
+                    await self._write_chunk(caller, b"")
                     continue
-                changed = [entry for version, entry in self.history if version > told]
-                told = self.version
-                await self._chunk(caller, orjson.dumps({"seq": told, "whole": False, "hosts": changed}))
+                changed = [entry for version, entry in self.history if version > sent_version]
+                sent_version = self.version
+                await self._write_chunk(
+                    caller, orjson.dumps({"seq": sent_version, "whole": False, "hosts": changed})
+                )
         finally:
             self.watches.discard(event)
 
     @staticmethod
-    async def _chunk(caller: Transport, line: bytes) -> None:
+    async def _write_chunk(caller: Transport, line: bytes) -> None:
         caller.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
         await caller.wait_drained()
--- a/gannetweir/lab/experiments/address_faults.py
+++ b/gannetweir/lab/experiments/address_faults.py
@@ -10,8 +10,8 @@
 
 import anyio
 
-from gannetweir.lab.emulator.emulator import Yard, YardPlan
-from gannetweir.lab.model.world import Plan, World
+from gannetweir.lab.emulator.emulator import Emulator, EmulatorPlan
+from gannetweir.lab.model.world import World, WorldPlan
 
 FAMILIES = ("unix", "ipv6", "ipv4")
 KINDS = ("refuse", "hole", "stall", "reset", "slow")
@@ -26,10 +26,10 @@
     "overlap not judged",
     "rules broken",
 )
-Broken = tuple[tuple[str, str], ...]  # family and what is wrong with it
+BrokenAddresses = tuple[tuple[str, str], ...]  # family and what is wrong with it
 
 
-def cases() -> Iterator[Broken]:
+def cases() -> Iterator[BrokenAddresses]:
     """Nothing; each kind at each family it can have; each pair of kinds at two families."""
     yield ()
     for kind in KINDS:
@@ -43,19 +43,21 @@
                 break
 
 
-async def many(broken: Broken, requests: int, at_once: int = 10) -> list[str]:
+async def run_case(broken: BrokenAddresses, requests: int, at_once: int = 10) -> list[str]:
     """So many requests to one relay before four nodes, each with three addresses, some of them broken."""
-    plan = YardPlan(nodes=4, families=FAMILIES, capacity=4000, base=400, store_per_s=5000)
-    async with Yard(plan) as yard:
-        for node in yard.nodes.values():
-            for text, door in node.doors.items():
+    plan = EmulatorPlan(
+        backends=4, families=FAMILIES, capacity=4000, other_connections=400, store_calls_per_s=5000
+    )
+    async with Emulator(plan) as yard:
+        for node in yard.backends.values():
+            for text, door in node.listeners.items():
                 if fault := dict(broken).get(door.address.family):
                     node.set_fault(text, fault)
-        answers = await yard.burst(requests, at_once)
-        rules = yard.close()
-        took = sorted(served.took_s * 1000 for served in yard.served if served.answer == "up")
-        attempts = [story.attempts for story in yard.checker.stories.values()]
-        delivered, written = await yard.lines_in()
+        answers = await yard.request_many(requests, at_once)
+        rules = yard.violations()
+        took = sorted(served.duration_s * 1000 for served in yard.answered if served.answer == "up")
+        attempts = [story.attempts for story in yard.checker.traces.values()]
+        delivered, written = await yard.count_first_lines()
         if delivered != written:
             rules.append(f"{delivered} first lines came in, {written} were written")
         name = ", ".join(f"{family} {fault}" for family, fault in broken) or "nothing"
@@ -67,54 +69,58 @@
             f"{took[len(took) * 99 // 100]:.1f}",
             f"{delivered}",
             f"{max(attempts)}",
-            f"{yard.not_judged()}",
+            f"{yard.undecided_overlaps()}",
             f"{len(rules)}",
         ]
 
 
-def _case(broken: Broken, requests: int) -> list[str]:
-    return anyio.run(many, broken, requests)
+def _case(broken: BrokenAddresses, requests: int) -> list[str]:
+    return anyio.run(run_case, broken, requests)
 
 
-def on_sockets(requests: int, side_by_side: int = 3) -> Iterator[list[str]]:
+def emulate_cases(requests: int, side_by_side: int = 3) -> Iterator[list[str]]:
     """A row for each case."""
     with ProcessPoolExecutor(side_by_side) as pool:
         todo = list(cases())
         yield from pool.map(_case, todo, [requests] * len(todo))
 
 
-def one_day(seed: int) -> World:
+def simulate_day(seed: int) -> World:
     """A day of 15 s with drawn faults of addresses, played to its end."""
     rng = random.Random(seed)
-    world = World(Plan(seed=seed, backends=6, per_s=6, groups=20, store_per_s=100, paths=3))
+    world = World(
+        WorldPlan(
+            seed=seed, backends=6, arrivals_per_s=6, groups=20, store_calls_per_s=100, addresses_per_backend=3
+        )
+    )
     for backend in world.backends.values():
-        for address in backend.paths:
+        for address in backend.address_faults:
             if rng.random() < 0.4:
-                fault, begin, paths = rng.choice(KINDS), rng.uniform(0, 8), backend.paths
-                world.at(begin, lambda p=paths, a=address, f=fault: p.__setitem__(a, f))  # type: ignore[misc]
+                fault, begin, paths = rng.choice(KINDS), rng.uniform(0, 8), backend.address_faults
+                world.schedule(begin, lambda p=paths, a=address, f=fault: p.__setitem__(a, f))  # type: ignore[misc]
                 end = begin + rng.uniform(1, 6)
-                world.at(end, lambda p=paths, a=address: p.__setitem__(a, ""))  # type: ignore[misc]
+                world.schedule(end, lambda p=paths, a=address: p.__setitem__(a, ""))  # type: ignore[misc]
     world.run(15)
     return world
 
 
-def counted(seed: int) -> Counter[str]:
+def count_day(seed: int) -> Counter[str]:
     """The counts of such a day, `broken` among them."""
-    world = one_day(seed)
+    world = simulate_day(seed)
     checker = world.checker
-    counts = Counter({"days": 1, "broken": len(checker.broken), "asked": len(checker.stories)})
+    counts = Counter({"days": 1, "broken": len(checker.violations), "asked": len(checker.traces)})
     counts["served"], counts["lines in"] = checker.counts["up"], checker.counts["sent"]
-    counts["most attempts"] = max((story.attempts for story in checker.stories.values()), default=0)
+    counts["most attempts"] = max((story.attempts for story in checker.traces.values()), default=0)
     for relay in world.relays:
         counts["path faults"] += relay.engine.counters.counts["path_faults"]
     return counts
 
 
-def on_virtual_time(seeds: int) -> Counter[str]:
+def simulate_days(seeds: int) -> Counter[str]:
     """All of them together; `most attempts` is the most of any."""
     total: Counter[str] = Counter()
     with ProcessPoolExecutor() as pool:
-        for counts in pool.map(counted, range(seeds), chunksize=20):
+        for counts in pool.map(count_day, range(seeds), chunksize=20):
             most = max(total["most attempts"], counts["most attempts"])
             total.update(counts)  # keeps a count of 0, which `+=` drops
             total["most attempts"] = most
--- a/gannetweir/lab/experiments/demo.py
+++ b/gannetweir/lab/experiments/demo.py
@@ -10,13 +10,13 @@
 from rich.table import Table
 from rich.text import Text
 
-from gannetweir.lab.emulator.emulator import Script, Yard, YardPlan, play
-from gannetweir.lab.experiments.experiment_run import events_of, parse_trial
+from gannetweir.lab.emulator.emulator import Emulator, EmulatorPlan, Script, play
+from gannetweir.lab.experiments.experiment_run import parse_experiment, scripted_events
 
 LENGTH_S = 30.0
-LIFE_SHARE = 0.2  # of its length: how long a client stays in the mean
+MEAN_DURATION_SHARE = 0.2  # of its length: how long a client stays in the mean
 # What happens, in shares of its length: an experiment like any other.
-STORY = """
+DEMO_EXPERIMENT = """
 experiment "demo" {{
     variant "demo" {{
         at "{:.0f}ms" fault="stall" family="unix" until="{:.0f}ms"
@@ -26,7 +26,7 @@
     }}
 }}
 """
-SHARES = 0.2, 0.4, 0.5, 0.62, 0.75
+STEP_SHARES = 0.2, 0.4, 0.5, 0.62, 0.75
 
 
 def families() -> tuple[str, ...]:
@@ -41,16 +41,22 @@
     return tuple(found)
 
 
-def _picture(yard: Yard, said: list[str], share: float) -> Group:
+def _state_table(yard: Emulator, said: list[str], share: float) -> Group:
     table = Table(title=f"gannetweir demo, {share:.0%}")
     for column in ("node", "state", "clients", ""):
         table.add_column(column, justify="right" if column == "clients" else "left")
-    for name, node in yard.nodes.items():
-        state = "drains" if node.draining else "cold" if node.able() < 0.99 * node.capacity else "ready"
+    for name, node in yard.backends.items():
+        state = (
+            "drains"
+            if node.draining
+            else "cold"
+            if node.current_capacity() < 0.99 * node.capacity
+            else "ready"
+        )
         ways = " ".join(
-            f"{door.address.family}:{door.fault or door.delivered}" for door in node.doors.values()
+            f"{door.address.family}:{door.fault or door.first_lines}" for door in node.listeners.values()
         )
-        held = yard.open[name]
+        held = yard.open_connections[name]
         table.add_row(name, state, str(held), "#" * min(40, held) + f"  {ways}")
     counts = ", ".join(f"{yard.counts[k]} {k}" for k in ("up", "busy", "err", "moved", "broken"))
     return Group(table, Text(f"clients so far: {counts}"), *(Text(f"  {line}") for line in said[-6:]))
@@ -61,37 +67,39 @@
     console = Console()
     said: list[str] = []
     shares = [0.0]
-    plan = YardPlan(relays=2, nodes=4, families=families(), capacity=60, store_per_s=400)
+    plan = EmulatorPlan(relays=2, backends=4, families=families(), capacity=60, store_calls_per_s=400)
     ways = ", ".join(plan.families)
     console.print(f"2 relays, a registry and 4 push nodes ({ways}) on loopback, {seconds:g} s")
-    async with Yard(plan) as yard:
+    async with Emulator(plan) as yard:
 
         def say(text: str) -> None:
-            said.append(f"{anyio.current_time() - yard.begun_s:5.1f} s  {text}")
+            said.append(f"{anyio.current_time() - yard.started_s:5.1f} s  {text}")
             if not live:
                 console.print(said[-1])
 
         async def draw() -> None:
-            with Live(_picture(yard, said, 0.0), console=console, refresh_per_second=5) as picture:
+            with Live(_state_table(yard, said, 0.0), console=console, refresh_per_second=5) as picture:
                 while True:
-                    picture.update(_picture(yard, said, shares[-1]))
+                    picture.update(_state_table(yard, said, shares[-1]))
                     await anyio.sleep(0.2)
 
         async with anyio.create_task_group() as beside:
             if live:
                 beside.start_soon(draw)
-            story = parse_trial(STORY.format(*(share * seconds * 1000 for share in SHARES)))
-            events = [event for told in story.variants["demo"] for event in events_of(told)]
-            life_s = LIFE_SHARE * seconds  # the last to come stay for several lives after it
+            story = parse_experiment(
+                DEMO_EXPERIMENT.format(*(share * seconds * 1000 for share in STEP_SHARES))
+            )
+            events = [event for told in story.variants["demo"] for event in scripted_events(told)]
+            life_s = MEAN_DURATION_SHARE * seconds  # the last to come stay for several lives after it
             await play(yard, Script(20.0, seconds, life_s, events), shares.append, say)
             beside.cancel_scope.cancel()
         if live:
             for line in said:
                 console.print(line)
-        broken = yard.close()
-        took = sorted(s.took_s for s in yard.served if s.answer == "up")
-        asked = len(yard.served)
-        attempts = sum(story.attempts for story in yard.checker.stories.values())
+        broken = yard.violations()
+        took = sorted(s.duration_s for s in yard.answered if s.answer == "up")
+        asked = len(yard.answered)
+        attempts = sum(story.attempts for story in yard.checker.traces.values())
         table = Table(title="what came of it")
         for column in ("", "figure"):
             table.add_column(column)
--- a/gannetweir/lab/experiments/experiment_run.py
+++ b/gannetweir/lab/experiments/experiment_run.py
@@ -32,9 +32,9 @@
 from gannetweir.config.kdl import KdlError, Node, parse_document
 from gannetweir.config.kdl_values import parse_duration_us
 from gannetweir.lab.emulator.backend import FAULTS
-from gannetweir.lab.emulator.emulator import Event, Script, Yard, YardPlan, play
+from gannetweir.lab.emulator.emulator import Emulator, EmulatorPlan, Script, ScriptedEvent, play
 
-IN_WORDS = {
+FAULT_DESCRIPTIONS = {
     "": "is mended",
     "refuse": "refuses",
     "hole": "is a black hole",
@@ -43,48 +43,48 @@
     "slow": "is slow",
 }
 # what the relays themselves counted, by its name in a run's counts
-TOLD_BY_RELAYS = {
+RELAY_COUNTERS = {
     "passed over": ("paths.passed_over",),
     "rejected": ("rejected",),
     "failed": ("failed",),
     "attempts failed": ("attempts.connect_failed", "attempts.timeout", "attempts.reset", "attempts.error"),
 }
-SWEPT = "rate", "nodes", "relays"
-MOST_SECONDS, MOST_PER_S, MOST_NODES, MOST_RELAYS, MOST_RUNS = 300.0, 500.0, 1024, 1024, 50
+SWEEPABLE = "rate", "nodes", "relays"
+MAX_SECONDS, MAX_ARRIVALS_PER_S, MAX_BACKENDS, MAX_RELAYS, MAX_RUNS = 300.0, 500.0, 1024, 1024, 50
 
 
-class TrialError(ValueError):
+class ExperimentError(ValueError):
     """What is wrong with an experiment's file."""
 
 
 @dataclass(frozen=True, slots=True)
-class Trial:
+class Experiment:
     """One experiment."""
 
     name: str
-    plan: YardPlan
-    per_s: float
+    plan: EmulatorPlan
+    arrivals_per_s: float
     seconds: float
-    life_s: float
+    mean_duration_s: float
     seeds: tuple[int, ...]
     variants: dict[str, list[dict[str, Any]]]
     sweep: tuple[str, tuple[float, ...]] = ("", ())  # what is swept, and its values: in the variants' names
 
-    def at(self, variant: str) -> Trial:
+    def with_swept_value(self, variant: str) -> Experiment:
         """The experiment with the value that a variant's name gives to what is swept."""
         name, values = self.sweep
         value = next((v for v in values if variant.endswith(f", {name} {v:g}")), None)
         if value is None:
             return self
         if name == "rate":
-            return replace(self, per_s=value)
+            return replace(self, arrivals_per_s=value)
         plan, count = self.plan, int(value)
-        swept = replace(plan, nodes=count) if name == "nodes" else replace(plan, relays=count)
+        swept = replace(plan, backends=count) if name == "nodes" else replace(plan, relays=count)
         return replace(self, plan=swept)
 
 
 @dataclass(slots=True)
-class Run:
+class ExperimentRun:
     """What one run of one variant showed. Times are milliseconds from the moment a request was due."""
 
     variant: str
@@ -100,20 +100,20 @@
     try:
         value = kind(told)
     except (TypeError, ValueError) as error:
-        raise TrialError(f"line {node.line}: {node.name}: {error}") from None
+        raise ExperimentError(f"line {node.line}: {node.name}: {error}") from None
     if not 0 < value <= most:
-        raise TrialError(f"line {node.line}: {node.name}: {value:g} is not over 0 and at most {most:g}")
+        raise ExperimentError(f"line {node.line}: {node.name}: {value:g} is not over 0 and at most {most:g}")
     return value
 
 
-def parse_trial(text: str, base: Path | None = None) -> Trial:
+def parse_experiment(text: str, base: Path | None = None) -> Experiment:
     """Read an experiment; `TrialError` names the line."""
     try:
         nodes = parse_document(text)
     except KdlError as error:
-        raise TrialError(f"line {error.line}: {error}") from None
+        raise ExperimentError(f"line {error.line}: {error}") from None
     if len(nodes) != 1 or nodes[0].name != "experiment" or len(nodes[0].arguments) != 1:
-        raise TrialError('one `experiment "NAME" { … }`')
+        raise ExperimentError('one `experiment "NAME" { … }`')
     got: dict[str, Any] = {
         "relays": 1,
         "nodes": 4,
@@ -129,13 +129,13 @@
     operators = ""
     sweep: tuple[str, tuple[float, ...]] = ("", ())
     numbers: dict[str, tuple[Callable[[Any], Any], float]] = {
-        "relays": (int, MOST_RELAYS),
-        "nodes": (int, MOST_NODES),
+        "relays": (int, MAX_RELAYS),
+        "nodes": (int, MAX_BACKENDS),
         "base": (int, 1e6),
         "capacity": (int, 1e6),
-        "rate": (float, MOST_PER_S),
-        "seconds": (float, MOST_SECONDS),
-        "life": (lambda v: parse_duration_us(v) / 1e6, MOST_SECONDS),
+        "rate": (float, MAX_ARRIVALS_PER_S),
+        "seconds": (float, MAX_SECONDS),
+        "life": (lambda v: parse_duration_us(v) / 1e6, MAX_SECONDS),
     }
     for node in nodes[0].children:
         if node.name in numbers:
@@ -148,104 +148,110 @@
             seeds = tuple(node.arguments)
         elif node.name == "operators" and len(node.arguments) == 1:
             operators = ((base or Path()) / str(node.arguments[0])).read_text()
-        elif node.name == "sweep" and len(node.arguments) > 1 and node.arguments[0] in SWEPT:
+        elif node.name == "sweep" and len(node.arguments) > 1 and node.arguments[0] in SWEEPABLE:
             name, *values = node.arguments
             sweep = str(name), tuple(_number(node, value, *numbers[str(name)]) for value in values)
         elif node.name == "variant" and len(node.arguments) == 1:
-            variants[str(node.arguments[0])] = [_event(child) for child in node.children]
+            variants[str(node.arguments[0])] = [_read_step(child) for child in node.children]
         else:
-            raise TrialError(f"line {node.line}: {node.name}: unknown, or with other values than it takes")
+            raise ExperimentError(
+                f"line {node.line}: {node.name}: unknown, or with other values than it takes"
+            )
     if sweep[1]:  # each variant once for each value
         base_variants = variants or {"plain": []}
         variants = {f"{name}, {sweep[0]} {v:g}": at for name, at in base_variants.items() for v in sweep[1]}
-    if len(seeds) * max(1, len(variants)) > MOST_RUNS:
-        raise TrialError(f"more than {MOST_RUNS} runs")
-    plan = YardPlan(
+    if len(seeds) * max(1, len(variants)) > MAX_RUNS:
+        raise ExperimentError(f"more than {MAX_RUNS} runs")
+    plan = EmulatorPlan(
         relays=got["relays"],
-        nodes=got["nodes"],
+        backends=got["nodes"],
         families=families,
-        operators=operators,
-        base=got["base"],
+        operators_file=operators,
+        other_connections=got["base"],
         capacity=got["capacity"],
     )
     name = str(nodes[0].arguments[0])
     variants = variants or {"plain": []}
-    return Trial(name, plan, got["rate"], got["seconds"], got["life"], seeds, variants, sweep)
+    return Experiment(name, plan, got["rate"], got["seconds"], got["life"], seeds, variants, sweep)
 
 
-def _event(node: Node) -> dict[str, Any]:
+def _read_step(node: Node) -> dict[str, Any]:
     known = {"fault", "family", "node", "until", "drain", "restart", "kill", "term", "store"}
     if node.name != "at" or len(node.arguments) != 1 or not node.properties or set(node.properties) - known:
-        raise TrialError(f"line {node.line}: at TIME with some of {', '.join(sorted(known))}")
+        raise ExperimentError(f"line {node.line}: at TIME with some of {', '.join(sorted(known))}")
     if node.properties.get("fault", "") not in FAULTS:
-        raise TrialError(f"line {node.line}: fault is one of {', '.join(filter(None, FAULTS))}")
+        raise ExperimentError(f"line {node.line}: fault is one of {', '.join(filter(None, FAULTS))}")
     try:
         times = {"at": parse_duration_us(node.arguments[0]) / 1e6}
         if "until" in node.properties:
             times["until"] = parse_duration_us(node.properties["until"]) / 1e6
     except ValueError as error:
-        raise TrialError(f"line {node.line}: {error}") from None
+        raise ExperimentError(f"line {node.line}: {error}") from None
     return {**node.properties, **times}
 
 
-def events_of(told: dict[str, Any]) -> list[Event]:
+def scripted_events(step: dict[str, Any]) -> list[ScriptedEvent]:
     """What one `at` line does, and its end."""
 
-    def doors(yard: Yard) -> list[tuple[str, str]]:
+    def doors(yard: Emulator) -> list[tuple[str, str]]:
         return [
             (name, text)
-            for name, node in yard.nodes.items()
-            if told.get("node", name) == name
-            for text, door in node.doors.items()
-            if told.get("family", door.address.family) == door.address.family
+            for name, node in yard.backends.items()
+            if step.get("node", name) == name
+            for text, door in node.listeners.items()
+            if step.get("family", door.address.family) == door.address.family
         ]
 
-    async def fault(yard: Yard, kind: str) -> None:
+    async def fault(yard: Emulator, kind: str) -> None:
         for name, text in doors(yard):
-            yard.nodes[name].set_fault(text, kind)
+            yard.backends[name].set_fault(text, kind)
 
-    async def slow(yard: Yard, times: float) -> None:
-        yard.store.slow = times
+    async def slow(yard: Emulator, times: float) -> None:
+        yard.store.slowdown = times
 
-    async def again(yard: Yard, sign: signal.Signals) -> None:
-        relay = yard.relays[int(told["kill" if sign == signal.SIGKILL else "term"])]
-        await relay.end(sign)
+    async def again(yard: Emulator, sign: signal.Signals) -> None:
+        relay = yard.relays[int(step["kill" if sign == signal.SIGKILL else "term"])]
+        await relay.stop(sign)
         relay.start()
-        await relay.ready()
-
-    found: list[Event] = []
-
-    def add(at: float, do: Callable[[Yard], Awaitable[None]], what: str) -> None:
-        found.append(Event(at, do, what))
-
-    if "fault" in told:
-        where = f"{told.get('node', 'every node')}, {told.get('family', 'every address')}"
-        add(told["at"], lambda yard: fault(yard, told["fault"]), f"{where} {IN_WORDS[told['fault']]}")
-        if "until" in told:
-            add(told["until"], lambda yard: fault(yard, ""), f"{where} is mended")
-    if "drain" in told:
-        add(told["at"], lambda yard: yard.drain(str(told["drain"])), f"{told['drain']} drains")
-    if "restart" in told:
-        name = str(told["restart"])
-        add(told["at"], lambda yard: yard.restart(name), f"{name} dies and comes back cold")
-    if "store" in told:
-        add(told["at"], lambda yard: slow(yard, float(told["store"])), "slow store")
-        add(told.get("until", told["at"] + 5), lambda yard: slow(yard, 1.0), "store as before")
-    if "kill" in told:
-        add(told["at"], lambda yard: again(yard, signal.SIGKILL), f"relay {told['kill']} killed")
-    if "term" in told:
-        add(told["at"], lambda yard: again(yard, signal.SIGTERM), f"relay {told['term']} starts again")
+        await relay.wait_ready()
+
+    found: list[ScriptedEvent] = []
+
+    def add(at: float, do: Callable[[Emulator], Awaitable[None]], what: str) -> None:
+        found.append(ScriptedEvent(at, do, what))
+
+    if "fault" in step:
+        where = f"{step.get('node', 'every node')}, {step.get('family', 'every address')}"
+        add(
+            step["at"],
+            lambda yard: fault(yard, step["fault"]),
+            f"{where} {FAULT_DESCRIPTIONS[step['fault']]}",
+        )
+        if "until" in step:
+            add(step["until"], lambda yard: fault(yard, ""), f"{where} is mended")
+    if "drain" in step:
+        add(step["at"], lambda yard: yard.drain_backend(str(step["drain"])), f"{step['drain']} drains")
+    if "restart" in step:
+        name = str(step["restart"])
+        add(step["at"], lambda yard: yard.restart_backend(name), f"{name} dies and comes back cold")
+    if "store" in step:
+        add(step["at"], lambda yard: slow(yard, float(step["store"])), "slow store")
+        add(step.get("until", step["at"] + 5), lambda yard: slow(yard, 1.0), "store as before")
+    if "kill" in step:
+        add(step["at"], lambda yard: again(yard, signal.SIGKILL), f"relay {step['kill']} killed")
+    if "term" in step:
+        add(step["at"], lambda yard: again(yard, signal.SIGTERM), f"relay {step['term']} starts again")
     return found
 
 
-async def run_one(
-    trial: Trial, variant: str, seed: int, progress: Callable[[float], None] = lambda share: None
-) -> Run:
+async def run_variant(
+    experiment: Experiment, variant: str, seed: int, progress: Callable[[float], None] = lambda share: None
+) -> ExperimentRun:
     """One run of one variant."""
-    trial = trial.at(variant)
-    plan = replace(trial.plan, seed=seed)
+    experiment = experiment.with_swept_value(variant)
+    plan = replace(experiment.plan, seed=seed)
     paths: dict[str, list[int]] = {family: [] for family in plan.families}
-    async with Yard(plan) as yard:
+    async with Emulator(plan) as yard:
 
         async def watch() -> None:
             last = dict.fromkeys(paths, 0)
@@ -253,51 +259,60 @@
                 await anyio.sleep(1.0)
                 for family in paths:
                     now = sum(
-                        door.delivered
-                        for node in yard.nodes.values()
-                        for door in node.doors.values()
+                        door.first_lines
+                        for node in yard.backends.values()
+                        for door in node.listeners.values()
                         if door.address.family == family
                     )
                     paths[family].append(now - last[family])
                     last[family] = now
 
-        events = [event for told in trial.variants[variant] for event in events_of(told)]
+        events = [event for told in experiment.variants[variant] for event in scripted_events(told)]
         async with anyio.create_task_group() as beside:
             beside.start_soon(watch)
-            await play(yard, Script(trial.per_s, trial.seconds, trial.life_s, events), progress)
+            await play(
+                yard,
+                Script(experiment.arrivals_per_s, experiment.seconds, experiment.mean_duration_s, events),
+                progress,
+            )
             beside.cancel_scope.cancel()
-        broken = yard.close()
+        broken = yard.violations()
         for relay in yard.relays:
             counted = await relay.counters()
-            for name, counters in TOLD_BY_RELAYS.items():
+            for name, counters in RELAY_COUNTERS.items():
                 yard.counts[name] += sum(counted[counter] for counter in counters)
-        return _figures(trial, variant, seed, yard, broken, paths)
+        return _figures(experiment, variant, seed, yard, broken, paths)
 
 
 def _figures(
-    trial: Trial, variant: str, seed: int, yard: Yard, broken: Sequence[str], paths: dict[str, list[int]]
-) -> Run:
+    experiment: Experiment,
+    variant: str,
+    seed: int,
+    emulator: Emulator,
+    broken: Sequence[str],
+    paths: dict[str, list[int]],
+) -> ExperimentRun:
     whole = HdrHistogram(1, 60_000_000, 3)
     seconds: dict[int, HdrHistogram] = {}
-    for served in yard.served:
+    for served in emulator.answered:
         if served.answer == "up":
-            us = max(1, int(served.took_s * 1e6))
+            us = max(1, int(served.duration_s * 1e6))
             whole.record_value(us)
             seconds.setdefault(int(served.due_s), HdrHistogram(1, 60_000_000, 3)).record_value(us)
-    asked = max(1, len(yard.served))
+    asked = max(1, len(emulator.answered))
     figures = {
         "served": whole.get_total_count() / asked,
         "p50, ms": whole.get_value_at_percentile(50) / 1000,
         "p99, ms": whole.get_value_at_percentile(99) / 1000,
         "most, ms": whole.get_max_value() / 1000,
-        "attempts a request": sum(s.attempts for s in yard.checker.stories.values()) / asked,
+        "attempts a request": sum(s.attempts for s in emulator.checker.traces.values()) / asked,
         "rules broken": float(len(broken)),
-        "overlap not judged": float(yard.not_judged()),
-        "stand-ins late, ms": yard.attempts.beat.latest_ms,
+        "overlap not judged": float(emulator.undecided_overlaps()),
+        "stand-ins late, ms": emulator.attempt_overlaps.loop_delay.largest_delay_ms,
     }
     line = [
         (float(second), float(h.get_total_count()), h.get_value_at_percentile(99) / 1000)
         for second, h in sorted(seconds.items())
-        if 0 <= second < trial.seconds
+        if 0 <= second < experiment.seconds
     ]
-    return Run(variant, seed, figures, dict(yard.counts), list(broken[:20]), line, paths)
+    return ExperimentRun(variant, seed, figures, dict(emulator.counts), list(broken[:20]), line, paths)
--- a/gannetweir/lab/experiments/report.py
+++ b/gannetweir/lab/experiments/report.py
@@ -7,10 +7,10 @@
 from rich.console import Console
 from rich.table import Table
 
-BLOCKS = " ▁▂▃▄▅▆▇█"
+BAR_LEVELS = " ▁▂▃▄▅▆▇█"
 
 
-def show(title: str, columns: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
+def print_table(title: str, columns: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
     """Print a table."""
     table = Table(title=title)
     for n, column in enumerate(columns):
@@ -26,17 +26,17 @@
     return "\n".join([lines[0], "| " + " | ".join(["---"] * len(columns)) + " |", *lines[1:]])
 
 
-def spark(values: Sequence[float], most: float) -> str:
+def bar_row(values: Sequence[float], most: float) -> str:
     """A row of bars, one a value; `most` is a full one."""
-    top = len(BLOCKS) - 1
-    return "".join(BLOCKS[max(0, min(top, round(value / most * top)))] for value in values)
+    top = len(BAR_LEVELS) - 1
+    return "".join(BAR_LEVELS[max(0, min(top, round(value / most * top)))] for value in values)
 
 
-def chart(rows: Sequence[tuple[str, Sequence[float]]], unit: str, step_s: float) -> str:
+def bar_chart(rows: Sequence[tuple[str, Sequence[float]]], unit: str, step_s: float) -> str:
     """Rows of bars on one scale, with the time under them."""
     most = max((max(values, default=0.0) for _, values in rows), default=0.0) or 1.0
     width = max(len(name) for name, _ in rows)
     length = max(len(values) for _, values in rows)
-    lines = [f"{name:<{width}} |{spark(values, most)}|" for name, values in rows]
+    lines = [f"{name:<{width}} |{bar_row(values, most)}|" for name, values in rows]
     marks = "".join(f"{int(n * step_s):<10}" for n in range(0, length, 10))
     return "\n".join([f"a full bar is {most:.1f} {unit}", *lines, f"{'s':<{width}}  {marks}".rstrip()])
--- a/gannetweir/lab/experiments/results.py
+++ b/gannetweir/lab/experiments/results.py
@@ -13,7 +13,7 @@
 import orjson
 import pygal
 
-from gannetweir.lab.experiments.experiment_run import Run, Trial
+from gannetweir.lab.experiments.experiment_run import Experiment, ExperimentRun
 from gannetweir.lab.experiments.report import markdown
 
 
@@ -21,7 +21,7 @@
     return sum(values) / len(values) if values else 0.0
 
 
-def table(runs: list[Run]) -> tuple[list[str], list[list[str]]]:
+def results_table(runs: list[ExperimentRun]) -> tuple[list[str], list[list[str]]]:
     """Means over the seeds, with the spread where there are several."""
     names = list(runs[0].figures) if runs else []
     rows = []
@@ -60,36 +60,37 @@
     return svg
 
 
-def keep(trial: Trial, runs: list[Run], folder: Path) -> None:
+def write_results(experiment: Experiment, runs: list[ExperimentRun], folder: Path) -> None:
     """Write the folder. What stands in it before is replaced file by file."""
     folder.mkdir(parents=True, exist_ok=True)
-    data = {"name": trial.name, "runs": [asdict(run) for run in runs]}
+    data = {"name": experiment.name, "runs": [asdict(run) for run in runs]}
     (folder / "results.json").write_bytes(orjson.dumps(data, option=orjson.OPT_INDENT_2))
-    columns, rows = table(runs)
+    columns, rows = results_table(runs)
+    families = ", ".join(experiment.plan.families)
     about = (
-        f"{trial.plan.relays} relays, {trial.plan.nodes} nodes ({', '.join(trial.plan.families)}), "
-        f"{trial.per_s:g} new connections a second for {trial.seconds:g} s, "
-        f"seeds {', '.join(map(str, trial.seeds))}"
+        f"{experiment.plan.relays} relays, {experiment.plan.backends} nodes ({families}), "
+        f"{experiment.arrivals_per_s:g} new connections a second for {experiment.seconds:g} s, "
+        f"seeds {', '.join(map(str, experiment.seeds))}"
     )
-    (folder / "README.md").write_text(f"# {trial.name}\n\n{about}.\n\n{markdown(columns, rows)}\n")
+    (folder / "README.md").write_text(f"# {experiment.name}\n\n{about}.\n\n{markdown(columns, rows)}\n")
     served: dict[str, list[float | None]] = {}
     slow: dict[str, list[float | None]] = {}
     svgs: list[str] = []
     for variant in dict.fromkeys(run.variant for run in runs):
         mine = [run for run in runs if run.variant == variant]
-        length = int(trial.seconds)
+        length = int(experiment.seconds)
         for place, lines in ((1, served), (2, slow)):
             lines[variant] = [
                 _mean([point[place] for run in mine for point in run.line if int(point[0]) == second]) or None
                 for second in range(length)
             ]
-        if len(trial.plan.families) > 1:
+        if len(experiment.plan.families) > 1:
             by_path: dict[str, list[float | None]] = {
                 family: [
                     _mean([float(run.paths[family][s]) for run in mine if s < len(run.paths.get(family, ()))])
                     for s in range(length)
                 ]
-                for family in trial.plan.families
+                for family in experiment.plan.families
             }
             name = f"paths-{len(svgs)}.svg"
             title = f"First lines a second by path: {variant}"
@@ -100,17 +101,17 @@
     body = "".join("<tr>" + "".join(f"<td>{html.escape(c)}</td>" for c in row) + "</tr>" for row in rows)
     broken = "".join(f"<li>{html.escape(line)}</li>" for run in runs for line in run.broken)
     page = (
-        f"<!doctype html><meta charset=utf-8><title>{html.escape(trial.name)}</title>"
+        f"<!doctype html><meta charset=utf-8><title>{html.escape(experiment.name)}</title>"
         "<style>body{font-family:sans-serif;max-width:60em;margin:2em auto}"
         "td,th{padding:.2em .8em;text-align:right}</style>"
-        f"<h1>{html.escape(trial.name)}</h1><p>{html.escape(about)}</p>"
+        f"<h1>{html.escape(experiment.name)}</h1><p>{html.escape(about)}</p>"
         f"<table><tr>{head}</tr>{body}</table>{''.join(svgs)}"
         f"<h2>Rules broken</h2><ul>{broken or '<li>none</li>'}</ul>"
     )
     (folder / "index.html").write_text(page)
 
 
-def load(folder: Path) -> dict[str, dict[str, list[float]]]:
+def read_figures(folder: Path) -> dict[str, dict[str, list[float]]]:
     """The figures of a kept folder: by variant, by name, over the seeds."""
     data: dict[str, Any] = orjson.loads((folder / "results.json").read_bytes())
     found: dict[str, dict[str, list[float]]] = {}
@@ -124,15 +125,18 @@
     """Every figure of both, and whether they differ beyond noise: by more than twice the standard error of
     the difference of their means (Welch). With one seed a side nothing can be said of noise.
     """
-    first, second = load(one), load(other)
+    first, second = read_figures(one), read_figures(other)
     rows = []
     for variant in [v for v in first if v in second]:
         for name in [n for n in first[variant] if n in second[variant]]:
-            a, b = first[variant][name], second[variant][name]
+            first_values, other_values = first[variant][name], second[variant][name]
             verdict = "one run a side: cannot tell"
-            if len(a) > 1 and len(b) > 1:
-                error = math.sqrt(statistics.variance(a) / len(a) + statistics.variance(b) / len(b))
-                apart = abs(_mean(a) - _mean(b))
-                verdict = "differs" if apart > 2 * error and apart > 1e-9 else "within noise"
-            rows.append([variant, name, f"{_mean(a):.2f}", f"{_mean(b):.2f}", verdict])
+            if len(first_values) > 1 and len(other_values) > 1:
+                error = math.sqrt(
+                    statistics.variance(first_values) / len(first_values)
+                    + statistics.variance(other_values) / len(other_values)
+                )
+                difference = abs(_mean(first_values) - _mean(other_values))
+                verdict = "differs" if difference > 2 * error and difference > 1e-9 else "within noise"
+            rows.append([variant, name, f"{_mean(first_values):.2f}", f"{_mean(other_values):.2f}", verdict])
     return rows
--- a/gannetweir/lab/model/clock.py
+++ b/gannetweir/lab/model/clock.py
@@ -8,28 +8,30 @@
 START_US = 1_700_000_000_000_000  # an arbitrary Unix time, as the relay's clock would tell
 
 
-class VirtualClock:
+class SimulatedClock:
     """An agenda. Calls that are due at one moment run in the order in which they were put in."""
 
     def __init__(self) -> None:
-        self.now = START_US
-        self.count = 0
-        self.agenda: list[tuple[int, int, Callable[[], None]]] = []
+        self.now_us = START_US
+        self.scheduled_count = 0
+        self.scheduled_calls: list[tuple[int, int, Callable[[], None]]] = []
 
-    def after(self, wait_us: float, call: Callable[[], None]) -> None:
+    def call_later(self, delay_us: float, callback: Callable[[], None]) -> None:
         """Run a call so much later."""
-        self.count += 1
-        heapq.heappush(self.agenda, (self.now + max(0, int(wait_us)), self.count, call))
+        self.scheduled_count += 1
+        heapq.heappush(
+            self.scheduled_calls, (self.now_us + max(0, int(delay_us)), self.scheduled_count, callback)
+        )
 
-    def run(self, until_us: int) -> None:
+    def run_until(self, until_us: int) -> None:
         """Do all that is due up to then, counted from the start."""
         until = START_US + until_us
-        while self.agenda and self.agenda[0][0] <= until:
-            self.now, _, call = heapq.heappop(self.agenda)
-            call()
-        self.now = until
+        while self.scheduled_calls and self.scheduled_calls[0][0] <= until:
+            self.now_us, _, callback = heapq.heappop(self.scheduled_calls)
+            callback()
+        self.now_us = until
 
     @property
-    def passed_us(self) -> int:
+    def elapsed_us(self) -> int:
         """Since the start."""
-        return self.now - START_US
+        return self.now_us - START_US
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -16,7 +16,7 @@
 
 from gannetweir.core import StartLoadProbe
 from gannetweir.lab.emulator.backend import spawn_in
-from gannetweir.lab.emulator.registry import Registry
+from gannetweir.lab.emulator.registry import EmulatedDiscovery
 from gannetweir.lab.scale.lists import host, relay_settings
 from gannetweir.lab.scale.measure import Named, Step, Sweep, processor_us, sweep
 from gannetweir.lab.scale.processes import backend
@@ -75,7 +75,7 @@
 
 async def _changes(watchers: int) -> dict[str, float]:
     """Microseconds a change, as the stand-in tells it and serialised once."""
-    registry = Registry(delay_s=0.0, beat_s=3600.0)
+    registry = EmulatedDiscovery(delay_s=0.0, heartbeat_s=3600.0)
     registry.change("s-0", **{name: value for name, value in host(0).items() if name != "host"})
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(registry.run)
--- a/gannetweir/lab/scale/fleets.py
+++ b/gannetweir/lab/scale/fleets.py
@@ -6,7 +6,7 @@
 
 from concurrent.futures import ProcessPoolExecutor
 
-from gannetweir.lab.experiments.fleet_simulation import plan_of
+from gannetweir.lab.experiments.fleet_simulation import fleet_plan
 from gannetweir.lab.model.world import World
 from gannetweir.lab.scale.measure import Named, Step
 from gannetweir.lab.scale.slopes import Cost, Sample
@@ -24,14 +24,14 @@
 
 def play(relays: int, seed: int) -> dict[str, float]:
     """One calm day: 60 backends, the same clients, so many relays."""
-    world = World(plan_of(seed, relays, BACKENDS))
+    world = World(fleet_plan(seed, relays, BACKENDS))
     checker = world.run(LENGTH_S)
-    if checker.broken:
-        raise ValueError(f"{relays} relays: {checker.broken[0]}")
+    if checker.violations:
+        raise ValueError(f"{relays} relays: {checker.violations[0]}")
     probes = sum(relay.engine.counters.counts["probes_sent"] for relay in world.relays)
     a_second = probes / LENGTH_S
     return {
-        TRY.key: probes / max(1, len(checker.stories)),
+        TRY.key: probes / max(1, len(checker.traces)),
         BACKEND.key: a_second / BACKENDS,
     }
 
--- a/gannetweir/lab/scale/run.py
+++ b/gannetweir/lab/scale/run.py
@@ -10,7 +10,7 @@
 
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 
-from gannetweir.lab.experiments.report import show
+from gannetweir.lab.experiments.report import print_table
 from gannetweir.lab.scale.page import write
 from gannetweir.lab.scale.record import FILE, GROUPS, Record, read_record
 from gannetweir.lab.scale.tables import brief_table
@@ -52,7 +52,7 @@
     if not page_only:
         measure(groups, record)
         record.save(folder)
-    show("costs", *brief_table(record))
+    print_table("costs", *brief_table(record))
     missing = [name for name in GROUPS if name not in record.groups]
     if missing:
         print(f"no page yet, not measured: {', '.join(missing)}")
--- a/gannetweir/lab/soak/command.py
+++ b/gannetweir/lab/soak/command.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from gannetweir.lab.experiments.report import show
+from gannetweir.lab.experiments.report import print_table
 from gannetweir.lab.soak.judge import Verdict
 from gannetweir.lab.soak.plan import SoakPlan
 from gannetweir.lab.soak.run import Soak
@@ -56,7 +56,7 @@
         broken = broken or bool(verdict.findings)
         if not verdict.findings:
             shutil.rmtree(folder)
-    show(f"{seconds:g} s of troubles a seed, {relays} relays", COLUMNS, rows)
+    print_table(f"{seconds:g} s of troubles a seed, {relays} relays", COLUMNS, rows)
     if broken:
         print(f"records of the runs that broke a rule: {root}")
     return int(broken)
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from gannetweir.lab.experiments.fleet_simulation import plan_of, play
-from gannetweir.lab.model.checker import Cold
+from gannetweir.lab.experiments.fleet_simulation import fleet_plan, simulate_day
+from gannetweir.lab.model.checker import SlowStartBudget
 from gannetweir.placement.events import EndpointEntry, EndpointListUpdate, EndpointStatus, UpdateKind
 from tests.helpers import SECOND, Gateway
 
@@ -35,9 +35,9 @@
 
 
 def test_the_bound_is_that_of_the_rule() -> None:
-    cold = Cold(0, per_s=20.0, cold_from=0.1, warm_us=10 * SECOND)
-    assert cold.allowed(0) == pytest.approx(3.0 + 2.0 * 3.0**0.5 + 2.0)
-    assert cold.allowed(10 * SECOND) == pytest.approx(30.0 + 2.0 * 30.0**0.5 + 2.0)
+    cold = SlowStartBudget(0, warm_setups_per_s=20.0, min_share=0.1, window_us=10 * SECOND)
+    assert cold.setups_allowed(0) == pytest.approx(3.0 + 2.0 * 3.0**0.5 + 2.0)
+    assert cold.setups_allowed(10 * SECOND) == pytest.approx(30.0 + 2.0 * 30.0**0.5 + 2.0)
 
 
 @pytest.mark.parametrize(
@@ -48,8 +48,8 @@
     ],
 )
 def test_no_cold_backend_falls(day: str, seed: int, life_s: float) -> None:
-    world = play(day, plan_of(seed, RELAYS, 24, life_s * SECOND))
-    assert not world.checker.broken, world.checker.broken[:3]
+    world = simulate_day(day, fleet_plan(seed, RELAYS, 24, life_s * SECOND))
+    assert not world.checker.violations, world.checker.violations[:3]
     assert 0 < world.checker.counts["cold_share"] <= 100
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,10 +14,15 @@
 from gannetweir.addresses.address import IPV6, UNIX, Address
 from gannetweir.addresses.address_selector import AddressSelector
 from gannetweir.addresses.rules import AddressRules
-from gannetweir.lab.emulator.attempts import BEATS_BACK, RESOLUTION_MS, OpenAttempts, now_ms
-from gannetweir.lab.emulator.backend import PushNode, Store, loopback, spawn_in
-from gannetweir.lab.emulator.emulator import Yard, YardPlan
-from gannetweir.lab.model.checker import Checker
+from gannetweir.lab.emulator.attempts import RESOLUTION_MS, TICKS_REMEMBERED, AttemptOverlaps, now_ms
+from gannetweir.lab.emulator.backend import (
+    EmulatedBackend,
+    EmulatedSessionStore,
+    loopback_addresses,
+    spawn_in,
+)
+from gannetweir.lab.emulator.emulator import Emulator, EmulatorPlan
+from gannetweir.lab.model.checker import RuleChecker
 from gannetweir.limits import Limits
 from gannetweir.net.dialer import AddressRaceDriver
 from gannetweir.net.transport import DescriptorCount, Spawn
@@ -28,12 +33,12 @@
 PAIRS = [(pair, "") for pair in combinations(KINDS, 2)]
 
 
-def paths_of(yard: Yard, family: str) -> list[tuple[str, str]]:
+def paths_of(yard: Emulator, family: str) -> list[tuple[str, str]]:
     """The address of that family of each node."""
     return [
         (name, text)
-        for name, node in yard.nodes.items()
-        for text, door in node.doors.items()
+        for name, node in yard.backends.items()
+        for text, door in node.listeners.items()
         if door.address.family == family
     ]
 
@@ -46,20 +51,22 @@
     families = (where,) if where else ("ipv6", "unix" if "hole" not in faults[1:] else "ipv4")
 
     async def run() -> None:
-        plan = YardPlan(nodes=2, families=FAMILIES, capacity=1000, base=100)
-        async with Yard(plan) as yard:
+        plan = EmulatorPlan(backends=2, families=FAMILIES, capacity=1000, other_connections=100)
+        async with Emulator(plan) as yard:
             for fault, family in zip(faults, families, strict=True):
                 for name, text in paths_of(yard, family):
-                    yard.nodes[name].set_fault(text, fault)
-            answers = await yard.burst(60, 6)
+                    yard.backends[name].set_fault(text, fault)
+            answers = await yard.request_many(60, 6)
             assert answers["up"] >= 55, answers
-            while yard.requests - yard.not_judged() < 60:  # each that a busy machine hides is asked anew
-                assert yard.requests < 240, yard.attempts.not_judged
-                answers += await yard.burst(60 + yard.not_judged() - yard.requests, 6)
-            assert not yard.close(), yard.checker.broken[:3]
-            assert answers["up"] >= yard.requests - 5, answers
-            sent, written = await yard.lines_in()
-            attempts = [story.attempts for story in yard.checker.stories.values()]
+            while (
+                yard.request_count - yard.undecided_overlaps() < 60
+            ):  # each that a busy machine hides is asked anew
+                assert yard.request_count < 240, yard.attempt_overlaps.undecided_overlaps
+                answers += await yard.request_many(60 + yard.undecided_overlaps() - yard.request_count, 6)
+            assert not yard.violations(), yard.checker.violations[:3]
+            assert answers["up"] >= yard.request_count - 5, answers
+            sent, written = await yard.count_first_lines()
+            attempts = [story.attempts for story in yard.checker.traces.values()]
             assert sent == written == sum(attempts) and max(attempts) <= 6
             if not {"stall", "reset"} & set(faults):  # nothing was ever out that had to be given up
                 assert sent == answers["up"] and max(attempts) == 1
@@ -69,23 +76,25 @@
 
 def test_a_mended_path_carries_traffic_again_within_5_s_and_all_broken_is_one_outcome() -> None:
     async def run() -> None:
-        async with Yard(YardPlan(nodes=1, families=("ipv6", "ipv4"), capacity=1000, base=100)) as yard:
+        async with Emulator(
+            EmulatorPlan(backends=1, families=("ipv6", "ipv4"), capacity=1000, other_connections=100)
+        ) as yard:
             ((name, v6),) = paths_of(yard, "ipv6")
             ((_, v4),) = paths_of(yard, "ipv4")
-            node = yard.nodes[name]
+            node = yard.backends[name]
             node.set_fault(v6, "refuse")
-            assert (await yard.burst(30, 3))["up"] == 30
-            assert node.doors[v6].delivered == 0 and node.doors[v4].delivered == 30
+            assert (await yard.request_many(30, 3))["up"] == 30
+            assert node.listeners[v6].first_lines == 0 and node.listeners[v4].first_lines == 30
             node.set_fault(v6, "")
             with anyio.fail_after(5.0):
-                while not node.doors[v6].delivered:
-                    await yard.burst(3, 1)
+                while not node.listeners[v6].first_lines:
+                    await yard.request_many(3, 1)
             for text in (v6, v4):
                 node.set_fault(text, "refuse")
-            answers = await yard.burst(5, 1)
-            assert answers["busy"] == 5 and not yard.close()
+            answers = await yard.request_many(5, 1)
+            assert answers["busy"] == 5 and not yard.violations()
             relay = yard.relays[0]
-            await relay.end()
+            await relay.stop()
             counts = await relay.counters()
             # an attempt at a server whose addresses all refuse is one failed connect, not one for each
             assert counts["attempts.connect_failed"] <= 5
@@ -95,14 +104,16 @@
 
 def test_a_unix_socket_that_a_restart_replaced_is_found_again() -> None:
     async def run() -> None:
-        async with Yard(YardPlan(nodes=2, families=("unix", "ipv4"), capacity=1000, base=100)) as yard:
-            assert (await yard.burst(20, 4))["up"] == 20
-            await yard.restart("b1")
+        async with Emulator(
+            EmulatorPlan(backends=2, families=("unix", "ipv4"), capacity=1000, other_connections=100)
+        ) as yard:
+            assert (await yard.request_many(20, 4))["up"] == 20
+            await yard.restart_backend("b1")
             with anyio.fail_after(10.0):
-                before = sum(d.delivered for d in yard.nodes["b1"].doors.values())
-                while sum(d.delivered for d in yard.nodes["b1"].doors.values()) == before:
-                    await yard.burst(4, 2)
-            assert not yard.close(), yard.checker.broken[:3]
+                before = sum(d.first_lines for d in yard.backends["b1"].listeners.values())
+                while sum(d.first_lines for d in yard.backends["b1"].listeners.values()) == before:
+                    await yard.request_many(4, 2)
+            assert not yard.violations(), yard.checker.violations[:3]
 
     anyio.run(run)
 
@@ -111,14 +122,21 @@
     """Two ways that never come up race; where a descriptor is wanted the second gives way, none else."""
 
     async def run() -> None:
-        nothing = OpenAttempts(Checker(), lambda: 0)
-        node = PushNode("a", loopback(1, "", ("ipv6", "ipv4")), 10, Store(100), nothing, random.Random(1))
+        nothing = AttemptOverlaps(RuleChecker(), lambda: 0)
+        node = EmulatedBackend(
+            "a",
+            loopback_addresses(1, "", ("ipv6", "ipv4")),
+            10,
+            EmulatedSessionStore(100),
+            nothing,
+            random.Random(1),
+        )
         ledger = DescriptorCount()
         paths = AddressSelector(AddressRules(), 1, 250_000)
-        paths.update_endpoint("a", "", tuple(node.doors))
+        paths.update_endpoint("a", "", tuple(node.listeners))
         async with anyio.create_task_group() as tasks:
             await tasks.start(node.run)
-            for text in node.doors:
+            for text in node.listeners:
                 node.set_fault(text, "hole")
 
             class Host:
@@ -190,12 +208,17 @@
     """Real sockets under a fed clock: no measure of a busy machine can put a sound way behind."""
 
     async def run() -> None:
-        attempts = OpenAttempts(Checker(), lambda: 0)
-        node = PushNode(
-            "a", loopback(1, str(tmp_path), (first, "ipv4")), 10, Store(100), attempts, random.Random(1)
+        attempts = AttemptOverlaps(RuleChecker(), lambda: 0)
+        node = EmulatedBackend(
+            "a",
+            loopback_addresses(1, str(tmp_path), (first, "ipv4")),
+            10,
+            EmulatedSessionStore(100),
+            attempts,
+            random.Random(1),
         )
         paths = AddressSelector(AddressRules(), 1, 250_000)
-        paths.update_endpoint("a", "", tuple(node.doors))
+        paths.update_endpoint("a", "", tuple(node.listeners))
         async with anyio.create_task_group() as tasks:
             await tasks.start(node.run)
             host = FedClock(tasks)
@@ -217,7 +240,7 @@
             )  # not the path's time
             assert await taken(29) == {first} and paths.preferred_bypassed == 0
             host.now_us = 1
-            node.set_fault(next(iter(node.doors)), "refuse")
+            node.set_fault(next(iter(node.listeners)), "refuse")
             assert (
                 await taken(30) == {"ipv4"} and paths.preferred_bypassed == 29
             )  # the first of them learnt it
@@ -259,14 +282,15 @@
 
 async def told_by_late_stand_ins(
     order: str, families: tuple[str, str], folder: str
-) -> tuple[Checker, OpenAttempts]:
+) -> tuple[RuleChecker, AttemptOverlaps]:
     """What two nodes that come to each part of an order late say of it."""
-    checker = Checker()
-    checker.asked(1, "x", 2_000_000, True, 0)
-    attempts = OpenAttempts(checker, lambda: 0)  # no beat is run: its last was before all of it
-    addresses = [loopback(n, folder, (family,)) for n, family in enumerate(families)]
+    checker = RuleChecker()
+    checker.request_sent(1, "x", 2_000_000, True, 0)
+    attempts = AttemptOverlaps(checker, lambda: 0)  # no beat is run: its last was before all of it
+    addresses = [loopback_addresses(n, folder, (family,)) for n, family in enumerate(families)]
     nodes = [
-        PushNode(f"b{n}", at, 10, Store(1), attempts, random.Random(n)) for n, at in enumerate(addresses)
+        EmulatedBackend(f"b{n}", at, 10, EmulatedSessionStore(1), attempts, random.Random(n))
+        for n, at in enumerate(addresses)
     ]
     out: dict[str, socket.socket] = {}
     async with anyio.create_task_group() as tasks:
@@ -279,7 +303,7 @@
             with anyio.fail_after(5.0):
                 while sum(sum(node.deliveries.values()) for node in nodes) < lines:
                     await anyio.lowlevel.checkpoint()
-        assert checker.stories[1].attempts == lines
+        assert checker.traces[1].attempts == lines
         for sock in out.values():
             sock.close()
         tasks.cancel_scope.cancel()
@@ -296,8 +320,8 @@
     end after a line is seen as such where the kernel keeps times: between two TCP connections.
     """
     checker, attempts = anyio.run(told_by_late_stand_ins, order, families, str(tmp_path))
-    assert len([text for text in checker.broken if "overlap" in text]) == overlaps, checker.broken
-    assert not attempts.not_judged or UNIX in families
+    assert len([text for text in checker.violations if "overlap" in text]) == overlaps, checker.violations
+    assert not attempts.undecided_overlaps or UNIX in families
 
 
 @pytest.mark.parametrize(("order", "families"), [(o, f) for o in HIDDEN for f in UNIX_TOO if UNIX in f])
@@ -306,22 +330,22 @@
 ) -> None:
     """Beside a Unix socket: an overlap that began and ended while they were late is not passed over."""
     checker, attempts = anyio.run(told_by_late_stand_ins, order, families, str(tmp_path))
-    assert list(attempts.not_judged) == [1] and not checker.broken
+    assert list(attempts.undecided_overlaps) == [1] and not checker.violations
 
 
 def test_an_attempt_whose_end_a_prompt_stand_in_read_is_judged(tmp_path: Path) -> None:
     """A loop that was not late leaves nothing open, also between Unix sockets."""
-    checker = Checker()
-    checker.asked(1, "x", 2_000_000, True, 0)
-    attempts = OpenAttempts(checker, lambda: 0)
+    checker = RuleChecker()
+    checker.request_sent(1, "x", 2_000_000, True, 0)
+    attempts = AttemptOverlaps(checker, lambda: 0)
     pairs = [socket.socketpair() for _ in range(2)]
     for peer, mine in pairs:
-        attempts.beat.beats.extend([now_ms()] * BEATS_BACK)
-        attempts.arrived(1, "a", mine)
+        attempts.loop_delay.recent_ticks.extend([now_ms()] * TICKS_REMEMBERED)
+        attempts.first_line_read(1, "a", mine)
         time.sleep(2 * RESOLUTION_MS / 1000)
-        attempts.beat.beats.extend([now_ms()] * BEATS_BACK)
+        attempts.loop_delay.recent_ticks.extend([now_ms()] * TICKS_REMEMBERED)
         peer.close()
-        attempts.ended(1, mine)
-    assert not attempts.not_judged and not checker.broken
+        attempts.attempt_ended(1, mine)
+    assert not attempts.undecided_overlaps and not checker.violations
     for _, mine in pairs:
         mine.close()
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -6,10 +6,10 @@
 
 from gannetweir import core as e
 from gannetweir.core.draining import Draining
-from gannetweir.lab.experiments.fleet_simulation import DAYS, plan_of, play
-from gannetweir.lab.model.backends import Backend
-from gannetweir.lab.model.checker import Checker
-from gannetweir.lab.model.world import Relay, World
+from gannetweir.lab.experiments.fleet_simulation import DAYS, fleet_plan, simulate_day
+from gannetweir.lab.model.backends import SimulatedBackend
+from gannetweir.lab.model.checker import RuleChecker
+from gannetweir.lab.model.world import SimulatedRelay, World
 from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.placement import ready_endpoints
 from gannetweir.placement.slow_start import SlowStart
@@ -18,11 +18,11 @@
 @pytest.mark.parametrize("day", DAYS)
 @pytest.mark.parametrize(("relays", "backends", "seed"), [(3, 12, 1), (3, 12, 2), (40, 60, 4)])
 def test_the_rules_hold_at_any_size(day: str, relays: int, backends: int, seed: int) -> None:
-    world = play(day, plan_of(seed, relays, backends))
+    world = simulate_day(day, fleet_plan(seed, relays, backends))
     counts = world.checker.counts
-    assert not world.checker.broken, world.checker.broken[:3]
+    assert not world.checker.violations, world.checker.violations[:3]
     wanted = 0.75 if day == "throng" else 0.95  # a throng asks for all that the fleet holds, half of it cold
-    assert counts["up"] >= wanted * len(world.checker.stories) > 100
+    assert counts["up"] >= wanted * len(world.checker.traces) > 100
     assert day == "kill" or 0 < counts["cold_share"] <= 100  # cold ones were used, within what they bear
     for relay in world.relays:
         faults = relay.engine.counters.counts
@@ -30,24 +30,24 @@
 
 
 def broken(day: str) -> str:
-    return "\n".join(play(day, plan_of(1, 40, 60)).checker.broken)
+    return "\n".join(simulate_day(day, fleet_plan(1, 40, 60)).checker.violations)
 
 
 def test_a_fleet_that_takes_cold_servers_for_warm_ones_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SlowStart, "capacity_share", lambda *_: 1.0)
-    monkeypatch.setattr(Backend, "able", lambda backend: backend.capacity)  # and their reports say the same
-    monkeypatch.setattr(
-        ready_endpoints, "rendezvous_rank", lambda _group, place: place
-    )  # all groups begin at the same
+    # and their reports say the same
+    monkeypatch.setattr(SimulatedBackend, "current_capacity", lambda backend: backend.capacity)
+    # all groups begin at the same
+    monkeypatch.setattr(ready_endpoints, "rendezvous_rank", lambda _group, place: place)
     assert ": cold: " in broken("join")
 
 
 def test_relays_that_do_not_heed_the_news_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def deaf(relay: Relay, news: MembershipUpdate) -> None:
+    def deaf(relay: SimulatedRelay, news: MembershipUpdate) -> None:
         for member in news.endpoints:
-            relay.heard(member)
+            relay._report_known(member)
 
-    monkeypatch.setattr(Relay, "news", deaf)
+    monkeypatch.setattr(SimulatedRelay, "membership_update_received", deaf)
     assert ": drain: " in broken("roll")
 
 
@@ -58,29 +58,31 @@
 
 
 def test_an_attempt_that_goes_on_beside_the_next_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Relay, "_close", lambda *_: None)
-    world = World(plan_of(1, 3, 12))
+    monkeypatch.setattr(SimulatedRelay, "_close_upstream", lambda *_: None)
+    world = World(fleet_plan(1, 3, 12))
     for backend in list(world.backends.values())[:3]:
-        backend.stalls = True
-    assert any(": overlap: " in line for line in world.run(10).broken)
+        backend.is_silent = True
+    assert any(": overlap: " in line for line in world.run(10).violations)
 
 
 def test_what_one_request_shows_is_caught() -> None:
-    checker = Checker()
+    checker = RuleChecker()
     for number in (1, 2, 3):
-        checker.asked(number, "plain", 1_000_000, True, 0)
+        checker.request_sent(number, "plain", 1_000_000, True, 0)
     for attempt in range(7):
-        checker.attempt(1, attempt, "b1", 10)
+        checker.attempt_arrived(1, attempt, "b1", 10)
         checker.attempt_ended(1, attempt)
-    checker.answered(1, "up", 2_000_000)
-    checker.answered(1, "busy", 2_000_000)
-    checker.answered(2, "err", 900_000)
-    rules = [line.split(": ")[2] for line in checker.close(5_000_000)]
+    checker.answer_received(1, "up", 2_000_000)
+    checker.answer_received(1, "busy", 2_000_000)
+    checker.answer_received(2, "err", 900_000)
+    rules = [line.split(": ")[2] for line in checker.finish(5_000_000)]
     assert rules == ["attempts", "late", "answers", "unanswered"]
 
 
 def test_the_same_seed_plays_the_same_day() -> None:
     def told(world: World) -> tuple[Any, ...]:
-        return world.checker.counts, world.served, [r.engine.counters.counts for r in world.relays]
+        return world.checker.counts, world.final_answers, [r.engine.counters.counts for r in world.relays]
 
-    assert told(play("roll", plan_of(5, 3, 12))) == told(play("roll", plan_of(5, 3, 12)))
+    assert told(simulate_day("roll", fleet_plan(5, 3, 12))) == told(
+        simulate_day("roll", fleet_plan(5, 3, 12))
+    )
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,9 +11,9 @@
 
 from gannetweir.cli import main
 from gannetweir.lab.__main__ import main as lab
-from gannetweir.lab.experiments.experiment_run import Run, TrialError, parse_trial
-from gannetweir.lab.experiments.results import compare, keep
-from gannetweir.lab.model.world import Plan, Traffic, World
+from gannetweir.lab.experiments.experiment_run import ExperimentError, ExperimentRun, parse_experiment
+from gannetweir.lab.experiments.results import compare, write_results
+from gannetweir.lab.model.world import Traffic, World, WorldPlan
 
 ROOT = Path(__file__).parent.parent
 LATE_MS = 100.0  # by which a machine with cores to spare holds up no loop
@@ -38,19 +38,19 @@
 
 
 def test_the_experiment_in_the_repository_reads() -> None:
-    trial = parse_trial((ROOT / "experiments/paths.kdl").read_text())
+    trial = parse_experiment((ROOT / "experiments/paths.kdl").read_text())
     assert len(trial.variants) == 5 and trial.plan.families == ("unix", "ipv6", "ipv4")
 
 
 def test_a_sweep_is_each_variant_with_each_value() -> None:
-    trial = parse_trial(SMALL.replace("seeds 1", 'seeds 1\n    sweep "rate" 20 40.5'))
+    trial = parse_experiment(SMALL.replace("seeds 1", 'seeds 1\n    sweep "rate" 20 40.5'))
     named = ["good, rate 20", "good, rate 40.5", "refused, rate 20", "refused, rate 40.5"]
     assert list(trial.variants) == named
-    assert [trial.at(v).per_s for v in trial.variants] == [20, 40.5, 20, 40.5]
-    trial = parse_trial(SMALL.replace("seeds 1", 'seeds 1\n    sweep "nodes" 2 12'))
-    assert [trial.at(v).plan.nodes for v in trial.variants] == [2, 12, 2, 12]
-    with pytest.raises(TrialError, match="line 11: sweep"):
-        parse_trial(SMALL.replace("seeds 1", 'seeds 1\n    sweep "nodes" 2 1200'))
+    assert [trial.with_swept_value(v).arrivals_per_s for v in trial.variants] == [20, 40.5, 20, 40.5]
+    trial = parse_experiment(SMALL.replace("seeds 1", 'seeds 1\n    sweep "nodes" 2 12'))
+    assert [trial.with_swept_value(v).plan.backends for v in trial.variants] == [2, 12, 2, 12]
+    with pytest.raises(ExperimentError, match="line 11: sweep"):
+        parse_experiment(SMALL.replace("seeds 1", 'seeds 1\n    sweep "nodes" 2 1200'))
 
 
 @pytest.mark.parametrize(
@@ -70,8 +70,8 @@
     ],
 )
 def test_what_is_wrong_is_named_with_its_line(old: str, new: str, said: str) -> None:
-    with pytest.raises(TrialError, match=said):
-        parse_trial(SMALL.replace(old, new, 1))
+    with pytest.raises(ExperimentError, match=said):
+        parse_experiment(SMALL.replace(old, new, 1))
 
 
 def test_an_experiment_is_played_and_kept(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -108,34 +108,41 @@
 def test_the_same_load_is_served_whole_on_a_clock_that_stands(variant: str, seed: int) -> None:
     """The relay's decisions without the machine's: nothing fails, and nothing is refused."""
     kinds = tuple(Traffic(share, 200_000.0) for share in (0.36, 0.34, 0.15, 0.15))
-    plan = Plan(
-        seed, relays=1, backends=2, per_s=40, capacity=500 / 0.6, store_per_s=2000, paths=3, traffic=kinds
+    plan = WorldPlan(
+        seed,
+        relays=1,
+        backends=2,
+        arrivals_per_s=40,
+        capacity=500 / 0.6,
+        store_calls_per_s=2000,
+        addresses_per_backend=3,
+        traffic=kinds,
     )
     world = World(plan)
 
     for backend in world.backends.values():
-        backend.held = 50  # beside those of the load, as `base` says
+        backend.open_connections = 50  # beside those of the load, as `base` says
 
     def unix(fault: str) -> None:
         for backend in world.backends.values():
-            backend.paths[list(backend.paths)[-1]] = fault
+            backend.address_faults[list(backend.address_faults)[-1]] = fault
 
     def drain() -> None:
-        world.backends["b1"].drains = True
+        world.backends["b1"].is_draining = True
         world.announce([world.backends["b1"]])
 
     if variant == "refused":
         for seconds, call in ((0.5, lambda: unix("refuse")), (1.0, drain), (2.0, lambda: unix(""))):
-            world.at(seconds, call)
+            world.schedule(seconds, call)
     counts = world.run(3).counts
-    assert not world.checker.broken and counts["first"] > 80
+    assert not world.checker.violations and counts["first"] > 80
     assert counts["up"] == counts["first"] + counts["again"] == counts["sent"]
 
 
 def test_only_what_is_beyond_noise_differs(tmp_path: Path) -> None:
     def kept(name: str, values: list[float]) -> Path:
-        runs = [Run("v", n, {"p99, ms": value}, {}, []) for n, value in enumerate(values)]
-        keep(parse_trial(SMALL), runs, tmp_path / name)
+        runs = [ExperimentRun("v", n, {"p99, ms": value}, {}, []) for n, value in enumerate(values)]
+        write_results(parse_experiment(SMALL), runs, tmp_path / name)
         return tmp_path / name
 
     base = kept("a", [10.0, 11.0, 9.0])
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gannetweir.config import key_paths
-from gannetweir.lab.experiments.experiment_run import MOST_NODES, MOST_RELAYS
+from gannetweir.lab.experiments.experiment_run import MAX_BACKENDS, MAX_RELAYS
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import EndpointList
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
@@ -91,7 +91,7 @@
 
 
 def test_the_lab_has_no_cap_below() -> None:
-    assert min(MOST_NODES, MOST_RELAYS) >= COUNT
+    assert min(MAX_BACKENDS, MAX_RELAYS) >= COUNT
 
 
 def cost(servers: int) -> dict[str, float]:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -6,10 +6,10 @@
 import pytest
 
 from gannetweir.config.operators_file import OperatorsFileError, parse_routing_rules
-from gannetweir.lab.experiments.address_faults import one_day
-from gannetweir.lab.experiments.budgets import BUDGET_FILE, failing_fleet
-from gannetweir.lab.model.checker import Checker
-from gannetweir.lab.model.world import SECOND, Plan, Traffic, World
+from gannetweir.lab.experiments.address_faults import simulate_day
+from gannetweir.lab.experiments.budgets import BUDGET_FILE, run_failing_fleet
+from gannetweir.lab.model.checker import RuleChecker
+from gannetweir.lab.model.world import SECOND_US, Traffic, World, WorldPlan
 from gannetweir.limits import Limits
 from gannetweir.placement.events import RequestArrived
 from gannetweir.routing.schedule import answer_margin_us, worst_case_schedule
@@ -37,21 +37,31 @@
 }
 """
 )
-SMALL = Plan(backends=12, per_s=8.0, groups=30, store_per_s=100.0)
+SMALL = WorldPlan(backends=12, arrivals_per_s=8.0, groups=30, store_calls_per_s=100.0)
 
 
 def test_the_same_seed_plays_the_same_day() -> None:
     def day(seed: int) -> tuple[object, ...]:
         world = World(replace(SMALL, seed=seed), TWO_TIMINGS)
-        world.at(5, lambda: setattr(world.backends["b1"], "fails", 0.7))
+        world.schedule(5, lambda: setattr(world.backends["b1"], "failure_rate", 0.7))
         checker = world.run(15)
-        return checker.counts, world.served, [s.attempts for s in checker.stories.values()]
+        return checker.counts, world.final_answers, [s.attempts for s in checker.traces.values()]
 
     assert day(4) == day(4)
     assert day(4) != day(5)
 
 
-FAULTS = ("fails", "refuses", "stalls", "hangs", "slow", "drains", "gone", "store", "reload")
+FAULTS = (
+    "failure_rate",
+    "refuses_connects",
+    "is_silent",
+    "ignores_probes",
+    "slowdown",
+    "is_draining",
+    "is_removed",
+    "store",
+    "reload",
+)
 
 
 def hurt(world: World, rng: random.Random) -> None:
@@ -64,29 +74,29 @@
         fault = rng.choice(FAULTS)
         begin, end = sorted((rng.uniform(1, 28), rng.uniform(1, 28)))
         if fault == "store":
-            world.at(begin, lambda: setattr(world.store, "slow", 7.5))
-            world.at(end, lambda: setattr(world.store, "slow", 1.0))
+            world.schedule(begin, lambda: setattr(world.store, "slowdown", 7.5))
+            world.schedule(end, lambda: setattr(world.store, "slowdown", 1.0))
         elif fault == "reload":
             file = rng.choice([TWO_TIMINGS, BUDGET_FILE, HEAD + "default {\n attempts 1\n}\n"])
-            world.at(begin, lambda file=file: [relay.reload(file) for relay in world.relays])
-        elif fault in ("drains", "gone"):
+            world.schedule(begin, lambda file=file: [relay.reload(file) for relay in world.relays])
+        elif fault in ("is_draining", "is_removed"):
 
             def leave(backend=backend, fault=fault) -> None:  # type: ignore[no-untyped-def]
                 setattr(backend, fault, True)
-                world.announce([backend], rng.uniform(0, 2 * SECOND))
+                world.announce([backend], rng.uniform(0, 2 * SECOND_US))
 
             def back(backend=backend, fault=fault) -> None:  # type: ignore[no-untyped-def]
                 setattr(backend, fault, False)
-                backend.started_us = world.clock.now
-                world.announce([backend], rng.uniform(0, 2 * SECOND))
+                backend.started_us = world.clock.now_us
+                world.announce([backend], rng.uniform(0, 2 * SECOND_US))
 
-            world.at(begin, leave)
-            world.at(end + 3, back)
+            world.schedule(begin, leave)
+            world.schedule(end + 3, back)
         else:
-            on = {"fails": rng.uniform(0.4, 0.9), "slow": 40.0}.get(fault, True)
-            off = {"fails": 0.0, "slow": 1.0}.get(fault, False)
-            world.at(begin, lambda b=backend, f=fault, v=on: setattr(b, f, v))
-            world.at(end, lambda b=backend, f=fault, v=off: setattr(b, f, v))
+            on = {"failure_rate": rng.uniform(0.4, 0.9), "slowdown": 40.0}.get(fault, True)
+            off = {"failure_rate": 0.0, "slowdown": 1.0}.get(fault, False)
+            world.schedule(begin, lambda b=backend, f=fault, v=on: setattr(b, f, v))
+            world.schedule(end, lambda b=backend, f=fault, v=off: setattr(b, f, v))
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -95,10 +105,10 @@
     world = World(replace(SMALL, seed=seed), file)
     hurt(world, random.Random(seed))
     checker = world.run(30)
-    assert not checker.broken, "\n".join(checker.broken[:5])
+    assert not checker.violations, "\n".join(checker.violations[:5])
     answers = checker.counts["up"] + checker.counts["busy"] + checker.counts["err"]
-    left = sum(story.ended for story in checker.stories.values())
-    assert answers + left >= len(checker.stories) > 150
+    left = sum(story.client_has_left for story in checker.traces.values())
+    assert answers + left >= len(checker.traces) > 150
     assert checker.counts["up"] > 50
     for relay in world.relays:
         assert relay.engine.counters.counts["overdue"] == relay.engine.counters.counts["module_faults"] == 0
@@ -113,10 +123,10 @@
     """Three addresses a backend; of each kind of fault some, alone and together, over ten seeds."""
     served = asked = 0
     for seed in range(first, first + 10):
-        world = one_day(seed)
+        world = simulate_day(seed)
         checker = world.checker
-        assert not checker.broken, checker.broken[:3]
-        served, asked = served + checker.counts["up"], asked + len(checker.stories)
+        assert not checker.violations, checker.violations[:3]
+        served, asked = served + checker.counts["up"], asked + len(checker.traces)
         for relay in world.relays:
             assert relay.engine.address_selector is not None
             assert relay.engine.counters.counts["paths.unix"] > 0
@@ -125,17 +135,21 @@
 
 def test_a_broken_path_is_no_broken_server() -> None:
     """Every Unix socket falls silent for 5 s: attempts time out, and yet no server is set aside."""
-    world = World(Plan(seed=2, backends=6, per_s=6, groups=20, store_per_s=100, paths=3))
+    world = World(
+        WorldPlan(
+            seed=2, backends=6, arrivals_per_s=6, groups=20, store_calls_per_s=100, addresses_per_backend=3
+        )
+    )
     for backend in world.backends.values():
-        paths, unix = backend.paths, next(a for a in backend.paths if a.startswith("unix:"))
-        world.at(5, lambda p=paths, a=unix: p.__setitem__(a, "stall"))
-        world.at(10, lambda p=paths, a=unix: p.__setitem__(a, ""))
+        paths, unix = backend.address_faults, next(a for a in backend.address_faults if a.startswith("unix:"))
+        world.schedule(5, lambda p=paths, a=unix: p.__setitem__(a, "stall"))
+        world.schedule(10, lambda p=paths, a=unix: p.__setitem__(a, ""))
     checker = world.run(20)
-    assert not checker.broken
+    assert not checker.violations
     engines = [relay.engine for relay in world.relays]
     assert sum(engine.counters.counts["path_faults"] for engine in engines) > 0
-    assert not any("set aside" in text for relay in world.relays for text in relay.logs)
-    assert checker.counts["up"] >= 0.97 * len(checker.stories)
+    assert not any("set aside" in text for relay in world.relays for text in relay.log_lines)
+    assert checker.counts["up"] >= 0.97 * len(checker.traces)
     late = [engine.counters.counts["paths.unix"] for engine in engines]
     assert min(late) > 20  # they carry traffic again
 
@@ -144,53 +158,63 @@
     """First IPv4 is named for b0, then its Unix socket instead: what is open stays, the new follows."""
 
     def only(family: int) -> str:
-        ways = list(world.backends["b0"].paths)
+        ways = list(world.backends["b0"].address_faults)
         named = f'address "{ways[family]}" "{ways[1]}"'
         return HEAD + f'server "b0" {{\n {named}\n dial #false\n}}\ndefault {{\n}}\n'
 
-    world = World(Plan(seed=1, relays=1, backends=2, per_s=8, groups=20, store_per_s=100, paths=3))
+    world = World(
+        WorldPlan(
+            seed=1,
+            relays=1,
+            backends=2,
+            arrivals_per_s=8,
+            groups=20,
+            store_calls_per_s=100,
+            addresses_per_backend=3,
+        )
+    )
     engine = world.relays[0].engine
-    world.at(4, lambda: world.relays[0].reload(only(0)))
+    world.schedule(4, lambda: world.relays[0].reload(only(0)))
     seen: list[set[str]] = []
 
     def look() -> None:
         assert engine.address_selector is not None
         seen.append({str(a) for a in engine.address_selector.states_by_endpoint["b0"]})
 
-    world.at(5, look)
-    world.at(6, lambda: world.relays[0].reload(only(2)))
-    world.at(7, look)
+    world.schedule(5, look)
+    world.schedule(6, lambda: world.relays[0].reload(only(2)))
+    world.schedule(7, look)
     open_before: list[int] = []
-    world.at(5.9, lambda: open_before.append(engine.current_figures()["open"]))
-    world.at(6.1, lambda: open_before.append(engine.current_figures()["open"]))
+    world.schedule(5.9, lambda: open_before.append(engine.current_figures()["open"]))
+    world.schedule(6.1, lambda: open_before.append(engine.current_figures()["open"]))
     checker = world.run(12)
-    ways = list(world.backends["b0"].paths)
+    ways = list(world.backends["b0"].address_faults)
     assert seen == [{ways[0], ways[1]}, {ways[2], ways[1]}]
-    assert not checker.broken and checker.counts["up"] > 60
+    assert not checker.violations and checker.counts["up"] > 60
     assert abs(open_before[0] - open_before[1]) <= 6  # a few come and go; none is cut off by it
 
 
 def test_two_classes_keep_their_own_time_in_one_relay_over_a_reload_in_a_rush() -> None:
     """All backends fall silent in a rush; halfway another file comes. Each class keeps its own sum."""
-    plan = replace(SMALL, per_s=20.0, traffic=tuple(replace(t, retries=0) for t in SMALL.traffic))
+    plan = replace(SMALL, arrivals_per_s=20.0, traffic=tuple(replace(t, retries=0) for t in SMALL.traffic))
     world = World(plan, TWO_TIMINGS)
     for backend in world.backends.values():
-        world.at(4, lambda b=backend: setattr(b, "stalls", True))
-        world.at(12, lambda b=backend: setattr(b, "stalls", False))
+        world.schedule(4, lambda b=backend: setattr(b, "is_silent", True))
+        world.schedule(12, lambda b=backend: setattr(b, "is_silent", False))
     shorter = TWO_TIMINGS.replace('"600ms"', '"200ms"').replace('"300ms"', '"100ms"')
-    world.at(8, lambda: [relay.reload(shorter) for relay in world.relays])
+    world.schedule(8, lambda: [relay.reload(shorter) for relay in world.relays])
     checker = world.run(20)
-    assert not checker.broken
+    assert not checker.violations
     told = plan.settings()
-    start = world.clock.now - world.clock.passed_us
+    start = world.clock.now_us - world.clock.elapsed_us
 
     def worst(cls: str, begin: float, end: float) -> int:
-        asked = [s for s in checker.stories.values() if s.cls == cls and s.answered_us >= 0]
+        asked = [s for s in checker.traces.values() if s.request_class == cls and s.answered_us >= 0]
         return max(s.answered_us - s.sent_us for s in asked if begin <= (s.sent_us - start) / 1e6 < end)
 
     for file, begin, end in ((TWO_TIMINGS, 0, 8), (shorter, 8.0, 20)):
         rules = parse_routing_rules(file, told, Limits())
-        relay = World(replace(plan, per_s=0.001), file).relays[0]
+        relay = World(replace(plan, arrivals_per_s=0.001), file).relays[0]
         for number, cls in enumerate(plan.classes):
             timed = relay.settings.classes[
                 relay.engine.route_admission.class_index_for(RequestArrived(0, number))
@@ -224,79 +248,95 @@
             continue
         accepted += 1
         plan = replace(
-            SMALL, seed=accepted, relays=1, per_s=1.0, backends=40, traffic=(Traffic(1.0, retries=0),) * 4
+            SMALL,
+            seed=accepted,
+            relays=1,
+            arrivals_per_s=1.0,
+            backends=40,
+            traffic=(Traffic(1.0, retries=0),) * 4,
         )
         world = World(plan, file)
         keeper = world.relays[0].engine.route_admission
         assert keeper is not None
         timed = world.relays[0].settings.classes[keeper.class_index_for(RequestArrived(0, 0))]
         for backend in world.backends.values():
-            backend.stalls, backend.connect_us = True, timed.connect_timeout_us - 1_000
+            backend.is_silent, backend.connect_delay_us = True, timed.connect_timeout_us - 1_000
         checker = world.run(6)
-        assert not checker.broken
+        assert not checker.violations
         for number, cls in enumerate(plan.classes):
             one = world.relays[0].settings.classes[keeper.class_index_for(RequestArrived(0, number))]
             # the last step of the sum is the margin that is kept for the answer's way
             most = worst_case_schedule(one, told, Limits()).total_us - answer_margin_us(
                 int(cls.deadline_us), Limits()
             )
-            worst = checker.worst_us(cls.name)
+            worst = checker.longest_answer_us(cls.name)
             assert worst <= most
             reached.append(worst / most)
     assert max(reached) > 0.98 and sorted(reached)[len(reached) // 2] > 0.6
 
 
 def test_budgets_keep_attempts_at_a_fifth_more_than_requests() -> None:
-    plan = Plan(seed=3, backends=60, per_s=10.0, groups=100, store_per_s=200.0)
-    without, within = failing_fleet(plan, ""), failing_fleet(plan, BUDGET_FILE)
-    assert without.broken == within.broken == 0
-    assert without.per_request > 2.0 and within.per_request <= 1.35
+    plan = WorldPlan(seed=3, backends=60, arrivals_per_s=10.0, groups=100, store_calls_per_s=200.0)
+    without, within = run_failing_fleet(plan, ""), run_failing_fleet(plan, BUDGET_FILE)
+    assert without.violations == within.violations == 0
+    assert without.attempts_per_request > 2.0 and within.attempts_per_request <= 1.35
     assert within.served_after >= 0.95
 
 
 # ---- the checker itself: what it must not let pass
 
 
-def checker_of(*calls: tuple[object, ...]) -> Checker:
-    checker = Checker()
-    checker.asked(1, "zone-view", 2 * SECOND, True, 0)
+def checker_of(*calls: tuple[object, ...]) -> RuleChecker:
+    checker = RuleChecker()
+    checker.request_sent(1, "zone-view", 2 * SECOND_US, True, 0)
     for name, *args in calls:
         getattr(checker, str(name))(*args)
-    checker.close(9 * SECOND)
+    checker.finish(9 * SECOND_US)
     return checker
 
 
 @pytest.mark.parametrize(
     ("rule", "calls"),
     [
-        ("answers", [("answered", 1, "up", 5), ("answered", 1, "err", 6)]),
-        ("late", [("answered", 1, "busy", 2 * SECOND + 20_001)]),
+        ("answers", [("answer_received", 1, "up", 5), ("answer_received", 1, "err", 6)]),
+        ("late", [("answer_received", 1, "busy", 2 * SECOND_US + 20_001)]),
         ("unanswered", []),
-        ("overlap", [("attempt", 1, 0, "b1", 5), ("attempt", 1, 1, "b2", 6), ("answered", 1, "up", 7)]),
+        (
+            "overlap",
+            [
+                ("attempt_arrived", 1, 0, "b1", 5),
+                ("attempt_arrived", 1, 1, "b2", 6),
+                ("answer_received", 1, "up", 7),
+            ],
+        ),
         (
             "attempts",
-            [c for n in range(7) for c in (("attempt", 1, n, "b", n), ("attempt_ended", 1, n))]
-            + [("answered", 1, "err", 9)],
+            [c for n in range(7) for c in (("attempt_arrived", 1, n, "b", n), ("attempt_ended", 1, n))]
+            + [("answer_received", 1, "err", 9)],
         ),
         (
             "drain",
-            [("told", "b1", True, 0), ("attempt", 1, 0, "b1", 500_001), ("answered", 1, "up", 600_000)],
+            [
+                ("relay_notified", "b1", True, 0),
+                ("attempt_arrived", 1, 0, "b1", 500_001),
+                ("answer_received", 1, "up", 600_000),
+            ],
         ),
     ],
 )
 def test_the_checker_names_each_broken_rule(rule: str, calls: list[tuple[object, ...]]) -> None:
     checker = checker_of(*calls)
-    assert checker.counts[rule] == 1 and len(checker.broken) == 1 and rule in checker.broken[0]
+    assert checker.counts[rule] == 1 and len(checker.violations) == 1 and rule in checker.violations[0]
 
 
 def test_the_checker_lets_pass_what_is_right() -> None:
     assert not checker_of(
-        ("told", "b1", True, 0),
-        ("attempt", 1, 0, "b1", 400_000),
+        ("relay_notified", "b1", True, 0),
+        ("attempt_arrived", 1, 0, "b1", 400_000),
         ("attempt_ended", 1, 0),
-        ("told", "b1", False, 500_000),
-        ("attempt", 1, 1, "b1", 900_000),
+        ("relay_notified", "b1", False, 500_000),
+        ("attempt_arrived", 1, 1, "b1", 900_000),
         ("attempt_ended", 1, 1),
-        ("answered", 1, "up", 2 * SECOND + 20_000),
-    ).broken
-    assert not checker_of(("left", 1)).broken
+        ("answer_received", 1, "up", 2 * SECOND_US + 20_000),
+    ).violations
+    assert not checker_of(("client_left", 1)).violations
