--- a/gannetweir/placement/balancer.py
+++ b/gannetweir/placement/balancer.py
@@ -51,7 +51,7 @@
     def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
         self.context = context = PlacementContext(settings, seed)
         self.state = state = FleetState()
-        self._polling = EndpointPolling(context)
+        self.endpoint_polling = EndpointPolling(context)
         self.retry_policy = retry_policy = RetryPolicy(context)
         self.throttle = throttle = AdmissionThrottle(context, now_us)
         self.slow_start = slow_start = SlowStart(context, state)
@@ -68,7 +68,7 @@
         )
         ejection = OutlierEjection(context, state, on_ejected=packing.end_fill)
         self._rebalancing = Rebalancing(context, state, load_model, load_limit, slow_start, probe)
-        self._updates = EndpointUpdates(state, slow_start, draw, packing, self._polling)
+        self._updates = EndpointUpdates(state, slow_start, draw, packing, self.endpoint_polling)
         self._lifecycle = RequestLifecycle(
             context, state, slow_start, throttle, ejection, packing, groups, retry_policy, dispatch
         )
@@ -81,7 +81,7 @@
     def _start(self) -> list[Action]:
         """Set the first timers, at this relay's own phase; the first event returns them with its actions."""
         self.context.set_timer(TICK_TIMER, self.context.rng.randrange(TICK_INTERVAL_US) + 1)
-        self._polling.start()
+        self.endpoint_polling.start()
         return self.context.actions
 
     def configure(self, settings: Settings) -> None:
@@ -122,7 +122,7 @@
 
     def _timer_expired(self, token: int, now_us: int) -> None:
         if token == POLL_TIMER:
-            self._polling.poll(now_us)
+            self.endpoint_polling.poll(now_us)
         elif token == TICK_TIMER:
             self._tick(now_us)
         elif token == RETRY_TIMER:
@@ -136,7 +136,7 @@
         self.load_model.update_mean_load_hint()
         self.slow_start.tick(len(self.state.requests), now_us)
         self.load_limit.adjust()
-        self._polling.repoll(now_us)
+        self.endpoint_polling.repoll(now_us)
         if packing.target is None or (self.slow_start.permits and not context.settings.groups_enabled):
             packing.sample_ahead(now_us)
         self._probing.probe_ahead(now_us)
--- a/gannetweir/placement/endpoint_polling.py
+++ b/gannetweir/placement/endpoint_polling.py
@@ -19,7 +19,7 @@
 
     def __init__(self, context: PlacementContext) -> None:
         self._context = context
-        self._is_subscribed = not context.settings.polls_endpoint_list
+        self.is_subscribed = not context.settings.polls_endpoint_list
         self._is_polling = False
         self._polled_us = 0
         self._failures = 0  # polls in a row that failed
@@ -34,7 +34,7 @@
 
     def poll(self, now_us: int) -> None:
         """Subscribe where nothing is subscribed to. An answer that never comes does not end the polling."""
-        if self._is_subscribed or (self._is_polling and now_us - self._polled_us < 2 * MAX_ROUND_US):
+        if self.is_subscribed or (self._is_polling and now_us - self._polled_us < 2 * MAX_ROUND_US):
             return
         self._is_polling = True
         self._polled_us = now_us
@@ -48,7 +48,7 @@
     def succeeded(self) -> None:
         """A list or a change has come: where a poll was under way, it was its answer."""
         if self._is_polling:
-            self._is_subscribed = True
+            self.is_subscribed = True
             self._is_polling = False
             self._failures = 0
 
@@ -61,7 +61,7 @@
             FIRST_BACKOFF_US << min(self._failures, MAX_BACKOFF_DOUBLINGS),
             max(0, MAX_ROUND_US - since_poll_us),
         )
-        self._is_subscribed = not settings.polls_endpoint_list
+        self.is_subscribed = not settings.polls_endpoint_list
         self._is_polling = False
         self._failures += 1
         self._context.set_timer(POLL_TIMER, int(wait_us * self._context.rng.uniform(0.5, 1.0)) + 1)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -150,7 +150,7 @@
 async def a_beat_confirms_the_pool(place: Place) -> None:
     watcher = await place.watcher(place.discovery, 1)
     watcher.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.engine.balancer.subscribed)
+    await place.until(lambda: place.relay.engine.balancer.endpoint_polling.is_subscribed)
 
 
 async def a_reload_moves_the_watch(place: Place) -> None:
