--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -90,9 +90,8 @@
 
 @pytest.mark.parametrize(("text", "shown"), GOOD.items())
 def test_a_literal_is_read_to_its_shortest_form(text: str, shown: str) -> None:
-    assert str(parse_address(text)) == shown and parse_address(str(parse_address(text))) == parse_address(
-        text
-    )
+    assert str(parse_address(text)) == shown
+    assert parse_address(str(parse_address(text))) == parse_address(text)
 
 
 @pytest.mark.parametrize("text", BAD)
@@ -257,13 +256,15 @@
     paths = paths_of(V4, V6)
     paths.record_connect_failure("a", parse_address(V4), SECOND)
     paths.apply_rules(AddressRules((EndpointRule("a", (UNIX,)),)), 250 * MS)
-    assert paths.states_by_endpoint["a"][parse_address(V4)].is_unhealthy() and shown(paths)[0] == UNIX
+    assert paths.states_by_endpoint["a"][parse_address(V4)].is_unhealthy()
+    assert shown(paths)[0] == UNIX
     paths.apply_rules(AddressRules((EndpointRule("a", (UNIX,), includes_listed_addresses=False),)), 250 * MS)
     assert shown(paths) == [UNIX]
     paths.record_connect_failure("a", parse_address(V4), SECOND)  # news of one that is gone
     paths.record_response("a", parse_address(V4), SECOND)
     paths.remove_endpoint("a")
-    assert shown(paths) == [] and not paths.selects_address("a")
+    assert shown(paths) == []
+    assert not paths.selects_address("a")
 
 
 def test_an_address_that_another_server_has_is_not_this_ones() -> None:
@@ -289,7 +290,8 @@
     paths.update_endpoint("b", "10.9.9.8:1")
     paths.record_connect_failure("a", parse_address(UNIX), SECOND)
     paths.apply_rules(named(V6, V4), 250 * MS)
-    assert shown(paths) == [V6, UNIX] and [str(a) for a in paths.ordered_addresses("b", 0)] == [V4]
+    assert shown(paths) == [V6, UNIX]
+    assert [str(a) for a in paths.ordered_addresses("b", 0)] == [V4]
     assert paths.states_by_endpoint["a"][
         parse_address(UNIX)
     ].is_unhealthy()  # what it keeps is known as it was
@@ -301,9 +303,12 @@
     )
     paths.update_endpoint("a", V4)
     paths.update_endpoint("b", V6)
-    assert paths.selects_address("a") and not paths.selects_address("b") and not paths.selects_address("c")
+    assert paths.selects_address("a")
+    assert not paths.selects_address("b")
+    assert not paths.selects_address("c")
     paths.update_endpoint("c", V6)  # another server's: nothing is left, and nothing is sent there
-    assert paths.selects_address("c") and paths.new_race("c", 0).start(0) == [RaceLost()]
+    assert paths.selects_address("c")
+    assert paths.new_race("c", 0).start(0) == [RaceLost()]
 
 
 def test_news_of_one_server_is_told_of_that_one_alone() -> None:
@@ -312,7 +317,8 @@
         ListedEndpoint(EndpointEntry(f"s{n}"), f"10.0.{n}.1:80", (f"unix:/run/{n}",)) for n in range(200)
     ]
     engine = Engine(settings(), Limits(), 1, MembershipUpdate(1, True, members), SECOND)
-    assert engine.address_selector is not None and engine.address_selector.selects_address("s199")
+    assert engine.address_selector is not None
+    assert engine.address_selector.selects_address("s199")
     told: list[str] = []
     tell = engine.address_selector.update_endpoint
 
@@ -338,12 +344,15 @@
     a, b, c = addresses(3)
     race = ConnectionRace([a, b, c], [30, 30, 30])
     assert race.start(0) == [StartConnect(a), SetTimer(30)]
-    assert race.timer_expired(29) == [] and race.timer_expired(30) == [StartConnect(b), SetTimer(30)]
+    assert race.timer_expired(29) == []
+    assert race.timer_expired(30) == [StartConnect(b), SetTimer(30)]
     assert race.attempt_failed(b, 40) == [StartConnect(c)]
     assert race.timer_expired(60) == []
     assert race.attempt_connected(c, 50) == [CloseConnection(a, 50), RaceWon(c, 10)]
     assert race.attempt_connected(a, 51) == [CloseConnection(a, -1)]  # up after another has won
-    assert race.attempt_failed(a, 52) == [] and race.cancel(53) == [] and race.timer_expired(99) == []
+    assert race.attempt_failed(a, 52) == []
+    assert race.cancel(53) == []
+    assert race.timer_expired(99) == []
 
 
 def test_all_broken_is_one_loss() -> None:
@@ -352,7 +361,8 @@
     race.start(0)
     assert race.attempt_failed(a, 1) == [StartConnect(b)]
     assert race.attempt_failed(b, 2) == [RaceLost()]
-    assert race.attempt_failed(b, 3) == [] and ConnectionRace([], []).start(0) == [RaceLost()]
+    assert race.attempt_failed(b, 3) == []
+    assert ConnectionRace([], []).start(0) == [RaceLost()]
 
 
 def test_racing_connects_give_way_and_have_their_turn_again() -> None:
@@ -360,7 +370,8 @@
     race = ConnectionRace([a, b, c], [30, 30, 30])
     race.start(0)
     race.timer_expired(30)
-    assert race.cancel_all_but_oldest() == [CloseConnection(b, 0)] and race.cancel_all_but_oldest() == []
+    assert race.cancel_all_but_oldest() == [CloseConnection(b, 0)]
+    assert race.cancel_all_but_oldest() == []
     assert race.timer_expired(60) == []
     assert race.attempt_failed(a, 70) == [StartConnect(c), SetTimer(30)]
     assert race.attempt_failed(c, 80) == [StartConnect(b)]
@@ -406,7 +417,8 @@
         elif what == "stop":
             take(race.cancel(now))
     take(race.cancel(now))
-    assert len(ends) <= 1 and not race.started_us
+    assert len(ends) <= 1
+    assert not race.started_us
     winners = {end.address for end in ends if isinstance(end, RaceWon)}
     assert set(begun) <= winners | failed | set(closed)
     if ends and isinstance(ends[0], RaceLost):
@@ -451,9 +463,8 @@
             endpoint, address = await AddressRaceDriver(
                 host, paths, "a", paths.new_race("a", 0), None
             ).connect()
-        assert (
-            address.family == "ipv4" and paths.ordered_addresses("a", 0)[0] == address
-        )  # the other one has failed
+        assert address.family == "ipv4"
+        assert paths.ordered_addresses("a", 0)[0] == address
         endpoint.close()
     for sock in (closed, other):
         sock.close()
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -133,7 +133,8 @@
         try:
             config = read(spoil(path, value))
         except ConfigError as error:
-            assert len(str(error).splitlines()) == 1 and len(str(error)) < 500
+            assert len(str(error).splitlines()) == 1
+            assert len(str(error)) < 500
             continue
         known = MembershipUpdate(1, True, [])
         engines = [e.Engine(c.settings, c.limits, 7, known, 1_700_000_000_000_000) for c in (config, good)]
@@ -165,4 +166,5 @@
 
     world.engine.balancer.handle = faulty  # type: ignore[method-assign]
     world.play("time wait 10000")
-    assert len(heard) > 8 and world.engine.counters.counts["module_faults"] == 3
+    assert len(heard) > 8
+    assert world.engine.counters.counts["module_faults"] == 3
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -73,7 +73,9 @@
         if isinstance(a, RejectRequest)
     ]
     most = int(config.settings.max_retry_after_us) if advice else 0
-    assert advised and max(advised) <= most and (not advice or min(advised) > 0)
+    assert advised
+    assert max(advised) <= most
+    assert not advice or min(advised) > 0
 
 
 def test_the_smallest_machine_in_service_is_enough(tmp_path: Path) -> None:
@@ -96,11 +98,9 @@
     assert (plain.admin_address, plain.inherited_listener_fd, plain.shared_folder) == (None, None, None)
     env = environment(tmp_path, {"admin_addr": "127.0.0.1:7"}) | {"TMPDIR": str(tmp_path)}
     config = load_config(env | {"RELAY_INHERITED_FD": "3"})
-    assert (
-        config.admin_address == SocketAddress("127.0.0.1", 7)
-        and config.inherited_listener_fd == 3
-        and config.shared_folder == tmp_path
-    )
+    assert config.admin_address == SocketAddress("127.0.0.1", 7)
+    assert config.inherited_listener_fd == 3
+    assert config.shared_folder == tmp_path
     assert load_config(env | {"RELAY_ADMIN_ADDR": "127.0.0.1:8"}).admin_address == SocketAddress(
         "127.0.0.1", 8
     )
@@ -155,7 +155,8 @@
     limits = Limits(sockets=sockets)
     assert limits.client_sockets + limits.max_load_probes + limits.fixed_sockets <= sockets
     assert limits.max_clients >= sockets / 3 or sockets < 256  # so many are the usual ones
-    assert 2_300_000 < limits.first_line_timeout_us < 2_800_000 and limits.discard_timeout_us < 4_000_000
+    assert 2_300_000 < limits.first_line_timeout_us < 2_800_000
+    assert limits.discard_timeout_us < 4_000_000
 
 
 @pytest.mark.parametrize(
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -41,13 +41,15 @@
         (env / "pins").write_text("anyio==3\n")
     elif spoilt:
         (env / "bin/python").unlink()
-    assert build(tmp_path) and (env / "pins").read_text() == PINS
+    assert build(tmp_path)
+    assert (env / "pins").read_text() == PINS
     assert (tmp_path / "made").read_text().count("made") == (2 if spoilt else 1)
 
 
 def test_an_installation_that_fails_is_made_anew(tmp_path: Path) -> None:
     assert not build(tmp_path, pip_ends=1)
-    assert build(tmp_path) and (tmp_path / "made").read_text().count("made") == 2
+    assert build(tmp_path)
+    assert (tmp_path / "made").read_text().count("made") == 2
 
 
 def test_the_traced_deployment_differs_in_its_trace_alone() -> None:
--- a/tests/test_operators_file.py
+++ b/tests/test_operators_file.py
@@ -365,11 +365,16 @@
 
 def test_check_and_explain_and_their_codes(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     good, told = str(ROOT / "deploy/operators.kdl"), str(platform(tmp_path))
-    assert main(["check", good]) == 0 and "by itself" in capsys.readouterr().out
-    assert main(["check", good, "--platform", told]) == 0 and "right together" in capsys.readouterr().out
+    assert main(["check", good]) == 0
+    assert "by itself" in capsys.readouterr().out
+    assert main(["check", good, "--platform", told]) == 0
+    assert "right together" in capsys.readouterr().out
     assert main(["explain", good, "--platform", told, "--class", "rider-area"]) == 0
     out = capsys.readouterr().out
-    assert "route rider " in out and "attempt 3" in out and "to spare" in out and "2756.67ms of 3000ms" in out
+    assert "route rider " in out
+    assert "attempt 3" in out
+    assert "to spare" in out
+    assert "2756.67ms of 3000ms" in out
     assert main(["explain", good, "--platform", told, "--class", "zone-view", "--group", "5c"]) == 0
     assert "route default" in capsys.readouterr().out
     for words, said in (
@@ -378,13 +383,15 @@
         (["check", "/nowhere.kdl"], "No such file"),
         (["check", good, "--platform", good], "not JSON"),
     ):
-        assert main(words) == 2 and said in capsys.readouterr().err
+        assert main(words) == 2
+        assert said in capsys.readouterr().err
     bad = tmp_path / "bad.kdl"
     bad.write_text(file("attempts 9\nattempt 5"))
     assert main(["check", str(bad)]) == 2
     assert capsys.readouterr().err.splitlines()[0].startswith(f"gannetweir: {bad}:4: default attempts: 9;")
     bad.write_bytes(b"\xff")
-    assert main(["check", str(bad)]) == 2 and "not UTF-8" in capsys.readouterr().err
+    assert main(["check", str(bad)]) == 2
+    assert "not UTF-8" in capsys.readouterr().err
 
 
 def test_both_files_are_right_together_or_neither_is_taken(tmp_path: Path) -> None:
@@ -392,7 +399,8 @@
     operators.write_text(file('attempt "400ms"\nattempts 2'))
     env = {"RELAY_CONFIG": str(platform(tmp_path)), "RELAY_OPERATORS": str(operators)}
     standing = load_config(env)
-    assert standing.routing_rules is not None and len(standing.settings.classes) == 8
+    assert standing.routing_rules is not None
+    assert len(standing.settings.classes) == 8
     assert load_config({"RELAY_CONFIG": env["RELAY_CONFIG"]}).routing_rules is None
     operators.write_text(file("attempts 0"))
     with pytest.raises(ConfigError, match="over 0"):
@@ -419,7 +427,8 @@
     env = {"RELAY_CONFIG": str(platform(tmp_path)), "PATH": ""}
     command = [sys.executable, "-m", "gannetweir", "serve", "--operators", str(operators), "--log", "json"]
     done = subprocess.run(command, env=env, cwd=ROOT, capture_output=True, check=False, timeout=60)
-    assert done.returncode == 2 and b"default attempts: found 0" in done.stderr
+    assert done.returncode == 2
+    assert b"default attempts: found 0" in done.stderr
     operators.write_text(file("attempts 2"))
     with subprocess.Popen(command, env=env, cwd=ROOT, stderr=subprocess.PIPE) as relay:
         assert relay.stderr is not None
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -151,10 +151,12 @@
     budget = RetryBudget(RetryBudgetRule(0.5, 10 * SECOND, 2))
     budget.record_retry(50 * SECOND)
     budget.record_retry(50 * SECOND)
-    assert budget.retries_left(20 * SECOND) == 0 and budget.retries_left(50 * SECOND) == 0
+    assert budget.retries_left(20 * SECOND) == 0
+    assert budget.retries_left(50 * SECOND) == 0
     assert budget.with_rule(RetryBudgetRule(0.5, 10 * SECOND, 3)).retries_left(50 * SECOND) == 1
     other = budget.with_rule(RetryBudgetRule(0.5, 4 * SECOND, 3))
-    assert other.retries_left(50 * SECOND) == 1 and other.retries_left(60 * SECOND) == 3
+    assert other.retries_left(50 * SECOND) == 1
+    assert other.retries_left(60 * SECOND) == 3
 
 
 # ---- limits
@@ -177,7 +179,8 @@
     rng = random.Random(3)
     limit.acquire(0)
     told = sorted(limit.retry_after_us(0, rng.random()) for _ in range(25))
-    assert told[0] >= 50_000 and told[-1] <= 1_500_000 + 50_000
+    assert told[0] >= 50_000
+    assert told[-1] <= 1_500_000 + 50_000
     assert all(b - a == 50_000 for a, b in pairwise(told))  # a place for each
     for at in told:  # together, 24 of 25 would be over again
         assert not limit.exceeded_limit(at)
@@ -185,7 +188,9 @@
     far = [
         limit.retry_after_us(0, rng.random()) for _ in range(200)
     ]  # no place left within the longest advice
-    assert min(far) >= 700_000 and max(far) <= 1_500_000 and len(set(far)) > 150
+    assert min(far) >= 700_000
+    assert max(far) <= 1_500_000
+    assert len(set(far)) > 150
 
 
 def test_open_connections_come_back_when_they_end() -> None:
@@ -235,7 +240,8 @@
         "default",
         "r",
     ]
-    assert with_routed_classes(settings, rules) == settings and platform_classes(settings) == CLASSES
+    assert with_routed_classes(settings, rules) == settings
+    assert platform_classes(settings) == CLASSES
 
 
 def test_nothing_is_counted_of_what_is_refused() -> None:
@@ -246,7 +252,9 @@
     assert [keeper.admit(share, True, 0, 0.5) is None for _ in range(3)] == [True, True, False]
     assert share.limiter.open_connections == keeper.relay_permit.limiter.open_connections == 2
     refusal = keeper.admit(share, True, 0, 0.5)
-    assert refusal is not None and refusal.reason == "open of the relay" and refusal.retry_after_us > 0
+    assert refusal is not None
+    assert refusal.reason == "open of the relay"
+    assert refusal.retry_after_us > 0
     keeper.release(share)
     assert keeper.admit(share, True, 0, 0.5) is None
 
@@ -311,13 +319,12 @@
         )
     )
     keeper.apply(rules, with_routed_classes(SETTINGS, rules))
-    assert (
-        keeper.permits["r"] is old
-        and keeper.max_attempts_for(plan, 4) == 2
-        and keeper.max_attempts_for(plan, 1) == 1
-    )
+    assert keeper.permits["r"] is old
+    assert keeper.max_attempts_for(plan, 4) == 2
+    assert keeper.max_attempts_for(plan, 1) == 1
     refusal = keeper.admit(old, True, 0, 0.5)
-    assert refusal is not None and refusal.reason == "open of route r"
+    assert refusal is not None
+    assert refusal.reason == "open of route r"
     rules = RoutingRules((Route("default"),))
     keeper.apply(rules, with_routed_classes(SETTINGS, rules))
     assert keeper.max_attempts_for(plan, 4) == 4  # its route is gone: its own plan holds
