--- a/gannetweir/routing/route_admission.py
+++ b/gannetweir/routing/route_admission.py
@@ -10,7 +10,7 @@
 from gannetweir.placement.settings import RequestClass, Settings
 from gannetweir.routing.connection_limiter import ConnectionLimiter
 from gannetweir.routing.retry_budget import RetryBudget
-from gannetweir.routing.routes import RouteTable
+from gannetweir.routing.route_table import RouteTable
 from gannetweir.routing.rules import ConnectionLimitRule, RetryBudgetRule, RoutingRules, routed_class
 
 
--- a/gannetweir/routing/route_checks.py
+++ b/gannetweir/routing/route_checks.py
@@ -12,7 +12,7 @@
 from gannetweir.limits import Limits
 from gannetweir.placement.settings import RequestClass, Settings
 from gannetweir.routing.route_admission import platform_classes
-from gannetweir.routing.routes import RouteReachability, route_reachability
+from gannetweir.routing.route_table import RouteReachability, route_reachability
 from gannetweir.routing.rules import (
     MAX_ATTEMPTS,
     ConnectionLimitRule,
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -10,7 +10,7 @@
 from gannetweir.routing.connection_limiter import ConnectionLimiter
 from gannetweir.routing.retry_budget import RetryBudget
 from gannetweir.routing.route_admission import RouteAdmission, platform_classes, with_routed_classes
-from gannetweir.routing.routes import RouteTable, route_reachability
+from gannetweir.routing.route_table import RouteTable, route_reachability
 from gannetweir.routing.rules import (
     BackoffRule,
     ConnectionLimitRule,
