--- a/gannetweir/config/kdl_forms.py
+++ b/gannetweir/config/kdl_forms.py
@@ -11,7 +11,7 @@
 
 from gannetweir.config.kdl import KdlValue, Node
 from gannetweir.config.kdl_values import ValueFormatError, shown
-from gannetweir.routing.rules import Mistake
+from gannetweir.mistakes import Mistake
 
 T = TypeVar("T")
 T_co = TypeVar("T_co", covariant=True)
@@ -43,7 +43,7 @@
     properties: Mapping[str, object]
 
     @property
-    def first(self) -> T_co | None:
+    def single(self) -> T_co | None:
         """The first value; None where there is none that is right."""
         return self.arguments[0] if self.arguments else None
 
--- a/gannetweir/config/kdl_lines.py
+++ b/gannetweir/config/kdl_lines.py
@@ -43,7 +43,7 @@
         assert match is not None  # the last alternative takes anything
         kind = match.lastgroup
         token = _block_comment(text, position) if kind == "block" else match.group()
-        scanner.take_token(kind, token)
+        scanner.add_token(kind, token)
         position += len(token)
     return scanner.starts, scanner.max_depth
 
@@ -60,7 +60,8 @@
         self._node_is_slashdashed = False
         self._slashdashed_blocks = [False]  # for the document and each open block: is all in it left out?
 
-    def take_token(self, kind: str | None, token: str) -> None:
+    def add_token(self, kind: str | None, token: str) -> None:
+        """Take the next token; `kind` is its group in `_TOKEN`."""
         match kind:
             case "dash":
                 self._after_slashdash = True
@@ -71,9 +72,9 @@
             case "close":
                 self._close_block()
             case "raw" | "multi" | "string":
-                self._take_value(token.strip("#").strip('"'))
+                self._add_value(token.strip("#").strip('"'))
             case "word" | "other":
-                self._take_value(token)
+                self._add_value(token)
         self._line += token.count("\n")
 
     def _open_block(self) -> None:
@@ -91,7 +92,7 @@
         self._after_slashdash = False
         self._node_is_slashdashed = False
 
-    def _take_value(self, name: str) -> None:
+    def _add_value(self, name: str) -> None:
         if self._expects_node:
             self._node_is_slashdashed = self._after_slashdash
             if not self._node_is_slashdashed and not self._slashdashed_blocks[-1]:
--- a/gannetweir/config/kdl_values.py
+++ b/gannetweir/config/kdl_values.py
@@ -5,11 +5,15 @@
 import math
 import re
 from collections.abc import Callable
+from enum import Enum
+from typing import TypeVar
 
 from gannetweir.config.kdl import KdlValue
 from gannetweir.errors import GannetweirError
 from gannetweir.routing.rules import HEX_DIGITS
 
+E = TypeVar("E", bound=Enum)
+
 MAX_DURATION_US = 3_600_000_000  # an hour: no time-out of a request is longer
 MAX_COUNT = 1_000_000_000
 MAX_TEXT_CHARACTERS = 200  # of an address or a server's name
@@ -99,6 +103,16 @@
     return parse_choice
 
 
+def member_of(kind: type[E]) -> Callable[[KdlValue], E]:
+    """Return the parser of a value that names a member of an enum by the operators' word."""
+    parse_choice = one_of(*(member.value for member in kind))
+
+    def parse_member(value: KdlValue) -> E:
+        return kind(parse_choice(value))
+
+    return parse_member
+
+
 def shown(value: KdlValue) -> str:
     """Return a value as the file states it, cut to a length that fits a message."""
     if value is None:
--- a/gannetweir/config/operators_addresses.py
+++ b/gannetweir/config/operators_addresses.py
@@ -26,7 +26,7 @@
         self.rules: AddressRules | None = None
         self._nodes = nodes
 
-    def read_reach(self, node: Node) -> None:
+    def read_connection_rules(self, node: Node) -> None:
         """Read how servers with several addresses are connected to."""
         self._nodes.check_block_only(node, "reach")
         rules = self.rules or AddressRules()
@@ -36,7 +36,7 @@
                 families = self._nodes.read_values(child, where, _PREFER).arguments
                 rules = replace(rules, family_preference=families or rules.family_preference)
                 continue
-            duration_us = self._nodes.read_values(child, where, _DURATION).first
+            duration_us = self._nodes.read_values(child, where, _DURATION).single
             if duration_us is None:
                 continue
             if name == "fallback":
@@ -58,7 +58,7 @@
             if child_name == "address":
                 addresses = self._nodes.read_values(child, f"{where} address", _ADDRESS).arguments
             else:
-                dial = self._nodes.read_values(child, f"{where} dial", _DIAL).first
+                dial = self._nodes.read_values(child, f"{where} dial", _DIAL).single
         if name:
             rule = EndpointRule(name, addresses, dial is not False, node.line)
             rules = replace(rules, endpoint_rules=(*rules.endpoint_rules, rule))
--- a/gannetweir/config/operators_file.py
+++ b/gannetweir/config/operators_file.py
@@ -18,9 +18,10 @@
 from gannetweir.config.operators_addresses import AddressReader
 from gannetweir.config.operators_routes import DEFAULT_ROUTE, RelaySection, RouteReader
 from gannetweir.limits import Limits
+from gannetweir.mistakes import Mistake
 from gannetweir.placement.settings import Settings
 from gannetweir.routing.route_checks import check_routing_rules
-from gannetweir.routing.rules import Mistake, Route, RoutingRules
+from gannetweir.routing.rules import Route, RoutingRules
 
 VERSION = 1  # of the file's form
 _TOP_NODES = ("gannetweir", "relay", "reach", "server", "route", DEFAULT_ROUTE)
@@ -58,9 +59,11 @@
 
     @property
     def mistakes(self) -> list[Mistake]:
+        """What was wrong, in the order of reading."""
         return self._nodes.mistakes
 
     def read(self, nodes: list[Node]) -> OperatorsFile:
+        """Read the top nodes of a document."""
         for node in nodes:
             if node.name not in _TOP_NODES:
                 self._nodes.report(node, node.name, "unknown", f"one of {', '.join(_TOP_NODES)}")
@@ -82,7 +85,7 @@
             case "gannetweir":
                 self._read_header(node)
             case "reach":
-                self._addresses.read_reach(node)
+                self._addresses.read_connection_rules(node)
             case "server":
                 self._addresses.read_server(node)
             case "relay":
--- a/gannetweir/config/operators_routes.py
+++ b/gannetweir/config/operators_routes.py
@@ -13,6 +13,7 @@
 from gannetweir.config.kdl import KdlValue, Node
 from gannetweir.config.kdl_forms import NodeForm, NodeReader, NodeValues, Property
 from gannetweir.config.kdl_values import (
+    member_of,
     one_of,
     parse_count,
     parse_duration_us,
@@ -22,18 +23,26 @@
     parse_percent,
     parse_rate,
 )
-from gannetweir.routing.rules import BackoffRule, ConnectionLimitRule, RetryBudgetRule, Route, RouteMatch
+from gannetweir.routing.rules import (
+    BackoffKind,
+    BackoffRule,
+    ConnectionLimitRule,
+    RetryBudgetRule,
+    RetryOn,
+    Route,
+    RouteMatch,
+)
 
 T = TypeVar("T")
 
 DEFAULT_ROUTE = "default"
 _RESERVED_NAMES = (DEFAULT_ROUTE, "relay")  # of sections; messages and counters name routes beside them
 
-_SHARE = Property("share", parse_percent)
+_RATIO = Property("share", parse_percent)
 _WINDOW = Property("window", parse_duration_us)
 _FLOOR = Property("floor", parse_count)
 _RETRY_BUDGET: NodeForm[object] = NodeForm(
-    properties=(_SHARE, _WINDOW, _FLOOR), required=(_SHARE, _WINDOW, _FLOOR)
+    properties=(_RATIO, _WINDOW, _FLOOR), required=(_RATIO, _WINDOW, _FLOOR)
 )
 
 _OPEN = Property("open", parse_count)
@@ -43,12 +52,10 @@
 _RELAY_LIMITS: NodeForm[object] = NodeForm(properties=(_OPEN, _SETUPS_PER_SECOND, _BURST))
 _ROUTE_LIMITS: NodeForm[object] = NodeForm(properties=(*_RELAY_LIMITS.properties, _SETUPS_AT_BACKEND))
 
-_FIRST = Property("first", parse_duration_us)
+_INITIAL = Property("first", parse_duration_us)
 _MAX = Property("max", parse_duration_us)
 _JITTER = Property("jitter", one_of("none", "full"))
-_WAIT = NodeForm(
-    one_of("fixed", "exponential", "every"), properties=(_FIRST, _MAX, _JITTER), required=(_FIRST,)
-)
+_WAIT = NodeForm(member_of(BackoffKind), properties=(_INITIAL, _MAX, _JITTER), required=(_INITIAL,))
 
 _AFTER = Property("after", parse_duration_us)
 _HEDGE: NodeForm[object] = NodeForm(properties=(_AFTER,), required=(_AFTER,))
@@ -128,7 +135,7 @@
         connect_timeout_us = self._read_single(children, "connect", where, parse_duration_us)
         attempt_timeout_us = self._read_single(children, "attempt", where, parse_duration_us)
         max_attempts = self._read_single(children, "attempts", where, parse_count)
-        retry_on = self._read_single(children, "retry-on", where, one_of("never-ran", "may-have-run"))
+        retry_on = self._read_single(children, "retry-on", where, member_of(RetryOn))
         lines = {"": node.line, "name": node.line} | _lines_by_name(children.values())
         if "match" in children:
             lines |= _lines_by_name(children["match"].children)
@@ -141,7 +148,7 @@
             attempt_timeout_us=attempt_timeout_us or 0,
             max_attempts=max_attempts or 0,
             backoff=self._read_backoff(children, where),
-            retry_on=retry_on or "",
+            retry_on=retry_on,
             retry_budget=self._read_retry_budget(children, where),
             limits=self._read_limits(children, where, _ROUTE_LIMITS),
             lines=lines,
@@ -153,7 +160,7 @@
         """Return the one value of a child; None where the child is missing or its value wrong."""
         if name not in children:
             return None
-        return self._nodes.read_values(children[name], f"{where} {name}", NodeForm(parse)).first
+        return self._nodes.read_values(children[name], f"{where} {name}", NodeForm(parse)).single
 
     def _read_hedge(self, children: Mapping[str, Node], where: str) -> int:
         if "hedge" not in children:
@@ -187,15 +194,15 @@
         node = children["wait"]
         where = f"{route_where} wait"
         values = self._nodes.read_values(node, where, _WAIT)
-        kind = values.first
-        initial_us = values.get(_FIRST)
+        kind = values.single
+        initial_us = values.get(_INITIAL)
         if kind is None or initial_us is None:
             return None
         max_us = values.get(_MAX)
-        if kind != "exponential" and max_us is not None:
+        if kind is not BackoffKind.EXPONENTIAL and max_us is not None:
             self._nodes.report(node, where, "max", 'max only with "exponential"')
         full_jitter = values.get(_JITTER) == "full"
-        if kind == "every" and full_jitter:
+        if kind is BackoffKind.EVERY and full_jitter:
             allowed = 'no jitter with "every": it would let attempts overlap'
             self._nodes.report(node, where, 'jitter "full"', allowed)
             return None
@@ -206,7 +213,7 @@
         if "retry-budget" not in children:
             return None
         values = self._nodes.read_values(children["retry-budget"], f"{where} retry-budget", _RETRY_BUDGET)
-        retry_ratio = values.get(_SHARE)
+        retry_ratio = values.get(_RATIO)
         window_us = values.get(_WINDOW)
         min_retries = values.get(_FLOOR)
         if retry_ratio is None or window_us is None or min_retries is None:
@@ -239,7 +246,7 @@
 
 
 def _flag(conditions: Mapping[str, NodeValues[str | bool]], name: str) -> bool | None:
-    flag = conditions[name].first if name in conditions else None
+    flag = conditions[name].single if name in conditions else None
     return flag if isinstance(flag, bool) else None
 
 
--- a/gannetweir/config/platform.py
+++ b/gannetweir/config/platform.py
@@ -135,6 +135,14 @@
     if previous is not None:
         _check_no_key_missing(previous.named_keys - named_keys)
     identity = _read_identity(env, data, file_first=previous is not None)
+    config = _read_config(env, data, identity)
+    return replace(config, named_keys=named_keys)
+
+
+def _read_config(
+    env: Mapping[str, str], data: Mapping[str, object], identity: Mapping[str, object]
+) -> Config:
+    # the first of several mistakes that is reported is the first that is read here
     seed = _read_seed(data)
     settings = parse_settings(data.get("settings"))
     validate_settings(settings)
@@ -148,7 +156,6 @@
         seed=seed,
         settings=settings,
         limits=parse_limits(data.get("limits"), settings),
-        named_keys=named_keys,
         admin_address=parse_socket_address(admin_literal, "RELAY_ADMIN_ADDR") if admin_literal else None,
         inherited_listener_fd=_parse_descriptor(env.get("RELAY_INHERITED_FD")),
         shared_folder=Path(shared_folder) if shared_folder else None,
--- a/gannetweir/explain.py
+++ b/gannetweir/explain.py
@@ -10,9 +10,9 @@
 from gannetweir.placement.events import RequestArrived, RequestFlag
 from gannetweir.placement.settings import RequestClass, Settings
 from gannetweir.routing.route_admission import RouteAdmission, with_routed_classes
-from gannetweir.routing.route_checks import format_ms
 from gannetweir.routing.rules import HEX_DIGITS, Route, RoutingRules
 from gannetweir.routing.schedule import Schedule, worst_case_schedule
+from gannetweir.routing.units import format_ms
 
 WIDTH = 48  # of the timeline, in characters
 
--- a/gannetweir/routing/__init__.py
+++ b/gannetweir/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Timing by route: schedules, retry budgets and limits. Decides without I/O or clock."""
+"""Routing by operators' rules: schedules, retry budgets and limits. Decides without I/O or clock."""
--- a/gannetweir/routing/route_admission.py
+++ b/gannetweir/routing/route_admission.py
@@ -1,5 +1,7 @@
-"""What an operators' file does to a running relay: which class a request is, whether it may begin, whether it
-may be tried again. Knows no clock and draws no numbers; the engine hands both in and carries the word out.
+"""What an operators' file does to a running relay.
+
+Decides which class a request is, whether it may begin, and whether it may be retried. Knows no clock and
+draws no random numbers; the engine passes both in and carries the decision out.
 """
 
 from __future__ import annotations
@@ -11,12 +13,18 @@
 from gannetweir.routing.connection_limiter import ConnectionLimiter
 from gannetweir.routing.retry_budget import RetryBudget
 from gannetweir.routing.route_table import RouteTable
-from gannetweir.routing.rules import ConnectionLimitRule, RetryBudgetRule, RoutingRules, routed_class
+from gannetweir.routing.rules import (
+    ConnectionLimitRule,
+    RetryBudgetRule,
+    Route,
+    RoutingRules,
+    routed_class,
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Why something may not begin, and when to come again."""
+    """Why a request may not begin, and when to come again."""
 
     reason: str
     retry_after_us: int
@@ -24,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class AdmissionPermit:
-    """What one route holds; its transactions keep it over a reload, so that what they give back is theirs."""
+    """What one route has in use. Its requests keep it over a reload: what they release is then this one's."""
 
     route_name: str
     limiter: ConnectionLimiter
@@ -32,82 +40,93 @@
 
 
 def platform_classes(settings: Settings) -> list[RequestClass]:
-    """The classes as the platform names them, without what was derived from them."""
-    return [c for c in settings.classes if not c.route]
+    """Return the classes as the platform states them, without those that were derived for routes."""
+    return [request_class for request_class in settings.classes if not request_class.route]
 
 
 def with_routed_classes(settings: Settings, rules: RoutingRules | None) -> Settings:
-    """Settings in which every class stands once as told and once more for each route, in that order."""
-    told = platform_classes(settings)
-    derived = [routed_class(c, route, settings) for route in (rules.routes if rules else ()) for c in told]
-    return replace(settings, classes=told + derived)
+    """Return settings with every class once as stated and once more for each route, in that order."""
+    stated = platform_classes(settings)
+    routes = rules.routes if rules is not None else ()
+    derived = [routed_class(request_class, route, settings) for route in routes for request_class in stated]
+    return replace(settings, classes=stated + derived)
 
 
 class RouteAdmission:
-    """The routes, budgets and limits of one relay. `settings` are `with_routed_classes` of the same rules."""
+    """The routes, retry budgets and limits of one relay. Owns all that is counted for them.
+
+    `settings` are `with_routed_classes` of the same rules.
+    """
 
     def __init__(self, rules: RoutingRules, settings: Settings) -> None:
         self.permits: dict[str, AdmissionPermit] = {}
         self.relay_permit = AdmissionPermit("relay", ConnectionLimiter(ConnectionLimitRule(), 1), None)
-        self.setups_by_endpoint: dict[EndpointId, int] = {}  # set-ups under way, of all routes, by server
+        self.setups_by_endpoint: dict[EndpointId, int] = {}  # set-ups under way, of all routes
         self.apply(rules, settings)
 
     def apply(self, rules: RoutingRules, settings: Settings) -> None:
-        """Hold to these rules from now on. What the routes of the same names hold goes on counting."""
-        told = [c.name for c in platform_classes(settings)]
-        self.rules, self.platform_class_count = rules, len(told)
-        self.max_attempts_by_class = {(c.route, c.name): c.max_attempts for c in settings.classes if c.route}
-        self.route_table = RouteTable(rules.routes, told)
-        longest = int(settings.max_retry_after_us)
-        old, self.permits = self.permits, {}
+        """Decide by these rules from now on. What routes of the same names have in use goes on counting."""
+        class_names = [request_class.name for request_class in platform_classes(settings)]
+        max_retry_after_us = int(settings.max_retry_after_us)
+        previous_permits = self.permits
+        self.rules = rules
+        self.route_table = RouteTable(rules.routes, class_names)
+        self._platform_class_count = len(class_names)
+        self._max_attempts_by_class = {
+            (request_class.route, request_class.name): request_class.max_attempts
+            for request_class in settings.classes
+            if request_class.route
+        }
+        self.permits = {}
         for route in rules.routes:
-            share = old.get(route.name) or AdmissionPermit(
-                route.name, ConnectionLimiter(route.limits, longest), None
-            )
-            share.limiter = share.limiter.with_rule(route.limits, longest)
-            share.retry_budget = _budget(share.retry_budget, route.retry_budget)
-            self.permits[route.name] = share
-        self.relay_permit.limiter = self.relay_permit.limiter.with_rule(rules.limits, longest)
-        self.relay_permit.retry_budget = _budget(self.relay_permit.retry_budget, rules.retry_budget)
+            permit = previous_permits.get(route.name) or _new_permit(route, max_retry_after_us)
+            _apply_rules(permit, route.limits, route.retry_budget, max_retry_after_us)
+            self.permits[route.name] = permit
+        _apply_rules(self.relay_permit, rules.limits, rules.retry_budget, max_retry_after_us)
 
     def max_attempts_for(self, request_class: RequestClass, platform_max_attempts: int) -> int:
-        """The attempts that a transaction may have made in all: its own plan's, but never more than what now
-        holds for its route and class.
+        """Return how many attempts a request may have in all.
+
+        Its own plan decides, but never more than what now holds for its route and class.
         """
-        now = self.max_attempts_by_class.get((request_class.route, request_class.name), platform_max_attempts)
-        return min(request_class.max_attempts or platform_max_attempts, now, platform_max_attempts)
+        planned = request_class.max_attempts or platform_max_attempts
+        key = request_class.route, request_class.name
+        in_force = self._max_attempts_by_class.get(key, platform_max_attempts)
+        return min(planned, in_force, platform_max_attempts)
 
     def class_index_for(self, request: RequestArrived) -> int:
-        """The number of a request's class as its route treats it."""
-        return self.platform_class_count * (1 + self.route_table.find_route(request)) + request.class_index
+        """Return the number of a request's class as its route treats it."""
+        route_number = self.route_table.find_route(request)
+        return self._platform_class_count * (1 + route_number) + request.class_index
 
     def permit_for(self, request_class: RequestClass) -> AdmissionPermit:
-        """The share of the route that a class was derived for."""
+        """Return the permit of the route that a class was derived for."""
         return self.permits[request_class.route]
 
     def admit(
         self, permit: AdmissionPermit, earns_retries: bool, now_us: int, draw: float
     ) -> Rejection | None:
-        """May one more transaction begin? Counts it if so. `first` is false for what the client marks as its
-        retry: that earns no further attempts, or retries would pay for retries.
+        """Admit one more request and count it, or return why not. `draw` is a random number from 0 to 1.
+
+        `earns_retries` is false for what the client marks as its retry: or retries would pay for retries.
         """
-        for held in (permit, self.relay_permit):
-            if reason := held.limiter.exceeded_limit(now_us):
-                where = "the relay" if held is self.relay_permit else f"route {held.route_name}"
-                return Rejection(f"{reason} of {where}", held.limiter.retry_after_us(now_us, draw))
-        for held in (permit, self.relay_permit):
-            held.limiter.acquire(now_us)
-            if earns_retries and held.retry_budget is not None:
-                held.retry_budget.record_first_attempt(now_us)
+        for limited in (permit, self.relay_permit):
+            if limit := limited.limiter.exceeded_limit(now_us):
+                scope = "the relay" if limited is self.relay_permit else f"route {limited.route_name}"
+                return Rejection(f"{limit} of {scope}", limited.limiter.retry_after_us(now_us, draw))
+        for admitting in (permit, self.relay_permit):
+            admitting.limiter.acquire(now_us)
+            if earns_retries and admitting.retry_budget is not None:
+                admitting.retry_budget.record_first_attempt(now_us)
         return None
 
     def resume(self, permit: AdmissionPermit) -> None:
-        """One that stands already has come through this relay's start."""
+        """Count a connection that was established before this process started."""
         permit.limiter.acquire_resumed()
         self.relay_permit.limiter.acquire_resumed()
 
     def release(self, permit: AdmissionPermit) -> None:
-        """A transaction is over."""
+        """Count a request that is over."""
         permit.limiter.release()
         self.relay_permit.limiter.release()
 
@@ -119,38 +138,59 @@
         attempt_index: int,
         now_us: int,
     ) -> str:
-        """Why an attempt may not start, or nothing; counts it if it may. `number` is 0 for a first try."""
-        if (
-            request_class.max_setups_per_endpoint
-            and self.setups_by_endpoint.get(endpoint_id, 0) >= request_class.max_setups_per_endpoint
-        ):
+        """Admit an attempt and count it, or return the operators' word for what forbids it.
+
+        The text is empty if it may start. `attempt_index` is 0 for a first attempt, which no budget limits.
+        """
+        max_setups = request_class.max_setups_per_endpoint
+        if max_setups and self.setups_by_endpoint.get(endpoint_id, 0) >= max_setups:
             return "setups-at-backend"
-        budgets = (
-            [b for b in (permit.retry_budget, self.relay_permit.retry_budget) if b is not None]
-            if attempt_index
-            else []
-        )
-        if any(budget.retries_left(now_us) < 1.0 for budget in budgets):
+        if attempt_index and not self._spend_retry(permit, now_us):
             return "retry-budget"
-        for budget in budgets:
-            budget.record_retry(now_us)
         self.setups_by_endpoint[endpoint_id] = self.setups_by_endpoint.get(endpoint_id, 0) + 1
         return ""
 
     def setup_finished(self, endpoint_id: EndpointId) -> None:
-        """An attempt is no set-up any more: it stands, or it has ended."""
-        left = self.setups_by_endpoint.get(endpoint_id, 0) - 1
-        if left > 0:
-            self.setups_by_endpoint[endpoint_id] = left
+        """Count an attempt whose set-up is over: it is established, or it has ended."""
+        setups = self.setups_by_endpoint.get(endpoint_id, 0) - 1
+        if setups > 0:
+            self.setups_by_endpoint[endpoint_id] = setups
         else:
             self.setups_by_endpoint.pop(endpoint_id, None)
 
     def current_figures(self) -> dict[str, int]:
-        """Figures of this moment, for the people on call: what each route holds."""
-        return {f"open.{share.route_name}": share.limiter.open_connections for share in self.permits.values()}
-
-
-def _budget(old: RetryBudget | None, rule: RetryBudgetRule | None) -> RetryBudget | None:
-    if rule is None:
-        return None
-    return old.with_rule(rule) if old is not None else RetryBudget(rule)
+        """Return how many connections each route has open, by the names of the counters."""
+        return {
+            f"open.{permit.route_name}": permit.limiter.open_connections for permit in self.permits.values()
+        }
+
+    def _spend_retry(self, permit: AdmissionPermit, now_us: int) -> bool:
+        """Count a retry in the budgets of its route and of the relay, if both have one left."""
+        budgets = [
+            budget for budget in (permit.retry_budget, self.relay_permit.retry_budget) if budget is not None
+        ]
+        if any(budget.remaining_retries(now_us) < 1.0 for budget in budgets):
+            return False
+        for budget in budgets:
+            budget.record_retry(now_us)
+        return True
+
+
+def _new_permit(route: Route, max_retry_after_us: int) -> AdmissionPermit:
+    return AdmissionPermit(route.name, ConnectionLimiter(route.limits, max_retry_after_us), None)
+
+
+def _apply_rules(
+    permit: AdmissionPermit,
+    limits: ConnectionLimitRule,
+    budget_rule: RetryBudgetRule | None,
+    max_retry_after_us: int,
+) -> None:
+    """Replace the rules of a permit; what it has counted stays."""
+    permit.limiter.apply_rule(limits, max_retry_after_us)
+    if budget_rule is None:
+        permit.retry_budget = None
+    elif permit.retry_budget is None:
+        permit.retry_budget = RetryBudget(budget_rule)
+    else:
+        permit.retry_budget = permit.retry_budget.with_rule(budget_rule)
--- a/gannetweir/routing/schedule.py
+++ b/gannetweir/routing/schedule.py
@@ -1,9 +1,10 @@
-"""The worst case of a transaction, step by step, and the largest values that would fit.
+"""The worst case of a request, step by step, and the largest values that would fit.
 
-The worst case is: the module waits for a probe as long as it may, then each attempt takes all of its connect
-time-out to be written and all of its own time-out to say nothing, each wait is as long as it can be, and the
-margin for the final answer is kept. The engine ends an attempt after at most connect and attempt time-out,
-and the module holds a request for at most a third of its class's aim: nothing can take longer than this sum.
+The worst case is: the module waits for a load probe as long as it may, then each attempt takes all of its
+connect time-out to be written and all of its own time-out without an answer, each backoff is as long as it
+can be, and the margin for the final answer is kept. The engine ends an attempt after at most connect and
+attempt time-out, and the module holds a request for at most a third of its class's latency objective: nothing
+can take longer than this sum.
 """
 
 from __future__ import annotations
@@ -14,6 +15,10 @@
 from gannetweir.limits import Limits
 from gannetweir.placement.settings import RequestClass, Settings
 
+OBJECTIVES_PER_PLACEMENT = 3  # the module holds a request for a third of the latency objective
+MIN_PLACEMENTS_PER_TIMEOUT = 2  # and for half the request's time-out, where that is less
+MIN_MARGINS_PER_TIMEOUT = 4  # the margin of the answer is a quarter of a short time-out
+
 
 @dataclass(frozen=True, slots=True)
 class Step:
@@ -26,7 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """A class on a route. `fixed` is false where the module divides the time left by itself: it then fits."""
+    """The worst case of a class on a route.
+
+    `has_fixed_timeouts` is false where the module divides the time left by itself: the plan then always fits.
+    """
 
     steps: tuple[Step, ...]
     request_timeout_us: int
@@ -39,81 +47,98 @@
 
     @property
     def slack_us(self) -> int:
-        """What is left of the give-up time; under 0 it does not fit."""
+        """What is left of the request's time-out; under 0 the plan does not fit."""
         return self.request_timeout_us - self.total_us
 
 
-def request_timeout_us(cls: RequestClass) -> int:
-    """How long the relay tries: the route's word, or else the class's."""
-    return int(cls.request_timeout_us or cls.deadline_us)
+def request_timeout_us(request_class: RequestClass) -> int:
+    """Return how long the relay tries: as the route states it, or else until the class's deadline."""
+    return int(request_class.request_timeout_us or request_class.deadline_us)
 
 
-def answer_margin_us(give_up: int, limits: Limits) -> int:
-    """The final answer leaves this long before the client gives up."""
-    return min(limits.answer_margin_us, give_up // 4)
+def answer_margin_us(timeout_us: int, limits: Limits) -> int:
+    """Return how long before the client gives up the final answer leaves."""
+    return min(limits.answer_margin_us, timeout_us // MIN_MARGINS_PER_TIMEOUT)
 
 
-def max_placement_us(cls: RequestClass, give_up: int) -> int:
-    """How long the module may hold a request for a probe's answer, over all its attempts together."""
-    return min(int(cls.latency_objective_us / 3), give_up // 2)
+def max_placement_us(request_class: RequestClass, timeout_us: int) -> int:
+    """Return how long the module may hold a request for a load probe, over all its attempts together."""
+    share_of_objective_us = int(request_class.latency_objective_us / OBJECTIVES_PER_PLACEMENT)
+    return min(share_of_objective_us, timeout_us // MIN_PLACEMENTS_PER_TIMEOUT)
 
 
 def worst_case_schedule(request_class: RequestClass, settings: Settings, limits: Limits) -> Schedule:
-    """The worst case of a class as a route treats it (`rules.routed_class`)."""
-    give_up = request_timeout_us(request_class)
-    margin = answer_margin_us(give_up, limits)
-    connect = int(request_class.connect_timeout_us or settings.connect_timeout_us)
-    attempts = request_class.max_attempts or settings.max_attempts
-    steps: list[Step] = []
-    now = 0
-
-    def add(what: str, length: int) -> None:
-        nonlocal now
-        if length > 0:
-            steps.append(Step(what, now, now + length))
-            now += length
-
-    add("place", max_placement_us(request_class, give_up))
-    if not request_class.attempt_timeout_us:
-        # time-outs from the aim, doubled, the last to the end: the module never plans past its deadline
-        add(f"up to {attempts} attempts", max(1, give_up - margin - now))
-        add("answer", margin)
-        return Schedule(tuple(steps), give_up, False)
-    for number in range(1, attempts + 1):
-        begun = now
-        add(f"connect {number}", connect)
-        add(f"attempt {number}", request_class.attempt_timeout_us)
-        if number < attempts and request_class.retry_backoff_us:
-            add(
-                f"wait {number}",
-                request_class.retry_backoff_us[number - 1]
-                - (now - begun if request_class.backoff_from_attempt_start else 0),
-            )
-    add("answer", margin)
-    return Schedule(tuple(steps), give_up, True)
+    """Return the worst case of a class as a route treats it (`rules.routed_class`)."""
+    timeout_us = request_timeout_us(request_class)
+    margin_us = answer_margin_us(timeout_us, limits)
+    timeline = _Timeline()
+    timeline.add("place", max_placement_us(request_class, timeout_us))
+    has_fixed_timeouts = bool(request_class.attempt_timeout_us)
+    if has_fixed_timeouts:
+        _add_attempts(timeline, request_class, settings)
+    else:
+        # time-outs from the objective, doubled, the last to the end: the module never plans past its deadline
+        max_attempts = request_class.max_attempts or settings.max_attempts
+        timeline.add(f"up to {max_attempts} attempts", max(1, timeout_us - margin_us - timeline.end_us))
+    timeline.add("answer", margin_us)
+    return Schedule(tuple(timeline.steps), timeout_us, has_fixed_timeouts)
 
 
 def largest_attempt_timeout_us(request_class: RequestClass, settings: Settings, limits: Limits) -> int:
-    """The largest time-out per attempt with which the schedule fits, all else as it is; 0 if none does."""
-    return _largest(
-        request_class.attempt_timeout_us,
-        lambda n: (
-            worst_case_schedule(replace(request_class, attempt_timeout_us=n), settings, limits).slack_us >= 0
-        ),
-    )
+    """Return the largest time-out per attempt with which the schedule fits, all else as it is; 0 if none."""
+
+    def fits(attempt_timeout_us: int) -> bool:
+        changed = replace(request_class, attempt_timeout_us=attempt_timeout_us)
+        return worst_case_schedule(changed, settings, limits).slack_us >= 0
+
+    return _largest(request_class.attempt_timeout_us, fits)
 
 
 def largest_max_attempts(request_class: RequestClass, settings: Settings, limits: Limits) -> int:
-    """The same for the number of attempts."""
-    return _largest(
-        request_class.max_attempts,
-        lambda n: worst_case_schedule(replace(request_class, max_attempts=n), settings, limits).slack_us >= 0,
-    )
+    """Return the largest number of attempts with which the schedule fits, all else as it is; 0 if none."""
+
+    def fits(max_attempts: int) -> bool:
+        changed = replace(request_class, max_attempts=max_attempts)
+        return worst_case_schedule(changed, settings, limits).slack_us >= 0
+
+    return _largest(request_class.max_attempts, fits)
+
+
+class _Timeline:
+    """Steps that follow one another without a gap; a step without a length is left out."""
+
+    def __init__(self) -> None:
+        self.steps: list[Step] = []
+        self.end_us = 0
+
+    def add(self, name: str, length_us: int) -> None:
+        if length_us > 0:
+            self.steps.append(Step(name, self.end_us, self.end_us + length_us))
+            self.end_us += length_us
+
+
+def _add_attempts(timeline: _Timeline, request_class: RequestClass, settings: Settings) -> None:
+    connect_timeout_us = int(request_class.connect_timeout_us or settings.connect_timeout_us)
+    max_attempts = request_class.max_attempts or settings.max_attempts
+    for number in range(1, max_attempts + 1):
+        attempt_start_us = timeline.end_us
+        timeline.add(f"connect {number}", connect_timeout_us)
+        timeline.add(f"attempt {number}", request_class.attempt_timeout_us)
+        if number < max_attempts and request_class.retry_backoff_us:
+            backoff_us = request_class.retry_backoff_us[number - 1]
+            if request_class.backoff_from_attempt_start:
+                backoff_us -= timeline.end_us - attempt_start_us
+            timeline.add(f"wait {number}", backoff_us)
 
 
-def _largest(most: int, fits: Callable[[int], bool]) -> int:
-    low, high = 0, most  # `low` fits, or is 0: the sum grows with the value
+def _largest(max_value: int, fits: Callable[[int], bool]) -> int:
+    """Return the largest value under `max_value` that fits, or 0: the sum grows with the value."""
+    low = 0  # fits, or is 0
+    high = max_value  # does not fit
     while high - low > 1:
         middle = (low + high) // 2
-        low, high = (middle, high) if fits(middle) else (low, middle)
+        if fits(middle):
+            low = middle
+        else:
+            high = middle
     return low
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -8,10 +8,12 @@
 from gannetweir.placement.events import RequestArrived, RequestFlag
 from gannetweir.placement.settings import RequestClass, Settings
 from gannetweir.routing.connection_limiter import ConnectionLimiter
+from gannetweir.routing.reachability import route_reachability
 from gannetweir.routing.retry_budget import RetryBudget
 from gannetweir.routing.route_admission import RouteAdmission, platform_classes, with_routed_classes
-from gannetweir.routing.route_table import RouteTable, route_reachability
+from gannetweir.routing.route_table import RouteTable
 from gannetweir.routing.rules import (
+    BackoffKind,
     BackoffRule,
     ConnectionLimitRule,
     RetryBudgetRule,
@@ -110,15 +112,15 @@
 
 def test_further_attempts_are_a_share_of_recent_first_tries() -> None:
     budget = RetryBudget(RetryBudgetRule(0.2, 10 * SECOND, 3))
-    assert budget.retries_left(0) == 3
+    assert budget.remaining_retries(0) == 3
     for n in range(100):
         budget.record_first_attempt(n * 1000)
     for n in range(20):
-        assert budget.retries_left(SECOND) >= 1, n
+        assert budget.remaining_retries(SECOND) >= 1, n
         budget.record_retry(SECOND)
-    assert budget.retries_left(SECOND) == 0
-    assert budget.retries_left(9 * SECOND) == 0  # still in the window
-    assert budget.retries_left(12 * SECOND) == 3  # all of it is past
+    assert budget.remaining_retries(SECOND) == 0
+    assert budget.remaining_retries(9 * SECOND) == 0  # still in the window
+    assert budget.remaining_retries(12 * SECOND) == 3  # all of it is past
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -136,7 +138,7 @@
         if rng.random() < 0.4:
             budget.record_first_attempt(now)
             first.append(now)
-        elif budget.retries_left(now) >= 1:
+        elif budget.remaining_retries(now) >= 1:
             budget.record_retry(now)
             again.append(now)
     assert again
@@ -151,12 +153,12 @@
     budget = RetryBudget(RetryBudgetRule(0.5, 10 * SECOND, 2))
     budget.record_retry(50 * SECOND)
     budget.record_retry(50 * SECOND)
-    assert budget.retries_left(20 * SECOND) == 0
-    assert budget.retries_left(50 * SECOND) == 0
-    assert budget.with_rule(RetryBudgetRule(0.5, 10 * SECOND, 3)).retries_left(50 * SECOND) == 1
+    assert budget.remaining_retries(20 * SECOND) == 0
+    assert budget.remaining_retries(50 * SECOND) == 0
+    assert budget.with_rule(RetryBudgetRule(0.5, 10 * SECOND, 3)).remaining_retries(50 * SECOND) == 1
     other = budget.with_rule(RetryBudgetRule(0.5, 4 * SECOND, 3))
-    assert other.retries_left(50 * SECOND) == 1
-    assert other.retries_left(60 * SECOND) == 3
+    assert other.remaining_retries(50 * SECOND) == 1
+    assert other.remaining_retries(60 * SECOND) == 3
 
 
 # ---- limits
@@ -336,10 +338,10 @@
 
 
 def test_the_waits_of_each_kind() -> None:
-    assert BackoffRule("fixed", 5).backoffs_us(4) == (5, 5, 5)
-    assert BackoffRule("exponential", 5, 12).backoffs_us(5) == (5, 10, 12, 12)
-    assert BackoffRule("exponential", 5).backoffs_us(4) == (5, 10, 20)
-    assert BackoffRule("fixed", 5).backoffs_us(1) == ()
+    assert BackoffRule(BackoffKind.FIXED, 5).backoffs_us(4) == (5, 5, 5)
+    assert BackoffRule(BackoffKind.EXPONENTIAL, 5, 12).backoffs_us(5) == (5, 10, 12, 12)
+    assert BackoffRule(BackoffKind.EXPONENTIAL, 5).backoffs_us(4) == (5, 10, 20)
+    assert BackoffRule(BackoffKind.FIXED, 5).backoffs_us(1) == ()
     cls = RequestClass(retry_backoff_us=(1000, 2000), full_jitter=True)
     assert [cls.backoff_us(n, 0, 0, lambda: 0.5) for n in range(4)] == [0, 500, 1000, 0]
     every = RequestClass(retry_backoff_us=(1000, 1000), backoff_from_attempt_start=True)
