--- a/gannetweir/routing/platform_checks.py
+++ b/gannetweir/routing/platform_checks.py
@@ -10,7 +10,7 @@
 
 from gannetweir.limits import Limits
 from gannetweir.mistakes import Mistake
-from gannetweir.placement.settings import RequestClass, Settings
+from gannetweir.placement.settings import Idempotency, RequestClass, Settings
 from gannetweir.routing.reachability import NO_REQUESTS, RouteReachability, route_reachability
 from gannetweir.routing.route_admission import platform_classes
 from gannetweir.routing.rules import (
@@ -102,7 +102,7 @@
 def _retries_harm(route: Route, request_class: RequestClass) -> bool:
     return (
         route.retry_on is RetryOn.MAY_HAVE_RUN
-        and request_class.idempotency == "once"
+        and request_class.idempotency == Idempotency.ONCE
         and route.max_attempts != 1
     )
 
