--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -31,7 +31,7 @@
 MARGIN_MS = 40  # the relay answers so long before its client gives up
 
 
-def later(place: Place, seconds: float) -> None:
+def advance_clocks(place: Place, seconds: float) -> None:
     """The clock of the relay and that of its loop go on by so much."""
     loop = asyncio.get_running_loop()
     now = loop.time
@@ -39,15 +39,15 @@
     place.relay.runtime.clock.offset_ns += int(seconds * 1e9)
 
 
-async def session_of(place: Place) -> ClientConnectionDriver:
+async def connection_awaiting_its_first_line(place: Place) -> ClientConnectionDriver:
     await place.until(lambda: bool(place.relay.runtime.descriptor_budget.awaiting_first_line))
     return next(iter(place.relay.runtime.descriptor_budget.awaiting_first_line))
 
 
-async def in_single_bytes(place: Place) -> Peer:
+async def first_line_but_its_last_byte(place: Place) -> Peer:
     """A client whose first line is in, but for its last byte, each in a segment of its own."""
     client = await place.client()
-    session = await session_of(place)
+    session = await connection_awaiting_its_first_line(place)
     raw = LINE.encode().decode("unicode_escape").encode()
     for count, byte in enumerate(raw[:-1], 1):
         client.sock.send(bytes([byte]))
@@ -55,9 +55,9 @@
     return client
 
 
-async def the_last_byte_in_time(place: Place) -> None:
-    client = await in_single_bytes(place)
-    later(place, 2.4)
+async def last_byte_in_time(place: Place) -> None:
+    client = await first_line_but_its_last_byte(place)
+    advance_clocks(place, 2.4)
     client.sock.send(b"\n")
     server = await place.accept()
     await server.expect(f"OPEN 0a 0b c=plain,d={300 - MARGIN_MS}")  # counted from that byte
@@ -66,16 +66,16 @@
     assert place.relay.engine.counters.counts["flows"] == 1
 
 
-async def the_last_byte_too_late(place: Place) -> None:
-    client = await in_single_bytes(place)
-    later(place, 2.7)
+async def last_byte_after_the_timeout(place: Place) -> None:
+    client = await first_line_but_its_last_byte(place)
+    advance_clocks(place, 2.7)
     await client.expect("ERR")
     client.sock.send(b"\n")
     await client.expect("end")
     assert place.relay.engine.counters.counts["flows"] == 0
 
 
-async def up_is_read_before_the_timers(place: Place) -> None:
+async def answer_is_read_before_timers(place: Place) -> None:
     client = await place.client()
     client.send(LINE)
     server = await place.accept()
@@ -92,7 +92,7 @@
     await server.expect("end")
 
 
-async def up_after_the_final_answer(place: Place) -> None:
+async def answer_after_the_final_answer(place: Place) -> None:
     for said in (r"UP late\r\n", r"UP la"):
         client = await place.client()
         client.send(LINE)
@@ -110,7 +110,7 @@
         await place.until(lambda: place.relay.clients.open_count == 0)
 
 
-async def up_of_an_attempt_that_was_given_up(place: Place) -> None:
+async def answer_of_an_attempt_that_timed_out(place: Place) -> None:
     await place.client()  # it runs by now
     two_backends(place)
     for ident, answer in (("0a", r"UP r2\r\n"), ("0b", r"BUSY\r\n")):
@@ -133,11 +133,11 @@
 
 
 PLAYS: list[Callable[[Place], Awaitable[None]]] = [
-    the_last_byte_in_time,
-    the_last_byte_too_late,
-    up_is_read_before_the_timers,
-    up_after_the_final_answer,
-    up_of_an_attempt_that_was_given_up,
+    last_byte_in_time,
+    last_byte_after_the_timeout,
+    answer_is_read_before_timers,
+    answer_after_the_final_answer,
+    answer_of_an_attempt_that_timed_out,
 ]
 
 
@@ -156,7 +156,7 @@
     fleet.end()
 
 
-def shut_by_the_relay(port: int) -> int:
+def connections_in_time_wait(port: int) -> int:
     """Connections at this port that wait in TIME_WAIT."""
     rows = [row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     return sum(row[1].endswith(f":{port:04X}") and row[3] == "06" for row in rows)
@@ -175,7 +175,7 @@
     fleet.process.kill()
     fleet.process.wait(LATE)
     end = time.monotonic() + LATE
-    while not shut_by_the_relay(fleet.at[1]):
+    while not connections_in_time_wait(fleet.at[1]):
         assert time.monotonic() < end
     fleet.start()
     front = fleet.client(b"PING\r\n")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,23 +36,23 @@
 )
 from tests.scenario import play
 
-NEWS = '{"seq":42,"whole":%s,"hosts":[%s]}'
+UPDATE = '{"seq":42,"whole":%s,"hosts":[%s]}'
 HOST = '{"host":"b%d","dial":"127.0.0.1:%d","health":"%s","born_ms":%d}'
 B3 = HOST % (3, 3, "Ready", 0)
 OPEN = """
 c1 send OPEN 0a 0b c=plain,d=2000
 c1/upstream expect OPEN*
 """
-LEAVES = {  # news that reach a flow to b1 on its way
-    "drains": NEWS % ("false", HOST % (1, 1, "Terminating", 0) + "," + B3),
-    "is gone": NEWS % ("false", HOST % (1, 1, "Gone", 0) + "," + B3),
-    "is missing in the whole list": NEWS % ("true", B3),
-    "has started anew": NEWS % ("false", HOST % (1, 1, "Ready", 1_700_000_000_000) + "," + B3),
+UNAVAILABLE = {  # news that reach a flow to b1 on its way
+    "drains": UPDATE % ("false", HOST % (1, 1, "Terminating", 0) + "," + B3),
+    "is gone": UPDATE % ("false", HOST % (1, 1, "Gone", 0) + "," + B3),
+    "is missing in the whole list": UPDATE % ("true", B3),
+    "has started anew": UPDATE % ("false", HOST % (1, 1, "Ready", 1_700_000_000_000) + "," + B3),
 }
 
 
-@pytest.mark.parametrize("news", LEAVES.values(), ids=LEAVES.keys())
-def test_a_flow_that_is_not_written_yet_leaves_a_backend_that(news: str) -> None:
+@pytest.mark.parametrize("news", UNAVAILABLE.values(), ids=UNAVAILABLE.keys())
+def test_an_unwritten_attempt_is_closed_at_an_endpoint_that(news: str) -> None:
     world = play(
         OPEN + f"discovery send {news}\nc1/upstream expect end\nc1/upstream expect OPEN*", backends=1
     )
@@ -60,8 +60,8 @@
     world.play("c1/upstream send UP r1\nc1 expect UP r1\nrelay expect count flows 2")
 
 
-@pytest.mark.parametrize("news", LEAVES.values(), ids=LEAVES.keys())
-def test_a_flow_that_is_written_stays_at_a_backend_that(news: str) -> None:
+@pytest.mark.parametrize("news", UNAVAILABLE.values(), ids=UNAVAILABLE.keys())
+def test_a_written_attempt_stays_at_an_endpoint_that(news: str) -> None:
     play(
         OPEN
         + f"c1/upstream written\ndiscovery send {news}\nc1/upstream expect nothing\nc1/upstream send UP r1\n"
@@ -70,15 +70,15 @@
     )
 
 
-def test_a_backend_that_was_told_to_leave_is_asked_nothing() -> None:
-    world = play(f"discovery send {LEAVES['drains']}", backends=1)
+def test_a_draining_endpoint_is_not_probed() -> None:
+    world = play(f"discovery send {UNAVAILABLE['drains']}", backends=1)
     for server in ("b1", "b3"):
         world.engine.placement_actions.carry_out(ProbeLoad(server))
     assert [c.endpoint_id for c in world.engine.commands if isinstance(c, StartLoadProbe)] == ["b3"]
 
 
-@pytest.mark.parametrize("news", LEAVES.values(), ids=LEAVES.keys())
-def test_a_resumed_connection_is_no_new_work_for_a_backend_that(news: str) -> None:
+@pytest.mark.parametrize("news", UNAVAILABLE.values(), ids=UNAVAILABLE.keys())
+def test_a_connection_is_resumed_at_an_endpoint_that(news: str) -> None:
     play(
         f"c1 send OPEN 0a 0b c=plain,d=2000,at=b1\nc1/upstream expect OPEN*\ndiscovery send {news}\n"
         "c1/upstream expect nothing\nc1/upstream send UP r1\nc1 expect UP r1",
@@ -95,7 +95,7 @@
         ("by_key", "c1/upstream written", "BUSY*"),  # the scenarios' classes are kept by all backends
     ],
 )
-def test_the_end_of_the_relay_promises_no_more_than_is_true(effect: str, before: str, answer: str) -> None:
+def test_the_exit_rejects_only_what_may_be_retried(effect: str, before: str, answer: str) -> None:
     play(
         f"settings reload 3 plain:{effect}"
         + OPEN
@@ -120,12 +120,12 @@
         (HOST % (1, 1, "Gone", 0), HOST % (1, 1, "Ready", 1_700_000_000_000), False),  # started anew since
     ],
 )
-def test_an_older_list_brings_back_nothing_that_was_to_leave(told: str, listed: str, stays: bool) -> None:
+def test_an_older_snapshot_does_not_undo_a_drain(told: str, listed: str, stays: bool) -> None:
     play(
         f"""
-        discovery send {NEWS % ("false", told + "," + B3)}
+        discovery send {UPDATE % ("false", told + "," + B3)}
         discovery close
-        discovery reopen {(NEWS % ("true", listed)).replace("42", "7")}
+        discovery reopen {(UPDATE % ("true", listed)).replace("42", "7")}
         c1 send OPEN 0a 0b c=plain,d=2000
         time wait {1000 if stays else 0}
         c1/upstream expect {"nothing" if stays else "OPEN*"}
@@ -134,7 +134,7 @@
     )
 
 
-def test_nothing_is_taken_after_the_end_however_short_the_deadlines_are() -> None:
+def test_nothing_is_admitted_after_the_exit_however_short_the_deadlines_are() -> None:
     play(
         """
         relay term
@@ -152,11 +152,11 @@
     )
 
 
-def test_a_pushed_list_is_watched_from_the_first_moment_and_again_at_once() -> None:
+def test_a_pushed_list_is_watched_from_the_start_and_again_at_once() -> None:
     play(
         f"""
         discovery expect watch 41
-        discovery send {LEAVES["drains"]}
+        discovery send {UNAVAILABLE["drains"]}
         discovery close
         time wait 0
         discovery expect watch 42
@@ -165,7 +165,7 @@
         discovery expect nothing
         time wait 1
         discovery expect watch 42
-        discovery send {NEWS.replace("42", "43") % ("true", B3)}
+        discovery send {UPDATE.replace("42", "43") % ("true", B3)}
         discovery close
         time wait 0
         discovery expect watch 43
@@ -175,7 +175,7 @@
     )
 
 
-def leaves_at_once(reset: bool) -> Play:
+def disconnects_with_its_first_line(reset: bool) -> Play:
     async def leaves(place: Place) -> None:
         for n in range(20):
             client = await place.client()
@@ -196,7 +196,7 @@
     return leaves
 
 
-async def a_watch_that_trickles(place: Place) -> None:
+async def a_watch_that_sends_no_complete_line(place: Place) -> None:
     watcher = await place.watcher(place.discovery, 1)
     watcher.send(HEAD + BEAT + r"fff\r\n")
     with contextlib.suppress(BrokenPipeError, ConnectionResetError):
@@ -208,7 +208,7 @@
     assert place.relay.engine.counters.counts["pool_failures"] == 1
 
 
-async def the_old_address_speaks_once_more(place: Place) -> None:
+async def the_previous_discovery_address_sends_once_more(place: Place) -> None:
     old = await place.watcher(place.discovery, 1)
     old.send(HEAD + BEAT)
     await place.until(lambda: place.relay.endpoint_watch.has_answered)
@@ -222,7 +222,7 @@
     assert place.relay.engine.endpoint_list.version == 9
 
 
-async def a_first_line_as_the_time_for_it_ends(place: Place) -> None:
+async def a_first_line_as_its_timeout_expires(place: Place) -> None:
     for asked in (True, False):
         client = await place.client()
         if asked:  # it rests, as the front's do
@@ -239,7 +239,7 @@
         await place.until(lambda: place.relay.clients.open_count == 0)
 
 
-async def a_first_line_as_its_client_gives_way(place: Place) -> None:
+async def a_first_line_as_its_connection_is_evicted(place: Place) -> None:
     standing = await served(place, "0c")
     silent = [await place.client() for _ in range(2)]
     await place.until(lambda: len(place.relay.runtime.descriptor_budget.awaiting_first_line) == 2)
@@ -261,7 +261,7 @@
         place.backend.accept()
 
 
-async def up_as_its_time_is_over(place: Place) -> None:
+async def established_as_the_attempt_times_out(place: Place) -> None:
     client = await place.client()
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
     late = await place.accept()
@@ -276,7 +276,7 @@
     assert (counts["flows"], counts["attempts.timeout"], counts["served"]) == (1, 1, 0)
 
 
-def up_as_its_client(reset: bool) -> Play:
+def established_as_the_client_disconnects(reset: bool) -> Play:
     async def leaves(place: Place) -> None:
         client = await place.client()
         client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
@@ -320,7 +320,7 @@
         await client.expect("end")
 
 
-async def the_client_leaves_while_the_connect_is_held(place: Place) -> None:
+async def a_client_disconnects_while_the_connect_is_pending(place: Place) -> None:
     full = socket.socket()
     full.bind(("127.0.0.1", 0))
     full.listen(0)
@@ -329,7 +329,7 @@
         sock.setblocking(False)
         sock.connect_ex(full.getsockname())
     await place.client()
-    news = NEWS % ("true", HOST % (1, full.getsockname()[1], "Ready", 0))
+    news = UPDATE % ("true", HOST % (1, full.getsockname()[1], "Ready", 0))
     place.relay.runtime.run_engine_call(
         place.relay.engine.endpoint_update_received,
         read_membership(orjson.loads(news), place.relay.runtime.settings),
@@ -348,7 +348,7 @@
         sock.close()
 
 
-async def discovery_moves_to_where_nobody_listens(place: Place) -> None:
+async def discovery_moves_to_a_closed_port(place: Place) -> None:
     old = await place.watcher(place.discovery, 1)
     old.send(HEAD + BEAT)
     await place.until(lambda: place.relay.endpoint_watch.has_answered)
@@ -371,19 +371,19 @@
     )
 
 
-async def a_probe_of_a_backend_that_leaves(place: Place) -> None:
+async def a_probe_of_an_endpoint_that_drains(place: Place) -> None:
     relay, dial = place.relay, place.relay.engine.endpoint_list.address_of("b1")
     (await place.client()).close()  # it runs by now
     for health in ("Terminating", "Gone"):
         relay.runtime.spawn(partial(run_probe, relay.runtime, StartLoadProbe("b1", dial)))
         news = read_membership(
-            orjson.loads(NEWS % ("false", HOST % (1, 1, health, 0))), relay.runtime.settings
+            orjson.loads(UPDATE % ("false", HOST % (1, 1, health, 0))), relay.runtime.settings
         )
         relay.runtime.run_engine_call(relay.engine.endpoint_update_received, news)  # before the connect is up
         await (await place.accept()).expect("end")  # without a question
 
 
-async def a_fault_in_a_timer_and_in_a_signal(place: Place) -> None:
+async def a_fault_in_a_timer_and_in_a_reload(place: Place) -> None:
     client, server = await served(place)
     relay = place.relay
 
@@ -404,7 +404,7 @@
     del relay.engine.counters.counts["driver_faults"]  # both are accounted for
 
 
-async def the_exit(place: Place) -> None:
+async def first_lines_at_the_exit(place: Place) -> None:
     client, server = await served(place)
     rests, silent = await place.client(), await place.client()
     rests.send(r"PING\r\n")
@@ -432,21 +432,21 @@
 @pytest.mark.parametrize(
     ("crossing", "limits"),
     [
-        (leaves_at_once(False), {}),
-        (leaves_at_once(True), {}),
-        (a_watch_that_trickles, {"endpoint_watch_silence_us": 60_000}),
-        (the_old_address_speaks_once_more, {}),
-        (a_first_line_as_the_time_for_it_ends, {"first_line_timeout_us": 60_000}),
-        (a_first_line_as_its_client_gives_way, {"sockets": 30}),
-        (a_probe_of_a_backend_that_leaves, {}),
-        (up_as_its_time_is_over, {}),
-        (up_as_its_client(False), {}),
-        (up_as_its_client(True), {}),
+        (disconnects_with_its_first_line(False), {}),
+        (disconnects_with_its_first_line(True), {}),
+        (a_watch_that_sends_no_complete_line, {"endpoint_watch_silence_us": 60_000}),
+        (the_previous_discovery_address_sends_once_more, {}),
+        (a_first_line_as_its_timeout_expires, {"first_line_timeout_us": 60_000}),
+        (a_first_line_as_its_connection_is_evicted, {"sockets": 30}),
+        (a_probe_of_an_endpoint_that_drains, {}),
+        (established_as_the_attempt_times_out, {}),
+        (established_as_the_client_disconnects(False), {}),
+        (established_as_the_client_disconnects(True), {}),
         (two_answers, {}),
-        (the_client_leaves_while_the_connect_is_held, {"connect_timeout_us": 5_000_000}),
-        (discovery_moves_to_where_nobody_listens, {}),
-        (a_fault_in_a_timer_and_in_a_signal, {}),
-        (the_exit, {}),
+        (a_client_disconnects_while_the_connect_is_pending, {"connect_timeout_us": 5_000_000}),
+        (discovery_moves_to_a_closed_port, {}),
+        (a_fault_in_a_timer_and_in_a_reload, {}),
+        (first_lines_at_the_exit, {}),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
@@ -455,7 +455,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_peer_that_always_has_more_lets_others_have_their_turn() -> None:
+async def test_an_endless_peer_does_not_starve_other_tasks() -> None:
     near, far = socket.socketpair()
     near.setblocking(False)
     reads = list[int]()
@@ -479,7 +479,7 @@
 
 
 @pytest.mark.anyio
-async def test_bytes_that_wait_survive_a_socket_that_was_writable_for_nothing() -> None:
+async def test_unsent_bytes_survive_a_spurious_writable_event() -> None:
     near, far = socket.socketpair()
     near.setblocking(False)
     refusals = [True, True, False]
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -13,146 +13,153 @@
 from gannetweir.placement.settings import RequestClass
 from tests.scenario import World
 
-DEADLINE = 2_000_000
-HARMLESS = RequestClass("plain", idempotency="repeatable")
-ONCE = RequestClass("once", idempotency="once")
-KEYED = RequestClass("keyed", idempotency="by_key", idempotency_scope="cell", idempotency_window_us=1_000_000)
+DEADLINE_US = 2_000_000
+IDEMPOTENT = RequestClass("plain", idempotency="repeatable")
+NOT_IDEMPOTENT = RequestClass("once", idempotency="once")
+WITH_KEY = RequestClass(
+    "keyed", idempotency="by_key", idempotency_scope="cell", idempotency_window_us=1_000_000
+)
 
 
-class Watched:
+class GuardedRequest:
     """A guard over two cells of backends, and what it reported. Each call that is left out has a default."""
 
-    def __init__(self, cls: RequestClass = HARMLESS, deadline_us: int = DEADLINE) -> None:
-        self.pool = EndpointList()
+    def __init__(self, request_class: RequestClass = IDEMPOTENT, deadline_us: int = DEADLINE_US) -> None:
+        self.endpoint_list = EndpointList()
         entries = [EndpointEntry(f"b{n}", cell=n % 2) for n in range(4)]
-        self.pool.apply(
+        self.endpoint_list.apply(
             MembershipUpdate(1, True, [ListedEndpoint(entry, "127.0.0.1:1") for entry in entries]), 0
         )
-        self.found: list[Violation] = []
-        self.guard = InvariantGuard(self.pool, self.found.append)
-        self.guard.request_opened(1, cls, deadline_us)
+        self.violations: list[Violation] = []
+        self.guard = InvariantGuard(self.endpoint_list, self.violations.append)
+        self.guard.request_opened(1, request_class, deadline_us)
 
-    def attempt(self, attempt: int, server: str = "b0", now_us: int = 1000, most: int = 3) -> None:
-        self.guard.attempt_write_started(1, attempt, server, now_us, most)
+    def start_attempt(
+        self, attempt: int, endpoint_id: str = "b0", now_us: int = 1000, max_attempts: int = 3
+    ) -> None:
+        self.guard.attempt_write_started(1, attempt, endpoint_id, now_us, max_attempts)
 
-    def over(self, attempt: int, ran: bool) -> None:
-        self.guard.attempt_closed(1, attempt, ran)
+    def close_attempt(self, attempt: int, may_have_executed: bool) -> None:
+        self.guard.attempt_closed(1, attempt, may_have_executed)
 
-    def drains(self, server: str) -> None:
-        entry = EndpointEntry(server, state=EndpointStatus.DRAINING)
-        self.pool.apply(MembershipUpdate(2, False, [ListedEndpoint(entry, "127.0.0.1:1")]), 1)
+    def drain(self, endpoint_id: str) -> None:
+        entry = EndpointEntry(endpoint_id, state=EndpointStatus.DRAINING)
+        self.endpoint_list.apply(MembershipUpdate(2, False, [ListedEndpoint(entry, "127.0.0.1:1")]), 1)
 
-    def failed(self, cls: RequestClass, server: str, now_us: int = 1000) -> None:
+    def retry_elsewhere(self, request_class: RequestClass, endpoint_id: str, now_us: int = 1000) -> None:
         """One attempt at b0 that may have run, and a second one."""
-        self.guard.request_opened(1, cls, DEADLINE)
-        self.attempt(0, "b0")
-        self.over(0, True)
-        self.attempt(1, server, now_us)
+        self.guard.request_opened(1, request_class, DEADLINE_US)
+        self.start_attempt(0, "b0")
+        self.close_attempt(0, True)
+        self.start_attempt(1, endpoint_id, now_us)
 
 
-Play = Callable[[Watched], None]
+Steps = Callable[[GuardedRequest], None]
 
 
-def twice_at_once(at: Watched) -> None:
-    at.attempt(0)
-    at.attempt(1, "b1")
+def overlapping_attempts(at: GuardedRequest) -> None:
+    at.start_attempt(0)
+    at.start_attempt(1, "b1")
 
 
-def answer_twice(at: Watched) -> None:
+def two_answers(at: GuardedRequest) -> None:
     at.guard.final_answer_written(1, True, 5)
     at.guard.final_answer_written(1, False, 6)
 
 
-def attempt_after_the_answer(at: Watched) -> None:
+def attempt_after_the_answer(at: GuardedRequest) -> None:
     at.guard.final_answer_written(1, False, 5)
-    at.attempt(0)
+    at.start_attempt(0)
 
 
-def attempt_after_the_client(at: Watched) -> None:
+def attempt_after_the_client_disconnected(at: GuardedRequest) -> None:
     at.guard.client_ended(1)
-    at.attempt(0)
+    at.start_attempt(0)
 
 
-def draining_backend(at: Watched) -> None:
-    at.drains("b1")
-    at.attempt(0, "b1")
+def attempt_at_a_draining_endpoint(at: GuardedRequest) -> None:
+    at.drain("b1")
+    at.start_attempt(0, "b1")
 
 
-def cut_off(at: Watched) -> None:
+def established_connection_closed(at: GuardedRequest) -> None:
     at.guard.final_answer_written(1, True, 5)
     at.guard.client_connection_closed(1)
 
 
-BROKEN: list[tuple[InvariantRule, Play]] = [
-    (InvariantRule.OVERLAP, twice_at_once),
-    (InvariantRule.UNSAFE_REPEAT, lambda at: at.failed(ONCE, "b1")),
-    (InvariantRule.UNSAFE_REPEAT, lambda at: at.failed(KEYED, "b1")),  # another cell
-    (InvariantRule.UNSAFE_REPEAT, lambda at: at.failed(KEYED, "b2", 1_001_000)),  # its window is over
-    (InvariantRule.TOO_MANY_ATTEMPTS, lambda at: at.attempt(0, most=0)),
-    (InvariantRule.ENDPOINT_UNAVAILABLE, draining_backend),
-    (InvariantRule.ENDPOINT_UNAVAILABLE, lambda at: at.attempt(0, "unlisted")),
-    (InvariantRule.CLIENT_DISCONNECTED, attempt_after_the_client),
+VIOLATIONS: list[tuple[InvariantRule, Steps]] = [
+    (InvariantRule.OVERLAP, overlapping_attempts),
+    (InvariantRule.UNSAFE_REPEAT, lambda at: at.retry_elsewhere(NOT_IDEMPOTENT, "b1")),
+    (InvariantRule.UNSAFE_REPEAT, lambda at: at.retry_elsewhere(WITH_KEY, "b1")),  # another cell
+    (
+        InvariantRule.UNSAFE_REPEAT,
+        lambda at: at.retry_elsewhere(WITH_KEY, "b2", 1_001_000),
+    ),  # its window is over
+    (InvariantRule.TOO_MANY_ATTEMPTS, lambda at: at.start_attempt(0, max_attempts=0)),
+    (InvariantRule.ENDPOINT_UNAVAILABLE, attempt_at_a_draining_endpoint),
+    (InvariantRule.ENDPOINT_UNAVAILABLE, lambda at: at.start_attempt(0, "unlisted")),
+    (InvariantRule.CLIENT_DISCONNECTED, attempt_after_the_client_disconnected),
     (InvariantRule.AFTER_ANSWER, attempt_after_the_answer),
-    (InvariantRule.SECOND_ANSWER, answer_twice),
-    (InvariantRule.LATE_ANSWER, lambda at: at.guard.final_answer_written(1, False, DEADLINE + 500_001)),
+    (InvariantRule.SECOND_ANSWER, two_answers),
+    (InvariantRule.LATE_ANSWER, lambda at: at.guard.final_answer_written(1, False, DEADLINE_US + 500_001)),
     (InvariantRule.NO_ANSWER, lambda at: at.guard.client_connection_closed(1)),
     (InvariantRule.NO_ANSWER, lambda at: at.guard.unread_connection_closed()),
-    (InvariantRule.CUT_OFF, cut_off),
+    (InvariantRule.CUT_OFF, established_connection_closed),
     (InvariantRule.DESCRIPTORS, lambda at: at.guard.check_descriptors(101, 100)),
 ]
 
 
-@pytest.mark.parametrize(("rule", "play"), BROKEN)
-def test_a_broken_rule_is_counted(rule: InvariantRule, play: Play) -> None:
-    at = Watched()
+@pytest.mark.parametrize(("rule", "play"), VIOLATIONS)
+def test_a_violation_is_counted(rule: InvariantRule, play: Steps) -> None:
+    at = GuardedRequest()
     play(at)
-    assert [violation.rule for violation in at.found] == [rule] and at.guard.violations == 1
+    assert [violation.rule for violation in at.violations] == [rule] and at.guard.violations == 1
 
 
-def test_every_rule_is_shown_to_catch_something() -> None:
-    assert {rule for rule, _ in BROKEN} == set(InvariantRule)
+def test_every_rule_has_a_case_that_violates_it() -> None:
+    assert {rule for rule, _ in VIOLATIONS} == set(InvariantRule)
 
 
-def served_and_moved(at: Watched) -> None:
-    at.attempt(0)
-    at.guard.final_answer_written(1, True, DEADLINE + 500_000)
+def established_and_migrated(at: GuardedRequest) -> None:
+    at.start_attempt(0)
+    at.guard.final_answer_written(1, True, DEADLINE_US + 500_000)
     at.guard.close_permitted(1)
     at.guard.client_connection_closed(1)
 
 
-def refused_in_between(at: Watched) -> None:
-    at.guard.request_opened(1, ONCE, DEADLINE)
-    at.attempt(0)
-    at.over(0, False)  # it never ran, so any class may be tried again
-    at.attempt(1, "b1")
+def retried_after_a_rejection(at: GuardedRequest) -> None:
+    at.guard.request_opened(1, NOT_IDEMPOTENT, DEADLINE_US)
+    at.start_attempt(0)
+    at.close_attempt(0, False)  # it never ran, so any class may be tried again
+    at.start_attempt(1, "b1")
     at.guard.final_answer_written(1, False, 5)
     at.guard.client_connection_closed(1)
 
 
-def resumed_at_a_draining_backend(at: Watched) -> None:
-    at.guard.request_opened(1, ONCE, 0)
-    at.drains("b1")
-    at.attempt(0, "b1", most=0)
-    at.guard.final_answer_written(1, True, 10 * DEADLINE)
+def resumed_at_a_draining_endpoint(at: GuardedRequest) -> None:
+    at.guard.request_opened(1, NOT_IDEMPOTENT, 0)
+    at.drain("b1")
+    at.start_attempt(0, "b1", max_attempts=0)
+    at.guard.final_answer_written(1, True, 10 * DEADLINE_US)
     at.guard.client_ended(1)
     at.guard.client_connection_closed(1)
 
 
-ALLOWED: list[Play] = [
-    served_and_moved,
-    refused_in_between,
-    resumed_at_a_draining_backend,
-    lambda at: at.failed(KEYED, "b2", 900_000),
-    lambda at: at.failed(HARMLESS, "b1"),
+ALLOWED: list[Steps] = [
+    established_and_migrated,
+    retried_after_a_rejection,
+    resumed_at_a_draining_endpoint,
+    lambda at: at.retry_elsewhere(WITH_KEY, "b2", 900_000),
+    lambda at: at.retry_elsewhere(IDEMPOTENT, "b1"),
     lambda at: at.guard.check_descriptors(100, 100),
 ]
 
 
 @pytest.mark.parametrize("play", ALLOWED)
-def test_what_is_allowed_is_not_counted(play: Play) -> None:
-    at = Watched()
+def test_allowed_steps_are_no_violation(play: Steps) -> None:
+    at = GuardedRequest()
     play(at)
-    assert not at.found and at.guard.violations == 0
+    assert not at.violations and at.guard.violations == 0
 
 
 def test_a_violation_is_logged_with_the_steps_of_its_request_and_counted() -> None:
@@ -167,7 +174,7 @@
     assert world.engine.current_figures()["violations"] == 1
 
 
-def test_every_refusal_retry_move_and_end_is_counted_by_its_reason() -> None:
+def test_rejections_retries_migrations_and_ends_are_counted_by_reason() -> None:
     world = World(backends=2)
     world.play(
         """
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -3,9 +3,9 @@
 import pytest
 
 from tests.scenario import World, play
-from tests.test_scenarios import MEMBER
+from tests.test_scenarios import HOST
 
-UPDATE = "discovery send " + '{"seq":%d,"whole":%s,"hosts":[' + MEMBER % ("b1", 1, "%s") + "]}\n"
+UPDATE = "discovery send " + '{"seq":%d,"whole":%s,"hosts":[' + HOST % ("b1", 1, "%s") + "]}\n"
 
 
 def ports_connected_to(world: World) -> set[str]:
--- a/tests/test_replaced_process.py
+++ b/tests/test_replaced_process.py
@@ -3,10 +3,10 @@
 import pytest
 
 from tests.scenario import play
-from tests.test_scenarios import UP
+from tests.test_scenarios import ESTABLISHED
 
 DRAIN_SCRIPTS = {
-    "migrations begin at once": UP
+    "migrations begin at once": ESTABLISHED
     + """
         relay term replaced
         time wait 1
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -4,18 +4,18 @@
 
 from tests.scenario import play
 
-UP = """
+ESTABLISHED = """
 c1 send OPEN 0a 0b c=plain,d=2000
 c1/upstream expect OPEN 0a 0b c=plain,d=500
 c1/upstream send UP r1
 c1 expect UP r1
 """
-MEMBER = '{"host":"%s","dial":"127.0.0.1:%d","site":"a","class":"m","health":"%s"}'
-ONLY_B3 = '{"seq":42,"whole":true,"hosts":[' + MEMBER % ("b3", 3, "Ready") + "]}"
-B1_ENDS = '{"seq":42,"whole":false,"hosts":[' + MEMBER % ("b1", 1, "Terminating") + "]}"
+HOST = '{"host":"%s","dial":"127.0.0.1:%d","site":"a","class":"m","health":"%s"}'
+ONLY_B3 = '{"seq":42,"whole":true,"hosts":[' + HOST % ("b3", 3, "Ready") + "]}"
+B1_DRAINS = '{"seq":42,"whole":false,"hosts":[' + HOST % ("b1", 1, "Terminating") + "]}"
 
-SERVED = {
-    "lines pass both ways": UP
+FORWARDING = {
+    "lines pass both ways": ESTABLISHED
     + """
         c1 send hello 1
         c1/upstream expect hello 1
@@ -25,17 +25,17 @@
     "only d changes in the first line": """
         c1 send OPEN 0a 0b zz=Q,c=plain,g=0c,d=1999,h=12.5,r=1
         c1/upstream expect OPEN 0a 0b zz=Q,c=plain,g=0c,d=500,h=12.5,r=1""",
-    "a load note passes unchanged and is told": UP
+    "a load note passes unchanged and is told": ESTABLISHED
     + """
         c1/upstream send LOAD 125.5
         c1 expect LOAD 125.5
         relay expect count load_notes 1""",
-    "a load that is no number is not told": UP
+    "a load that is no number is not told": ESTABLISHED
     + """
         c1/upstream send LOAD nan
         c1 expect LOAD nan
         relay expect count load_notes 0""",
-    "late answers are told once a second, and once more when they are back in time": UP
+    "late answers are told once a second, and once more when they are back in time": ESTABLISHED
     + """
         c1 send 1
         time wait 30
@@ -60,7 +60,7 @@
         c1 send 6
         c1/upstream send 6
         relay expect count delay_notes 3""",
-    "a load line answers no line of the client's": UP
+    "a load line answers no line of the client's": ESTABLISHED
     + """
         c1 send 1
         c1/upstream send LOAD 3
@@ -74,7 +74,7 @@
         c1/upstream expect nothing
         c1/upstream send UP r1
         c1/upstream expect early""",
-    "the id of another client's open request is refused, and that one is unharmed": UP
+    "the id of another client's open request is refused, and that one is unharmed": ESTABLISHED
     + """
         c2 send OPEN 0a 0c c=plain,d=2000
         c2 expect ERR
@@ -93,40 +93,40 @@
         c1/upstream expect end
         c2 send OPEN 0a 0b c=plain,d=2000
         c2/upstream expect OPEN*""",
-    "a backend's FIN is passed on": UP
+    "a backend's FIN is passed on": ESTABLISHED
     + """
         c1/upstream close
         c1 expect end""",
-    "a backend's RST is passed on": UP
+    "a backend's RST is passed on": ESTABLISHED
     + """
         c1/upstream reset
         c1 expect reset
         relay expect count connections.reset 1""",
-    "BYE is a service to its end": UP
+    "BYE is a service to its end": ESTABLISHED
     + """
         c1/upstream send BYE
         c1/upstream close
         c1 expect BYE
         c1 expect end
         relay expect count connections.ok 1""",
-    "a backend that drains sends the client away": UP
+    "a backend that drains sends the client away": ESTABLISHED
     + """
         c1/upstream send MOVE
         c1/upstream close
         c1 expect MOVE
         c1 expect end
         relay expect count connections.cancelled 1""",
-    "a client's FIN is passed on": UP
+    "a client's FIN is passed on": ESTABLISHED
     + """
         c1 close
         c1/upstream expect end""",
-    "a client's RST is passed on": UP
+    "a client's RST is passed on": ESTABLISHED
     + """
         c1 reset
         c1/upstream expect reset""",
 }
 
-FAILING = {
+FAILURES = {
     "a busy backend: another one, after the first has ended": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*
@@ -181,7 +181,7 @@
         c1 expect ERR
         c1 expect end
         relay expect count overdue 1""",
-    "a module that raises fails the transaction and nothing else": UP
+    "a module that raises fails the transaction and nothing else": ESTABLISHED
     + """
         balancer raise
         c2 send OPEN 0c 0b c=plain,d=2000
@@ -196,7 +196,7 @@
         c1/upstream expect end
         time wait 3000
         c1/upstream expect nothing""",
-    "a backend that vanishes: the client is moved before it has waited seven seconds": UP
+    "a backend that vanishes: the client is moved before it has waited seven seconds": ESTABLISHED
     + """
         time wait 2000
         c1 send 1
@@ -208,7 +208,7 @@
         c1 expect end
         c1/upstream expect end
         relay expect count silent 1""",
-    "a line without an answer for over a second is told as a late one, once a second": UP
+    "a line without an answer for over a second is told as a late one, once a second": ESTABLISHED
     + """
         c1 send 1
         time wait 1000
@@ -219,7 +219,7 @@
         relay expect count delay_notes 1
         time wait 300
         relay expect count delay_notes 2""",
-    "one that answers is left alone": UP
+    "one that answers is left alone": ESTABLISHED
     + """
         c1 send 1
         time wait 3900
@@ -229,7 +229,7 @@
         c1 expect nothing""",
 }
 
-RESUMED = {
+RESUMPTION = {
     "a resumed connection goes to its backend and is no request": """
         c1 send OPEN 0a 0b c=plain,d=2000,at=b2
         c1/upstream expect OPEN 0a 0b c=plain,d=1960,at=b2
@@ -259,12 +259,12 @@
         c1/upstream expect end
         c1 expect ERR""",
     "it names its backend even if that one drains": f"""
-        discovery send {B1_ENDS}
+        discovery send {B1_DRAINS}
         c1 send OPEN 0a 0b c=plain,d=2000,at=b1
         c1/upstream expect OPEN*""",
 }
 
-POOL = {
+MEMBERSHIP = {
     "ready with a pool, not without": f"""
         front send PING
         front expect ERR
@@ -286,8 +286,8 @@
         discovery expect watch 41""",
 }
 
-DRAIN = {
-    "a drain goes on serving, then moves every client before its flow ends, then exits": UP
+DRAINING = {
+    "a drain goes on serving, then moves every client before its flow ends, then exits": ESTABLISHED
     + """
         relay term
         front send PING
@@ -352,17 +352,17 @@
     return [pytest.param(script, id=name) for group in groups for name, script in group.items()]
 
 
-@pytest.mark.parametrize("script", cases(SERVED, FAILING, RESUMED, DRAIN))
-def test_two_backends(script: str) -> None:
+@pytest.mark.parametrize("script", cases(FORWARDING, FAILURES, RESUMPTION, DRAINING))
+def test_with_two_endpoints(script: str) -> None:
     play(script)
 
 
-def test_ready_needs_a_pool() -> None:
-    play(POOL["ready with a pool, not without"], backends=0)
+def test_a_relay_is_ready_once_an_endpoint_is() -> None:
+    play(MEMBERSHIP["ready with a pool, not without"], backends=0)
 
 
 def test_the_watch_backs_off() -> None:
-    play(POOL["a watch is asked for, and again after it ended, later each time"])
+    play(MEMBERSHIP["a watch is asked for, and again after it ended, later each time"])
 
 
 @pytest.mark.parametrize(
@@ -392,13 +392,13 @@
         "OPEN 0a 0b c=plain,d=2000,z=" + "x" * 4096 + r"\r\n",
     ],
 )
-def test_a_bad_first_line_fails_and_reaches_no_backend(raw: str) -> None:
+def test_a_malformed_first_line_fails_and_reaches_no_endpoint(raw: str) -> None:
     world = play(f"c1 raw {raw}")
     assert world.peers["c1"].unread[-1] == "ERR" and not world.peer("c1/upstream").unread
     assert not world.engine.requests
 
 
-def test_a_transaction_more_than_fits_is_rejected_at_once() -> None:
+def test_a_request_over_the_limit_is_rejected_at_once() -> None:
     play(
         "c1 send OPEN 0a 0b c=plain,d=2000\nc2 send OPEN 0c 0d c=plain,d=2000\nc2 expect BUSY*\n"
         "c1/upstream send UP r1\nc1 expect UP r1",
@@ -407,8 +407,8 @@
 
 
 @pytest.mark.parametrize("rest", ["b2", "b1"])
-def test_a_host_that_drains_gets_nothing_new(rest: str) -> None:
-    news = B1_ENDS.replace("b1", "b2" if rest == "b1" else "b1")
+def test_a_draining_endpoint_gets_no_requests(rest: str) -> None:
+    news = B1_DRAINS.replace("b1", "b2" if rest == "b1" else "b1")
     world = play(f"discovery send {news}")
     for n in range(8):
         world.play(
@@ -419,18 +419,18 @@
     assert dials == {f"127.0.0.1:{rest[1]}"}
 
 
-def test_a_changed_address_counts_from_the_next_flow_on() -> None:
-    moved = '{"seq":42,"whole":false,"hosts":[' + MEMBER % ("b1", 77, "Ready") + "]}"
+def test_a_changed_address_is_used_from_the_next_attempt_on() -> None:
+    moved = '{"seq":42,"whole":false,"hosts":[' + HOST % ("b1", 77, "Ready") + "]}"
     world = play(f"discovery send {moved}\nc1 send OPEN 0a 0b c=plain,d=2000,at=b1")
     assert world.upstreams["c1"][0].address == "127.0.0.1:77"
 
 
-def test_a_host_that_left_a_whole_list_gets_nothing_new() -> None:
+def test_an_endpoint_missing_from_a_snapshot_gets_no_requests() -> None:
     world = play(f"discovery send {ONLY_B3}\nc1 send OPEN 0a 0b c=plain,d=2000\nc1/upstream expect OPEN*")
     assert world.upstreams["c1"][0].address == "127.0.0.1:3"
 
 
-RELOADED = {
+RELOADS = {
     "what is open keeps its class": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*
@@ -462,6 +462,6 @@
 }
 
 
-@pytest.mark.parametrize("script", RELOADED.values(), ids=RELOADED.keys())
+@pytest.mark.parametrize("script", RELOADS.values(), ids=RELOADS.keys())
 def test_a_reload_of_classes_and_attempts(script: str) -> None:
     play(script)
