--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -1,15 +1,29 @@
-"""The engine under events in any order, stale ones too: what it owes holds whatever crosses. A seed is a day
-that can be played again.
+"""The engine under events in a random order, outdated ones too: its invariants hold whatever crosses. A seed
+is a run that can be repeated.
 """
 
 from __future__ import annotations
 
 import random
+from collections.abc import Callable
 from dataclasses import dataclass, replace
 
 import pytest
 
-from gannetweir import core as e
+from gannetweir.core import (
+    CloseUpstream,
+    Command,
+    EndClient,
+    EndUpstream,
+    Engine,
+    Exit,
+    FailClient,
+    MigrateClient,
+    OpenUpstream,
+    RejectClient,
+    StartForwarding,
+    StartLoadProbe,
+)
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.events import (
@@ -31,22 +45,24 @@
     ("repeatable", "cell"),
 ]
 CLASSES = [
-    RequestClass(f"{repeat}-{scope}", 300_000, 2_000_000, worth, repeat, scope, 1_000_000)
-    for worth, (repeat, scope) in enumerate(IDEMPOTENCIES, 1)
+    RequestClass(f"{idempotency}-{scope}", 300_000, 2_000_000, weight, idempotency, scope, 1_000_000)
+    for weight, (idempotency, scope) in enumerate(IDEMPOTENCIES, 1)
 ]
 LIMITS = Limits(connect_timeout_us=400_000).with_drain_before_kill(2_000_000)
-ANSWER_SLACK_US = 45_000  # of an answer: the timer of last resort is 5 ms behind the module's deadline
+ANSWER_SLACK_US = 45_000  # the timer for a missing answer falls due 5 ms after the balancer's deadline
 MAX_ATTEMPTS = 4
+STEPS_BEFORE_DRAIN = 251
+STEPS_OF_DRAIN = 49
 
 
 @dataclass
 class ExpectedRequest:
-    """What the day knows of one request."""
+    """What the run expects of one request."""
 
     request_class: RequestClass
     deadline_us: int
     resumed: bool = False
-    in_flight: e.OpenUpstream | None = None
+    in_flight: OpenUpstream | None = None
     first_line_written: bool = False
     may_have_executed: bool = False
     attempts: int = 0
@@ -54,11 +70,19 @@
     answer: str = ""
     ended: bool = False
     executed_endpoint_id: EndpointId = None
-    endpoint_started_us: int = 0  # of the backend, when its flow was opened
+    endpoint_started_us: int = 0  # when the attempt in flight began
+
+    def end_attempt(self, may_have_executed: bool) -> None:
+        assert self.in_flight is not None
+        self.may_have_executed |= may_have_executed
+        if self.may_have_executed and self.executed_endpoint_id is None:
+            self.executed_endpoint_id = self.in_flight.endpoint_id
+        self.in_flight = None
+        self.first_line_written = False
 
 
 class RandomRun:
-    """Draws what happens next, and checks each command against the rules."""
+    """Draws what happens next, and checks each command of the engine against the invariants."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -74,106 +98,112 @@
             relay_count=3,
             cross_zone_cost=0.1,
         )
-        self.entries = {f"b{n}": EndpointEntry(f"b{n}", n % 2, 0, n % 3) for n in range(6)}
+        self.entries = {
+            f"b{number}": EndpointEntry(f"b{number}", zone=number % 2, cell=number % 3) for number in range(6)
+        }
         self.offline: set[str] = set()
         self.version = 1
         self.requests: dict[int, ExpectedRequest] = {}
         self.probes: list[EndpointId] = []
-        self.closed_attempts: list[tuple[int, int]] = []  # flows that are over: news of them come too late
+        self.closed_attempts: list[tuple[int, int]] = []  # reports on these come too late
         self.exited = False
-        known = MembershipUpdate(1, True, [self.listed(s) for s in self.entries])
-        self.engine = e.Engine(self.settings, LIMITS, seed, known, self.now_us)
+        self.steps_done = 0
+        membership = MembershipUpdate(1, True, [self.listed(endpoint_id) for endpoint_id in self.entries])
+        self.engine = Engine(self.settings, LIMITS, seed, membership, self.now_us)
         self.check_commands()
 
-    def listed(self, server: str) -> ListedEndpoint:
-        return ListedEndpoint(self.entries[server], f"127.0.0.1:{server[1:]}")
-
-    # ---- what may happen
+    def listed(self, endpoint_id: str) -> ListedEndpoint:
+        return ListedEndpoint(self.entries[endpoint_id], f"127.0.0.1:{endpoint_id[1:]}")
 
     def open_request(self) -> None:
-        number, rng = self.random.randrange(len(self.settings.classes)), self.random
-        budget = rng.choice([5_000, 200_000, 700_000, 2_000_000])
-        hint, flags = rng.choice([0, 50, 5000]), rng.choice([0, 1, 2, 16, 19])
-        wanted = RequestArrived(
+        number = self.random.randrange(len(self.settings.classes))
+        budget_us = self.random.choice([5_000, 200_000, 700_000, 2_000_000])
+        load_hint = self.random.choice([0, 50, 5000])
+        flags = self.random.choice([0, 1, 2, 16, 19])
+        arrival = RequestArrived(
             0,
             number,
-            key=rng.randrange(9),
-            time_budget_us=budget,
-            load_hint=hint,
-            group=rng.randrange(4),
+            key=self.random.randrange(9),
+            time_budget_us=budget_us,
+            load_hint=load_hint,
+            group=self.random.randrange(4),
             flags=flags,
         )
-        at = rng.choice([*self.entries, "nobody"]) if rng.random() < 0.1 else ""
-        due_us = self.now_us + (60_000_000 if at else budget)
-        client = ExpectedRequest(self.settings.classes[number], due_us, bool(at))
-        self.requests[self.engine.last_request_id + 1] = client
-        ident = f"{rng.randrange(40):x}" if rng.random() < 0.2 else ""
-        if ident in self.engine.context.request_id_by_client_id and ident:
-            assert not self.engine.request_opened(wanted, at, self.now_us, ident)
-            del self.requests[self.engine.last_request_id + 1]
+        endpoint_id = self.random.choice([*self.entries, "nobody"]) if self.random.random() < 0.1 else ""
+        deadline_us = self.now_us + (60_000_000 if endpoint_id else budget_us)
+        request_id = self.engine.last_request_id + 1
+        # the engine's commands are checked later, so the record may be there before its call
+        self.requests[request_id] = ExpectedRequest(
+            self.settings.classes[number], deadline_us, bool(endpoint_id)
+        )
+        client_id = f"{self.random.randrange(40):x}" if self.random.random() < 0.2 else ""
+        is_duplicate = client_id and client_id in self.engine.context.request_id_by_client_id
+        opened = self.engine.request_opened(arrival, endpoint_id, self.now_us, client_id)
+        if is_duplicate:
+            assert not opened
+            del self.requests[request_id]
         else:
-            assert self.engine.request_opened(wanted, at, self.now_us, ident)
+            assert opened
 
     def advance_attempt(self) -> None:
-        out = [(n, c) for n, c in self.requests.items() if c.in_flight is not None and not c.ended]
-        if not out:
+        in_flight = [
+            (request_id, request)
+            for request_id, request in self.requests.items()
+            if request.in_flight is not None and not request.ended
+        ]
+        if not in_flight:
             return
-        number, client = self.random.choice(out)
-        assert client.in_flight is not None
-        attempt, rng = client.in_flight.attempt, self.random
-        # what is not written yet has left a backend that was told to leave, or that has started anew
-        assert (
-            client.first_line_written
-            or client.resumed
-            or (
-                self.accepts_requests(client.in_flight.endpoint_id)
-                and client.endpoint_started_us == self.started_us(client.in_flight.endpoint_id)
-            )
-        )
-        if not client.first_line_written and rng.random() < 0.7:
-            client.first_line_written = True
-            self.engine.upstream_first_line_written(number, attempt, self.now_us)
-        elif client.first_line_written and not client.answer and rng.random() < 0.5:
-            assert self.engine.upstream_established(number, attempt, self.now_us)
+        request_id, request = self.random.choice(in_flight)
+        assert request.in_flight is not None
+        attempt = request.in_flight.attempt
+        self.check_unwritten_attempt(request, request.in_flight)
+        if not request.first_line_written and self.random.random() < 0.7:
+            request.first_line_written = True
+            self.engine.upstream_first_line_written(request_id, attempt, self.now_us)
+        elif request.first_line_written and not request.answer and self.random.random() < 0.5:
+            assert self.engine.upstream_established(request_id, attempt, self.now_us)
         else:
-            status = (
-                rng.choice(
-                    [AttemptStatus.ERROR, AttemptStatus.FULL, AttemptStatus.RESET, AttemptStatus.CANCELLED]
-                )
-                if client.first_line_written
-                else AttemptStatus.CONNECT_FAILED
-            )
-            if client.answer:
-                status = rng.choice([AttemptStatus.OK, AttemptStatus.RESET, AttemptStatus.CANCELLED])
-            client.may_have_executed |= status not in NOT_EXECUTED
-            client.executed_endpoint_id = (
-                client.in_flight.endpoint_id
-                if client.may_have_executed and client.executed_endpoint_id is None
-                else client.executed_endpoint_id
+            status = self.draw_status(request)
+            request.end_attempt(may_have_executed=status not in NOT_EXECUTED)
+            reset = self.random.random() < 0.5
+            self.engine.upstream_ended(request_id, attempt, status, (), reset, self.now_us)
+
+    def check_unwritten_attempt(self, request: ExpectedRequest, command: OpenUpstream) -> None:
+        """What is not written yet has been closed at an endpoint that drains, or that has started anew."""
+        if not request.first_line_written and not request.resumed:
+            assert self.accepts_requests(command.endpoint_id)
+            assert request.endpoint_started_us == self.started_us(command.endpoint_id)
+
+    def draw_status(self, request: ExpectedRequest) -> AttemptStatus:
+        status = AttemptStatus.CONNECT_FAILED
+        if request.first_line_written:
+            status = self.random.choice(
+                [AttemptStatus.ERROR, AttemptStatus.FULL, AttemptStatus.RESET, AttemptStatus.CANCELLED]
             )
-            client.in_flight, client.first_line_written = None, False
-            self.engine.upstream_ended(number, attempt, status, (), rng.random() < 0.5, self.now_us)
+        if request.answer:
+            status = self.random.choice([AttemptStatus.OK, AttemptStatus.RESET, AttemptStatus.CANCELLED])
+        return status
 
     def report_closed_attempt(self) -> None:
         if self.closed_attempts:
-            number, attempt = self.random.choice(self.closed_attempts)
+            request_id, attempt = self.random.choice(self.closed_attempts)
             before = len(self.engine.commands)
-            assert not self.engine.upstream_established(number, attempt, self.now_us)
-            self.engine.upstream_first_line_written(number, attempt, self.now_us)
-            self.engine.upstream_ended(number, attempt, AttemptStatus.OK, (), False, self.now_us)
+            assert not self.engine.upstream_established(request_id, attempt, self.now_us)
+            self.engine.upstream_first_line_written(request_id, attempt, self.now_us)
+            self.engine.upstream_ended(request_id, attempt, AttemptStatus.OK, (), False, self.now_us)
             assert len(self.engine.commands) == before
 
     def disconnect_client(self) -> None:
         if self.requests:
-            number = self.random.choice(list(self.requests))
-            client = self.requests[number]
-            self.engine.client_disconnected(number, self.random.random() < 0.5, self.now_us)
-            client.ended = client.ended or number not in self.engine.requests
-            client.answer = client.answer or "left"
+            request_id = self.random.choice(list(self.requests))
+            request = self.requests[request_id]
+            self.engine.client_disconnected(request_id, self.random.random() < 0.5, self.now_us)
+            request.ended = request.ended or request_id not in self.engine.requests
+            request.answer = request.answer or "disconnected"
 
     def end_probe(self) -> None:
         if self.probes:
-            server = self.probes.pop(self.random.randrange(len(self.probes)))
+            endpoint_id = self.probes.pop(self.random.randrange(len(self.probes)))
             status = self.random.choice(
                 [AttemptStatus.OK] * 6
                 + [
@@ -183,176 +213,206 @@
                     AttemptStatus.NOT_STARTED,
                 ]
             )
-            report = (
-                (float(self.random.randrange(30)), self.random.random() * 1.2)
-                if status == AttemptStatus.OK
-                else ()
-            )
-            self.engine.load_probe_ended(server, status, report, self.now_us)
+            load_report: tuple[float, ...] = ()
+            if status == AttemptStatus.OK:
+                load_report = (float(self.random.randrange(30)), self.random.random() * 1.2)
+            self.engine.load_probe_ended(endpoint_id, status, load_report, self.now_us)
 
     def update_membership(self) -> None:
         self.version += 1
-        some = self.random.sample(sorted(self.entries), self.random.randrange(1, 4))
-        for server in some:
-            was = self.entries[server]
-            state = self.random.choice(
-                [EndpointStatus.READY, EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED]
-            )
-            start = (
-                self.now_us - self.random.randrange(30_000_000)
-                if self.random.random() < 0.3
-                else was.started_us
-            )
-            self.entries[server] = replace(was, state=state, started_us=start)
-        whole = self.random.random() < 0.3
-        told = (
-            [s for s in self.entries if whole and self.entries[s].state != EndpointStatus.REMOVED]
-            if whole
-            else some
-        )
-        self.engine.endpoint_update_received(
-            MembershipUpdate(self.version, whole, [self.listed(s) for s in told]), self.now_us
-        )
+        changed = self.random.sample(sorted(self.entries), self.random.randrange(1, 4))
+        for endpoint_id in changed:
+            self.change_entry(endpoint_id)
+        complete = self.random.random() < 0.3
+        if complete:
+            changed = [
+                endpoint_id
+                for endpoint_id, entry in self.entries.items()
+                if entry.state != EndpointStatus.REMOVED
+            ]
+        update = MembershipUpdate(self.version, complete, [self.listed(changed_id) for changed_id in changed])
+        self.engine.endpoint_update_received(update, self.now_us)
         if self.random.random() < 0.3:
             self.engine.endpoint_watch_failed("the watch ended", self.now_us)
 
-    def override_endpoint(self) -> None:
-        server = self.random.choice(sorted(self.entries))
-        hand = self.engine.endpoint_list.overrides.with_override(
-            server, server not in self.offline, self.now_us
+    def change_entry(self, endpoint_id: str) -> None:
+        before = self.entries[endpoint_id]
+        state = self.random.choice(
+            [EndpointStatus.READY, EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED]
         )
-        self.offline ^= {server}
-        self.engine.apply_operator_overrides(hand, self.now_us)
+        started_us = before.started_us
+        if self.random.random() < 0.3:
+            started_us = self.now_us - self.random.randrange(30_000_000)
+        self.entries[endpoint_id] = replace(before, state=state, started_us=started_us)
+
+    def override_endpoint(self) -> None:
+        endpoint_id = self.random.choice(sorted(self.entries))
+        offline = endpoint_id not in self.offline
+        overrides = self.engine.endpoint_list.overrides.with_override(endpoint_id, offline, self.now_us)
+        self.offline ^= {endpoint_id}
+        self.engine.apply_operator_overrides(overrides, self.now_us)
 
     def reload(self) -> None:
         classes = self.random.sample(CLASSES, self.random.randrange(1, len(CLASSES) + 1))
-        most = self.random.randrange(1, MAX_ATTEMPTS + 1)
+        max_attempts = self.random.randrange(1, MAX_ATTEMPTS + 1)
         self.settings = replace(
-            self.settings, classes=classes, max_attempts=most, polls_endpoint_list=self.random.random() < 0.5
+            self.settings,
+            classes=classes,
+            max_attempts=max_attempts,
+            polls_endpoint_list=self.random.random() < 0.5,
         )
-        for client in self.requests.values():
-            client.max_attempts = max(client.attempts, most)
+        for request in self.requests.values():
+            request.max_attempts = max(request.attempts, max_attempts)
         self.engine.reload(self.settings, LIMITS, self.now_us)
 
-    def wait(self, wait_us: int = -1) -> None:
-        until = self.now_us + (self.random.choice([0, 1_000, 30_000, 300_000]) if wait_us < 0 else wait_us)
-        while self.engine.next_due() <= until:
+    def wait(self) -> None:
+        self.wait_us(self.random.choice([0, 1_000, 30_000, 300_000]))
+
+    def wait_us(self, wait_us: int) -> None:
+        until_us = self.now_us + wait_us
+        while self.engine.next_due() <= until_us:
             self.now_us = max(self.now_us, self.engine.next_due())
             self.engine.advance(self.now_us)
             self.check_commands()
-        self.now_us = until
+        self.now_us = until_us
+
+    def step(self) -> None:
+        self.random.choice(self.steps())()
+        self.check_commands()
+        self.steps_done += 1
+
+    def steps(self) -> list[Callable[[], None]]:
+        """What may happen next, each as often as it is likely."""
+        return (
+            [self.open_request] * 5
+            + [self.advance_attempt] * 12
+            + [self.disconnect_client] * 2
+            + [self.end_probe] * 6
+            + [self.update_membership] * 2
+            + [self.wait] * 8
+            + [self.report_closed_attempt, self.override_endpoint, self.reload]
+        )
 
-    # ---- what has to hold
+    def drain(self) -> None:
+        self.engine.drain(self.now_us, replaced=self.random.random() < 0.3)
 
     def check_commands(self) -> None:
         while self.engine.commands:
             command = self.engine.commands.popleft()
-            client = self.requests.get(getattr(command, "request_id", 0))
-            if isinstance(command, e.StartLoadProbe):
-                assert self.accepts_requests(command.endpoint_id) and command.endpoint_id not in self.probes
+            request = self.requests.get(getattr(command, "request_id", 0))
+            if isinstance(command, StartLoadProbe):
+                assert self.accepts_requests(command.endpoint_id)
+                assert command.endpoint_id not in self.probes
                 self.probes.append(command.endpoint_id)
-            elif isinstance(command, e.Exit):
+            elif isinstance(command, Exit):
                 self.exited = True
                 assert not self.engine.requests
-            elif client is not None:
-                getattr(self, type(command).__name__)(command, client)
-
-    def accepts_requests(self, server: EndpointId) -> bool:
-        return self.entries[str(server)].state == EndpointStatus.READY and server not in self.offline
-
-    def started_us(self, server: EndpointId) -> int:
-        return self.entries[str(server)].started_us
-
-    def OpenUpstream(self, command: e.OpenUpstream, client: ExpectedRequest) -> None:  # noqa: N802
-        assert not client.answer and client.in_flight is None and not self.exited
-        assert command.timeout_us > 0 and self.now_us + command.timeout_us <= client.deadline_us
-        client.in_flight, client.first_line_written, client.attempts = command, False, client.attempts + 1
-        client.endpoint_started_us = self.started_us(command.endpoint_id)
-        if client.resumed:
+            elif request is not None:
+                self.check_command(command, request)
+
+    def check_command(self, command: Command, request: ExpectedRequest) -> None:
+        match command:
+            case OpenUpstream():
+                self.check_attempt(command, request)
+            case CloseUpstream():
+                self.check_close(command, request)
+            case StartForwarding():
+                assert not request.answer
+                assert request.in_flight is not None
+                request.answer = "served"
+            case RejectClient():
+                assert not request.may_have_executed or request.request_class.is_idempotent_everywhere
+                self.check_final_answer(request, "rejected")
+            case FailClient():
+                self.check_final_answer(request, "failed")
+            case MigrateClient() | EndClient() | EndUpstream():
+                self.check_end(command, request)
+            case _:
+                raise AssertionError(f"a command of a request that is not checked: {command}")
+
+    def accepts_requests(self, endpoint_id: EndpointId) -> bool:
+        is_ready = self.entries[str(endpoint_id)].state == EndpointStatus.READY
+        return is_ready and endpoint_id not in self.offline
+
+    def started_us(self, endpoint_id: EndpointId) -> int:
+        return self.entries[str(endpoint_id)].started_us
+
+    def check_attempt(self, command: OpenUpstream, request: ExpectedRequest) -> None:
+        assert not request.answer
+        assert request.in_flight is None
+        assert not self.exited
+        assert command.timeout_us > 0
+        assert self.now_us + command.timeout_us <= request.deadline_us
+        request.in_flight = command
+        request.first_line_written = False
+        request.attempts += 1
+        request.endpoint_started_us = self.started_us(command.endpoint_id)
+        if request.resumed:
             assert command.endpoint_id not in self.offline
             return
-        assert client.attempts <= client.max_attempts and self.accepts_requests(command.endpoint_id)
-        if client.may_have_executed:
-            assert client.request_class.idempotency != "once"
-            if (
-                client.request_class.idempotency == "by_key"
-                and client.request_class.idempotency_scope != "all"
-            ):
-                here, first = (
-                    self.entries[str(s)] for s in (command.endpoint_id, client.executed_endpoint_id)
-                )
-                assert (here.zone if client.request_class.idempotency_scope == "zone" else here.cell) == (
-                    first.zone if client.request_class.idempotency_scope == "zone" else first.cell
-                )
-
-    def CloseUpstream(self, command: e.CloseUpstream, client: ExpectedRequest) -> None:  # noqa: N802
-        assert client.in_flight is not None and client.in_flight.attempt == command.attempt
-        client.may_have_executed |= client.first_line_written
-        client.executed_endpoint_id = (
-            client.in_flight.endpoint_id
-            if client.may_have_executed and client.executed_endpoint_id is None
-            else client.executed_endpoint_id
-        )
-        client.in_flight, client.first_line_written = None, False
+        assert request.attempts <= request.max_attempts
+        assert self.accepts_requests(command.endpoint_id)
+        if request.may_have_executed:
+            self.check_retry(command, request)
+
+    def check_retry(self, command: OpenUpstream, request: ExpectedRequest) -> None:
+        request_class = request.request_class
+        assert request_class.idempotency != "once"
+        if request_class.idempotency == "by_key" and request_class.idempotency_scope != "all":
+            retried = self.entries[str(command.endpoint_id)]
+            executed = self.entries[str(request.executed_endpoint_id)]
+            if request_class.idempotency_scope == "zone":
+                assert retried.zone == executed.zone
+            else:
+                assert retried.cell == executed.cell
+
+    def check_close(self, command: CloseUpstream, request: ExpectedRequest) -> None:
+        assert request.in_flight is not None
+        assert request.in_flight.attempt == command.attempt
+        request.end_attempt(may_have_executed=request.first_line_written)
         self.closed_attempts.append((command.request_id, command.attempt))
 
-    def StartForwarding(self, _: e.StartForwarding, client: ExpectedRequest) -> None:  # noqa: N802
-        assert not client.answer and client.in_flight is not None
-        client.answer = "served"
-
-    def check_final_answer(self, client: ExpectedRequest) -> None:
-        assert not client.answer and client.in_flight is None
-        assert client.resumed or self.now_us <= client.deadline_us + ANSWER_SLACK_US
-        client.ended = True
-
-    def RejectClient(self, _: e.RejectClient, client: ExpectedRequest) -> None:  # noqa: N802
-        assert not client.may_have_executed or client.request_class.is_idempotent_everywhere
-        self.check_final_answer(client)
-        client.answer = "rejected"
-
-    def FailClient(self, _: e.FailClient, client: ExpectedRequest) -> None:  # noqa: N802
-        self.check_final_answer(client)
-        client.answer = "failed"
-
-    def MigrateClient(self, _: e.MigrateClient, client: ExpectedRequest) -> None:  # noqa: N802
-        assert client.answer == "served" and not client.ended
-        client.ended, client.in_flight = True, None
-
-    def EndClient(self, _: e.EndClient, client: ExpectedRequest) -> None:  # noqa: N802
-        assert client.answer == "served" and client.in_flight is None
-        client.ended = True
-
-    def EndUpstream(self, command: e.EndUpstream, client: ExpectedRequest) -> None:  # noqa: N802
-        assert client.answer == "served" and client.in_flight is not None
-        client.ended, client.in_flight = True, None
+    def check_final_answer(self, request: ExpectedRequest, answer: str) -> None:
+        assert not request.answer
+        assert request.in_flight is None
+        assert request.resumed or self.now_us <= request.deadline_us + ANSWER_SLACK_US
+        request.ended = True
+        request.answer = answer
+
+    def check_end(self, command: MigrateClient | EndClient | EndUpstream, request: ExpectedRequest) -> None:
+        assert request.answer == "served"
+        match command:
+            case MigrateClient():
+                assert not request.ended
+            case EndClient():
+                assert request.in_flight is None
+            case EndUpstream():
+                assert request.in_flight is not None
+        request.ended = True
+        request.in_flight = None
+
+
+def play(run: RandomRun) -> None:
+    for _ in range(STEPS_BEFORE_DRAIN):
+        run.step()
+    run.drain()
+    for _ in range(STEPS_OF_DRAIN):
+        run.step()
+    for _ in range(40):
+        run.wait_us(100_000)
 
 
 @pytest.mark.parametrize("hundred", range(4))
 def test_the_invariants_hold_for_events_in_any_order(hundred: int) -> None:
     for seed in range(100 * hundred, 100 * hundred + 100):
-        day = RandomRun(seed)
-        likely = (
-            [day.open_request] * 5
-            + [day.advance_attempt] * 12
-            + [day.disconnect_client] * 2
-            + [day.end_probe] * 6
-        )
-        likely += (
-            [day.update_membership] * 2
-            + [day.wait] * 8
-            + [day.report_closed_attempt, day.override_endpoint, day.reload]
-        )
+        run = RandomRun(seed)
         try:
-            for step in range(300):
-                day.random.choice(likely)()
-                day.check_commands()
-                if step == 250:
-                    day.engine.drain(day.now_us, replaced=day.random.random() < 0.3)
-            for _ in range(40):
-                day.wait(100_000)
+            play(run)
         except AssertionError as error:
-            raise AssertionError(f"seed {seed}, at step {step}") from error
-        assert day.exited and not day.engine.requests
-        assert all(c.ended and c.in_flight is None for c in day.requests.values())
-        counts = day.engine.counters.counts
-        assert not counts["module_faults"] and not counts["overdue"]
+            raise AssertionError(f"seed {seed}, after step {run.steps_done}") from error
+        assert run.exited
+        assert not run.engine.requests
+        assert all(request.ended and request.in_flight is None for request in run.requests.values())
+        counts = run.engine.counters.counts
+        assert not counts["module_faults"]
+        assert not counts["overdue"]
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -41,7 +41,9 @@
 
 async def connection_awaiting_its_first_line(place: Place) -> ClientConnectionDriver:
     await place.until(lambda: bool(place.relay.runtime.descriptor_budget.awaiting_first_line))
-    return next(iter(place.relay.runtime.descriptor_budget.awaiting_first_line))
+    connection = next(iter(place.relay.runtime.descriptor_budget.awaiting_first_line))
+    assert isinstance(connection, ClientConnectionDriver)
+    return connection
 
 
 async def first_line_but_its_last_byte(place: Place) -> Peer:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -365,10 +365,8 @@
     await place.until(lambda: place.relay.engine.endpoint_list.version == 8)
     new.send(HEAD + told(9))
     await old.expect("end")
-    assert (
-        place.relay.engine.endpoint_list.version == 9
-        and place.relay.engine.endpoint_list.has_ready_endpoint()
-    )
+    assert place.relay.engine.endpoint_list.version == 9
+    assert place.relay.engine.endpoint_list.has_ready_endpoint()
 
 
 async def a_probe_of_an_endpoint_that_drains(place: Place) -> None:
@@ -390,7 +388,7 @@
     def fails(*_: object) -> None:
         raise KeyError("made to fail")
 
-    advance, relay.engine.advance = relay.engine.advance, fails  # type: ignore[method-assign]
+    advance, relay.engine.advance = relay.engine.advance, fails  # type: ignore[assignment,method-assign]
     relay.runtime.timers.wake.set()
     await place.until(lambda: relay.engine.counters.counts["driver_faults"] > 0)
     relay.engine.advance = advance  # type: ignore[method-assign]
@@ -454,6 +452,11 @@
     await played(Place(**QUICK | limits), crossing, capsys)
 
 
+async def read_for_ever(transport: Transport) -> None:
+    while True:
+        await transport.read()
+
+
 @pytest.mark.anyio
 async def test_an_endless_peer_does_not_starve_other_tasks() -> None:
     near, far = socket.socketpair()
@@ -473,8 +476,7 @@
         endpoint = Transport(Endless(fileno=near.detach()), Limits(), tasks.start_soon)
         tasks.start_soon(closes)
         with pytest.raises(OSError, match="closed here"):
-            while True:
-                await endpoint.read()
+            await read_for_ever(endpoint)
     far.close()
 
 
@@ -485,7 +487,7 @@
     refusals = [True, True, False]
 
     class Reluctant(socket.socket):
-        def send(self, data: bytes, flags: int = 0, /) -> int:
+        def send(self, data: bytes, flags: int = 0, /) -> int:  # type: ignore[override]
             if refusals and refusals.pop(0):
                 raise BlockingIOError
             return super().send(data, flags)
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -236,9 +236,8 @@
 def test_a_drain_stays_in_force_after(then: str, pushed: bool) -> None:
     script = "\n".join(f"c{n} send OPEN {n}a 0b c=plain,d=2000" for n in range(1, 6))
     world = play(f"{DRAIN_B1}\n{then}\n{script}", pushed=pushed)
-    assert {order.endpoint_id for order, _ in world.upstreams.values()} == {"b2"} and len(
-        world.upstreams
-    ) == 5
+    assert {order.endpoint_id for order, _ in world.upstreams.values()} == {"b2"}
+    assert len(world.upstreams) == 5
 
 
 def test_a_list_that_a_reload_makes_polled_is_polled() -> None:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The run-time guard: each rule is broken on purpose and caught, and what is allowed is not."""
+"""The run-time guard of the invariants: each violation is caught, and what is allowed is none."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 
 import pytest
 
+from gannetweir.core import WriteLogLine
 from gannetweir.core.invariants import InvariantGuard, InvariantRule, Violation
 from gannetweir.membership.endpoint_list import EndpointList
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
@@ -22,11 +23,11 @@
 
 
 class GuardedRequest:
-    """A guard over two cells of backends, and what it reported. Each call that is left out has a default."""
+    """A guard over endpoints in two cells with one request, and the violations that it reported."""
 
     def __init__(self, request_class: RequestClass = IDEMPOTENT, deadline_us: int = DEADLINE_US) -> None:
         self.endpoint_list = EndpointList()
-        entries = [EndpointEntry(f"b{n}", cell=n % 2) for n in range(4)]
+        entries = [EndpointEntry(f"b{number}", cell=number % 2) for number in range(4)]
         self.endpoint_list.apply(
             MembershipUpdate(1, True, [ListedEndpoint(entry, "127.0.0.1:1") for entry in entries]), 0
         )
@@ -47,7 +48,7 @@
         self.endpoint_list.apply(MembershipUpdate(2, False, [ListedEndpoint(entry, "127.0.0.1:1")]), 1)
 
     def retry_elsewhere(self, request_class: RequestClass, endpoint_id: str, now_us: int = 1000) -> None:
-        """One attempt at b0 that may have run, and a second one."""
+        """One attempt at b0 that may have executed, and a second one."""
         self.guard.request_opened(1, request_class, DEADLINE_US)
         self.start_attempt(0, "b0")
         self.close_attempt(0, True)
@@ -57,109 +58,114 @@
 Steps = Callable[[GuardedRequest], None]
 
 
-def overlapping_attempts(at: GuardedRequest) -> None:
-    at.start_attempt(0)
-    at.start_attempt(1, "b1")
+def overlapping_attempts(guarded: GuardedRequest) -> None:
+    guarded.start_attempt(0)
+    guarded.start_attempt(1, "b1")
 
 
-def two_answers(at: GuardedRequest) -> None:
-    at.guard.final_answer_written(1, True, 5)
-    at.guard.final_answer_written(1, False, 6)
+def two_answers(guarded: GuardedRequest) -> None:
+    guarded.guard.final_answer_written(1, True, 5)
+    guarded.guard.final_answer_written(1, False, 6)
 
 
-def attempt_after_the_answer(at: GuardedRequest) -> None:
-    at.guard.final_answer_written(1, False, 5)
-    at.start_attempt(0)
+def attempt_after_the_answer(guarded: GuardedRequest) -> None:
+    guarded.guard.final_answer_written(1, False, 5)
+    guarded.start_attempt(0)
 
 
-def attempt_after_the_client_disconnected(at: GuardedRequest) -> None:
-    at.guard.client_ended(1)
-    at.start_attempt(0)
+def attempt_after_the_client_disconnected(guarded: GuardedRequest) -> None:
+    guarded.guard.client_ended(1)
+    guarded.start_attempt(0)
 
 
-def attempt_at_a_draining_endpoint(at: GuardedRequest) -> None:
-    at.drain("b1")
-    at.start_attempt(0, "b1")
+def attempt_at_a_draining_endpoint(guarded: GuardedRequest) -> None:
+    guarded.drain("b1")
+    guarded.start_attempt(0, "b1")
 
 
-def established_connection_closed(at: GuardedRequest) -> None:
-    at.guard.final_answer_written(1, True, 5)
-    at.guard.client_connection_closed(1)
+def established_connection_closed(guarded: GuardedRequest) -> None:
+    guarded.guard.final_answer_written(1, True, 5)
+    guarded.guard.client_connection_closed(1)
 
 
 VIOLATIONS: list[tuple[InvariantRule, Steps]] = [
     (InvariantRule.OVERLAP, overlapping_attempts),
-    (InvariantRule.UNSAFE_REPEAT, lambda at: at.retry_elsewhere(NOT_IDEMPOTENT, "b1")),
-    (InvariantRule.UNSAFE_REPEAT, lambda at: at.retry_elsewhere(WITH_KEY, "b1")),  # another cell
+    (InvariantRule.UNSAFE_REPEAT, lambda guarded: guarded.retry_elsewhere(NOT_IDEMPOTENT, "b1")),
+    (InvariantRule.UNSAFE_REPEAT, lambda guarded: guarded.retry_elsewhere(WITH_KEY, "b1")),  # another cell
     (
         InvariantRule.UNSAFE_REPEAT,
-        lambda at: at.retry_elsewhere(WITH_KEY, "b2", 1_001_000),
+        lambda guarded: guarded.retry_elsewhere(WITH_KEY, "b2", 1_001_000),
     ),  # its window is over
-    (InvariantRule.TOO_MANY_ATTEMPTS, lambda at: at.start_attempt(0, max_attempts=0)),
+    (InvariantRule.TOO_MANY_ATTEMPTS, lambda guarded: guarded.start_attempt(0, max_attempts=0)),
     (InvariantRule.ENDPOINT_UNAVAILABLE, attempt_at_a_draining_endpoint),
-    (InvariantRule.ENDPOINT_UNAVAILABLE, lambda at: at.start_attempt(0, "unlisted")),
+    (InvariantRule.ENDPOINT_UNAVAILABLE, lambda guarded: guarded.start_attempt(0, "unlisted")),
     (InvariantRule.CLIENT_DISCONNECTED, attempt_after_the_client_disconnected),
     (InvariantRule.AFTER_ANSWER, attempt_after_the_answer),
     (InvariantRule.SECOND_ANSWER, two_answers),
-    (InvariantRule.LATE_ANSWER, lambda at: at.guard.final_answer_written(1, False, DEADLINE_US + 500_001)),
-    (InvariantRule.NO_ANSWER, lambda at: at.guard.client_connection_closed(1)),
-    (InvariantRule.NO_ANSWER, lambda at: at.guard.unread_connection_closed()),
+    (
+        InvariantRule.LATE_ANSWER,
+        lambda guarded: guarded.guard.final_answer_written(1, False, DEADLINE_US + 500_001),
+    ),
+    (InvariantRule.NO_ANSWER, lambda guarded: guarded.guard.client_connection_closed(1)),
+    (InvariantRule.NO_ANSWER, lambda guarded: guarded.guard.unread_connection_closed()),
     (InvariantRule.CUT_OFF, established_connection_closed),
-    (InvariantRule.DESCRIPTORS, lambda at: at.guard.check_descriptors(101, 100)),
+    (InvariantRule.DESCRIPTORS, lambda guarded: guarded.guard.check_descriptors(101, 100)),
 ]
 
 
 @pytest.mark.parametrize(("rule", "play"), VIOLATIONS)
 def test_a_violation_is_counted(rule: InvariantRule, play: Steps) -> None:
-    at = GuardedRequest()
-    play(at)
-    assert [violation.rule for violation in at.violations] == [rule] and at.guard.violations == 1
+    guarded = GuardedRequest()
+    play(guarded)
+    assert [violation.rule for violation in guarded.violations] == [rule]
+    assert guarded.guard.violations == 1
 
 
 def test_every_rule_has_a_case_that_violates_it() -> None:
     assert {rule for rule, _ in VIOLATIONS} == set(InvariantRule)
 
 
-def established_and_migrated(at: GuardedRequest) -> None:
-    at.start_attempt(0)
-    at.guard.final_answer_written(1, True, DEADLINE_US + 500_000)
-    at.guard.close_permitted(1)
-    at.guard.client_connection_closed(1)
+def established_and_migrated(guarded: GuardedRequest) -> None:
+    guarded.start_attempt(0)
+    guarded.guard.final_answer_written(1, True, DEADLINE_US + 500_000)
+    guarded.guard.close_permitted(1)
+    guarded.guard.client_connection_closed(1)
 
 
-def retried_after_a_rejection(at: GuardedRequest) -> None:
-    at.guard.request_opened(1, NOT_IDEMPOTENT, DEADLINE_US)
-    at.start_attempt(0)
-    at.close_attempt(0, False)  # it never ran, so any class may be tried again
-    at.start_attempt(1, "b1")
-    at.guard.final_answer_written(1, False, 5)
-    at.guard.client_connection_closed(1)
+def retried_after_a_rejection(guarded: GuardedRequest) -> None:
+    guarded.guard.request_opened(1, NOT_IDEMPOTENT, DEADLINE_US)
+    guarded.start_attempt(0)
+    guarded.close_attempt(0, False)  # it never executed, so any class may be retried
+    guarded.start_attempt(1, "b1")
+    guarded.guard.final_answer_written(1, False, 5)
+    guarded.guard.client_connection_closed(1)
 
 
-def resumed_at_a_draining_endpoint(at: GuardedRequest) -> None:
-    at.guard.request_opened(1, NOT_IDEMPOTENT, 0)
-    at.drain("b1")
-    at.start_attempt(0, "b1", max_attempts=0)
-    at.guard.final_answer_written(1, True, 10 * DEADLINE_US)
-    at.guard.client_ended(1)
-    at.guard.client_connection_closed(1)
+def resumed_at_a_draining_endpoint(guarded: GuardedRequest) -> None:
+    guarded.guard.request_opened(1, NOT_IDEMPOTENT, 0)
+    guarded.drain("b1")
+    guarded.start_attempt(0, "b1", max_attempts=0)
+    guarded.guard.final_answer_written(1, True, 10 * DEADLINE_US)
+    guarded.guard.client_ended(1)
+    guarded.guard.client_connection_closed(1)
 
 
 ALLOWED: list[Steps] = [
     established_and_migrated,
     retried_after_a_rejection,
     resumed_at_a_draining_endpoint,
-    lambda at: at.retry_elsewhere(WITH_KEY, "b2", 900_000),
-    lambda at: at.retry_elsewhere(IDEMPOTENT, "b1"),
-    lambda at: at.guard.check_descriptors(100, 100),
+    lambda guarded: guarded.retry_elsewhere(WITH_KEY, "b2", 900_000),
+    lambda guarded: guarded.retry_elsewhere(IDEMPOTENT, "b1"),
+    lambda guarded: guarded.guard.check_descriptors(100, 100),
 ]
 
 
 @pytest.mark.parametrize("play", ALLOWED)
 def test_allowed_steps_are_no_violation(play: Steps) -> None:
-    at = GuardedRequest()
-    play(at)
-    assert not at.violations and at.guard.violations == 0
+    guarded = GuardedRequest()
+    play(guarded)
+    assert not guarded.violations
+    assert guarded.guard.violations == 0
 
 
 def test_a_violation_is_logged_with_the_steps_of_its_request_and_counted() -> None:
@@ -167,9 +173,12 @@
     world.play("c1 send OPEN 0a 0b c=plain,d=2000\ntime wait 1")
     world.engine.guard.attempt_write_started(1, 0, "b1", world.now_us, 3)
     world.engine.guard.attempt_write_started(1, 1, "b2", world.now_us, 3)
-    line = next(c for c in world.engine.commands if getattr(c, "text", "") == "invariant violated")
-    assert line.fields["rule"] == InvariantRule.OVERLAP and line.fields["id"] == "0a"
-    assert "opened:plain" in str(line.fields["history"]) and "attempt@b" in str(line.fields["history"])
+    lines = [command for command in world.engine.commands if isinstance(command, WriteLogLine)]
+    line = next(line for line in lines if line.text == "invariant violated")
+    assert line.fields["rule"] == InvariantRule.OVERLAP
+    assert line.fields["id"] == "0a"
+    assert "opened:plain" in str(line.fields["history"])
+    assert "attempt@b" in str(line.fields["history"])
     assert world.engine.counters.counts["violations.overlap"] == 1
     assert world.engine.current_figures()["violations"] == 1
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -394,7 +394,8 @@
 )
 def test_a_malformed_first_line_fails_and_reaches_no_endpoint(raw: str) -> None:
     world = play(f"c1 raw {raw}")
-    assert world.peers["c1"].unread[-1] == "ERR" and not world.peer("c1/upstream").unread
+    assert world.peers["c1"].unread[-1] == "ERR"
+    assert not world.peer("c1/upstream").unread
     assert not world.engine.requests
 
 
