--- a/gannetweir/core/request_log.py
+++ b/gannetweir/core/request_log.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from gannetweir.core.reasons import Reason
-from gannetweir.observability.counters import OUTCOMES, Counters
+from gannetweir.observability.counters import OUTCOME_NAMES, Counters
 from gannetweir.placement.events import AttemptStatus, EndpointId
 
 MAX_EVENTS = 2048  # events: 0.7 MB, measured with ids of 32 characters
@@ -97,4 +97,4 @@
 
 def outcome_name(status: AttemptStatus) -> str:
     """Return the name of an attempt's outcome, as counters have it."""
-    return OUTCOMES.get(status, str(status))
+    return OUTCOME_NAMES.get(status, str(status))
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -57,7 +57,7 @@
         self.standard_error = standard_error()
         count_dropped = partial(self.engine.counters.add, "log_lines_dropped")
         log = Log(
-            config.name, config.limits.log_lines_per_s, log_form, self.standard_error, dropped=count_dropped
+            config.name, config.limits.log_lines_per_s, log_form, self.standard_error, on_drop=count_dropped
         )
         self.runtime = RelayRuntime(config, clock, self.engine, log, self.handover)
         self.clients = ClientRegistry(self.runtime)
@@ -88,7 +88,7 @@
             "descriptors": descriptors.open,
             "descriptors_most": descriptors.peak,
         }
-        line = self.engine.counters.line(**figures, **self.engine.current_figures())
+        line = self.engine.counters.to_json(**figures, **self.engine.current_figures())
         with contextlib.suppress(OSError):  # nobody reads them any more: no reason to fail
             self.standard_error.write(f"{line}\n")
             self.standard_error.flush()
@@ -182,7 +182,7 @@
         route_admission=make_route_admission(config, None),
         address_rules=config.address_rules,
         trace=trace,
-        request_trace=trace.request if trace is not None else None,
+        request_trace=trace.record_request if trace is not None else None,
         wall_clock_ahead_us=time.time_ns() // 1000 - clock(),
     )
 
--- a/gannetweir/observability/counters.py
+++ b/gannetweir/observability/counters.py
@@ -8,7 +8,7 @@
 
 from gannetweir.placement.events import AttemptStatus
 
-OUTCOMES: dict[int, str] = {
+OUTCOME_NAMES: dict[int, str] = {
     AttemptStatus.OK: "ok",
     AttemptStatus.ERROR: "error",
     AttemptStatus.FULL: "full",
@@ -26,10 +26,10 @@
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
-    def add(self, what: str, status: int = 0) -> None:
+    def add(self, name: str, status: int = 0) -> None:
         """Count one; a status is counted under its name."""
-        self.counts[f"{what}.{OUTCOMES.get(status, status)}" if status else what] += 1
+        self.counts[f"{name}.{OUTCOME_NAMES.get(status, status)}" if status else name] += 1
 
-    def line(self, **present: int) -> str:
+    def to_json(self, **figures: int) -> str:
         """One line of JSON: the counts so far, and figures of this moment."""
-        return orjson.dumps({**self.counts, **present}, option=orjson.OPT_SORT_KEYS).decode()
+        return orjson.dumps({**self.counts, **figures}, option=orjson.OPT_SORT_KEYS).decode()
--- a/gannetweir/observability/standard_error.py
+++ b/gannetweir/observability/standard_error.py
@@ -14,7 +14,7 @@
 import sys
 from typing import Protocol, TextIO
 
-PIECE_BYTES = 4096  # PIPE_BUF: a pipe takes so much whole or not at all
+ATOMIC_WRITE_BYTES = 4096  # PIPE_BUF: a pipe takes so much whole or not at all
 
 
 class LineWriter(Protocol):
@@ -29,41 +29,41 @@
     """Writes to a descriptor. Raises `OSError` for what could not be written, at once."""
 
     def __init__(self, descriptor: int) -> None:
-        self.descriptor = _non_blocking(descriptor)
-        self._cut = False  # the last line went out in part
+        self._descriptor = _reopen_non_blocking(descriptor)
+        self._is_line_incomplete = False  # the last line went out in part
 
     def write(self, text: str) -> int:
         """Write text, whole lines as a rule."""
         return self.write_bytes(text.encode())
 
-    def write_bytes(self, data: bytes, wait_ms: int = 0) -> int:
+    def write_bytes(self, data: bytes, timeout_ms: int = 0) -> int:
         """Write bytes. `wait_ms`: how long to wait for room, in all."""
-        data = b"\n" + data if self._cut else data
-        for at in range(0, len(data), PIECE_BYTES):
+        data = b"\n" + data if self._is_line_incomplete else data
+        for offset in range(0, len(data), ATOMIC_WRITE_BYTES):
             try:
-                self._write_piece(data[at : at + PIECE_BYTES], wait_ms)
+                self._write_chunk(data[offset : offset + ATOMIC_WRITE_BYTES], timeout_ms)
             except OSError:
-                self._cut = self._cut or at > 0
+                self._is_line_incomplete = self._is_line_incomplete or offset > 0
                 raise
-        self._cut = False
+        self._is_line_incomplete = False
         return len(data)
 
-    def _write_piece(self, piece: bytes, wait_ms: int) -> None:
-        while piece:
-            if not self._has_room(wait_ms):
+    def _write_chunk(self, chunk: bytes, timeout_ms: int) -> None:
+        while chunk:
+            if not self._is_writable(timeout_ms):
                 raise BlockingIOError(errno.EAGAIN, "nobody reads standard error")
-            piece = piece[os.write(self.descriptor, piece) :]
+            chunk = chunk[os.write(self._descriptor, chunk) :]
 
-    def _has_room(self, wait_ms: int) -> bool:
+    def _is_writable(self, timeout_ms: int) -> bool:
         poll = select.poll()
-        poll.register(self.descriptor, select.POLLOUT)
-        return bool(poll.poll(wait_ms))
+        poll.register(self._descriptor, select.POLLOUT)
+        return bool(poll.poll(timeout_ms))
 
     def flush(self) -> None:
         """Nothing is kept back."""
 
 
-def _non_blocking(descriptor: int) -> int:
+def _reopen_non_blocking(descriptor: int) -> int:
     """The same pipe by a descriptor of its own that never waits; any other kind as it is."""
     if stat.S_ISFIFO(os.fstat(descriptor).st_mode):
         try:
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -59,7 +59,7 @@
         settings(polls_endpoint_list=True, load_probes_enabled=False, load_report_source="none"),
     )
     trace = Trace("n3", told, file)
-    run = Engine(told, Limits(), 1, POOL, 0, request_trace=trace.request)
+    run = Engine(told, Limits(), 1, POOL, 0, request_trace=trace.record_request)
     number = run.request_opened(RequestArrived(0, time_budget_us=SECOND), None, 5, "7f3a")
     run.client_disconnected(number, False, 9)
     steps = [line for line in map(orjson.loads, file.getvalue().splitlines()) if "step" in line]
