--- a/gannetweir/observability/counters.py
+++ b/gannetweir/observability/counters.py
@@ -1,4 +1,4 @@
-"""What the relay took in, sent and answered, for the people on call."""
+"""Counters of what the relay has received, sent and answered, for the people on call."""
 
 from __future__ import annotations
 
@@ -21,15 +21,20 @@
 
 
 class Counters:
-    """Named counts. A name is `what` or `what.outcome`."""
+    """Counts since the start of the process. A name is `NAME`, or `NAME.OUTCOME` where outcomes differ.
+
+    Every part of the relay may add to them; nothing is ever reset.
+    """
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str, status: int = 0) -> None:
-        """Count one; a status is counted under its name."""
-        self.counts[f"{name}.{OUTCOME_NAMES.get(status, status)}" if status else name] += 1
+        """Count one; with a status, under the name and that outcome."""
+        if status:
+            name = f"{name}.{OUTCOME_NAMES.get(status, status)}"
+        self.counts[name] += 1
 
     def to_json(self, **figures: int) -> str:
-        """One line of JSON: the counts so far, and figures of this moment."""
+        """One line of JSON: the counts so far, and figures of this moment, in the order of their names."""
         return orjson.dumps({**self.counts, **figures}, option=orjson.OPT_SORT_KEYS).decode()
--- a/gannetweir/observability/logs.py
+++ b/gannetweir/observability/logs.py
@@ -1,13 +1,13 @@
-"""Log lines on `structlog`: plain text or JSON, with fields, bounded a second, what was dropped counted."""
+"""Log lines on `structlog`: plain text or JSON, with fields; limited in rate, with dropped lines counted."""
 
 from __future__ import annotations
 
 import time
-from collections.abc import Callable, MutableMapping
-from typing import Any
+from collections.abc import Callable
 
 import orjson
 import structlog
+from structlog.typing import EventDict, Processor
 
 from gannetweir.observability.standard_error import LineWriter, standard_error
 
@@ -16,16 +16,20 @@
 MAX_CHARACTERS = 400  # of a text or a value: some of them come from peers
 
 
-def _printable(value: Any) -> Any:
+def _printable(value: object) -> object:
+    """The value, or its text without what could forge a line or control the terminal of who reads it."""
     if isinstance(value, bool | int | float) or value is None:
         return value
-    # a peer's control characters could forge a line, or speak to the terminal of who reads it
     text = str(value)[:MAX_CHARACTERS].encode("ascii", "backslashreplace").decode()
-    return "".join(c if " " <= c <= "~" else " " for c in text)[:MAX_CHARACTERS]
+    printable = "".join(character if " " <= character <= "~" else " " for character in text)
+    return printable[:MAX_CHARACTERS]
 
 
 class Log:
-    """Writes to standard error. Call it with a text and the fields that it is about."""
+    """Writes lines to standard error. Call it with a text, and with the fields that the line is about.
+
+    Owns the count of the lines of this second and of those dropped since the last line that was written.
+    """
 
     def __init__(
         self,
@@ -36,47 +40,64 @@
         clock: Callable[[], float] = time.monotonic,
         on_drop: Callable[[], None] = lambda: None,
     ) -> None:
-        self.relay, self._lines_per_s, self._clock, self._on_drop = relay, lines_per_s, clock, on_drop
-        self._current_second, self._lines_left, self._dropped_count = -1, lines_per_s, 0
-        form_of = self._render_plain if form == PLAIN else self._render_json
-        stamp: list[Any] = [] if form == PLAIN else [structlog.processors.TimeStamper(fmt="iso", utc=True)]
+        """`relay`: its name, which stands in every line. `form`: one of `FORMS`. `on_drop` is called for each
+        line that is dropped.
+        """
+        self.relay = relay
+        self._lines_per_s = lines_per_s
+        self._clock = clock
+        self._on_drop = on_drop
+        self._current_second = -1
+        self._remaining_lines = lines_per_s
+        self._dropped_count = 0
         self._logger = structlog.wrap_logger(
             structlog.WriteLogger(file or standard_error()),  # type: ignore[arg-type]
-            processors=[self._limit_rate, self._sanitize, *stamp, form_of],
+            processors=self._processors(form),
             cache_logger_on_first_use=True,
         )
 
-    def __call__(self, text: str, **about: object) -> None:
-        """One line. `cls` is written as `class`, which can't be a name here."""
-        if "cls" in about:
-            about["class"] = about.pop("cls")
+    def _processors(self, form: str) -> list[Processor]:
+        if form == PLAIN:
+            return [self._limit_rate, self._sanitize, self._render_plain]
+        time_stamper = structlog.processors.TimeStamper(fmt="iso", utc=True)
+        return [self._limit_rate, self._sanitize, time_stamper, self._render_json]
+
+    def __call__(self, text: str, **fields: object) -> None:
+        """Write one line. The field `cls` is written as `class`, which can't be a name here. Raises nothing:
+        a line that can't be written is dropped and counted.
+        """
+        if "cls" in fields:
+            fields["class"] = fields.pop("cls")
         try:
-            self._logger.info(text, **about)
+            self._logger.info(text, **fields)
         except OSError:  # its reader has gone, or the disk is full: that must not end the relay
             self._dropped_count += 1
             self._on_drop()
 
-    def _limit_rate(self, _: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-        """A rush of lines must not slow the relay down, nor fill what keeps them."""
+    def _limit_rate(self, _logger: object, _method: str, event: EventDict) -> EventDict:
+        """Drop what is over the rate: a rush of lines must not slow the relay down, nor fill the disk."""
         second = int(self._clock())
         if second != self._current_second:
-            self._current_second, self._lines_left = second, self._lines_per_s
+            self._current_second = second
+            self._remaining_lines = self._lines_per_s
             if self._dropped_count:
-                event["dropped"], self._dropped_count = self._dropped_count, 0  # in the lines before this one
-        self._lines_left -= 1
-        if self._lines_left < 0:
+                event["dropped"] = self._dropped_count  # between this line and the one before it
+                self._dropped_count = 0
+        self._remaining_lines -= 1
+        if self._remaining_lines < 0:
             self._dropped_count += 1
             self._on_drop()
             raise structlog.DropEvent
         return event
 
     @staticmethod
-    def _sanitize(_: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+    def _sanitize(_logger: object, _method: str, event: EventDict) -> EventDict:
+        """Leave out empty fields, and make the others safe to print."""
         return {key: _printable(value) for key, value in event.items() if value != ""}
 
-    def _render_plain(self, _: Any, __: str, event: MutableMapping[str, Any]) -> str:
+    def _render_plain(self, _logger: object, _method: str, event: EventDict) -> str:
         text = event.pop("event")
         return " ".join([f"{self.relay}: {text}", *(f"{key}={value}" for key, value in event.items())])
 
-    def _render_json(self, _: Any, __: str, event: MutableMapping[str, Any]) -> str:
+    def _render_json(self, _logger: object, _method: str, event: EventDict) -> str:
         return orjson.dumps({"relay": self.relay, **event}).decode()
--- a/gannetweir/observability/trace.py
+++ b/gannetweir/observability/trace.py
@@ -1,12 +1,13 @@
-"""What the decision module heard and answered, a JSON line an event, to be counted over many relays.
+"""The trace of placement: what the balancer was given and what it decided, one JSON line an event.
 
-Off unless `serve --trace` asks for it. Nothing here decides anything.
+Off unless `serve --trace` asks for it; nothing is decided here. The first line describes the relay. The keys
+of the others: `t` the time in microseconds, `n` the relay, `on` the event's type, `is` the event, `do` the
+actions. A step of a request has the fields of `RequestEvent` in place of these, after `n`.
 """
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-from typing import Any
+from collections.abc import Mapping, Sequence
 
 import orjson
 
@@ -16,15 +17,16 @@
 from gannetweir.placement.events import Event, TimerExpired
 from gannetweir.placement.settings import Settings
 
-WRITE_TIMEOUT_MS = 20  # a reader that has no room for so long ends the trace
+WRITE_TIMEOUT_MS = 20  # the relay stands still for as long; a reader that takes longer ends the trace
 
 
 class Trace:
     """Writes each line to `file` at once. What can't be written ends the trace, not the relay."""
 
     def __init__(self, relay: str, settings: Settings, file: LineWriter) -> None:
-        self._relay, self._file = relay, file
         self.is_enabled = True
+        self._relay = relay
+        self._file = file
         self._write(
             {
                 "relay": relay,
@@ -36,17 +38,17 @@
         )
 
     def __call__(self, now_us: int, event: Event, actions: Sequence[Action]) -> None:
-        """One event and its actions. A timer that led to nothing but the next timer is left out."""
-        if isinstance(event, TimerExpired) and all(isinstance(a, SetTimer) for a in actions):
+        """Record one event and its actions. A timer that led to nothing but the next timer is left out."""
+        if isinstance(event, TimerExpired) and all(isinstance(action, SetTimer) for action in actions):
             return
-        outcome = [[type(a).__name__, a] for a in actions if not isinstance(a, SetTimer)]
+        outcome = [[type(action).__name__, action] for action in actions if not isinstance(action, SetTimer)]
         self._write({"t": now_us, "n": self._relay, "on": type(event).__name__, "is": event, "do": outcome})
 
     def record_request(self, event: RequestEvent) -> None:
-        """One step of a request, as the engine records it."""
+        """Record one step of a request."""
         self._write({"n": self._relay, **event._asdict()})
 
-    def _write(self, line: dict[str, Any]) -> None:
+    def _write(self, line: Mapping[str, object]) -> None:
         if not self.is_enabled:
             return
         try:
@@ -56,5 +58,5 @@
             else:
                 self._file.write(text.decode())
                 self._file.flush()
-        except (OSError, TypeError):  # a full disk, a reader that left; a value that JSON has no form for
+        except (OSError, TypeError):  # a full disk, a reader that has gone; a value that JSON has no form for
             self.is_enabled = False
