--- a/tests/test_standard_error.py
+++ b/tests/test_standard_error.py
@@ -1,4 +1,4 @@
-"""Standard error that nobody reads holds nothing up: neither requests nor signals nor the exit."""
+"""Standard error that nobody reads blocks nothing: neither requests nor signals nor the exit."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 from tests.place import Place
 
-SMALLEST_PIPE = 4096
-PRINTED = 150  # lines of counters: several times what fits
+SMALLEST_PIPE_BYTES = 4096
+COUNTER_LINES = 150  # several times what fits into the pipe
 
 
 def test_a_relay_serves_and_exits_though_nobody_reads_its_standard_error(tmp_path: Path) -> None:
@@ -30,18 +30,18 @@
     }
     (tmp_path / "config.json").write_bytes(orjson.dumps(config))
     read, write = os.pipe()
-    fcntl.fcntl(write, fcntl.F_SETPIPE_SZ, SMALLEST_PIPE)
+    fcntl.fcntl(write, fcntl.F_SETPIPE_SZ, SMALLEST_PIPE_BYTES)
     env = {**os.environ, "RELAY_CONFIG": str(tmp_path / "config.json")}
     command = [sys.executable, "-m", "gannetweir", "serve", "--trace"]
     process = subprocess.Popen(command, env=env, stderr=write)
     os.close(write)
     try:
-        assert ask(port, b"PING\r\n", 10.0) == b"PONG\r\n"
-        for _ in range(PRINTED):
+        assert answer_of(port, b"PING\r\n", 10.0) == b"PONG\r\n"
+        for _ in range(COUNTER_LINES):
             process.send_signal(signal.SIGUSR1)
             time.sleep(0.002)  # signals of one kind are merged while they wait
-        assert ask(port, b"PING\r\n", 2.0) == b"PONG\r\n"
-        assert ask(port, b"OPEN 0a 0b c=plain,d=200\r\n", 2.0).startswith(b"BUSY")
+        assert answer_of(port, b"PING\r\n", 2.0) == b"PONG\r\n"
+        assert answer_of(port, b"OPEN 0a 0b c=plain,d=200\r\n", 2.0).startswith(b"BUSY")
         process.send_signal(signal.SIGTERM)
         assert process.wait(3.7) == 0
     finally:
@@ -50,8 +50,8 @@
         os.close(read)
 
 
-def ask(port: int, line: bytes, within_s: float) -> bytes:
-    """What a relay answers; a relay that does not listen yet is asked again."""
+def answer_of(port: int, line: bytes, within_s: float) -> bytes:
+    """What a relay answers to a line; until it listens, the connect is retried."""
     give_up = time.monotonic() + within_s
     while True:
         try:
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace of the decisions: what it holds, and that it never stands in their way."""
+"""The trace of placement: what it records, and that it never stops the relay."""
 
 import io
 
@@ -12,60 +12,59 @@
 from gannetweir.placement.events import ClientDisconnected, EndpointEntry, RequestArrived
 from tests.helpers import SECOND, settings
 
-POOL = MembershipUpdate(1, True, [ListedEndpoint(EndpointEntry("a"), "127.0.0.1:1")])
+KNOWN_ENDPOINTS = MembershipUpdate(1, True, [ListedEndpoint(EndpointEntry("a"), "127.0.0.1:1")])
 
 
-def engine(file: io.StringIO) -> Engine:
-    told = settings(polls_endpoint_list=True)
-    return Engine(told, Limits(), 1, POOL, 0, trace=Trace("n3", told, file))
+def traced_engine(file: io.StringIO) -> Engine:
+    relay_settings = settings(polls_endpoint_list=True)
+    return Engine(relay_settings, Limits(), 1, KNOWN_ENDPOINTS, 0, trace=Trace("n3", relay_settings, file))
 
 
-def test_every_event_and_what_it_led_to_is_a_line_but_for_timers_that_led_to_nothing() -> None:
+def test_every_event_with_its_actions_is_a_line_but_for_timers_without_actions() -> None:
     file = io.StringIO()
-    run = engine(file)
+    engine = traced_engine(file)
     for second in range(1, 6):
-        run.advance(second * SECOND)
+        engine.advance(second * SECOND)
     head, first, *rest = [orjson.loads(line) for line in file.getvalue().splitlines()]
-    assert head["relay"] == "n3" and head["classes"][0]["name"] == "plain"
+    assert head["relay"] == "n3"
+    assert head["classes"][0]["name"] == "plain"
     assert (first["on"], first["n"], first["t"]) == ("EndpointListUpdate", "n3", 0)
-    assert (
-        first["is"]["entries"][0]["endpoint_id"] == "a" and ["ProbeLoad", {"endpoint_id": "a"}] in first["do"]
-    )
+    assert first["is"]["entries"][0]["endpoint_id"] == "a"
+    assert ["ProbeLoad", {"endpoint_id": "a"}] in first["do"]
     assert [line["do"] for line in rest if line["on"] == "TimerExpired"] == [
         [["WatchEndpoints", {"enabled": 1}]]
     ]
 
 
-class Broken(io.StringIO):
+class BrokenPipe(io.StringIO):
     def write(self, _: object) -> int:
         raise BrokenPipeError
 
 
-@pytest.mark.parametrize("file", [Broken(), io.StringIO()])
+@pytest.mark.parametrize("file", [BrokenPipe(), io.StringIO()], ids=["broken pipe", "no JSON form"])
 def test_what_can_not_be_written_ends_the_trace_and_nothing_else(file: io.StringIO) -> None:
-    run = engine(file)
-    assert run.dispatcher.trace is not None
-    run.dispatcher.trace(0, ClientDisconnected(1 << 70), [])  # JSON has no form for it
+    engine = traced_engine(file)
+    assert engine.dispatcher.trace is not None
+    engine.dispatcher.trace(0, ClientDisconnected(1 << 70), [])  # JSON has no form for it
     length = len(file.getvalue())
     for second in range(1, 6):
-        run.advance(second * SECOND)
-    assert any(isinstance(command, SetEndpointWatch) for command in run.commands)
+        engine.advance(second * SECOND)
+    assert any(isinstance(command, SetEndpointWatch) for command in engine.commands)
     assert len(file.getvalue()) == length
 
 
 def test_every_step_of_a_request_is_a_line_with_the_client_s_id() -> None:
-    file, told = (
-        io.StringIO(),
-        settings(polls_endpoint_list=True, load_probes_enabled=False, load_report_source="none"),
-    )
-    trace = Trace("n3", told, file)
-    run = Engine(told, Limits(), 1, POOL, 0, request_trace=trace.record_request)
-    number = run.request_opened(RequestArrived(0, time_budget_us=SECOND), None, 5, "7f3a")
-    run.client_disconnected(number, False, 9)
+    file = io.StringIO()
+    relay_settings = settings(polls_endpoint_list=True, load_probes_enabled=False, load_report_source="none")
+    trace = Trace("n3", relay_settings, file)
+    engine = Engine(relay_settings, Limits(), 1, KNOWN_ENDPOINTS, 0, request_trace=trace.record_request)
+    request_id = engine.request_opened(RequestArrived(0, time_budget_us=SECOND), None, 5, "7f3a")
+    engine.client_disconnected(request_id, False, 9)
     steps = [line for line in map(orjson.loads, file.getvalue().splitlines()) if "step" in line]
     assert [(line["at_us"], line["client_request_id"], line["step"]) for line in steps] == [
         (5, "7f3a", "opened"),
         (5, "7f3a", "attempt"),
         (9, "7f3a", "closed"),
     ]
-    assert steps[-1]["reason"] == "client_ended" and steps[1]["endpoint_id"] == "a"
+    assert steps[-1]["reason"] == "client_ended"
+    assert steps[1]["endpoint_id"] == "a"
