--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -75,8 +75,11 @@
 def refused(found: list[FollowerEvent], reason: Reason, was: Follower) -> None:
     """One NACK with the reason, and the last good version as it was."""
     (nack,) = found
-    assert isinstance(nack, Nack) and nack.reason == reason and nack.applied == version(5, OLD)
-    assert was.applied_version == version(5, OLD) and was.applied.entries == Content(OLD).entries
+    assert isinstance(nack, Nack)
+    assert nack.reason == reason
+    assert nack.applied == version(5, OLD)
+    assert was.applied_version == version(5, OLD)
+    assert was.applied.entries == Content(OLD).entries
 
 
 @pytest.mark.parametrize("budget", [1, 2, 500])
@@ -87,9 +90,11 @@
     f = follower()
     found = give(f, cut(version(7, NEW), base, parts), budget)
     applied = [event for event in found if isinstance(event, ApplyEntries)]
-    assert all(len(event.entries) <= budget for event in applied) and applied[-1].completes_version
+    assert all(len(event.entries) <= budget for event in applied)
+    assert applied[-1].completes_version
     assert {e.key for event in applied for e in event.entries} == {"b", "c", "d"}
-    assert found[-1] == Ack(M, version(7, NEW)) and f.applied.entries == Content(NEW).entries
+    assert found[-1] == Ack(M, version(7, NEW))
+    assert f.applied.entries == Content(NEW).entries
 
 
 def test_a_relay_started_in_the_middle_of_a_change_takes_the_delta_on_its_known_list() -> None:
@@ -138,7 +143,9 @@
 def test_an_older_epoch_is_turned_down_and_a_later_one_may_count_anew() -> None:
     f = Follower(M, NoCheck(), OLD, 5, epoch=3)
     (nack,) = give(f, cut(version(9, NEW, epoch=2), None, [NEW]))
-    assert isinstance(nack, Nack) and nack.reason == Reason.OLDER and f.applied_version.number == 5
+    assert isinstance(nack, Nack)
+    assert nack.reason == Reason.OLDER
+    assert f.applied_version.number == 5
     assert give(f, cut(version(2, NEW, epoch=4), None, [NEW]))[-1] == Ack(M, version(2, NEW, epoch=4))
 
 
@@ -146,7 +153,8 @@
     f = follower()
     assert f.receive(cut(version(9, NEW), None, [NEW[:1], NEW[1:]])[0]) == []
     (nack,) = f.receive(cut(version(8, OLD), None, [OLD])[0])  # while 9 comes in
-    assert isinstance(nack, Nack) and nack.reason == Reason.OLDER
+    assert isinstance(nack, Nack)
+    assert nack.reason == Reason.OLDER
     assert give(f, cut(version(9, NEW), None, [NEW[:1], NEW[1:]])[1:])[-1] == Ack(M, version(9, NEW))
 
 
@@ -215,11 +223,9 @@
     answer = give(f, parts)[-1]
     assert isinstance(answer, Nack if wrong else Ack)
     if isinstance(answer, Nack):
-        assert (
-            answer.reason == Reason.CHECK
-            and wrong in answer.detail
-            and f.applied.digest == version(1, held).digest
-        )
+        assert answer.reason == Reason.CHECK
+        assert wrong in answer.detail
+        assert f.applied.digest == version(1, held).digest
 
 
 def test_zones_by_which_the_held_list_is_counted_stay() -> None:
@@ -247,12 +253,14 @@
 def test_a_machines_loss_moves_only_its_relays_and_spreads_them() -> None:
     homes = {f"r{n}": MachineSelector(f"r{n}", MACHINES, lambda: 1.0) for n in range(1500)}
     counts = [sum(h.machine == m for h in homes.values()) for m in MACHINES]
-    assert sum(counts) == 1500 and max(counts) < 140
+    assert sum(counts) == 1500
+    assert max(counts) < 140
     moved = [h for h in homes.values() if h.machine == "c3"]
     for home in moved:
         home.record_failure()
     others = {m: sum(h.machine == m for h in moved) for m in MACHINES}
-    assert others["c3"] == 0 and max(others.values()) < 25
+    assert others["c3"] == 0
+    assert max(others.values()) < 25
     assert all(home.return_to_first_choice() and home.machine == "c3" for home in moved)
 
 
@@ -263,8 +271,10 @@
     assert (
         silent + waits[0] + CALL_TIMEOUT_US + waits[1] + CALL_TIMEOUT_US <= 6_000_000
     )  # two dead machines in a row
-    assert CALL_TIMEOUT_US + max(waits) + CALL_TIMEOUT_US <= 6_000_000 and max(waits) == MAX_BACKOFF_US
-    assert waits[0] == FIRST_BACKOFF_US and MachineSelector("r", MACHINES, lambda: 0.0).record_failure() == 0
+    assert CALL_TIMEOUT_US + max(waits) + CALL_TIMEOUT_US <= 6_000_000
+    assert max(waits) == MAX_BACKOFF_US
+    assert waits[0] == FIRST_BACKOFF_US
+    assert MachineSelector("r", MACHINES, lambda: 0.0).record_failure() == 0
     longest.record_success()
     assert longest.record_failure() == FIRST_BACKOFF_US
 
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -74,7 +74,8 @@
     assert (part.base, part.target) == (2, source.version)
     assert set(part.entries) == {Entry("s0", b"49"), Entry("s1", None)}
     p.record_answer("r", Ack(M, source.version))
-    assert sent(p) == [] and status_report(p).lowest == source.version.number
+    assert sent(p) == []
+    assert status_report(p).lowest == source.version.number
 
 
 def test_without_a_base_it_is_a_snapshot_in_slices_of_bounded_size() -> None:
@@ -87,7 +88,8 @@
             continue
         p.subscribe("r", held)
         parts = sent(p)
-        assert [part.index for part in parts] == list(range(len(parts))) and parts[0].count == len(parts) > 1
+        assert [part.index for part in parts] == list(range(len(parts)))
+        assert parts[0].count == len(parts) > 1
         assert all(part.base is None for part in parts)
         assert all(
             sum(len(e.key) + len(e.body or b"") for e in part.entries) <= SLICE_BYTES for part in parts
@@ -116,7 +118,8 @@
     source = Source()
     with pytest.raises(RejectedError) as error:
         source.publisher.publish(Change(version, {"s0": b"1"}))
-    assert error.value.reason == reason and source.publisher.newest == source.version
+    assert error.value.reason == reason
+    assert source.publisher.newest == source.version
 
 
 def test_a_refused_version_is_not_sent_again_and_a_lost_base_is_mended_by_a_snapshot_once() -> None:
@@ -126,7 +129,8 @@
     second = source.change(s0=b"1")
     sent(p)
     p.record_answer("r", Nack(M, second, Reason.CHECK, "bad", first))
-    assert sent(p) == [] and status_report(p).rejections == ("r: check: bad",)
+    assert sent(p) == []
+    assert status_report(p).rejections == ("r: check: bad",)
     third = source.change(s0=b"2")
     assert [part.base for part in sent(p)] == [1]
     p.record_answer("r", Nack(M, third, Reason.DIGEST, "", first))
@@ -139,11 +143,9 @@
     log = VersionLog(Version(1, 1, 1), max_versions=2)
     for number in 2, 3, 4:
         log.add(Change(Version(1, number, number), {"a": b"%d" % number}))
-    assert (
-        not log.contains(Version(1, 1, 1))
-        and log.contains(Version(1, 2, 2))
-        and log.changes_between(2, 4) == {"a": b"4"}
-    )
+    assert not log.contains(Version(1, 1, 1))
+    assert log.contains(Version(1, 2, 2))
+    assert log.changes_between(2, 4) == {"a": b"4"}
 
 
 def test_an_answer_that_is_owed_too_long_is_seen_also_after_the_clock_was_set_back() -> None:
@@ -152,9 +154,8 @@
     p.subscribe("r", NO_VERSION)
     assert p.next_slice("r", 100 * SECOND) is not None
     assert not p.is_ack_overdue("r", 90 * SECOND)
-    assert not p.is_ack_overdue("r", 90 * SECOND + ACK_TIMEOUT_US) and p.is_ack_overdue(
-        "r", 91 * SECOND + ACK_TIMEOUT_US
-    )
+    assert not p.is_ack_overdue("r", 90 * SECOND + ACK_TIMEOUT_US)
+    assert p.is_ack_overdue("r", 91 * SECOND + ACK_TIMEOUT_US)
 
 
 def followed(machine: ControlMachine, name: str, relay: Follower) -> list[Ack | Nack]:
@@ -210,7 +211,9 @@
     machine = ControlMachine({M: ours.publisher})
     machine.connect("r", {M: relay.applied_version}, 0)
     (nack,) = followed(machine, "r", relay)
-    assert isinstance(nack, Nack) and nack.reason == Reason.CONFLICT and relay.applied_version == held
+    assert isinstance(nack, Nack)
+    assert nack.reason == Reason.CONFLICT
+    assert relay.applied_version == held
     ours.publisher.load(Version(2, 1, ours.content.digest), ours.entries())
     machine.connect("r", {M: relay.applied_version}, 0)
     assert followed(machine, "r", relay) == [Ack(M, Version(2, 1, ours.content.digest))]
@@ -230,14 +233,16 @@
         bucket.charge(size)
         log.append(now)
     most = max(sum(at <= other < at + 10 * SECOND for other in log) * size for at in log)
-    assert most <= 95_000 and len(log) * size > 0.95 * 60 * 7_500
+    assert most <= 95_000
+    assert len(log) * size > 0.95 * 60 * 7_500
 
 
 def test_a_clock_that_is_set_back_neither_fills_nor_stalls_the_bucket() -> None:
     bucket = TokenBucket(100 * SECOND)
     bucket.charge(10_000)
     wait = bucket.wait_us(100 * SECOND)
-    assert bucket.wait_us(10 * SECOND) == wait and bucket.wait_us(10 * SECOND + wait) == 0
+    assert bucket.wait_us(10 * SECOND) == wait
+    assert bucket.wait_us(10 * SECOND + wait) == 0
 
 
 def test_calling_again_wins_no_new_burst() -> None:
@@ -245,7 +250,8 @@
     machine.connect("r", {}, 0)
     while isinstance(part := machine.poll("r", 0), Slice):
         machine.record_sent("r", 12_000)
-    assert isinstance(part, Wait) and part.duration_us
+    assert isinstance(part, Wait)
+    assert part.duration_us
     machine.connect("r", {}, 0)
     assert isinstance(machine.poll("r", 0), Wait)
 
@@ -260,7 +266,9 @@
         p.subscribe(f"r{n}", first)
     staged = source.change(staged=True, s0=b"1")
     got = {relay for relay in p.sessions if sent(p, relay)}
-    assert p.stage is not None and got == set(p.stage.canaries) and len(got) == 1
+    assert p.stage is not None
+    assert got == set(p.stage.canaries)
+    assert len(got) == 1
     p.subscribe("late", NO_VERSION)
     late = sent(p, "late")
     assert {part.target for part in late} == {first}  # a relay without a base starts on what is released
@@ -320,7 +328,8 @@
 )
 def test_the_first_stage_decides(events: list, verdict: Verdict, why: str) -> None:
     found, reason = staged(*events)
-    assert found is verdict and why in reason
+    assert found is verdict
+    assert why in reason
 
 
 # ---- reports
@@ -354,17 +363,18 @@
 
 def test_a_machine_that_started_later_reaches_back_to_what_a_relay_holds() -> None:
     first, changes, publisher = changes_after_start(3)
-    assert publisher.history.is_compacted(first) and not publisher.history.is_compacted(publisher.newest)
-    assert not publisher.history.is_compacted(replace(first, epoch=2)) and not publisher.history.is_compacted(
-        NO_VERSION
-    )
+    assert publisher.history.is_compacted(first)
+    assert not publisher.history.is_compacted(publisher.newest)
+    assert not publisher.history.is_compacted(replace(first, epoch=2))
+    assert not publisher.history.is_compacted(NO_VERSION)
     publisher.history.extend_back(first, changes)
     publisher.subscribe("r", first)
     publisher.subscribe("between", changes[0].version)
     assert not publisher.history.is_compacted(first)
     for relay, held in (("r", first), ("between", changes[0].version)):
         (part,) = sent(publisher, relay)
-        assert part.base == held.number and [entry.body for entry in part.entries] == [b"2"]
+        assert part.base == held.number
+        assert [entry.body for entry in part.entries] == [b"2"]
 
 
 @pytest.mark.parametrize("spoilt", ["a gap at the end", "none", "from a later version", "more than is kept"])
@@ -379,5 +389,6 @@
     else:
         publisher.history.log.max_versions = 2
     publisher.history.extend_back(first, changes)
-    assert publisher.history.log.oldest == publisher.newest and not publisher.history.log.changes
+    assert publisher.history.log.oldest == publisher.newest
+    assert not publisher.history.log.changes
     assert publisher.history.log.digest_by_number == {publisher.newest.number: publisher.newest.digest}
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -99,7 +99,8 @@
 )
 def test_a_hostile_object_breaks_the_watch_and_tells_nothing(changes: dict[str, Any]) -> None:
     (broken,) = watch().events(watch_header(False) + chunk(orjson.dumps(GOOD | changes) + b"\n"))
-    assert isinstance(broken, WatchFailed) and broken.reason
+    assert isinstance(broken, WatchFailed)
+    assert broken.reason
 
 
 def test_an_entry_that_is_held_takes_little_more_than_its_bytes() -> None:
@@ -113,9 +114,11 @@
 def test_what_unpacks_without_measure_breaks_the_watch() -> None:
     bomb = stream_header(True) + compress_line(b" " * (64 << 20))
     (broken,) = watch().events(watch_header(True) + chunk(bomb))
-    assert isinstance(broken, WatchFailed) and "too much" in broken.reason
+    assert isinstance(broken, WatchFailed)
+    assert "too much" in broken.reason
     (broken,) = watch().events(watch_header(True) + chunk(stream_header(True) + b"\xff\xff\xff"))
-    assert isinstance(broken, WatchFailed) and "gzip" in broken.reason
+    assert isinstance(broken, WatchFailed)
+    assert "gzip" in broken.reason
 
 
 @pytest.mark.parametrize(
@@ -262,7 +265,8 @@
             relay = plane.relay("r0")
             await relay.reaches(M, 1)
             await relay.reaches(S, 1)
-            assert relay.hosts == {"a": 1, "b": 1} and relay.settings.classes[0].name == "chat"
+            assert relay.hosts == {"a": 1, "b": 1}
+            assert relay.settings.classes[0].name == "chat"
             plane.store.put(M, {"a": None, "b": host("b", health="Terminating")})
             await relay.reaches(M, 2)
             assert relay.hosts == {"a": 0, "b": 2}
@@ -272,7 +276,8 @@
             with anyio.fail_after(SOON):
                 while not (refusals := machine.status_reports()[1].rejections):
                     await anyio.lowlevel.checkpoint()
-            assert "before SIGKILL" in refusals[0] and relay.versions[S] == 1
+            assert "before SIGKILL" in refusals[0]
+            assert relay.versions[S] == 1
             assert relay.settings.classes[0].deadline_us > 1000
 
     anyio.run(run)
@@ -316,7 +321,8 @@
             plane.start("c0")
             await relay.reaches(M, 3)
             machine = plane.servers["c0"].machine
-            assert machine is not None and list(machine.publishers[M].history.cached_slices) == [(1, 3)]
+            assert machine is not None
+            assert list(machine.publishers[M].history.cached_slices) == [(1, 3)]
 
     anyio.run(run)
 
@@ -381,18 +387,23 @@
                     await anyio.sleep(0.05)
             lines, fine = await anyio.to_thread.run_sync(fleet_status, plane.machines.values())
             shown = "\n".join(lines)
-            assert (
-                not fine and "settings: version 2, released 1" in shown and "5 relays at 2 machines" in shown
-            )
-            assert "staged version 2 at r" in shown and "before SIGKILL" in shown and "refused by r" in shown
-            assert plane.store.held[S][0] == 2 and "before SIGKILL" in plane.store.held[S][1]
+            assert not fine
+            assert "settings: version 2, released 1" in shown
+            assert "5 relays at 2 machines" in shown
+            assert "staged version 2 at r" in shown
+            assert "before SIGKILL" in shown
+            assert "refused by r" in shown
+            assert plane.store.held[S][0] == 2
+            assert "before SIGKILL" in plane.store.held[S][1]
             assert {relay.versions[S] for relay in relays} == {1}
             plane.store.put(S, {"categories": canonical_json([{"name": "chat", "hard-limit-us": 2_000_000}])})
             for relay in relays:
                 await relay.reaches(S, 3)
             await plane.stop("c0")
             lines, fine = await anyio.to_thread.run_sync(fleet_status, plane.machines.values())
-            assert not fine and "refused" in lines[0] and len(lines) > 3
+            assert not fine
+            assert "refused" in lines[0]
+            assert len(lines) > 3
 
     anyio.run(run)
 
@@ -403,4 +414,5 @@
     code = START.replace(last, f"try:\n    {last}\nfinally:\n    {shown}")
     relay = started(tmp_path, code.format(module="gannetweir.net.relay", number=int(signal.SIGTERM)))
     loaded = relay.communicate(timeout=20)[1].split("loaded:")[1].split()
-    assert "gannetweir.net.relay" in loaded and not [name for name in loaded if "control" in name]
+    assert "gannetweir.net.relay" in loaded
+    assert not [name for name in loaded if "control" in name]
