--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -1,4 +1,4 @@
-"""Seeded days of a small control plane under drawn faults, with a checker that knows the rules by itself."""
+"""Seeded runs of a small control plane under drawn faults, with an invariant checker of its own."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from gannetweir.control.versions import Ack, Entry, Nack, Reason, RejectedError, Resource, Slice, Version
 from gannetweir.lab.scale.store import MemoryStore
 
-M = Resource.MEMBERSHIP
+MEMBERSHIP = Resource.MEMBERSHIP
 MACHINES = ["c0", "c1", "c2"]
 RELAYS = [f"r{n}" for n in range(6)]
 
 
-class BadBodies:
+class RejectBadBodies:
     """Every relay's check: the store may hold what no relay can use."""
 
     def check_entry(self, resource: Resource, entry: Entry) -> str:
@@ -33,199 +33,216 @@
         return ""
 
 
-class RuleBrokenError(AssertionError):
+class InvariantBrokenError(AssertionError):
     """A rule of the checker's."""
 
 
-class Checker:
+class InvariantChecker:
     """Knows which contents the store ever had, and which of them are good."""
 
     def __init__(self) -> None:
         self.contents: dict[tuple[int, int], dict[str, bytes]] = {}
         self.last: dict[str, Version] = {}
 
-    def made(self, store: MemoryStore, version: Version) -> None:
-        self.contents[version.epoch, version.number] = dict(store.contents[M].entries)
+    def record_version(self, store: MemoryStore, version: Version) -> None:
+        self.contents[version.epoch, version.number] = dict(store.contents[MEMBERSHIP].entries)
 
-    def in_force(self, relay: str, version: Version, entries: dict[str, bytes]) -> None:
+    def check_applied(self, relay: str, version: Version, entries: dict[str, bytes]) -> None:
         last = self.last.get(relay, version)
         if (version.epoch, version.number) < (last.epoch, last.number):
-            raise RuleBrokenError(f"{relay} went back")
+            raise InvariantBrokenError(f"{relay} went back")
         self.last[relay] = version
         if self.contents.get((version.epoch, version.number)) != entries:
-            raise RuleBrokenError(f"{relay} holds what was never a version")
+            raise InvariantBrokenError(f"{relay} holds what was never a version")
         if any(body.startswith(b'"bad') for body in entries.values()):
-            raise RuleBrokenError(f"{relay} is on a version that is not good")
+            raise InvariantBrokenError(f"{relay} is on a version that is not good")
 
 
-class Day:
-    """One store, its machines and relays; messages are in flight until a draw delivers or spoils them."""
+class FaultyRun:
+    """One store, its machines and relays; messages are in flight until a draw delivers or corrupts them."""
 
     def __init__(self, seed: int, kind: type[Follower]) -> None:
-        self.draw, self.now = random.Random(seed), 10**9
-        self.store, self.checker = MemoryStore(), Checker()
-        self.change(bad=False)
-        self.machines = {name: self.copy() for name in MACHINES}
-        self.followers = {r: kind(M, BadBodies()) for r in RELAYS}
-        self.calls = {r: MachineSelector(r, MACHINES, self.draw.random) for r in RELAYS}
-        self.at: dict[str, str | None] = dict.fromkeys(RELAYS)
-        self.history: list[Slice] = []
-        self.flights: dict[str, list[Slice]] = {r: [] for r in RELAYS}
-
-    def copy(self) -> ControlMachine:
-        found = self.store.read(M)
-        return ControlMachine({M: Publisher(M, found.version, found.entries)})
-
-    def change(self, bad: bool) -> None:
+        self.draw = random.Random(seed)
+        self.now_us = 10**9
+        self.store = MemoryStore()
+        self.checker = InvariantChecker()
+        self.change_store(bad=False)
+        self.machines = {name: self.copy_of_store() for name in MACHINES}
+        self.followers = {relay: kind(MEMBERSHIP, RejectBadBodies()) for relay in RELAYS}
+        self.selectors = {relay: MachineSelector(relay, MACHINES, self.draw.random) for relay in RELAYS}
+        self.machine_of: dict[str, str | None] = dict.fromkeys(RELAYS)
+        self.sent_slices: list[Slice] = []
+        self.in_flight: dict[str, list[Slice]] = {relay: [] for relay in RELAYS}
+
+    def copy_of_store(self) -> ControlMachine:
+        snapshot = self.store.read(MEMBERSHIP)
+        return ControlMachine({MEMBERSHIP: Publisher(MEMBERSHIP, snapshot.version, snapshot.entries)})
+
+    def change_store(self, bad: bool) -> None:
         key = f"s{self.draw.randrange(12)}"
         body = b'"bad"' if bad else self.draw.choice([None, b'"%d"' % self.draw.randrange(99)])
         changes = {key: body}
-        if not bad:  # what is bad is mended by the next change
-            held = self.store.contents[M].entries
-            changes |= {k: b'"ok"' for k, b in held.items() if b.startswith(b'"bad')}
-        self.checker.made(self.store, self.store.put(M, changes))
-
-    def follow(self, name: str) -> None:
-        """A machine hears of what the store has."""
-        publisher = self.machines[name].publishers[M]
+        if not bad:  # the next change corrects what is bad
+            entries = self.store.contents[MEMBERSHIP].entries
+            changes |= {key: b'"ok"' for key, body in entries.items() if body.startswith(b'"bad')}
+        self.checker.record_version(self.store, self.store.put(MEMBERSHIP, changes))
+
+    def sync_machine(self, name: str) -> None:
+        """A machine reads what the store has."""
+        publisher = self.machines[name].publishers[MEMBERSHIP]
         try:
-            changes = self.store.changes_since(M, publisher.newest)
+            changes = self.store.changes_since(MEMBERSHIP, publisher.newest)
             if changes is None:
-                found = self.store.read(M)
-                publisher.load(found.version, found.entries)
+                snapshot = self.store.read(MEMBERSHIP)
+                publisher.load(snapshot.version, snapshot.entries)
             for change in changes or ():
                 publisher.publish(change)
         except RejectedError:
-            raise RuleBrokenError("the store's own change was turned down") from None
+            raise InvariantBrokenError("the store's own change was rejected") from None
 
-    def restart(self, name: str, copy: ControlMachine) -> None:
+    def restart_machine(self, name: str, copy: ControlMachine) -> None:
         self.machines[name] = copy
-        for relay, at in self.at.items():
+        for relay, at in self.machine_of.items():
             if at == name:
-                self.lose(relay)
-
-    def lose(self, relay: str) -> None:
-        if self.at[relay] is not None:
-            self.machines[self.at[relay]].disconnect(relay)
-        self.at[relay] = None
-        self.flights[relay].clear()
+                self.disconnect(relay)
+
+    def disconnect(self, relay: str) -> None:
+        name = self.machine_of[relay]
+        if name is not None:
+            self.machines[name].disconnect(relay)
+        self.machine_of[relay] = None
+        self.in_flight[relay].clear()
         self.followers[relay].disconnected()
-        self.calls[relay].record_failure()
+        self.selectors[relay].record_failure()
 
-    def call(self, relay: str) -> None:
-        name = self.calls[relay].machine
+    def connect(self, relay: str) -> None:
+        name = self.selectors[relay].machine
         try:
-            self.machines[name].connect(relay, {M: self.followers[relay].applied_version}, self.now)
+            self.machines[name].connect(
+                relay, {MEMBERSHIP: self.followers[relay].applied_version}, self.now_us
+            )
         except MachineBehindError:
-            self.calls[relay].record_failure()
+            self.selectors[relay].record_failure()
         else:
-            self.at[relay] = name
+            self.machine_of[relay] = name
 
-    def serve(self, relay: str) -> None:
-        name = self.at[relay]
+    def send_next(self, relay: str) -> None:
+        name = self.machine_of[relay]
         if name is None:
-            return self.call(relay)
+            return self.connect(relay)
         machine = self.machines[name]
-        if machine.is_ack_overdue(relay, self.now):
-            return self.lose(relay)
-        part = machine.poll(relay, self.now)
+        if machine.is_ack_overdue(relay, self.now_us):
+            return self.disconnect(relay)
+        part = machine.poll(relay, self.now_us)
         if isinstance(part, Wait):
             return None
         machine.record_sent(relay, 500)
-        self.flights[relay].append(part)
-        self.history.append(part)
+        self.in_flight[relay].append(part)
+        self.sent_slices.append(part)
         return None
 
     def deliver(self, relay: str, faults: bool) -> None:
-        flights = self.flights[relay]
-        if not flights:
+        in_flight = self.in_flight[relay]
+        if not in_flight:
             return
-        part = flights.pop(0 if not faults or self.draw.random() < 0.9 else -1)
+        part = in_flight.pop(0 if not faults or self.draw.random() < 0.9 else -1)
         if faults and self.draw.random() < 0.1:
-            part = self.spoilt(part)
+            part = self.malformed(part)
         follower = self.followers[relay]
         events = follower.receive(part)
         while not follower.is_idle:
             events += follower.step(self.draw.randrange(1, 4))
         for event in events:
-            self.hear(relay, event, faults)
+            self.carry_out(relay, event, faults)
 
-    def spoilt(self, part: Slice) -> Slice:
+    def malformed(self, part: Slice) -> Slice:
         """A gap, another base, another content, one that went out long ago, or another digest."""
-        target, kind = part.target, self.draw.randrange(5)
-        entries = (*part.entries[1:], Entry("s0", b'"spoilt"'))
+        target = part.target
+        kind = self.draw.randrange(5)
+        entries = (*part.entries[1:], Entry("s0", b'"malformed"'))
         return [
             replace(part, index=part.index + 1, count=part.count + 1),
             replace(part, base=max(0, target.number - 2)),
             replace(part, entries=entries),
-            self.draw.choice(self.history),
+            self.draw.choice(self.sent_slices),
             replace(part, target=replace(target, digest=0)),
         ][kind]
 
-    def hear(self, relay: str, event: FollowerEvent, faults: bool) -> None:
-        follower, at = self.followers[relay], self.at[relay]
+    def carry_out(self, relay: str, event: FollowerEvent, faults: bool) -> None:
+        name = self.machine_of[relay]
         if isinstance(event, ApplyEntries):
             return
         if isinstance(event, Ack):
-            self.checker.in_force(relay, event.version, follower.applied.entries)
-        if at is None or (faults and self.draw.random() < 0.1):  # the answer is lost
+            self.checker.check_applied(relay, event.version, self.followers[relay].applied.entries)
+        if name is None or (faults and self.draw.random() < 0.1):  # the answer is lost
             return
-        self.machines[at].record_answer(relay, event)
+        self.machines[name].record_answer(relay, event)
         if isinstance(event, Nack) and event.reason in (Reason.OLDER, Reason.CONFLICT):
-            self.lose(relay)
+            self.disconnect(relay)
 
-    def fault(self, old: ControlMachine) -> None:
-        kind, name = self.draw.randrange(7), self.draw.choice(MACHINES)
+    def inject_fault(self, old: ControlMachine) -> None:
+        kind = self.draw.randrange(7)
+        name = self.draw.choice(MACHINES)
         if kind == 0:
-            self.restart(name, self.copy())
+            self.restart_machine(name, self.copy_of_store())
         elif kind == 1:
             for each in MACHINES:
-                self.restart(each, self.copy())
+                self.restart_machine(each, self.copy_of_store())
         elif kind == 2:
-            self.restart(name, old)  # restored from an old copy
+            self.restart_machine(name, old)  # restored from an old copy
         elif kind == 3:
-            self.lose(self.draw.choice(RELAYS))
+            self.disconnect(self.draw.choice(RELAYS))
         elif kind == 4:
-            self.now -= self.draw.randrange(10**7)
+            self.now_us -= self.draw.randrange(10**7)
         elif kind == 5:
-            self.checker.made(
-                self.store, self.store.restore(self.draw.randint(1, self.store.logs[M].newest.number))
+            self.checker.record_version(
+                self.store,
+                self.store.restore(self.draw.randint(1, self.store.logs[MEMBERSHIP].newest.number)),
             )
         else:
-            self.change(bad=True)
+            self.change_store(bad=True)
 
     def play(self) -> None:
         for _ in range(400):
-            self.now += self.draw.randrange(200_000)
-            relay, what = self.draw.choice(RELAYS), self.draw.random()
-            if what < 0.1:
-                self.change(bad=False)
-            elif what < 0.3:
-                self.follow(self.draw.choice(MACHINES))
-            elif what < 0.35:
-                first = self.store.logs[M].changes[0]
-                self.fault(ControlMachine({M: Publisher(M, first.version, _entries_of(first.entries))}))
-            elif what < 0.7:
-                self.serve(relay)
+            self.now_us += self.draw.randrange(200_000)
+            relay = self.draw.choice(RELAYS)
+            event = self.draw.random()
+            if event < 0.1:
+                self.change_store(bad=False)
+            elif event < 0.3:
+                self.sync_machine(self.draw.choice(MACHINES))
+            elif event < 0.35:
+                self.inject_fault(self.machine_from_oldest_copy())
+            elif event < 0.7:
+                self.send_next(relay)
             else:
                 self.deliver(relay, faults=True)
-        self.settle()
+        self.converge()
+
+    def machine_from_oldest_copy(self) -> ControlMachine:
+        oldest = self.store.logs[MEMBERSHIP].changes[0]
+        publisher = Publisher(MEMBERSHIP, oldest.version, _entries_of(oldest.entries))
+        return ControlMachine({MEMBERSHIP: publisher})
 
-    def settle(self) -> None:
-        """No more faults: all has to come to the last version."""
-        self.change(bad=False)
+    def converge(self) -> None:
+        """No more faults: every relay has to apply the newest version."""
+        self.change_store(bad=False)
         for _ in range(60):
-            self.now += 500_000
+            self.now_us += 500_000
             for name in MACHINES:
-                self.follow(name)
+                self.sync_machine(name)
             for relay in RELAYS:
-                self.serve(relay)
-                while self.flights[relay]:
+                self.send_next(relay)
+                while self.in_flight[relay]:
                     self.deliver(relay, faults=False)
-        want = self.store.logs[M].newest
-        late = [r for r, f in self.followers.items() if f.applied_version != want or not f.is_idle]
-        if late:
-            raise RuleBrokenError(f"not converged: {late}")
+        newest = self.store.logs[MEMBERSHIP].newest
+        behind = [
+            relay
+            for relay, follower in self.followers.items()
+            if follower.applied_version != newest or not follower.is_idle
+        ]
+        if behind:
+            raise InvariantBrokenError(f"not converged: {behind}")
 
 
 def _entries_of(changes: Mapping[str, bytes | None]) -> list[Entry]:
@@ -233,11 +250,11 @@
 
 
 @pytest.mark.parametrize("seed", range(100))
-def test_a_day_of_drawn_faults(seed: int) -> None:
-    Day(seed, Follower).play()
+def test_relays_converge_under_drawn_faults(seed: int) -> None:
+    FaultyRun(seed, Follower).play()
 
 
-class NoDigest(Follower):
+class IgnoresDigest(Follower):
     def _accept(self, assembly: VersionAssembly) -> None:
         assembly.first_slice = replace(
             assembly.first_slice, target=replace(assembly.target, digest=assembly.digest)
@@ -245,7 +262,7 @@
         super()._accept(assembly)
 
 
-class NoChecks(Follower):
+class SkipsChecks(Follower):
     def __init__(self, *args: object, **kwargs: object) -> None:
         super().__init__(*args, **kwargs)  # type: ignore[arg-type]
         self.check.check_entry = lambda resource, entry: ""  # type: ignore[method-assign]
@@ -257,27 +274,27 @@
             super()._check_order(part)
 
 
-class NeverAgain(Follower):
+class StopsAfterRejection(Follower):
     def receive(self, part: Slice) -> list[FollowerEvent]:
-        stuck = self.permanent_rejection is not None and self.permanent_rejection[0] != part.target
-        return [] if stuck else super().receive(part)
+        is_stuck = self.permanent_rejection is not None and self.permanent_rejection[0] != part.target
+        return [] if is_stuck else super().receive(part)
 
 
 @pytest.mark.parametrize(
     ("kind", "rule"),
     [
-        (NoDigest, "never a version"),
-        (NoChecks, "not good"),
+        (IgnoresDigest, "never a version"),
+        (SkipsChecks, "not good"),
         (GoesBack, "went back"),
-        (NeverAgain, "not converged"),
+        (StopsAfterRejection, "not converged"),
     ],
 )
-def test_the_checker_catches_each_rule_broken_on_purpose(kind: type[Follower], rule: str) -> None:
+def test_the_checker_finds_each_injected_fault(kind: type[Follower], rule: str) -> None:
     found = set[str]()
     for seed in range(40):
         try:
-            Day(seed, kind).play()
-        except RuleBrokenError as broken:
+            FaultyRun(seed, kind).play()
+        except InvariantBrokenError as broken:
             found.add(str(broken))
             if rule in str(broken):
                 return
