--- a/gannetweir/addresses/__init__.py
+++ b/gannetweir/addresses/__init__.py
@@ -1,1 +1,1 @@
-"""Which addresses a server has, in what order they are tried, what was learnt of each. No I/O, no clock."""
+"""Which addresses an endpoint has, in what order they are tried, and how each has fared. No I/O, no clock."""
--- a/gannetweir/addresses/address.py
+++ b/gannetweir/addresses/address.py
@@ -9,20 +9,24 @@
 import re
 from dataclasses import dataclass
 
+from gannetweir.errors import GannetweirError
+
 IPV4, IPV6, UNIX = "ipv4", "ipv6", "unix"
 FAMILIES = (UNIX, IPV6, IPV4)
-MAX_SOCKET_PATH_BYTES = 107  # bytes of a Unix socket's path: `sun_path` holds 108 with its end
+MAX_PORT = 65535
+MAX_SOCKET_PATH_BYTES = 107  # `sun_path` holds 108 with its end
+_BROADCAST = "255.255.255.255"
 _SCOPE = re.compile(r"[A-Za-z0-9_.:-]{1,15}")
 _PORT = re.compile(r"[1-9][0-9]{0,4}")
 
 
-class AddressError(ValueError):
-    """What would be allowed."""
+class AddressError(GannetweirError, ValueError):
+    """A literal is no address; the message says what is allowed in its place."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """One place to connect to. Equal ones reach the same socket."""
+    """One place to connect to. Equal ones lead to the same socket."""
 
     family: str
     host: str  # a number in its shortest form, or a path
@@ -37,31 +41,31 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read a literal; `AddressError` says what is allowed in its place."""
+    """Return the address that a literal means. Raises `AddressError`."""
     if text.startswith("unix:"):
-        return _unix(text.removeprefix("unix:"))
+        return _parse_unix(text.removeprefix("unix:"))
     host, colon, port = text.rpartition(":")
-    if not colon or not _PORT.fullmatch(port) or int(port) > 65535:
+    if not colon or not _PORT.fullmatch(port) or int(port) > MAX_PORT:
         raise AddressError("HOST:PORT with a port from 1 to 65535, or unix:/PATH")
     if host.startswith("[") and host.endswith("]"):
-        return _v6(host[1:-1], int(port))
+        return _parse_ipv6(host[1:-1], int(port))
     if ":" in host:
         raise AddressError("an IPv6 address in brackets, as [fd00::18]:8080")
     try:
         number = ipaddress.IPv4Address(host)
-    except ValueError:
-        raise AddressError("a number for a host, as 10.1.0.18:8080: there is no DNS") from None
-    if number.is_unspecified or number.is_multicast or host == "255.255.255.255":
+    except ValueError as error:
+        raise AddressError("a number for a host, as 10.1.0.18:8080: there is no DNS") from error
+    if number.is_unspecified or number.is_multicast or host == _BROADCAST:
         raise AddressError("the address of one machine")
     return Address(IPV4, str(number), int(port))
 
 
-def _v6(host: str, port: int) -> Address:
+def _parse_ipv6(host: str, port: int) -> Address:
     bare, percent, scope = host.partition("%")
     try:
         number = ipaddress.IPv6Address(bare)
-    except ValueError:
-        raise AddressError("an IPv6 number in the brackets, as [fd00::18]:8080") from None
+    except ValueError as error:
+        raise AddressError("an IPv6 number in the brackets, as [fd00::18]:8080") from error
     if number.is_unspecified or number.is_multicast:
         raise AddressError("the address of one machine")
     if number.is_link_local != bool(percent) or (percent and not _SCOPE.fullmatch(scope)):
@@ -71,7 +75,7 @@
     return Address(IPV6, str(number), port, scope)
 
 
-def _unix(path: str) -> Address:
+def _parse_unix(path: str) -> Address:
     if not path.startswith("/") or "\0" in path or path.endswith("/"):
         raise AddressError("unix: with the whole path of a socket, as unix:/run/push/a.sock")
     if len(path.encode("utf-8", "surrogateescape")) > MAX_SOCKET_PATH_BYTES:
--- a/gannetweir/addresses/address_selector.py
+++ b/gannetweir/addresses/address_selector.py
@@ -1,259 +1,211 @@
-"""What was learnt of each path to a server, and what follows: in which order addresses are tried, how soon
-the next one, and whether a failure is the path's or the server's.
+"""In which order the addresses of an endpoint are tried, how soon the next one, and whose fault a failure is.
 
-The order begins as RFC 8305 and RFC 6724 have it: families by preference, taken in turn. What was learnt goes
-before it: paths that are broken come last, and among sound ones a much quicker one first. A broken path is
-tried again rarely, after waits that grow up to a bound, by one probe or flow, the next address close behind.
-Probes go round the sound paths, so that each has news of its own.
+The order begins as RFC 8305 (Happy Eyeballs) and RFC 6724 have it: families by preference, interleaved. What
+is known of the addresses goes before it: unhealthy ones come last, and among healthy ones a much quicker one
+first. An unhealthy address is tried again after a backoff that grows up to a bound, by one probe or
+connection, the next address close behind. Load probes go round the healthy addresses, so that the state of
+each is fresh.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Collection, Mapping, Sequence
-from dataclasses import dataclass
 
 from gannetweir.addresses.address import Address
+from gannetweir.addresses.address_state import AddressState
+from gannetweir.addresses.address_table import AddressTable
 from gannetweir.addresses.connection_race import ConnectionRace
 from gannetweir.addresses.rules import AddressRules
 
-INITIAL_BACKOFF_US = 250_000
-MAX_CONSECUTIVE_FAILURES = 8
-RECENT_SUCCESS_US = 10_000_000  # an answer so recent says that the server lives
-MUCH_SLOWER_RATIO = 4.0  # one path over another, before it goes first against the preference
-CONNECT_TIME_TOLERANCE_US = 5_000
-RESPONSE_TIME_TOLERANCE_US = 30_000  # the same for answers, which take longer and vary more
-MAX_ATTEMPT_DELAY_US = 250_000
-
-
-@dataclass(slots=True)
-class AddressState:
-    """One address of one server."""
-
-    address: Address
-    connect_time_us: float = 0.0  # smoothed; 0: never connected
-    response_time_us: float = 0.0  # how long a probe's answer takes on it, smoothed; 0: never asked
-    consecutive_failures: int = 0
-    backoff_until_us: int = 0  # broken until then, and then to be tried again
-    last_success_us: int = 0  # when the server last answered on it
-
-    def is_unhealthy(self) -> bool:
-        """Did it fail, and has not been found sound since?"""
-        return self.consecutive_failures > 0
-
-    def is_retry_due(self, now_us: int) -> bool:
-        """Broken, and to be tried again?"""
-        return self.consecutive_failures > 0 and now_us >= self.backoff_until_us
+MUCH_SLOWER_RATIO = 4.0  # of one address to another, before it goes behind it against the preference
+CONNECT_TIME_TOLERANCE_US = 5_000  # a difference under this is noise
+RESPONSE_TIME_TOLERANCE_US = 30_000  # the same for responses, which take longer and vary more
+MIN_ATTEMPT_DELAY_BOUND_US = 1_000  # however many addresses share the connect time-out
+MAX_ATTEMPT_DELAY_US = 250_000  # RFC 8305, section 5, recommends so much without a history
+DELAY_PER_CONNECT_TIME = 2  # RFC 8305, section 5: the delay follows the usual time of a connect
+LOST_RACE_MARGIN = 0.95  # of the delay: timers end a little early
+MIN_BACKOFF_JITTER = 0.75  # of the backoff: relays that saw one failure do not return together
+_RNG_SALT = 0x5EA1  # draws of their own: the engine's stay as they are where a relay selects addresses
 
 
 class AddressSelector:
-    """All paths of all servers of one relay."""
+    """The order of all addresses of one relay's endpoints. Changes their states by what is recorded."""
 
     def __init__(self, rules: AddressRules, seed: int, connect_timeout_us: int) -> None:
-        self.rules, self.connect_timeout_us = rules, connect_timeout_us
-        self.rng = random.Random(seed ^ 0x5EA1)
-        self.states_by_endpoint: dict[str, dict[Address, AddressState]] = {}
-        self.endpoint_by_address: dict[Address, str] = {}  # an address is one server's
-        self.listed_addresses: dict[str, tuple[str, tuple[str, ...]]] = {}  # what discovery said of each
-        self.has_choice_by_endpoint: dict[str, bool] = {}  # is there anything but discovery's own address?
-        self.preferred_bypassed = (
-            0  # flows whose preferred address was found broken or much slower, and came later
-        )
+        self.rules = rules
+        self.connect_timeout_us = connect_timeout_us
+        self.preferred_bypassed = 0  # connections whose preferred address was unhealthy or much slower
+        self._rng = random.Random(seed ^ _RNG_SALT)
+        self._table = AddressTable(rules)
+
+    @property
+    def states_by_endpoint(self) -> Mapping[str, Mapping[Address, AddressState]]:
+        """The states of all addresses, by the endpoint's name."""
+        return self._table.states_by_endpoint
 
     def apply_rules(self, rules: AddressRules, connect_timeout_us: int) -> None:
-        """Other rules, from now on. What was learnt of an address that a server keeps stays."""
-        self.rules, self.connect_timeout_us = rules, connect_timeout_us
-        old, self.states_by_endpoint, self.endpoint_by_address = (
-            self.states_by_endpoint,
-            {},
-            {},
-        )  # one server's may be another's from now on
-        for server, (dial, dials) in self.listed_addresses.items():
-            self._assign_addresses(server, dial, dials, old.get(server, {}))
+        """Select by other rules from now on. The state of an address that its endpoint keeps stays."""
+        self.rules = rules
+        self.connect_timeout_us = connect_timeout_us
+        self._table.apply_rules(rules)
 
     def update_endpoint(self, endpoint_name: str, address: str, more_addresses: Sequence[str] = ()) -> None:
-        """Discovery has told of a server."""
-        told = address, tuple(more_addresses)
-        if self.listed_addresses.get(endpoint_name) != told:
-            self.listed_addresses[endpoint_name] = told
-            self._assign_addresses(endpoint_name, *told, self._release_addresses(endpoint_name))
-
-    def _assign_addresses(
-        self, server: str, dial: str, dials: Sequence[str], old: Mapping[Address, AddressState]
-    ) -> None:
-        addresses = self.rules.addresses_of(server, dial, dials)
-        # what another server has already is not this one's: its lines would go to the wrong one
-        own = [a for a in addresses if self.endpoint_by_address.setdefault(a, server) == server]
-        self.states_by_endpoint[server] = {a: old.get(a) or AddressState(a) for a in own}
-        self.has_choice_by_endpoint[server] = [str(a) for a in own] != [dial]
-
-    def _release_addresses(self, server: str) -> dict[Address, AddressState]:
-        old = self.states_by_endpoint.pop(server, {})
-        for address in old:
-            del self.endpoint_by_address[address]
-        return old
+        """Take what discovery lists of an endpoint."""
+        self._table.update_endpoint(endpoint_name, address, more_addresses)
 
     def remove_endpoint(self, endpoint_name: str) -> None:
-        """It is gone."""
-        self._release_addresses(endpoint_name)
-        self.listed_addresses.pop(endpoint_name, None)
-        self.has_choice_by_endpoint.pop(endpoint_name, None)
+        """Drop an endpoint that has left the list."""
+        self._table.remove_endpoint(endpoint_name)
 
     def selects_address(self, endpoint_name: str) -> bool:
-        """Is the way there chosen here? Not where discovery's address is the only one."""
-        return self.has_choice_by_endpoint.get(endpoint_name, False)
-
-    # ---- the order
+        """Whether the address is selected here; not where the one that discovery lists is the only one."""
+        return self._table.has_choice(endpoint_name)
 
     def ordered_addresses(
         self, endpoint_name: str, now_us: int, for_probe: bool = False, excluded: Collection[Address] = ()
     ) -> list[Address]:
-        """The addresses of a server, the first to be tried first. One that is due to be tried again goes
-        first, and is not offered to the next ones while it is tried.
+        """Return the addresses of an endpoint, the first to be tried first.
+
+        An unhealthy one whose backoff is over goes first, and not for others while it is tried: its backoff
+        starts again.
         """
-        paths = [
-            p for p in self.states_by_endpoint.get(endpoint_name, {}).values() if p.address not in excluded
-        ]
-        sound = self._interleave_families([p for p in paths if not p.is_unhealthy()])
-        quick = min((p.connect_time_us for p in sound if p.connect_time_us), default=0.0)
-        prompt = min((p.response_time_us for p in sound if p.response_time_us), default=0.0)
+        states = self._states_without(endpoint_name, excluded)
+        healthy = self._interleave_families([state for state in states if not state.is_unhealthy])
         if for_probe:  # each in its turn
-            sound.sort(key=lambda p: p.last_success_us)
-        else:  # a stable sort: the preference holds but where one is noticeably and much slower
-            sound.sort(
-                key=lambda p: (
-                    p.response_time_us > max(MUCH_SLOWER_RATIO * prompt, prompt + RESPONSE_TIME_TOLERANCE_US),
-                    p.connect_time_us > max(MUCH_SLOWER_RATIO * quick, quick + CONNECT_TIME_TOLERANCE_US),
-                )
-            )
-        broken = sorted(
-            (p for p in paths if p.is_unhealthy()), key=lambda p: (p.backoff_until_us, str(p.address))
+            healthy.sort(key=lambda state: state.last_success_us)
+        else:
+            _move_slow_back(healthy)
+        unhealthy = sorted(
+            (state for state in states if state.is_unhealthy),
+            key=lambda state: (state.backoff_until_us, str(state.address)),
         )
-        if sound and broken and broken[0].is_retry_due(now_us):
-            first = broken.pop(0)
-            first.backoff_until_us = now_us + self._backoff_us(first)  # no crowd at it
-            return [p.address for p in (first, *sound, *broken)]
-        return [p.address for p in (*sound, *broken)]
+        ordered = [*healthy, *unhealthy]
+        if healthy and unhealthy and unhealthy[0].is_retry_due(now_us):
+            retried = unhealthy[0]
+            retried.backoff_until_us = now_us + self._backoff_us(retried)
+            ordered = [retried, *healthy, *unhealthy[1:]]
+        return [state.address for state in ordered]
 
     def preferred_address(self, endpoint_name: str, excluded: Collection[Address] = ()) -> Address | None:
-        """The address that would go first if nothing had been learnt."""
-        paths = [
-            path
-            for path in self.states_by_endpoint.get(endpoint_name, {}).values()
-            if path.address not in excluded
-        ]
-        families = [path.address.family for path in paths]
-        wanted = next((family for family in self.rules.family_preference if family in families), None)
-        at = families.index(wanted) if wanted is not None else 0  # the first of its family, as it was told
-        return paths[at].address if paths else None
-
-    def _interleave_families(self, paths: list[AddressState]) -> list[AddressState]:
-        """Families in turn, by preference: the next to be tried is of another kind than what just failed."""
-        groups = [[p for p in paths if p.address.family == family] for family in self.rules.family_preference]
-        groups += [[p for p in paths if p.address.family not in self.rules.family_preference]]
-        found: list[AddressState] = []
-        while any(groups):
-            found += [group.pop(0) for group in groups if group]
-        return found
+        """Return the address that would go first if nothing were known of any; None where there is none.
+
+        It is the first of the preferred family, as listed, or else the first of all.
+        """
+        addresses = [state.address for state in self._states_without(endpoint_name, excluded)]
+        for family in self.rules.family_preference:
+            for address in addresses:
+                if address.family == family:
+                    return address
+        return addresses[0] if addresses else None
 
     def new_race(
         self, endpoint_name: str, now_us: int, for_probe: bool = False, excluded: Collection[Address] = ()
     ) -> ConnectionRace:
-        """The connects of one flow or probe."""
+        """Return the connects of one connection or load probe, to be started by the caller."""
         order = self.ordered_addresses(endpoint_name, now_us, for_probe, excluded)
-        if order and not for_probe and order[0] != self.preferred_address(endpoint_name, excluded):
+        if not order:
+            return ConnectionRace([], [])
+        if not for_probe and order[0] != self.preferred_address(endpoint_name, excluded):
             self.preferred_bypassed += 1
-        known = self.states_by_endpoint.get(endpoint_name, {})
+        states = self._table.states_of(endpoint_name)
         # all of them get their chance within the connect time-out
-        most = max(1_000, self.connect_timeout_us // (len(order) + 1)) if order else 1_000
-        delays = [
-            min(
-                most,
-                max(
-                    self.rules.connection_attempt_delay_us,
-                    min(MAX_ATTEMPT_DELAY_US, int(2 * known[a].connect_time_us)),
-                ),
-            )
-            for a in order
-        ]
-        if order and known[order[0]].is_unhealthy():
-            delays[0] = min(delays[0], self.rules.connection_attempt_delay_us)
-        return ConnectionRace(order, delays)
-
-    # ---- what is learnt
-
-    def _state_of(self, endpoint_name: str, address: Address) -> AddressState | None:
-        return self.states_by_endpoint.get(endpoint_name, {}).get(address)
-
-    def _backoff_us(self, path: AddressState) -> int:
-        wait = min(
-            INITIAL_BACKOFF_US << min(path.consecutive_failures, MAX_CONSECUTIVE_FAILURES),
-            self.rules.max_backoff_us,
-        )
-        return int(wait * self.rng.uniform(0.75, 1.0))
-
-    def _record_failure(self, path: AddressState, now_us: int) -> None:
-        path.consecutive_failures = min(path.consecutive_failures + 1, MAX_CONSECUTIVE_FAILURES)
-        path.backoff_until_us = now_us + self._backoff_us(path)
+        max_delay_us = max(MIN_ATTEMPT_DELAY_BOUND_US, self.connect_timeout_us // (len(order) + 1))
+        delays_us = [min(max_delay_us, self._attempt_delay_us(states[address])) for address in order]
+        if states[order[0]].is_unhealthy:
+            delays_us[0] = min(delays_us[0], self.rules.connection_attempt_delay_us)
+        return ConnectionRace(order, delays_us)
 
     def record_connected(self, endpoint_name: str, address: Address, connect_time_us: int) -> None:
-        """A connect came up. That alone mends nothing: one that accepts may still be silent."""
-        if (path := self._state_of(endpoint_name, address)) is not None:
-            path.connect_time_us += (connect_time_us - path.connect_time_us) * (
-                0.25 if path.connect_time_us else 1.0
-            )
+        """Take the time of a connect. The address stays unhealthy, if it is: the endpoint may be silent."""
+        if (state := self._state_of(endpoint_name, address)) is not None:
+            state.record_connected(connect_time_us)
 
     def record_connect_failure(self, endpoint_name: str, address: Address, now_us: int) -> None:
-        """A connect was refused, could not be made, or broke before the line was out."""
-        if (path := self._state_of(endpoint_name, address)) is not None:
-            self._record_failure(path, now_us)
+        """Count a connect that was refused, could not be made, or broke before the line was sent."""
+        if (state := self._state_of(endpoint_name, address)) is not None:
+            self._record_failure(state, now_us)
 
     def record_lost_race(self, endpoint_name: str, address: Address, waited_us: int, now_us: int) -> None:
-        """A connect that began earlier was not up when another won. That is a fault where it had had much
-        longer than it ever takes, or than the one that won was given.
+        """Judge a connect that began earlier and was not up when another won.
+
+        That is a failure where it had much longer than it ever takes, or than the one that won was given.
         """
-        path = self._state_of(endpoint_name, address)
-        if (
-            path is not None
-            and waited_us > max(self.rules.connection_attempt_delay_us, 4 * path.connect_time_us) * 0.95
-        ):
-            self._record_failure(path, now_us)
+        state = self._state_of(endpoint_name, address)
+        if state is None:
+            return
+        usual_us = max(self.rules.connection_attempt_delay_us, MUCH_SLOWER_RATIO * state.connect_time_us)
+        if waited_us > usual_us * LOST_RACE_MARGIN:
+            self._record_failure(state, now_us)
 
     def record_response(
         self, endpoint_name: str, address: Address, now_us: int, response_time_us: int = 0
     ) -> None:
-        """The server has said something on this path: it is sound. `took_us` is a probe's time, which tells
-        paths apart that connect alike; set-ups depend on too much else.
+        """Make an address healthy: the endpoint has answered on it.
+
+        `response_time_us` is a load probe's time, which tells addresses apart that connect alike; set-ups
+        depend on too much else.
         """
-        if (path := self._state_of(endpoint_name, address)) is not None:
-            path.consecutive_failures, path.backoff_until_us, path.last_success_us = 0, 0, now_us
-            if response_time_us > 0:
-                path.response_time_us += (response_time_us - path.response_time_us) * (
-                    0.25 if path.response_time_us else 1.0
-                )
+        if (state := self._state_of(endpoint_name, address)) is not None:
+            state.record_response(now_us, response_time_us)
 
     def record_no_response(self, endpoint_name: str, address: Address, now_us: int) -> bool:
-        """The line was out and nothing came, or an end did. Is it the path's fault, and not the server's? So
-        it is held where another path is sound: the server has answered there lately, or has not been asked.
-        Should that one fail as well, none is left that is sound, and the failure is the server's.
+        """Judge an attempt whose line was sent and not answered; return whether it is the address's fault.
+
+        Otherwise it is the endpoint's. It is the address's where another one is healthy: the endpoint has
+        answered there lately, or was not asked. Should that one fail as well, none is left that is healthy,
+        and the failure is the endpoint's.
         """
-        path = self._state_of(endpoint_name, address)
-        if path is None:
+        state = self._state_of(endpoint_name, address)
+        if state is None:
             return False
-        others = [p for p in self.states_by_endpoint[endpoint_name].values() if p is not path]
-        lives = any(
-            not p.is_unhealthy()
-            and (not p.last_success_us or now_us - p.last_success_us <= RECENT_SUCCESS_US)
-            for p in others
-        )
-        # with no other path that is sound the failure says nothing of this one
-        if others:
-            self._record_failure(path, now_us)
-        return lives
-
-    def address_status(self, endpoint_name: str) -> list[tuple[str, bool, float]]:
-        """For the people on call: each address, whether it is broken, its smoothed connect time."""
-        return [
-            (str(p.address), p.is_unhealthy(), p.connect_time_us)
-            for p in self.states_by_endpoint.get(endpoint_name, {}).values()
-        ]
+        others = [other for other in self._table.states_of(endpoint_name).values() if other is not state]
+        is_fault_of_address = any(other.may_be_alive(now_us) for other in others)
+        if others:  # the failure of an only address says nothing of the address
+            self._record_failure(state, now_us)
+        return is_fault_of_address
+
+    def _state_of(self, endpoint_name: str, address: Address) -> AddressState | None:
+        return self._table.states_of(endpoint_name).get(address)
+
+    def _states_without(self, endpoint_name: str, excluded: Collection[Address]) -> list[AddressState]:
+        states = self._table.states_of(endpoint_name).values()
+        return [state for state in states if state.address not in excluded]
+
+    def _interleave_families(self, states: list[AddressState]) -> list[AddressState]:
+        """Return families in turn, by preference: the next is of another family than what just failed."""
+        preference = self.rules.family_preference
+        families = [[state for state in states if state.address.family == family] for family in preference]
+        families.append([state for state in states if state.address.family not in preference])
+        interleaved: list[AddressState] = []
+        while any(families):
+            interleaved += [family.pop(0) for family in families if family]
+        return interleaved
+
+    def _attempt_delay_us(self, state: AddressState) -> int:
+        """Return RFC 8305's Connection Attempt Delay: how long until the next address is tried beside."""
+        usual_us = int(DELAY_PER_CONNECT_TIME * state.connect_time_us)
+        return max(self.rules.connection_attempt_delay_us, min(MAX_ATTEMPT_DELAY_US, usual_us))
+
+    def _record_failure(self, state: AddressState, now_us: int) -> None:
+        state.record_failure()
+        state.backoff_until_us = now_us + self._backoff_us(state)
+
+    def _backoff_us(self, state: AddressState) -> int:
+        jitter = self._rng.uniform(MIN_BACKOFF_JITTER, 1.0)
+        return int(state.backoff_us(self.rules.max_backoff_us) * jitter)
+
+
+def _move_slow_back(states: list[AddressState]) -> None:
+    """Move those behind that are much slower than the quickest; the order stays otherwise."""
+    quickest_connect_us = min((s.connect_time_us for s in states if s.connect_time_us), default=0.0)
+    quickest_response_us = min((s.response_time_us for s in states if s.response_time_us), default=0.0)
+    max_connect_us = max(
+        MUCH_SLOWER_RATIO * quickest_connect_us, quickest_connect_us + CONNECT_TIME_TOLERANCE_US
+    )
+    max_response_us = max(
+        MUCH_SLOWER_RATIO * quickest_response_us, quickest_response_us + RESPONSE_TIME_TOLERANCE_US
+    )
+    states.sort(
+        key=lambda state: (state.response_time_us > max_response_us, state.connect_time_us > max_connect_us)
+    )
--- /dev/null
+++ b/gannetweir/addresses/address_table.py
@@ -0,0 +1,79 @@
+"""Which addresses each endpoint has: by the operators' rules, and by what discovery lists."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from typing import NamedTuple
+
+from gannetweir.addresses.address import Address
+from gannetweir.addresses.address_state import AddressState
+from gannetweir.addresses.rules import AddressRules
+
+
+class ListedAddresses(NamedTuple):
+    """The addresses of an endpoint as discovery lists them."""
+
+    address: str
+    more_addresses: tuple[str, ...]
+
+
+class AddressTable:
+    """The addresses of all endpoints of one relay, with their states. An address belongs to one endpoint."""
+
+    def __init__(self, rules: AddressRules) -> None:
+        self.states_by_endpoint: dict[str, dict[Address, AddressState]] = {}
+        self._rules = rules
+        self._endpoint_by_address: dict[Address, str] = {}
+        self._listed: dict[str, ListedAddresses] = {}
+        self._has_choice: dict[str, bool] = {}
+
+    def apply_rules(self, rules: AddressRules) -> None:
+        """Assign all addresses anew. The state of an address that its endpoint keeps stays."""
+        previous = self.states_by_endpoint
+        self._rules = rules
+        self.states_by_endpoint = {}
+        self._endpoint_by_address = {}  # the address of one endpoint may be another's from now on
+        for endpoint_name, listed in self._listed.items():
+            self._assign(endpoint_name, listed, previous.get(endpoint_name, {}))
+
+    def update_endpoint(self, endpoint_name: str, address: str, more_addresses: Sequence[str] = ()) -> None:
+        """Take what discovery lists of an endpoint; nothing changes where it lists the same again."""
+        listed = ListedAddresses(address, tuple(more_addresses))
+        if self._listed.get(endpoint_name) != listed:
+            self._listed[endpoint_name] = listed
+            self._assign(endpoint_name, listed, self._release(endpoint_name))
+
+    def remove_endpoint(self, endpoint_name: str) -> None:
+        """Drop an endpoint and what is known of its addresses."""
+        self._release(endpoint_name)
+        self._listed.pop(endpoint_name, None)
+        self._has_choice.pop(endpoint_name, None)
+
+    def has_choice(self, endpoint_name: str) -> bool:
+        """Whether an endpoint has anything but the one address that discovery lists."""
+        return self._has_choice.get(endpoint_name, False)
+
+    def states_of(self, endpoint_name: str) -> dict[Address, AddressState]:
+        """Return the states of an endpoint's addresses, in the order stated; empty for one not known."""
+        return self.states_by_endpoint.get(endpoint_name, {})
+
+    def _assign(
+        self, endpoint_name: str, listed: ListedAddresses, previous: Mapping[Address, AddressState]
+    ) -> None:
+        addresses = self._rules.addresses_of(endpoint_name, listed.address, listed.more_addresses)
+        # what another endpoint has already is not this one's: its lines would go to the wrong one
+        assigned = [
+            address
+            for address in addresses
+            if self._endpoint_by_address.setdefault(address, endpoint_name) == endpoint_name
+        ]
+        self.states_by_endpoint[endpoint_name] = {
+            address: previous.get(address) or AddressState(address) for address in assigned
+        }
+        self._has_choice[endpoint_name] = [str(address) for address in assigned] != [listed.address]
+
+    def _release(self, endpoint_name: str) -> dict[Address, AddressState]:
+        states = self.states_by_endpoint.pop(endpoint_name, {})
+        for address in states:
+            del self._endpoint_by_address[address]
+        return states
--- a/gannetweir/config/operators_file.py
+++ b/gannetweir/config/operators_file.py
@@ -175,7 +175,7 @@
     if rules is None:
         return []
     connect_timeout_us = int(settings.connect_timeout_us) if settings is not None else 0
-    return [Mistake(*problem) for problem in check_address_rules(rules, endpoint_names, connect_timeout_us)]
+    return list(check_address_rules(rules, endpoint_names, connect_timeout_us))
 
 
 def load_routing_rules(
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -247,16 +247,16 @@
     paths = paths_of(V4, V6)
     paths.record_connected("a", parse_address(V6), 20 * MS)
     paths.record_lost_race("a", parse_address(V6), 40 * MS, SECOND)
-    assert not paths.states_by_endpoint["a"][parse_address(V6)].is_unhealthy()
+    assert not paths.states_by_endpoint["a"][parse_address(V6)].is_unhealthy
     paths.record_lost_race("a", parse_address(V6), 90 * MS, SECOND)
-    assert paths.states_by_endpoint["a"][parse_address(V6)].is_unhealthy()
+    assert paths.states_by_endpoint["a"][parse_address(V6)].is_unhealthy
 
 
 def test_a_reload_adds_and_takes_addresses_and_keeps_what_was_learnt() -> None:
     paths = paths_of(V4, V6)
     paths.record_connect_failure("a", parse_address(V4), SECOND)
     paths.apply_rules(AddressRules((EndpointRule("a", (UNIX,)),)), 250 * MS)
-    assert paths.states_by_endpoint["a"][parse_address(V4)].is_unhealthy()
+    assert paths.states_by_endpoint["a"][parse_address(V4)].is_unhealthy
     assert shown(paths)[0] == UNIX
     paths.apply_rules(AddressRules((EndpointRule("a", (UNIX,), includes_listed_addresses=False),)), 250 * MS)
     assert shown(paths) == [UNIX]
@@ -292,9 +292,7 @@
     paths.apply_rules(named(V6, V4), 250 * MS)
     assert shown(paths) == [V6, UNIX]
     assert [str(a) for a in paths.ordered_addresses("b", 0)] == [V4]
-    assert paths.states_by_endpoint["a"][
-        parse_address(UNIX)
-    ].is_unhealthy()  # what it keeps is known as it was
+    assert paths.states_by_endpoint["a"][parse_address(UNIX)].is_unhealthy  # what it keeps is known as it was
 
 
 def test_one_address_that_is_not_discoverys_is_the_one_that_is_used() -> None:
