--- a/gannetweir/addresses/address_selector.py
+++ b/gannetweir/addresses/address_selector.py
@@ -198,8 +198,12 @@
 
 def _move_slow_back(states: list[AddressState]) -> None:
     """Move those behind that are much slower than the quickest; the order stays otherwise."""
-    quickest_connect_us = min((s.connect_time_us for s in states if s.connect_time_us), default=0.0)
-    quickest_response_us = min((s.response_time_us for s in states if s.response_time_us), default=0.0)
+    quickest_connect_us = min(
+        (state.connect_time_us for state in states if state.connect_time_us), default=0.0
+    )
+    quickest_response_us = min(
+        (state.response_time_us for state in states if state.response_time_us), default=0.0
+    )
     max_connect_us = max(
         MUCH_SLOWER_RATIO * quickest_connect_us, quickest_connect_us + CONNECT_TIME_TOLERANCE_US
     )
