--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -37,68 +37,73 @@
 from tests.scenario import play
 
 UPDATE = '{"seq":42,"whole":%s,"hosts":[%s]}'
-HOST = '{"host":"b%d","dial":"127.0.0.1:%d","health":"%s","born_ms":%d}'
-B3 = HOST % (3, 3, "Ready", 0)
-OPEN = """
+HOST_LINE = '{"host":"b%d","dial":"127.0.0.1:%d","health":"%s","born_ms":%d}'
+READY_B3 = HOST_LINE % (3, 3, "Ready", 0)
+OPEN_REQUEST = """
 c1 send OPEN 0a 0b c=plain,d=2000
 c1/upstream expect OPEN*
 """
-UNAVAILABLE = {  # news that reach a flow to b1 on its way
-    "drains": UPDATE % ("false", HOST % (1, 1, "Terminating", 0) + "," + B3),
-    "is gone": UPDATE % ("false", HOST % (1, 1, "Gone", 0) + "," + B3),
-    "is missing in the whole list": UPDATE % ("true", B3),
-    "has started anew": UPDATE % ("false", HOST % (1, 1, "Ready", 1_700_000_000_000) + "," + B3),
+UNAVAILABLE = {  # updates while an attempt at b1 is in flight
+    "drains": UPDATE % ("false", HOST_LINE % (1, 1, "Terminating", 0) + "," + READY_B3),
+    "is gone": UPDATE % ("false", HOST_LINE % (1, 1, "Gone", 0) + "," + READY_B3),
+    "is missing in the snapshot": UPDATE % ("true", READY_B3),
+    "has started anew": UPDATE % ("false", HOST_LINE % (1, 1, "Ready", 1_700_000_000_000) + "," + READY_B3),
 }
 
 
-@pytest.mark.parametrize("news", UNAVAILABLE.values(), ids=UNAVAILABLE.keys())
-def test_an_unwritten_attempt_is_closed_at_an_endpoint_that(news: str) -> None:
+@pytest.mark.parametrize("update", UNAVAILABLE.values(), ids=UNAVAILABLE.keys())
+def test_an_unwritten_attempt_is_closed_at_an_endpoint_that(update: str) -> None:
     world = play(
-        OPEN + f"discovery send {news}\nc1/upstream expect end\nc1/upstream expect OPEN*", backends=1
+        OPEN_REQUEST + f"discovery send {update}\nc1/upstream expect end\nc1/upstream expect OPEN*",
+        backends=1,
     )
     assert world.upstreams["c1"][0].address == "127.0.0.1:3"
     world.play("c1/upstream send UP r1\nc1 expect UP r1\nrelay expect count flows 2")
 
 
-@pytest.mark.parametrize("news", UNAVAILABLE.values(), ids=UNAVAILABLE.keys())
-def test_a_written_attempt_stays_at_an_endpoint_that(news: str) -> None:
+@pytest.mark.parametrize("update", UNAVAILABLE.values(), ids=UNAVAILABLE.keys())
+def test_a_written_attempt_stays_at_an_endpoint_that(update: str) -> None:
     play(
-        OPEN
-        + f"c1/upstream written\ndiscovery send {news}\nc1/upstream expect nothing\nc1/upstream send UP r1\n"
-        "c1 expect UP r1\nrelay expect count flows 1",
+        OPEN_REQUEST + f"c1/upstream written\ndiscovery send {update}\nc1/upstream expect nothing\n"
+        "c1/upstream send UP r1\nc1 expect UP r1\nrelay expect count flows 1",
         backends=1,
     )
 
 
 def test_a_draining_endpoint_is_not_probed() -> None:
     world = play(f"discovery send {UNAVAILABLE['drains']}", backends=1)
-    for server in ("b1", "b3"):
-        world.engine.placement_actions.carry_out(ProbeLoad(server))
-    assert [c.endpoint_id for c in world.engine.commands if isinstance(c, StartLoadProbe)] == ["b3"]
+    for endpoint_id in ("b1", "b3"):
+        world.engine.placement_actions.carry_out(ProbeLoad(endpoint_id))
+    probes = [command for command in world.engine.commands if isinstance(command, StartLoadProbe)]
+    assert [probe.endpoint_id for probe in probes] == ["b3"]
 
 
-@pytest.mark.parametrize("news", UNAVAILABLE.values(), ids=UNAVAILABLE.keys())
-def test_a_connection_is_resumed_at_an_endpoint_that(news: str) -> None:
+@pytest.mark.parametrize("update", UNAVAILABLE.values(), ids=UNAVAILABLE.keys())
+def test_a_connection_is_resumed_at_an_endpoint_that(update: str) -> None:
     play(
-        f"c1 send OPEN 0a 0b c=plain,d=2000,at=b1\nc1/upstream expect OPEN*\ndiscovery send {news}\n"
+        f"c1 send OPEN 0a 0b c=plain,d=2000,at=b1\nc1/upstream expect OPEN*\ndiscovery send {update}\n"
         "c1/upstream expect nothing\nc1/upstream send UP r1\nc1 expect UP r1",
         backends=1,
     )
 
 
 @pytest.mark.parametrize(
-    ("effect", "before", "answer"),
+    ("idempotency", "before", "answer"),
     [
-        ("once", "c1/upstream written", "ERR"),  # it may run: to come again could do it twice
+        ("once", "c1/upstream written", "ERR"),  # it may have been executed: a retry could execute it twice
         ("once", "", "BUSY*"),
         ("repeatable", "c1/upstream written", "BUSY*"),
-        ("by_key", "c1/upstream written", "BUSY*"),  # the scenarios' classes are kept by all backends
+        (
+            "by_key",
+            "c1/upstream written",
+            "BUSY*",
+        ),  # the keys of the scenarios' classes are known at all endpoints
     ],
 )
-def test_the_exit_rejects_only_what_may_be_retried(effect: str, before: str, answer: str) -> None:
+def test_the_exit_rejects_only_what_may_be_retried(idempotency: str, before: str, answer: str) -> None:
     play(
-        f"settings reload 3 plain:{effect}"
-        + OPEN
+        f"settings reload 3 plain:{idempotency}"
+        + OPEN_REQUEST
         + before
         + f"""
         relay term
@@ -113,23 +118,27 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "listed", "stays"),
+    ("before", "listed", "stays_unavailable"),
     [
-        (HOST % (1, 1, "Terminating", 0), HOST % (1, 1, "Ready", 0), True),
-        (HOST % (1, 1, "Gone", 0), HOST % (1, 1, "Ready", 0), True),
-        (HOST % (1, 1, "Gone", 0), HOST % (1, 1, "Ready", 1_700_000_000_000), False),  # started anew since
+        (HOST_LINE % (1, 1, "Terminating", 0), HOST_LINE % (1, 1, "Ready", 0), True),
+        (HOST_LINE % (1, 1, "Gone", 0), HOST_LINE % (1, 1, "Ready", 0), True),
+        (
+            HOST_LINE % (1, 1, "Gone", 0),
+            HOST_LINE % (1, 1, "Ready", 1_700_000_000_000),
+            False,
+        ),  # started anew since
     ],
 )
-def test_an_older_snapshot_does_not_undo_a_drain(told: str, listed: str, stays: bool) -> None:
+def test_an_older_snapshot_does_not_undo_a_drain(before: str, listed: str, stays_unavailable: bool) -> None:
     play(
         f"""
-        discovery send {UPDATE % ("false", told + "," + B3)}
+        discovery send {UPDATE % ("false", before + "," + READY_B3)}
         discovery close
         discovery reopen {(UPDATE % ("true", listed)).replace("42", "7")}
         c1 send OPEN 0a 0b c=plain,d=2000
-        time wait {1000 if stays else 0}
-        c1/upstream expect {"nothing" if stays else "OPEN*"}
-        c1{"" if stays else "/upstream"} expect {"BUSY*" if stays else "nothing"}""",
+        time wait {1000 if stays_unavailable else 0}
+        c1/upstream expect {"nothing" if stays_unavailable else "OPEN*"}
+        c1{"" if stays_unavailable else "/upstream"} expect {"BUSY*" if stays_unavailable else "nothing"}""",
         backends=1,
     )
 
@@ -165,7 +174,7 @@
         discovery expect nothing
         time wait 1
         discovery expect watch 42
-        discovery send {UPDATE.replace("42", "43") % ("true", B3)}
+        discovery send {UPDATE.replace("42", "43") % ("true", READY_B3)}
         discovery close
         time wait 0
         discovery expect watch 43
@@ -176,31 +185,31 @@
 
 
 def disconnects_with_its_first_line(reset: bool) -> Play:
-    async def leaves(place: Place) -> None:
-        for n in range(20):
+    async def disconnects(place: Place) -> None:
+        for number in range(20):
             client = await place.client()
             await place.until(lambda: place.relay.clients.open_count == 1)
-            client.send(rf"OPEN {n:x} 0b c=plain,d=2000\r\n")
+            client.send(rf"OPEN {number:x} 0b c=plain,d=2000\r\n")
             if reset:
                 client.close(True)
             else:
                 client.finish()
                 await client.expect("end")
             await place.until(lambda: place.relay.clients.open_count == 0)
-        with pytest.raises(BlockingIOError):  # nothing of it is as much as dialled
+        with pytest.raises(BlockingIOError):  # not even a connect was started
             place.backend.accept()
         assert reset or place.relay.engine.counters.counts["requests"] == 20  # a reset may come first
         await served(place, "ff")
 
-    leaves.__name__ = f"the first line and the client's {'reset' if reset else 'end'} together"
-    return leaves
+    disconnects.__name__ = f"the first line and the client's {'reset' if reset else 'end'} together"
+    return disconnects
 
 
 async def a_watch_that_sends_no_complete_line(place: Place) -> None:
     watcher = await place.watcher(place.discovery, 1)
     watcher.send(HEAD + BEAT + r"fff\r\n")
     with contextlib.suppress(BrokenPipeError, ConnectionResetError):
-        for _ in range(400):  # bytes wind no clock: only a whole line or a beat is a word
+        for _ in range(400):  # bytes extend no timeout: only a complete line or a heartbeat does
             watcher.send(" ")
             await anyio.sleep(0.005)
             if place.relay.engine.counters.counts["pool_failures"]:
@@ -223,13 +232,13 @@
 
 
 async def a_first_line_as_its_timeout_expires(place: Place) -> None:
-    for asked in (True, False):
+    for has_pinged in (True, False):
         client = await place.client()
-        if asked:  # it rests, as the front's do
+        if has_pinged:  # it stays open, as the front's do
             client.send(r"PING\r\n")
             await client.expect("PONG")
         await place.until(lambda: place.relay.clients.open_count == 1)
-        time.sleep(0.07)  # the time is over, but nobody has had a turn to see that
+        time.sleep(0.07)  # the timeout has expired, but no task has run since
         client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
         server = await place.accept()
         await server.expect("OPEN 0a 0b")
@@ -264,12 +273,12 @@
 async def established_as_the_attempt_times_out(place: Place) -> None:
     client = await place.client()
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
-    late = await place.accept()
-    await late.expect("OPEN 0a 0b c=plain,d=500")
-    place.relay.runtime.clock.offset_ns += 600_000_000  # the attempt's time is over: the timer goes first
+    server = await place.accept()
+    await server.expect("OPEN 0a 0b c=plain,d=500")
+    place.relay.runtime.clock.offset_ns += 600_000_000  # the attempt has timed out: the timer comes first
     place.relay.runtime.timers.wake.set()
-    late.send(r"UP late\r\n")
-    await late.expect("reset")  # abandoned over what it has just said
+    server.send(r"UP late\r\n")
+    await server.expect("reset")  # closed, in spite of what it has just sent
     await client.expect("BUSY")  # the one final answer: there is no other backend
     await client.expect("end")
     counts = place.relay.engine.counters.counts
@@ -277,7 +286,7 @@
 
 
 def established_as_the_client_disconnects(reset: bool) -> Play:
-    async def leaves(place: Place) -> None:
+    async def disconnects(place: Place) -> None:
         client = await place.client()
         client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
         server = await place.accept()
@@ -289,33 +298,33 @@
             assert await server._next() in (ended, "reset", "end")
         await place.until(lambda: place.relay.clients.open_count == 0)
         with pytest.raises(BlockingIOError):
-            place.backend.accept()  # no further attempt for who has left
+            place.backend.accept()  # no further attempt for a client that has disconnected
 
-    leaves.__name__ = f"an UP and the client's {'reset' if reset else 'end'} together"
-    return leaves
+    disconnects.__name__ = f"an UP and the client's {'reset' if reset else 'end'} together"
+    return disconnects
 
 
 async def two_answers(place: Place) -> None:
     client, _ = await served(place, "0a")
     client.close()
-    for first, second in ((r"UP r1\r\n", r"UP r1\r\n"), (r"UP r1\r\n", r"BUSY\r\n")):
+    for answer, line in ((r"UP r1\r\n", r"UP r1\r\n"), (r"UP r1\r\n", r"BUSY\r\n")):
         client = await place.client()
         client.send(r"OPEN 0b 0b c=plain,d=2000\r\n")
         server = await place.accept()
         await server.expect("OPEN 0b 0b")
-        server.send(first + second)
+        server.send(answer + line)
         await client.expect("UP r1")  # the answer; whatever follows is a line like any other
-        await client.expect(second[:2])
+        await client.expect(line[:2])
         client.send(r"still here\r\n")
         await server.expect("still here")
         client.close()
         await server.expect("end")
-    for first in (r"BUSY\r\n", r"ERR\r\n"):
+    for answer in (r"BUSY\r\n", r"ERR\r\n"):
         client = await place.client()
         client.send(r"OPEN 0c 0b c=plain,d=2000\r\n")
         server = await place.accept()
         await server.expect("OPEN 0c 0b")
-        server.send(first + r"UP late\r\n")  # the second is nobody's
+        server.send(answer + r"UP late\r\n")  # the second is nobody's
         await client.expect("BUSY")
         await client.expect("end")
 
@@ -324,12 +333,12 @@
     full = socket.socket()
     full.bind(("127.0.0.1", 0))
     full.listen(0)
-    held = [socket.socket() for _ in range(4)]  # its queue is full: no further connect comes up
-    for sock in held:
+    pending = [socket.socket() for _ in range(4)]  # its queue is full: no further connect succeeds
+    for sock in pending:
         sock.setblocking(False)
         sock.connect_ex(full.getsockname())
     await place.client()
-    news = UPDATE % ("true", HOST % (1, full.getsockname()[1], "Ready", 0))
+    news = UPDATE % ("true", HOST_LINE % (1, full.getsockname()[1], "Ready", 0))
     place.relay.runtime.run_engine_call(
         place.relay.engine.endpoint_update_received,
         read_membership(orjson.loads(news), place.relay.runtime.settings),
@@ -344,7 +353,7 @@
     await client.expect("end")
     await place.until(lambda: place.relay.runtime.descriptor_count.open == clients)
     assert place.relay.engine.counters.counts["flows"] == 1
-    for sock in (full, *held):
+    for sock in (full, *pending):
         sock.close()
 
 
@@ -356,7 +365,7 @@
     nowhere = SocketAddress("127.0.0.1", place.free_port())
     place.hup(discovery_address=nowhere)
     await place.until(lambda: place.relay.engine.counters.counts["pool_failures"] == 1)
-    old.send(told(7))  # nobody answers there: the old one still counts
+    old.send(told(7))  # nobody answers there: updates from the previous one still count
     await place.until(lambda: place.relay.engine.endpoint_list.version == 7)
     place.hup(discovery_address=nowhere)  # the same again, and on at once
     place.hup(discovery_address=SocketAddress(*live.getsockname()))
@@ -375,7 +384,7 @@
     for health in ("Terminating", "Gone"):
         relay.runtime.spawn(partial(run_probe, relay.runtime, StartLoadProbe("b1", dial)))
         news = read_membership(
-            orjson.loads(UPDATE % ("false", HOST % (1, 1, health, 0))), relay.runtime.settings
+            orjson.loads(UPDATE % ("false", HOST_LINE % (1, 1, health, 0))), relay.runtime.settings
         )
         relay.runtime.run_engine_call(relay.engine.endpoint_update_received, news)  # before the connect is up
         await (await place.accept()).expect("end")  # without a question
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -1,7 +1,7 @@
-"""Discovery is away and comes back: what it has to tell holds within 6 s, whatever failed before.
+"""Discovery is unreachable and returns: its changes are in force within 6 s, whatever failed before.
 
-The real engine and module on a fed clock, beside models of discovery and of the driver of the watch. The
-driver's own times (what winds its clock, what it takes after a move) are shown on loopback sockets.
+The real engine and balancer on a simulated clock, beside models of discovery and of the driver of the watch.
+The driver's own timeouts (what extends them, what holds after a change of address) run on loopback sockets.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from tests.place import BEAT, HEAD, QUICK, Peer, Place, Play, anyio_backend, bound, played  # noqa: F401
 from tests.scenario import CLASSES, play
 
-CHANGE_IN_FORCE_US = 6 * SECOND  # after discovery had a change and could be reached, it counts as told
+CHANGE_IN_FORCE_US = 6 * SECOND  # from when discovery had a change and could be reached
 HEARTBEAT_US = 2 * SECOND
 LIMITS = Limits()
 NEVER = 1 << 62
@@ -36,14 +36,14 @@
 
 @dataclass
 class DiscoveryModel:
-    """Back at a moment; before it, calls fail in ways drawn from the seed. From then on it answers."""
+    """Reachable from a moment on; before it, calls fail in ways drawn from the seed."""
 
-    rng: random.Random
+    random: random.Random
     reachable_us: int
-    max_latency_us: int  # to its first answer, once it is back
+    max_latency_us: int  # of its first answer, once it is reachable
     failures: tuple[str, ...] = ("refused", "silent", "slow", "half", "503")
     calls_us: list[int] = field(default_factory=list)
-    b1_drains: bool = False  # b1 does, by now
+    b1_drains: bool = False  # its list has b1 as draining
 
     def answer(self) -> MembershipUpdate:
         return (
@@ -52,39 +52,40 @@
             else MembershipUpdate(1, False)
         )
 
-    def call(self, now: int) -> tuple[int, bool]:
+    def call(self, now_us: int) -> tuple[int, bool]:
         """When this call ends, and whether with an answer, as the driver of the watch sees it."""
-        self.calls_us.append(now)
-        if now >= self.reachable_us:
-            return now + self.rng.randrange(self.max_latency_us), True
-        kind = self.rng.choice(self.failures)
+        self.calls_us.append(now_us)
+        if now_us >= self.reachable_us:
+            return now_us + self.random.randrange(self.max_latency_us), True
+        kind = self.random.choice(self.failures)
         if kind == "refused":
-            return now + self.rng.randrange(2_000), False
+            return now_us + self.random.randrange(2_000), False
         if kind == "503":  # it was there until then
-            return min(self.reachable_us, now + self.rng.randrange(2 * SECOND)), False
+            return min(self.reachable_us, now_us + self.random.randrange(2 * SECOND)), False
         if kind == "half":  # a head, and from then on nothing: no later than what cut it off ended
-            head = min(self.reachable_us, now + self.rng.randrange(LIMITS.endpoint_watch_response_timeout_us))
+            head = min(
+                self.reachable_us, now_us + self.random.randrange(LIMITS.endpoint_watch_response_timeout_us)
+            )
             return head + LIMITS.endpoint_watch_silence_us, False
         return (
-            now + LIMITS.endpoint_watch_response_timeout_us,
+            now_us + LIMITS.endpoint_watch_response_timeout_us,
             False,
         )  # no head, or bytes of one that never ends
 
 
 class RelayModel:
-    """One engine, its clock, and what the driver does for its orders."""
+    """One engine, its clock, and what the driver does for its commands."""
 
-    def __init__(self, seed: int, discovery: DiscoveryModel, now: int, **changes: object) -> None:
-        self.now_us, self.discovery = now, discovery
+    def __init__(self, seed: int, discovery: DiscoveryModel, now_us: int, **changes: object) -> None:
+        self.now_us, self.discovery = now_us, discovery
         values: dict[str, object] = {
             "polls_endpoint_list": True,
             "relay_count": RELAY_COUNT,
             "classes": CLASSES,
         }
-        s = settings(**(values | changes))
         self.call_ends_us, self.call_succeeds = NEVER, False
-        known = MembershipUpdate(1, True, [listed("b1"), listed("b2")])
-        self.engine = e.Engine(s, LIMITS, seed, known, now)
+        membership = MembershipUpdate(1, True, [listed("b1"), listed("b2")])
+        self.engine = e.Engine(settings(**(values | changes)), LIMITS, seed, membership, now_us)
         self.carry_out_commands()
 
     def carry_out_commands(self) -> None:
@@ -96,8 +97,8 @@
             elif isinstance(command, e.StartLoadProbe):
                 self.engine.load_probe_ended(command.endpoint_id, AttemptStatus.OK, (10.0, 0.5), self.now_us)
 
-    def run(self, until: int) -> None:
-        while (due := min(self.engine.next_due(), self.call_ends_us)) <= until:
+    def run(self, until_us: int) -> None:
+        while (due := min(self.engine.next_due(), self.call_ends_us)) <= until_us:
             self.now_us = max(self.now_us, due)
             if self.call_ends_us <= self.now_us:
                 self.call_ends_us = NEVER
@@ -108,10 +109,10 @@
             else:
                 self.engine.advance(self.now_us)
             self.carry_out_commands()
-        self.now_us = until
+        self.now_us = until_us
 
     def open_watch(self) -> None:
-        """Its watch is open by now."""
+        """Answer the call, so that the watch is open."""
         self.engine.endpoint_update_received(MembershipUpdate(1, False), self.now_us)
         self.call_ends_us = NEVER
         self.carry_out_commands()
@@ -124,55 +125,61 @@
         )
 
 
-def relay_with_open_watch(rng: random.Random, back_us: int, begin: int, **changes: object) -> RelayModel:
-    """A relay whose watch is open at `begin`; discovery is away from then until `back_us`."""
+def relay_with_open_watch(
+    rng: random.Random, reachable_us: int, begin_us: int, **changes: object
+) -> RelayModel:
+    """A relay whose watch is open at `begin`; discovery is unreachable from then until `reachable_us`."""
     slow = rng.choice([50_000, SECOND, LIMITS.endpoint_watch_response_timeout_us - 20_000])
     discovery = DiscoveryModel(rng, 0, slow)
-    relay = RelayModel(rng.getrandbits(32), discovery, begin - 5 * SECOND, **changes)
-    relay.run(begin)
+    relay = RelayModel(rng.getrandbits(32), discovery, begin_us - 5 * SECOND, **changes)
+    relay.run(begin_us)
     relay.open_watch()
     discovery.calls_us.clear()
-    discovery.reachable_us, discovery.b1_drains = back_us, True
+    discovery.reachable_us, discovery.b1_drains = reachable_us, True
     return relay
 
 
 @pytest.mark.parametrize("seed", range(300))
 def test_a_drain_is_in_force_6_s_after_discovery_had_it_and_could_be_reached(seed: int) -> None:
     rng, begin = random.Random(seed), 1_700_000_000 * SECOND
-    away = rng.choice(
+    unreachable_us = rng.choice(
         [0, rng.randrange(SECOND), rng.randrange(8 * SECOND), rng.randrange(8 * SECOND, 60 * SECOND)]
     )
-    asked_within = rng.choice([100_000, SECOND, 10 * SECOND, 60 * SECOND, 3_600 * SECOND])
+    poll_interval_us = rng.choice([100_000, SECOND, 10 * SECOND, 60 * SECOND, 3_600 * SECOND])
     relay = relay_with_open_watch(
-        rng, begin + away, begin, polls_endpoint_list=seed % 4 > 0, poll_interval_us=asked_within
+        rng,
+        begin + unreachable_us,
+        begin,
+        polls_endpoint_list=seed % 4 > 0,
+        poll_interval_us=poll_interval_us,
     )
-    lost = rng.choice(["reset", "silent", "silent"])  # the watch that was open
+    watch_loss = rng.choice(["reset", "silent", "silent"])  # the watch that was open
     relay.call_ends_us = begin + (
-        LIMITS.endpoint_watch_silence_us if lost == "silent" else rng.randrange(1 + away // 2)
+        LIMITS.endpoint_watch_silence_us if watch_loss == "silent" else rng.randrange(1 + unreachable_us // 2)
     )
     relay.call_succeeds = False
-    relay.run(begin + away + CHANGE_IN_FORCE_US)
-    assert relay.knows_of_the_drain(), (lost, away / SECOND, asked_within / SECOND)
+    relay.run(begin + unreachable_us + CHANGE_IN_FORCE_US)
+    assert relay.knows_of_the_drain(), (watch_loss, unreachable_us / SECOND, poll_interval_us / SECOND)
 
 
-@pytest.mark.parametrize("asked_within", [SECOND, 10 * SECOND, 3_600 * SECOND])
-def test_a_new_relay_applies_a_drain_within_6_s(asked_within: int) -> None:
+@pytest.mark.parametrize("poll_interval_us", [SECOND, 10 * SECOND, 3_600 * SECOND])
+def test_a_new_relay_applies_a_drain_within_6_s(poll_interval_us: int) -> None:
     for seed in range(50):
         rng, begin = random.Random(seed), 1_700_000_000 * SECOND
         there = DiscoveryModel(rng, 0, LIMITS.endpoint_watch_response_timeout_us, b1_drains=True)
-        relay = RelayModel(seed, there, begin, poll_interval_us=asked_within)
+        relay = RelayModel(seed, there, begin, poll_interval_us=poll_interval_us)
         relay.run(begin + CHANGE_IN_FORCE_US)
         assert relay.knows_of_the_drain()
 
 
 def test_the_timeouts_of_a_poll_add_up_to_less_than_6_s() -> None:
     """A call that hangs, a refused one and a silent watch; then the wait, and the slowest answer."""
-    again, call = endpoint_polling.FIRST_BACKOFF_US, LIMITS.endpoint_watch_response_timeout_us
+    backoff, call = endpoint_polling.FIRST_BACKOFF_US, LIMITS.endpoint_watch_response_timeout_us
     assert max(call, endpoint_polling.MAX_ROUND_US) + call < CHANGE_IN_FORCE_US - 50_000
-    assert LIMITS.endpoint_watch_silence_us + again + call < CHANGE_IN_FORCE_US - 50_000
+    assert LIMITS.endpoint_watch_silence_us + backoff + call < CHANGE_IN_FORCE_US - 50_000
     assert (
-        call + again + call <= CHANGE_IN_FORCE_US - 50_000
-    )  # after a move, whose call the module has not asked for
+        call + backoff + call <= CHANGE_IN_FORCE_US - 50_000
+    )  # after a change of address, whose call the balancer has not asked for
     assert LIMITS.endpoint_watch_silence_us >= HEARTBEAT_US + 500_000
 
 
@@ -200,43 +207,44 @@
         relay.discovery.failures, relay.discovery.max_latency_us = ("refused",), 50_000
         relay.call_ends_us, relay.call_succeeds = begin, False  # all watches end at once
         relay.run(begin + 40 * SECOND)
-        calls += [at - begin for at in relay.discovery.calls_us]
-    long = [at for at in calls if 10 * SECOND <= at < 30 * SECOND]
-    assert len(long) / 20 < 100
-    back = [at - 30 * SECOND for at in calls if at >= 30 * SECOND]
-    assert len(back) == RELAY_COUNT  # each once
-    busiest = max(sum(at <= other < at + 250_000 for other in back) for at in back)
+        calls += [call_us - begin for call_us in relay.discovery.calls_us]
+    unreachable = [call_us for call_us in calls if 10 * SECOND <= call_us < 30 * SECOND]
+    assert len(unreachable) / 20 < 100
+    returning = [call_us - 30 * SECOND for call_us in calls if call_us >= 30 * SECOND]
+    assert len(returning) == RELAY_COUNT  # each once
+    busiest = max(
+        sum(call_us <= other_us < call_us + 250_000 for other_us in returning) for call_us in returning
+    )
     assert busiest < 40  # of 200, in a quarter of a second
 
 
-# ---- by scenario: what was told stays told
-
 UPDATE = '{"seq":%d,"whole":%s,"hosts":[%s]}'
-B1 = '{"host":"b1","dial":"127.0.0.1:1","health":"%s","born_ms":0}'
-B2 = '{"host":"b2","dial":"127.0.0.1:2","health":"Ready"}'
-DRAIN_B1 = "discovery send " + UPDATE % (42, "false", B1 % "Terminating")
+HOST_B1 = '{"host":"b1","dial":"127.0.0.1:1","health":"%s","born_ms":0}'
+HOST_B2 = '{"host":"b2","dial":"127.0.0.1:2","health":"Ready"}'
+DRAIN_B1 = "discovery send " + UPDATE % (42, "false", HOST_B1 % "Terminating")
 
 
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize(
-    "then",
+    "next_steps",
     [
         "settings reload 2 plain:repeatable",
         "discovery close\nsettings reload 2 plain:repeatable\ntime wait 4000",
         "\n".join(
-            "discovery send " + UPDATE % (seq, "true", B2) for seq in range(43, 63)
+            "discovery send " + UPDATE % (seq, "true", HOST_B2) for seq in range(43, 63)
         ),  # it is not listed
         "\n".join(
-            "discovery send " + UPDATE % (seq, "true", B1 % "Terminating" + "," + B2) for seq in range(43, 63)
+            "discovery send " + UPDATE % (seq, "true", HOST_B1 % "Terminating" + "," + HOST_B2)
+            for seq in range(43, 63)
         ),
-        f"discovery close\ndiscovery reopen {UPDATE % (7, 'true', B1 % 'Ready' + ',' + B2)}",
+        f"discovery close\ndiscovery reopen {UPDATE % (7, 'true', HOST_B1 % 'Ready' + ',' + HOST_B2)}",
     ],
     ids=["reload", "reload, no watch", "whole lists without it", "whole lists with it", "an old whole list"],
 )
-def test_a_drain_stays_in_force_after(then: str, pushed: bool) -> None:
-    script = "\n".join(f"c{n} send OPEN {n}a 0b c=plain,d=2000" for n in range(1, 6))
-    world = play(f"{DRAIN_B1}\n{then}\n{script}", pushed=pushed)
-    assert {order.endpoint_id for order, _ in world.upstreams.values()} == {"b2"}
+def test_a_drain_stays_in_force_after(next_steps: str, pushed: bool) -> None:
+    script = "\n".join(f"c{number} send OPEN {number}a 0b c=plain,d=2000" for number in range(1, 6))
+    world = play(f"{DRAIN_B1}\n{next_steps}\n{script}", pushed=pushed)
+    assert {command.endpoint_id for command, _ in world.upstreams.values()} == {"b2"}
     assert len(world.upstreams) == 5
 
 
@@ -250,11 +258,8 @@
     world.play("discovery expect nothing\ntime wait 450\ndiscovery expect watch 41")
 
 
-# ---- on sockets: the driver's own times, and its move
-
-
 def chunk_of(version: int, whole: bool, health: str) -> str:
-    line = UPDATE % (version, "true" if whole else "false", B1 % health)
+    line = UPDATE % (version, "true" if whole else "false", HOST_B1 % health)
     return rf"{len(line) + 1:x}\r\n{line}\n\r\n"
 
 
@@ -271,14 +276,14 @@
         watcher.send(chunk_of(version, False, "Ready"))
     await place.until(lambda: place.relay.engine.endpoint_list.version == 11)
     assert not watch_failures(place)
-    again = await place.watcher(place.discovery, 11)
+    next_watcher = await place.watcher(place.discovery, 11)
     await watcher.expect("end")
     assert watch_failures(place) == 1
-    again.send(HEAD + chunk_of(12, False, "Terminating"))
+    next_watcher.send(HEAD + chunk_of(12, False, "Terminating"))
     await place.until(lambda: not place.relay.engine.endpoint_list.accepts_requests("b1"))
 
 
-async def a_head_that_trickles(place: Place) -> None:
+async def incomplete_head(place: Place) -> None:
     watcher = await place.watcher(place.discovery, 1)
     watcher.send(HEAD[:20])
     with contextlib.suppress(BrokenPipeError, ConnectionResetError):
@@ -288,16 +293,16 @@
             if watch_failures(place):
                 break
     assert watch_failures(place) == 1
-    again = await place.watcher(place.discovery, 1)
-    again.send(HEAD + BEAT)
+    next_watcher = await place.watcher(place.discovery, 1)
+    next_watcher.send(HEAD + BEAT)
     await place.until(lambda: place.relay.endpoint_watch.has_answered)
 
 
 async def truncated_answer(place: Place) -> None:
-    first = await place.watcher(place.discovery, 1)
-    first.send(HEAD + chunk_of(2, True, "Ready")[:40])
-    second = await place.watcher(place.discovery, 1)
-    second.send(HEAD + chunk_of(2, True, "Terminating"))
+    truncated = await place.watcher(place.discovery, 1)
+    truncated.send(HEAD + chunk_of(2, True, "Ready")[:40])
+    complete = await place.watcher(place.discovery, 1)
+    complete.send(HEAD + chunk_of(2, True, "Terminating"))
     await place.until(lambda: not place.relay.engine.endpoint_list.accepts_requests("b1"))
     assert watch_failures(place) == 1
 
@@ -308,7 +313,7 @@
     await place.until(lambda: place.relay.endpoint_watch.has_answered)
     place.hup(discovery_address=SocketAddress(*new.getsockname()))
     hung: list[Peer] = []
-    for count in range(3):  # no word from the new one: the old one is heard all the time
+    for count in range(3):  # no answer from the new one: the old one's updates still count
         hung.append(await place.watcher(new, 0))
         assert watch_failures(place) == count
         old.send(chunk_of(40 + count, False, "Terminating" if count == 1 else "Ready"))
@@ -330,7 +335,7 @@
     peer.send(HEAD + chunk_of(41, True, "Ready"))
     await place.until(lambda: place.relay.engine.endpoint_list.version == 41)
     assert not place.relay.engine.endpoint_list.accepts_requests("b1")
-    peer.send(chunk_of(43, False, "Ready"))  # called back, in a change that is newer than the drain
+    peer.send(chunk_of(43, False, "Ready"))  # ready again, in a change that is newer than the drain
     await place.until(lambda: place.relay.engine.endpoint_list.accepts_requests("b1"))
 
 
@@ -339,7 +344,7 @@
     ("crossing", "limits"),
     [
         (heartbeats_then_silence, {"endpoint_watch_silence_us": 60_000}),
-        (a_head_that_trickles, {"endpoint_watch_response_timeout_us": 60_000}),
+        (incomplete_head, {"endpoint_watch_response_timeout_us": 60_000}),
         (truncated_answer, {"endpoint_watch_silence_us": 60_000}),
         (new_address_hangs, {"endpoint_watch_response_timeout_us": 60_000}),
         (new_address_has_an_older_list, {}),
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""What the relay owes its clients and backends, told in the scenario language."""
+"""What the relay owes its clients and endpoints, in the scenario language."""
 
 import pytest
 
@@ -25,17 +25,17 @@
     "only d changes in the first line": """
         c1 send OPEN 0a 0b zz=Q,c=plain,g=0c,d=1999,h=12.5,r=1
         c1/upstream expect OPEN 0a 0b zz=Q,c=plain,g=0c,d=500,h=12.5,r=1""",
-    "a load note passes unchanged and is told": ESTABLISHED
+    "a load line is forwarded unchanged and reported": ESTABLISHED
     + """
         c1/upstream send LOAD 125.5
         c1 expect LOAD 125.5
         relay expect count load_notes 1""",
-    "a load that is no number is not told": ESTABLISHED
+    "a load that is no number is not reported": ESTABLISHED
     + """
         c1/upstream send LOAD nan
         c1 expect LOAD nan
         relay expect count load_notes 0""",
-    "late answers are told once a second, and once more when they are back in time": ESTABLISHED
+    "late answers are reported once a second, and once more when they are in time again": ESTABLISHED
     + """
         c1 send 1
         time wait 30
@@ -67,14 +67,14 @@
         time wait 40
         c1/upstream send 1
         relay expect count delay_notes 1""",
-    "lines sent before the answer are kept for the backend": """
+    "lines sent before the answer are buffered for the endpoint": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1 send early
         c1/upstream expect OPEN*
         c1/upstream expect nothing
         c1/upstream send UP r1
         c1/upstream expect early""",
-    "the id of another client's open request is refused, and that one is unharmed": ESTABLISHED
+    "the id of another client's open request is rejected, and that one is unharmed": ESTABLISHED
     + """
         c2 send OPEN 0a 0c c=plain,d=2000
         c2 expect ERR
@@ -93,41 +93,41 @@
         c1/upstream expect end
         c2 send OPEN 0a 0b c=plain,d=2000
         c2/upstream expect OPEN*""",
-    "a backend's FIN is passed on": ESTABLISHED
+    "an endpoint's FIN is forwarded": ESTABLISHED
     + """
         c1/upstream close
         c1 expect end""",
-    "a backend's RST is passed on": ESTABLISHED
+    "an endpoint's RST is forwarded": ESTABLISHED
     + """
         c1/upstream reset
         c1 expect reset
         relay expect count connections.reset 1""",
-    "BYE is a service to its end": ESTABLISHED
+    "BYE ends a connection as served": ESTABLISHED
     + """
         c1/upstream send BYE
         c1/upstream close
         c1 expect BYE
         c1 expect end
         relay expect count connections.ok 1""",
-    "a backend that drains sends the client away": ESTABLISHED
+    "a draining endpoint migrates its client": ESTABLISHED
     + """
         c1/upstream send MOVE
         c1/upstream close
         c1 expect MOVE
         c1 expect end
         relay expect count connections.cancelled 1""",
-    "a client's FIN is passed on": ESTABLISHED
+    "a client's FIN is forwarded": ESTABLISHED
     + """
         c1 close
         c1/upstream expect end""",
-    "a client's RST is passed on": ESTABLISHED
+    "a client's RST is forwarded": ESTABLISHED
     + """
         c1 reset
         c1/upstream expect reset""",
 }
 
 FAILURES = {
-    "a busy backend: another one, after the first has ended": """
+    "a busy endpoint: a retry at another, after the first attempt has ended": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*
         c1/upstream send BUSY qps=1,inflight=90,x0=2.5
@@ -135,15 +135,15 @@
         relay expect count attempts.full 1
         c1/upstream send UP r2
         c1 expect UP r2""",
-    "a refused connection never ran": """
+    "a refused connect was not executed": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream refuse
         relay expect count attempts.connect_failed 1""",
-    "a connection that breaks after the last byte may have run": """
+    "a connection that breaks after the last byte may have been executed": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream reset
         relay expect count attempts.reset 1""",
-    "one that does not come up in the settings' time is closed, then the next is opened": """
+    "an attempt that is not established in its time is closed, then the next is opened": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*
         time wait 249
@@ -152,19 +152,19 @@
         c1/upstream expect end
         c1/upstream expect OPEN*
         relay expect count attempts.connect_failed 1""",
-    "a backend that fails is a reason to try another": """
+    "a failing endpoint is a reason to retry at another": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream send ERR
         c1/upstream expect OPEN*
         c1/upstream expect OPEN*
         relay expect count attempts.error 1""",
-    "what no backend serves is refused as soon as the module gives up, not near the deadline": """
+    "what no endpoint serves is rejected as soon as the balancer gives up, not near the deadline": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream send BUSY
         c1/upstream send BUSY
         c1 expect BUSY [1-9]*
         c1 expect end""",
-    "an UP that comes too late serves nobody": """
+    "an UP after the deadline serves nobody": """
         c1 send OPEN 0a 0b c=plain,d=200
         c1/upstream expect OPEN*
         time wait 159
@@ -172,7 +172,7 @@
         time wait 1
         c1/upstream expect end
         c1 expect BUSY*""",
-    "a module that holds a transaction does not hold it past its deadline": """
+    "a balancer that answers nothing holds no request past its deadline": """
         balancer ignore
         c1 send OPEN 0a 0b c=plain,d=2000
         time wait 1960
@@ -181,7 +181,7 @@
         c1 expect ERR
         c1 expect end
         relay expect count overdue 1""",
-    "a module that raises fails the transaction and nothing else": ESTABLISHED
+    "a balancer that raises fails the request and nothing else": ESTABLISHED
     + """
         balancer raise
         c2 send OPEN 0c 0b c=plain,d=2000
@@ -189,14 +189,14 @@
         c1 send still here
         c1/upstream expect still here
         relay expect count module_faults 2""",
-    "a client that leaves takes its flow along": """
+    "a client that disconnects ends its attempt": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*
         c1 close
         c1/upstream expect end
         time wait 3000
         c1/upstream expect nothing""",
-    "a backend that vanishes: the client is moved before it has waited seven seconds": ESTABLISHED
+    "an endpoint that vanishes: the client is migrated before it has waited seven seconds": ESTABLISHED
     + """
         time wait 2000
         c1 send 1
@@ -208,7 +208,7 @@
         c1 expect end
         c1/upstream expect end
         relay expect count silent 1""",
-    "a line without an answer for over a second is told as a late one, once a second": ESTABLISHED
+    "a line without an answer for over a second is reported as late, once a second": ESTABLISHED
     + """
         c1 send 1
         time wait 1000
@@ -219,7 +219,7 @@
         relay expect count delay_notes 1
         time wait 300
         relay expect count delay_notes 2""",
-    "one that answers is left alone": ESTABLISHED
+    "an endpoint that answers keeps its clients": ESTABLISHED
     + """
         c1 send 1
         time wait 3900
@@ -230,14 +230,14 @@
 }
 
 RESUMPTION = {
-    "a resumed connection goes to its backend and is no request": """
+    "a resumed connection goes to its endpoint and counts as no request": """
         c1 send OPEN 0a 0b c=plain,d=2000,at=b2
         c1/upstream expect OPEN 0a 0b c=plain,d=1960,at=b2
         c1/upstream send UP r1
         c1 expect UP r1
         relay expect count requests 0
         relay expect count resumed 1""",
-    "one that does not come up is tried again there": """
+    "a resumption that fails to connect is retried there": """
         c1 send OPEN 0a 0b c=plain,d=2000,at=b2
         c1/upstream expect OPEN*
         c1/upstream refuse
@@ -247,31 +247,31 @@
         c1/upstream expect OPEN*
         c1/upstream send UP r1
         c1 expect UP r1""",
-    "a backend that was never listed is not sent to": """
+    "an endpoint that was never listed is not sent to": """
         c1 send OPEN 0a 0b c=plain,d=2000,at=b9
         c1 expect ERR
         c1/upstream expect nothing""",
-    "one whose backend says nothing is given up, however long its deadline": """
+    "a resumption without an answer times out, however long its deadline": """
         c1 send OPEN 0a 0b c=plain,d=4294967,at=b2
         c1/upstream expect OPEN 0a 0b c=plain,d=20000,at=b2
         c1/upstream written
         time wait 20000
         c1/upstream expect end
         c1 expect ERR""",
-    "it names its backend even if that one drains": f"""
+    "a connection is resumed at its endpoint even if that one drains": f"""
         discovery send {B1_DRAINS}
         c1 send OPEN 0a 0b c=plain,d=2000,at=b1
         c1/upstream expect OPEN*""",
 }
 
 MEMBERSHIP = {
-    "ready with a pool, not without": f"""
+    "ready with a listed endpoint, not without": f"""
         front send PING
         front expect ERR
         discovery send {ONLY_B3}
         front send PING
         front expect PONG""",
-    "a watch is asked for, and again after it ended, later each time": """
+    "a watch is opened, and again after it ended, with a growing backoff": """
         time wait 2600
         discovery expect watch 41
         discovery close
@@ -287,7 +287,7 @@
 }
 
 DRAINING = {
-    "a drain goes on serving, then moves every client before its flow ends, then exits": ESTABLISHED
+    "a drain goes on serving, then migrates every client before its upstream ends, then exits": ESTABLISHED
     + """
         relay term
         front send PING
@@ -309,7 +309,7 @@
         c2 expect MOVE
         time wait 300
         relay expect exit""",
-    "what comes up during the moves is moved as well": """
+    "what is established during the migrations is migrated as well": """
         relay term
         time wait 400
         c1 send OPEN 0a 0b c=plain,d=2000
@@ -319,7 +319,7 @@
         time wait 1
         c1 expect MOVE
         c1 expect end""",
-    "what is still without an answer at the end is refused": """
+    "what is still without an answer at the exit is rejected": """
         balancer ignore
         c1 send OPEN 0a 0b c=plain,d=9000
         relay term
@@ -329,7 +329,7 @@
         c1 expect BUSY 250
         relay expect exit
         relay expect nothing""",
-    "a first line just before, at and after the end of taking new ones; and a second SIGTERM": """
+    "a first line just before, at and after the end of admission; and a second SIGTERM": """
         probes hang
         relay term
         time wait 499
@@ -358,11 +358,11 @@
 
 
 def test_a_relay_is_ready_once_an_endpoint_is() -> None:
-    play(MEMBERSHIP["ready with a pool, not without"], backends=0)
+    play(MEMBERSHIP["ready with a listed endpoint, not without"], backends=0)
 
 
 def test_the_watch_backs_off() -> None:
-    play(MEMBERSHIP["a watch is asked for, and again after it ended, later each time"])
+    play(MEMBERSHIP["a watch is opened, and again after it ended, with a growing backoff"])
 
 
 @pytest.mark.parametrize(
@@ -407,17 +407,19 @@
     )
 
 
-@pytest.mark.parametrize("rest", ["b2", "b1"])
-def test_a_draining_endpoint_gets_no_requests(rest: str) -> None:
-    news = B1_DRAINS.replace("b1", "b2" if rest == "b1" else "b1")
-    world = play(f"discovery send {news}")
-    for n in range(8):
+@pytest.mark.parametrize("ready_endpoint", ["b2", "b1"])
+def test_a_draining_endpoint_gets_no_requests(ready_endpoint: str) -> None:
+    update = B1_DRAINS.replace("b1", "b2" if ready_endpoint == "b1" else "b1")
+    world = play(f"discovery send {update}")
+    for number in range(8):
+        client = f"c{number}"
         world.play(
-            f"c{n} send OPEN 0{n} 0b c=plain,d=2000\nc{n}/upstream expect OPEN*\nc{n}/upstream send UP r"
+            f"{client} send OPEN 0{number} 0b c=plain,d=2000\n{client}/upstream expect OPEN*\n"
+            f"{client}/upstream send UP r"
         )
         world.play("time wait 1500")
-    dials = {order.address for order, _ in world.upstreams.values()}
-    assert dials == {f"127.0.0.1:{rest[1]}"}
+    addresses = {command.address for command, _ in world.upstreams.values()}
+    assert addresses == {f"127.0.0.1:{ready_endpoint[1]}"}
 
 
 def test_a_changed_address_is_used_from_the_next_attempt_on() -> None:
@@ -432,7 +434,7 @@
 
 
 RELOADS = {
-    "what is open keeps its class": """
+    "an open request keeps its class": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*
         settings reload 3 new:once,other:once
@@ -440,21 +442,21 @@
         c1/upstream expect OPEN*
         c1/upstream send UP r1
         c1 expect UP r1""",
-    "a stricter effect binds what comes after it": """
+    "a stricter idempotency applies to later requests": """
         settings reload 3 other:repeatable,plain:once
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*
         c1/upstream reset
         c1/upstream expect nothing
         c1 expect ERR""",
-    "fewer attempts bind what is open as well": """
+    "fewer attempts apply to open requests as well": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*
         settings reload 1 plain:repeatable
         c1/upstream reset
         c1/upstream expect nothing
         c1 expect BUSY*""",
-    "a class that is gone": """
+    "a removed class": """
         settings reload 3 new:repeatable
         c1 send OPEN 0a 0b c=plain,d=2000
         c1 expect ERR
