--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -1,5 +1,5 @@
-"""The protocol at close range: first lines in single bytes, answers after their time, a start on the address
-of a killed relay, and the lines of one read handed on with one write.
+"""The protocol byte by byte and turn by turn: first lines in single bytes, answers after their deadline, a
+start on the address of a killed relay, and any split of the bytes that are forwarded.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def advance_clocks(place: Place, seconds: float) -> None:
-    """The clock of the relay and that of its loop go on by so much."""
+    """Advance the clock of the relay and that of its event loop."""
     loop = asyncio.get_running_loop()
     now = loop.time
     loop.time = lambda: now() + seconds  # type: ignore[method-assign]
@@ -47,13 +47,13 @@
 
 
 async def first_line_but_its_last_byte(place: Place) -> Peer:
-    """A client whose first line is in, but for its last byte, each in a segment of its own."""
+    """A client that has sent its first line but for the last byte, each byte in a segment of its own."""
     client = await place.client()
-    session = await connection_awaiting_its_first_line(place)
+    connection = await connection_awaiting_its_first_line(place)
     raw = LINE.encode().decode("unicode_escape").encode()
     for count, byte in enumerate(raw[:-1], 1):
         client.sock.send(bytes([byte]))
-        await place.until(lambda count=count: len(session.protocol.lines.partial_line) == count)  # type: ignore[misc]
+        await place.until(lambda count=count: len(connection.protocol.lines.partial_line) == count)  # type: ignore[misc]
     return client
 
 
@@ -82,9 +82,8 @@
     client.send(LINE)
     server = await place.accept()
     await server.expect("OPEN 0a")
-    place.relay.runtime.clock.offset_ns += (
-        400_000_000  # the client's time is over, and the timers have not had their turn
-    )
+    # past the client's deadline, before the timers have run
+    place.relay.runtime.clock.offset_ns += 400_000_000
     server.send(r"UP late\r\n")
     await client.expect("UP late")  # the one final answer
     place.relay.runtime.timers.wake.set()
@@ -95,18 +94,18 @@
 
 
 async def answer_after_the_final_answer(place: Place) -> None:
-    for said in (r"UP late\r\n", r"UP la"):
+    for answer in (r"UP late\r\n", r"UP la"):
         client = await place.client()
         client.send(LINE)
         server = await place.accept()
         await server.expect("OPEN 0a")
-        server.send(said[:2])  # half of its answer is in
+        server.send(answer[:2])  # half of its answer is in
         place.relay.runtime.clock.offset_ns += 400_000_000
         place.relay.runtime.timers.wake.set()
         await client.expect("BUSY")
         await place.until(lambda: place.relay.runtime.descriptor_count.open <= 1)
         with contextlib.suppress(ConnectionError):  # it may know of its end by now
-            server.send(said[2:])
+            server.send(answer[2:])
         await client.expect("end")
         assert await server._next() in ("end", "reset")
         await place.until(lambda: place.relay.clients.open_count == 0)
@@ -118,15 +117,15 @@
     for ident, answer in (("0a", r"UP r2\r\n"), ("0b", r"BUSY\r\n")):
         client = await place.client()
         client.send(rf"OPEN {ident} 0b c=plain,d=2000\r\n")
-        first = await place.accept()
-        await first.expect(f"OPEN {ident}")
-        place.relay.runtime.clock.offset_ns += 600_000_000  # the attempt's time is over
+        timed_out = await place.accept()
+        await timed_out.expect(f"OPEN {ident}")
+        place.relay.runtime.clock.offset_ns += 600_000_000  # the attempt has timed out
         place.relay.runtime.timers.wake.set()
-        first.send(r"UP late\r\n")  # in the turn in which it is given up
-        second = await place.accept()
-        await second.expect(f"OPEN {ident}")
-        assert await first._next() in ("end", "reset")  # before the second has said a word
-        second.send(answer)
+        timed_out.send(r"UP late\r\n")  # in the same turn of the event loop
+        retried = await place.accept()
+        await retried.expect(f"OPEN {ident}")
+        assert await timed_out._next() in ("end", "reset")  # before the second has answered
+        retried.send(answer)
         await client.expect(answer[:4].strip())
         client.finish()
         await client.expect("end")
