--- a/gannetweir/core/request_state.py
+++ b/gannetweir/core/request_state.py
@@ -22,8 +22,10 @@
     The engine's concerns change it in place; what always holds:
 
     - At most one attempt is in flight, the one numbered `attempt`; numbers only grow, and none is used twice.
-    - `endpoint_id`, `endpoint_started_us`, `first_line_written`, `connect_delayed_locally`, `address` and the
-      `attempt_...` fields are about that attempt, and stay after its end until the next one begins.
+      One that may not start uses its number up as well.
+    - `endpoint_id`, `endpoint_started_us`, `first_line_written`, `connect_delayed_locally`,
+      `attempt_started_us` and `attempt_deadline_us` are of the latest attempt that was begun, and stay until
+      the next one begins; `address` and `counts_as_setup` are given up with its end.
     - `may_have_executed` never becomes false again: it forbids retries that are not idempotent.
     - An `established` request is a connection: it has no further attempt, and only an established one has a
       `migration_reason`.
