--- a/gannetweir/control/follower.py
+++ b/gannetweir/control/follower.py
@@ -94,7 +94,7 @@
             self._check_order(part)
             self._add_to_assembly(part)
         except RejectedError as error:
-            return [self._reject(part.target, error)]
+            return [self._make_nack(part.target, error)]
         return []
 
     def disconnected(self) -> None:
@@ -112,7 +112,7 @@
                 if assembly.check_received(budget_entries):
                     self._accept(assembly)
             except RejectedError as error:
-                return [self._reject(assembly.target, error)]
+                return [self._make_nack(assembly.target, error)]
         return []
 
     def _acknowledge_duplicate(self, part: Slice) -> list[FollowerEvent]:
@@ -154,7 +154,7 @@
         self.assembly = VersionAssembly(part, self.applied, self.check)
         return self.assembly
 
-    def _reject(self, target: Version, error: RejectedError) -> Nack:
+    def _make_nack(self, target: Version, error: RejectedError) -> Nack:
         if self.assembly is not None and self.assembly.target == target:
             self.assembly = None
         if error.reason in _PERMANENT_REASONS:
--- a/gannetweir/lab/scale/control_relay.py
+++ b/gannetweir/lab/scale/control_relay.py
@@ -21,9 +21,9 @@
 
     record: RelayRecord
 
-    async def _watch(self, at: SocketAddress) -> bool:
+    async def _watch(self, address: SocketAddress) -> bool:
         nacks = self.nacks
-        stays = await super()._watch(at)
+        stays = await super()._watch(address)
         if not stays:
             self.record.watch_failures += 1
         if self.nacks > nacks:
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -63,11 +63,11 @@
 class ControlServer:
     """One control machine. `watches` has each relay's latest one, by the relay's name."""
 
-    def __init__(self, name: str, store: Store, at: SocketAddress, limits: Limits) -> None:
+    def __init__(self, name: str, store: Store, listen_address: SocketAddress, limits: Limits) -> None:
         """Listens at once; answers 503 until the store has been read. Raises `OSError` if it can't listen."""
         self.name = name
         self.limits = limits
-        self.listener = open_listening_socket(at, limits)
+        self.listener = open_listening_socket(listen_address, limits)
         self.store_sync = StoreSync(name, store, self._wake_watches)
         self.watches: dict[str, RelayWatch] = {}
         self.connections: set[Transport] = set()
--- a/gannetweir/net/control_status.py
+++ b/gannetweir/net/control_status.py
@@ -22,9 +22,9 @@
 MAX_ERROR_BYTES = 200  # of what a machine answers in place of a status
 
 
-def read_machine_status(at: SocketAddress) -> tuple[str, list[StatusReport]]:
+def read_machine_status(address: SocketAddress) -> tuple[str, list[StatusReport]]:
     """A machine's name and reports. Raises `OSError` or `EndpointListError`."""
-    connection = http.client.HTTPConnection(at.host, at.port, timeout=CALL_TIMEOUT_S)
+    connection = http.client.HTTPConnection(address.host, address.port, timeout=CALL_TIMEOUT_S)
     try:
         connection.request("GET", STATUS_TARGET)
         answer = connection.getresponse()
@@ -44,19 +44,21 @@
     """
     lines = list[str]()
     statuses = list[tuple[str, list[StatusReport]]]()
-    for at in machines:
+    for address in machines:
         try:
-            statuses.append(read_machine_status(at))
+            statuses.append(read_machine_status(address))
         except (OSError, EndpointListError) as error:
             reason = getattr(error, "strerror", None) or error
-            lines.append(f"{at.host}:{at.port}: {reason}")
+            lines.append(f"{address.host}:{address.port}: {reason}")
     all_applied = not lines
     for resource in Resource:
         reports = {
             name: report for name, given in statuses for report in given if report.resource == resource
         }
         if reports:
-            all_applied = all_applied and not any(r.behind or r.rejecting for r in reports.values())
+            all_applied = all_applied and not any(
+                report.behind or report.rejecting for report in reports.values()
+            )
             lines += _resource_lines(resource, reports)
     return lines, all_applied
 
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -112,14 +112,14 @@
             else:
                 await anyio.sleep(self.selector.record_failure() / _US_PER_S)
 
-    async def _watch(self, at: SocketAddress) -> bool:
+    async def _watch(self, address: SocketAddress) -> bool:
         """One watch, to its end. True if it ended only in favour of the first choice; else see
         `last_error`.
         """
         limits = self.host.limits
-        transport = self.make_transport(tcp_socket(at.host), limits, self.host.spawn)
+        transport = self.make_transport(tcp_socket(address.host), limits, self.host.spawn)
         try:
-            await self._follow_machine(transport, at, limits)
+            await self._follow_machine(transport, address, limits)
         except TimeoutError:
             self.last_error = "the watch fell silent"
         except (OSError, EndpointListError) as error:
@@ -130,22 +130,24 @@
             transport.close()
         return False
 
-    async def _follow_machine(self, transport: Transport, at: SocketAddress, limits: Limits) -> None:
+    async def _follow_machine(self, transport: Transport, address: SocketAddress, limits: Limits) -> None:
         """Receive versions until the first choice is due. Raises `TimeoutError`, `OSError`,
         `EndpointListError`.
         """
         applied = {resource: follower.applied_version for resource, follower in self.followers.items()}
-        watch = ControlWatch(f"{at.host}:{at.port}", self.host.name, applied, self.host.settings, limits)
+        watch = ControlWatch(
+            f"{address.host}:{address.port}", self.host.name, applied, self.host.settings, limits
+        )
         message_due = anyio.current_time() + _CALL_TIMEOUT_S
         with anyio.fail_after(_CALL_TIMEOUT_S):
-            await connect(transport.sock, (at.host, at.port))
+            await connect(transport.sock, (address.host, address.port))
         self._write(transport, watch.request)
         end = message_due + self._longest_watch_s()
         while anyio.current_time() < end:
             with anyio.fail_after(message_due - anyio.current_time()):
                 data = await transport.read()
             # bytes alone prove nothing: a machine that trickles completes no message, and is left
-            if await self._receive(watch, data, at):
+            if await self._receive(watch, data, address):
                 message_due = anyio.current_time() + limits.endpoint_watch_silence_us / _US_PER_S
 
     def _longest_watch_s(self) -> float:
@@ -157,7 +159,7 @@
         self.bytes_written += len(data)
         transport.write(data)
 
-    async def _receive(self, watch: ControlWatch, data: bytes, at: SocketAddress) -> bool:
+    async def _receive(self, watch: ControlWatch, data: bytes, address: SocketAddress) -> bool:
         """Process what was read; True if it completed a message. Raises `EndpointListError`."""
         self.bytes_read += len(data)
         events = watch.events(data)
@@ -166,27 +168,27 @@
                 raise EndpointListError(event.reason)
             self.selector.record_success()
             if isinstance(event, Slice):
-                await self._process_slice(event, at)
+                await self._process_slice(event, address)
         return bool(events)
 
-    async def _process_slice(self, part: Slice, at: SocketAddress) -> None:
+    async def _process_slice(self, part: Slice, address: SocketAddress) -> None:
         follower = self.followers.get(part.resource)
         if follower is None:
             return
-        self._dispatch(follower, follower.receive(part), at)
+        self._dispatch(follower, follower.receive(part), address)
         while not follower.is_idle:
             await anyio.lowlevel.checkpoint()  # no turn of the loop does more than one step
-            self._dispatch(follower, follower.step(), at)
+            self._dispatch(follower, follower.step(), address)
 
-    def _dispatch(self, follower: Follower, events: list[FollowerEvent], at: SocketAddress) -> None:
+    def _dispatch(self, follower: Follower, events: list[FollowerEvent], address: SocketAddress) -> None:
         for event in events:
             match event:
                 case ApplyEntries():
                     self._apply(follower, event)
                 case Ack():
-                    self._acknowledge(event, at)
+                    self._handle_ack(event, address)
                 case Nack():
-                    self._reject(event, at)
+                    self._handle_nack(event, address)
 
     def _apply(self, follower: Follower, event: ApplyEntries) -> None:
         if event.resource is Resource.MEMBERSHIP:
@@ -199,18 +201,18 @@
         if event.completes_version:
             self.host.version_applied(event.resource, event.version)
 
-    def _acknowledge(self, answer: Ack, at: SocketAddress) -> None:
-        self.host.spawn(partial(self._send_answer, answer, at))
+    def _handle_ack(self, answer: Ack, address: SocketAddress) -> None:
+        self.host.spawn(partial(self._send_answer, answer, address))
         if answer.resource is Resource.SETTINGS:
-            self.host.spawn(partial(self._repeat_ack, answer, at))
+            self.host.spawn(partial(self._repeat_ack, answer, address))
 
-    def _reject(self, answer: Nack, at: SocketAddress) -> None:
-        self.host.spawn(partial(self._send_answer, answer, at))
+    def _handle_nack(self, answer: Nack, address: SocketAddress) -> None:
+        self.host.spawn(partial(self._send_answer, answer, address))
         self.nacks += 1
         if answer.reason in _OUT_OF_STEP_REASONS:
             raise EndpointListError(f"the control machine is out of step: {answer.reason}")
 
-    async def _repeat_ack(self, answer: Ack, at: SocketAddress) -> None:
+    async def _repeat_ack(self, answer: Ack, address: SocketAddress) -> None:
         """Repeat the ACK while the relay may be a canary of this version: its later totals show the
         service.
         """
@@ -218,20 +220,20 @@
             if self.host.service_totals() is None:
                 return
             await anyio.sleep(ACK_REPEAT_S)
-            await self._send_answer(answer, at)
+            await self._send_answer(answer, address)
 
-    async def _send_answer(self, answer: Ack | Nack, at: SocketAddress) -> None:
+    async def _send_answer(self, answer: Ack | Nack, address: SocketAddress) -> None:
         """Send an ACK or NACK on a connection of its own; a failure is ignored.
 
         A machine that misses an answer ends the watch (`ACK_TIMEOUT_US`), and the next one says what is
         applied.
         """
-        transport = self.make_transport(tcp_socket(at.host), self.host.limits, self.host.spawn)
+        transport = self.make_transport(tcp_socket(address.host), self.host.limits, self.host.spawn)
         try:
             with anyio.move_on_after(_CALL_TIMEOUT_S), contextlib.suppress(OSError, h11.ProtocolError):
-                await connect(transport.sock, (at.host, at.port))
+                await connect(transport.sock, (address.host, address.port))
                 body = write_answer(self.host.name, answer, self.host.service_totals())
-                self._write(transport, _post(f"{at.host}:{at.port}", body))
+                self._write(transport, _post(f"{address.host}:{address.port}", body))
                 self.bytes_read += len(await transport.read())
         finally:
             transport.close()
