--- a/gannetweir/control/assembly.py
+++ b/gannetweir/control/assembly.py
@@ -34,13 +34,14 @@
     """The relay's own checks. Each returns what is wrong, or an empty string."""
 
     def check_entry(self, resource: Resource, entry: Entry) -> str:
-        """Whether this entry can be used."""
+        """What is wrong with this entry by itself."""
 
     def check_version(
         self, resource: Resource, applied: Mapping[str, bytes], changes: Mapping[str, bytes | None]
     ) -> str:
-        """Whether the changes may be applied together, on what is applied. Must not iterate over a long
-        list.
+        """What is wrong with applying the changes together, on what is applied.
+
+        Must not iterate over a long list.
         """
 
 
--- a/gannetweir/control/follower.py
+++ b/gannetweir/control/follower.py
@@ -1,5 +1,4 @@
-"""A relay's side of one resource: checks a received version, applies it step by step, and answers with ACK
-or NACK.
+"""A relay's side of one resource: checks a version, applies it step by step, and sends ACK or NACK.
 
 The last good version stays applied until all of the next one was received and checked; a step's work is
 bounded. The states of a follower:
@@ -55,8 +54,9 @@
 
 
 class Follower:
-    """One resource at one relay. `applied_version` is the last one accepted, also while it is being
-    applied.
+    """One resource at one relay.
+
+    `applied_version` is the last one accepted, also while it is being applied.
     """
 
     def __init__(
--- a/gannetweir/control/machine.py
+++ b/gannetweir/control/machine.py
@@ -38,8 +38,9 @@
         self.buckets: dict[str, TokenBucket] = {}
 
     def connect(self, relay: str, applied: Mapping[Resource, Version], now_us: int) -> None:
-        """A relay's watch began; it replaces an earlier one. Raises `MachineBehindError`, the relay
-        disconnected.
+        """A relay's watch began; it replaces an earlier one.
+
+        Raises `MachineBehindError`; the relay is then disconnected.
         """
         self.disconnect(relay)
         try:
--- a/gannetweir/control/machine_selector.py
+++ b/gannetweir/control/machine_selector.py
@@ -23,11 +23,11 @@
 
 def rendezvous_order(key: str, names: Iterable[str]) -> list[str]:
     """The names in an order of the key's own, the same everywhere."""
+    return sorted(names, key=lambda name: _weight(key, name))
 
-    def weight(name: str) -> bytes:
-        return blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
 
-    return sorted(names, key=weight)
+def _weight(key: str, name: str) -> bytes:
+    return blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
 
 
 class MachineSelector:
--- a/gannetweir/control/publisher.py
+++ b/gannetweir/control/publisher.py
@@ -1,5 +1,4 @@
-"""A control machine's side of one resource: which version each subscribed relay gets, and what it has
-acknowledged.
+"""A control machine's side of one resource: what each relay gets next, and what it has acknowledged.
 
 Released versions go to every relay, a staged one to the canaries only (see `stage`). A relay gets one
 version at a time, as a delta from what it has applied or else as a snapshot; what changes until it has
--- a/gannetweir/control/rollout.py
+++ b/gannetweir/control/rollout.py
@@ -1,5 +1,4 @@
-"""The decision on a staged version from the reports of all control machines: release it, wait, or halt the
-rollout.
+"""The decision on a staged version, by all machines' reports: release it, wait, or halt the rollout.
 
 A version is released once every canary has applied it and none has objected for `OBSERVATION_US` from then
 on. It is halted for good at the first objection, or if its canaries have not all applied it within
@@ -57,8 +56,9 @@
         self.halt_reason = ""
 
     def decide(self, reports: Iterable[StageReport], now_us: int) -> Verdict:
-        """The verdict now, by every machine's present report on this version. To be called again and
-        again.
+        """The verdict now, by every machine's present report on this version.
+
+        To be called again and again, until the version is released or followed by another one.
         """
         # a clock that was set back counts as no time passed
         self.elapsed_us += max(0, now_us - self.updated_us)
--- a/gannetweir/control/session.py
+++ b/gannetweir/control/session.py
@@ -1,5 +1,4 @@
-"""One relay's watch at a control machine, for one resource: what it has applied, and what is being sent to
-it.
+"""One relay's watch at a control machine, for one resource: what it has applied and what it is sent.
 
 A relay is sent one version at a time, and the next one after its ACK or NACK. A `RelaySession` belongs to
 the resource's `Publisher` and lasts as long as the watch.
@@ -19,8 +18,9 @@
 
 @dataclass(slots=True)
 class RelaySession:
-    """State of one watch. `target` is None while the relay owes no answer; `sent_slices` counts those of
-    `slices`.
+    """State of one watch.
+
+    `target` is None while the relay owes no answer; `sent_slices` counts those of `slices`.
     """
 
     relay: str
--- a/gannetweir/control/stage.py
+++ b/gannetweir/control/stage.py
@@ -1,5 +1,4 @@
-"""The canary stage of a version at one control machine: a few relays apply it first, and their service is
-observed.
+"""The canary stage of a version at one machine: a few relays apply it first and are observed.
 
 A canary release: the canaries get the staged version, everybody else the released one. Their NACKs, the
 loss of a canary that has applied the version, and a fall of its success ratio are objections; any objection
@@ -43,8 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StageReport:
-    """A staged version at one machine: canaries by their names, and objections, any of which halts the
-    rollout.
+    """A staged version at one machine.
+
+    Canaries by their names, and objections, any of which halts the rollout.
     """
 
     version: Version
@@ -80,8 +80,9 @@
         self.objections: list[str] = []
 
     def choose_canaries(self, relays: Iterable[str]) -> None:
-        """Make these relays the canaries; one that has applied the version stays one while it is
-        connected.
+        """Make these relays the canaries.
+
+        One that has applied the version stays one while it is connected.
         """
         chosen = {relay: self.canaries.get(relay, _Canary()) for relay in relays}
         applied = {relay: canary for relay, canary in self.canaries.items() if canary.has_applied}
--- a/gannetweir/control/status_report.py
+++ b/gannetweir/control/status_report.py
@@ -1,5 +1,4 @@
-"""Where versions stand: what a control machine reports to the store, and the reports of several machines
-merged.
+"""Where versions stand: a control machine's reports to the store, and several machines' reports merged.
 
 A report is bounded, however many relays there are: it counts all relays and names a few. It is an immutable
 snapshot of a publisher's state. `gannetweir control status` prints the merged reports; their wire form is
@@ -67,8 +66,9 @@
 
 
 def merge_reports(reports: Iterable[StatusReport]) -> StatusReport:
-    """One report over several machines. Raises `ValueError` without a report, or with two resources'
-    reports.
+    """One report over several machines.
+
+    Raises `ValueError` without a report, or with two resources' reports.
     """
     merged = list(reports)
     if len({report.resource for report in merged}) != 1:
--- a/gannetweir/control/store.py
+++ b/gannetweir/control/store.py
@@ -25,8 +25,9 @@
 
 
 class Store(Protocol):
-    """Reads, a watch, and what control machines report and decide. Who writes versions is not their
-    concern.
+    """Reads, a watch, and what control machines report and decide.
+
+    Who writes versions is not their concern.
     """
 
     def read(self, resource: Resource) -> StoreSnapshot:
--- a/gannetweir/control/token_bucket.py
+++ b/gannetweir/control/token_bucket.py
@@ -17,9 +17,7 @@
 
 
 class TokenBucket:
-    """The bytes that may go now (`available_bytes`, below zero while overdrawn), refilled on each
-    `wait_us`.
-    """
+    """The bytes that may go now: `available_bytes`, below zero while overdrawn."""
 
     def __init__(self, now_us: int, rate_bytes_s: int = RATE_BYTES_S, burst_bytes: int = BURST_BYTES) -> None:
         """A full bucket."""
--- a/gannetweir/control/version_history.py
+++ b/gannetweir/control/version_history.py
@@ -1,5 +1,4 @@
-"""One resource as a control machine has it: its released and its staged versions, and the slices that carry
-them.
+"""One resource at a control machine: its released and staged versions, and the slices of them.
 
 The content is that of the newest *released* version; `staged_changes` lead from it to the newest version,
 which may be staged, that is not for all relays yet. A log of recent versions with compaction says from
@@ -27,8 +26,9 @@
     """One resource's content, recent versions, and the slices made of them."""
 
     def __init__(self, resource: Resource, version: Version, entries: Iterable[Entry]) -> None:
-        """A history that begins at a released version. Raises `RejectedError` if the entries are not the
-        version's.
+        """A history that begins at a released version.
+
+        Raises `RejectedError` if the entries are not the version's.
         """
         content = Content(entries)
         if content.digest != version.digest:
@@ -89,8 +89,9 @@
         self.log.extend_back(base, changes)
 
     def slices(self, base_number: int | None, target: Version) -> tuple[Slice, ...]:
-        """A delta from the base, or a snapshot (None) of the released content; made once for all relays on
-        that base.
+        """A delta from the base, or a snapshot (None) of the released content.
+
+        Made once for all relays on that base.
         """
         key = (base_number, target.number)
         if key not in self.cached_slices:
--- a/gannetweir/control/version_log.py
+++ b/gannetweir/control/version_log.py
@@ -99,8 +99,9 @@
         return same_epoch and self.digest_by_number.get(version.number) == version.digest
 
     def changes_between(self, base_number: int, target_number: int) -> dict[str, bytes | None]:
-        """One coalesced delta: what changed after the base up to the target, each entry as it is at the
-        target.
+        """One coalesced delta: what changed after the base up to the target.
+
+        Each entry is as it is at the target.
         """
         merged: dict[str, bytes | None] = {}
         for change in reversed(self.changes):
--- a/gannetweir/control/versions.py
+++ b/gannetweir/control/versions.py
@@ -1,5 +1,4 @@
-"""Versions of a resource: their identity, the messages that carry them, and a resource's content with its
-digest.
+"""Versions of a resource: their identity, the messages that carry them, and a content with its digest.
 
 A version (a revision in etcd's words) is an epoch, a number that rises within the epoch, and the digest of
 the content. A publisher sends it as a snapshot (everything) or as a delta from a base version, cut into
@@ -51,8 +50,9 @@
 
 
 class RejectedError(GannetweirError, ValueError):
-    """A version or slice is rejected, and the applied version stays; `reason` and `detail` go into the
-    NACK.
+    """A version or slice is rejected, and the applied version stays.
+
+    `reason` and `detail` go into the NACK.
     """
 
     def __init__(self, reason: Reason, detail: str = "") -> None:
@@ -87,8 +87,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Slice:
-    """Part `index` of `count` of a snapshot (`base` is None) or of a delta from the version numbered
-    `base`.
+    """Part `index` of `count` of a version.
+
+    Of a snapshot where `base` is None, else of a delta from the version of that number.
     """
 
     resource: Resource
--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -44,8 +44,9 @@
     def check_version(
         self, resource: Resource, applied: Mapping[str, bytes], changes: Mapping[str, bytes | None]
     ) -> str:
-        """What would keep a relay from starting with these settings, or from draining in time, if
-        anything.
+        """What would keep a relay from starting with these settings, or from draining in time.
+
+        An empty string if nothing would.
         """
         if resource is Resource.MEMBERSHIP:
             return ""
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -252,6 +252,8 @@
 
 
 def _spawner(tasks: anyio.abc.TaskGroup) -> Spawn:
+    """`Spawn` as `Transport` wants it, over a task group."""
+
     def spawn(job: Callable[[], object]) -> None:
         tasks.start_soon(job)  # type: ignore[arg-type]
 
--- a/gannetweir/net/control_status.py
+++ b/gannetweir/net/control_status.py
@@ -39,8 +39,9 @@
 
 
 def fleet_status(machines: Iterable[SocketAddress]) -> tuple[list[str], bool]:
-    """The lines to print, and whether each machine answered and every relay applied every released
-    version.
+    """The lines to print, and whether all is applied.
+
+    That is whether each machine answered and no relay is behind or rejects a version.
     """
     lines = list[str]()
     statuses = list[tuple[str, list[StatusReport]]]()
--- a/gannetweir/net/control_store.py
+++ b/gannetweir/net/control_store.py
@@ -1,5 +1,4 @@
-"""A control machine's copy of the store of record: follows the store, reports to it, and decides on staged
-versions.
+"""A control machine's copy of the store of record: follows the store, reports to it, and decides.
 
 Two tasks of the `ControlServer` run here. `follow` brings the publishers up to the store's versions and
 calls `on_change`; `report` puts the machine's reports, and decides on rollouts while this machine is the
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -87,8 +87,9 @@
         random_fraction: Callable[[], float],
         make_transport: Callable[[socket.socket, Limits, Spawn], Transport] = Transport,
     ) -> None:
-        """`machines` by their names; `random_fraction` draws from 0 to 1. Raises `ValueError` without a
-        machine.
+        """`machines` by their names; `random_fraction` draws from 0 to 1.
+
+        Raises `ValueError` without a machine.
         """
         self.host = host
         self.machines = machines
@@ -113,8 +114,9 @@
                 await anyio.sleep(self.selector.record_failure() / _US_PER_S)
 
     async def _watch(self, address: SocketAddress) -> bool:
-        """One watch, to its end. True if it ended only in favour of the first choice; else see
-        `last_error`.
+        """One watch, to its end.
+
+        True if it ended only in favour of the first choice; else `last_error` says why it ended.
         """
         limits = self.host.limits
         transport = self.make_transport(tcp_socket(address.host), limits, self.host.spawn)
@@ -131,8 +133,9 @@
         return False
 
     async def _follow_machine(self, transport: Transport, address: SocketAddress, limits: Limits) -> None:
-        """Receive versions until the first choice is due. Raises `TimeoutError`, `OSError`,
-        `EndpointListError`.
+        """Receive versions until the first choice is due.
+
+        Raises `TimeoutError`, `OSError` or `EndpointListError` where the watch fails.
         """
         applied = {resource: follower.applied_version for resource, follower in self.followers.items()}
         watch = ControlWatch(
@@ -213,8 +216,9 @@
             raise EndpointListError(f"the control machine is out of step: {answer.reason}")
 
     async def _repeat_ack(self, answer: Ack, address: SocketAddress) -> None:
-        """Repeat the ACK while the relay may be a canary of this version: its later totals show the
-        service.
+        """Repeat the ACK while the relay may be a canary of this version.
+
+        Its later totals show how the relay serves with it.
         """
         for _ in range(ACK_REPEATS):
             if self.host.service_totals() is None:
--- a/gannetweir/proto/control_messages.py
+++ b/gannetweir/proto/control_messages.py
@@ -1,5 +1,4 @@
-"""The messages of the control protocol as JSON: slices of a version down to the relays, ACK and NACK up
-from them.
+"""The messages of the control protocol as JSON: slices to the relays, ACK and NACK from them.
 
 A slice is a line, an object as discovery's watch has them, with its version beside it:
 
--- a/gannetweir/proto/control_watch.py
+++ b/gannetweir/proto/control_watch.py
@@ -1,5 +1,4 @@
-"""A relay's watch of a control machine: the chunked HTTP watch of discovery's list, whose lines are slices
-of versions.
+"""A relay's watch of a control machine: discovery's chunked HTTP watch, with slices as its lines.
 
 Sans-IO, as `endpoint_watch`: bytes in, events out. The body is lines of JSON (see `control_messages`),
 plain or as one gzip stream. Each line is a block of that stream that needs nothing of the blocks before it,
@@ -51,9 +50,11 @@
     """What `zlib.decompressobj` returns."""
 
     @property
-    def unconsumed_tail(self) -> bytes: ...
+    def unconsumed_tail(self) -> bytes:
+        """Input that was left, since its output would have been too long."""
 
-    def decompress(self, data: bytes, max_length: int, /) -> bytes: ...
+    def decompress(self, data: bytes, max_length: int, /) -> bytes:
+        """At most so many bytes of output."""
 
 
 class ControlWatch(EndpointWatch):
