--- a/gannetweir/__main__.py
+++ b/gannetweir/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m gannetweir`."""
+"""`python -m gannetweir`: the command line, with signals that wait until the relay handles them."""
 
 import signal
 import sys
--- a/gannetweir/cli.py
+++ b/gannetweir/cli.py
@@ -47,89 +47,140 @@
 
 import os
 import sys
+from collections.abc import Mapping
 from typing import Any
 
 from gannetweir.config import ConfigError, load_config
 
+EXIT_DONE = 0
+EXIT_NOT_IN_FORCE = 1
+EXIT_USAGE = 2
+MAX_SHOWN_CHARACTERS = 40  # of a wrong value
+
+Arguments = Mapping[str, Any]  # docopt's: a text, a flag, a list or None by the names of the usage above
+
 
 def main(argv: list[str] | None = None) -> int:
-    """0 after a clean end, 2 for a bad command line, configuration or operators' file; 1 for a bad status."""
+    """Run the command line and return its exit code, as the usage above says. Errors go to standard error."""
     from docopt import DocoptExit, docopt  # an embedding program has no use for it
 
+    given = sys.argv[1:] if argv is None else argv
     try:
-        given = sys.argv[1:] if argv is None else argv
         if given[:1] == ["lab"]:  # a command line of its own, with options of its own
-            return _lab(given[1:])
-        args = docopt(__doc__ or "", argv=given)
+            return _run_lab(given[1:])
+        arguments = docopt(__doc__ or "", argv=given)
     except DocoptExit as error:
         print(error, file=sys.stderr)
-        return 2
+        return EXIT_USAGE
     try:
-        return _run(args)
-    except (ConfigError, ValueError) as error:
+        return _run(arguments)
+    except ValueError as error:  # `ConfigError` among them
         for line in str(error).splitlines():
             print(f"gannetweir: {line}", file=sys.stderr)
     except OSError as error:
         print(f"gannetweir: {error.strerror or error}", file=sys.stderr)
-    return 2
+    return EXIT_USAGE
+
+
+def _run(arguments: Arguments) -> int:
+    if arguments["demo"]:
+        return _run_demo(arguments["--seconds"])
+    if arguments["control"]:
+        return _print_control_status(arguments["MACHINE"])
+    if arguments["version"]:
+        _print_version()
+    elif arguments["check"]:
+        _check(arguments)
+    elif arguments["explain"]:
+        _explain(arguments)
+    elif arguments["serve"]:
+        _serve(arguments)
+    else:
+        _check_config(arguments)
+    return EXIT_DONE
 
 
-def _lab(argv: list[str], demo_s: float = 0.0) -> int:
+def _run_lab(argv: list[str], demo_s: float = 0.0) -> int:
+    """Run the lab's command line, or the demo where it is given a time."""
     try:
         from gannetweir.lab import __main__
         from gannetweir.lab.experiments import demo
     except ModuleNotFoundError as error:
         print(f"gannetweir: {error.name} is missing: pip install 'gannetweir[lab]'", file=sys.stderr)
-        return 2
+        return EXIT_USAGE
     return demo.main(demo_s) if demo_s else __main__.main(argv)
 
 
-def _control_status(machines: list[str]) -> int:
+def _run_demo(seconds: str) -> int:
+    try:
+        return _run_lab([], float(seconds))
+    except ValueError as error:
+        raise ConfigError(f"--seconds: {seconds[:MAX_SHOWN_CHARACTERS]!r} is no number") from error
+
+
+def _print_control_status(machines: list[str]) -> int:
     from gannetweir.config.platform import parse_socket_address
     from gannetweir.net.control_status import fleet_status  # only where it is asked for
 
-    lines, fine = fleet_status([parse_socket_address(text, "MACHINE") for text in machines])
+    lines, is_in_force = fleet_status([parse_socket_address(machine, "MACHINE") for machine in machines])
     print("\n".join(lines))
-    return 0 if fine else 1
-
-
-def _run(args: dict[str, Any]) -> int:
-    if args["version"]:
-        from gannetweir import __version__
-
-        print(__version__)
-        return 0
-    if args["demo"]:
-        try:
-            return _lab([], float(args["--seconds"]))
-        except ValueError:
-            raise ConfigError(f"--seconds: {args['--seconds'][:40]!r} is no number") from None
-    if args["control"]:
-        return _control_status(args["MACHINE"])
-    if args["check"] or args["explain"]:
-        from gannetweir.explain import check_file, explain
-
-        platform = args["--platform"] or os.environ.get("RELAY_CONFIG", "")
-        if args["check"]:
-            print(check_file(args["FILE"], platform))
-        else:
-            flags = bool(args["--again"]), bool(args["--retry"])
-            print(explain(args["FILE"], platform, args["--class"], args["--group"], args["--key"], *flags))
-        return 0
-    env = dict(os.environ)
-    if args["--operators"]:
-        env["RELAY_OPERATORS"] = args["--operators"]
-    config = load_config(env)
-    if args["serve"]:
-        from gannetweir.net.relay import serve
-
-        form = args["--log"] or env.get("RELAY_LOG") or "plain"
-        serve(config, lambda standing: load_config(env, standing), form, args["--trace"])
-    else:
-        from gannetweir.proto.endpoint_watch import read_cached_membership
+    return EXIT_DONE if is_in_force else EXIT_NOT_IN_FORCE
+
+
+def _print_version() -> None:
+    from gannetweir import __version__
+
+    print(__version__)
+
+
+def _check(arguments: Arguments) -> None:
+    from gannetweir.explain import check_file  # only where it is asked for
+
+    print(check_file(arguments["FILE"], _platform_path(arguments)))
+
+
+def _explain(arguments: Arguments) -> None:
+    from gannetweir.explain import explain  # only where it is asked for
+
+    text = explain(
+        arguments["FILE"],
+        _platform_path(arguments),
+        arguments["--class"],
+        group=arguments["--group"],
+        key=arguments["--key"],
+        returning=bool(arguments["--again"]),
+        retry=bool(arguments["--retry"]),
+    )
+    print(text)
+
+
+def _serve(arguments: Arguments) -> None:
+    environment = _environment(arguments)
+    config = load_config(environment)
+    from gannetweir.net.relay import serve  # only where it is asked for, and the configuration is right
+
+    log_form = arguments["--log"] or environment.get("RELAY_LOG") or "plain"
+    serve(config, lambda previous: load_config(environment, previous), log_form, arguments["--trace"])
+
+
+def _check_config(arguments: Arguments) -> None:
+    config = load_config(_environment(arguments))
+    from gannetweir.proto.endpoint_watch import read_cached_membership  # only where it is asked for
+
+    endpoints = read_cached_membership(config.known_endpoints, config.settings).endpoints
+    counts = f"{len(endpoints)} backends known, {config.limits.max_clients} clients at most"
+    if config.routing_rules is not None:
+        counts += f", {len(config.routing_rules.routes)} routes"
+    print(f"{config.name}: {counts}")
+
+
+def _environment(arguments: Arguments) -> dict[str, str]:
+    """Return the environment with the operators' file that the command line names."""
+    environment = dict(os.environ)
+    if arguments["--operators"]:
+        environment["RELAY_OPERATORS"] = arguments["--operators"]
+    return environment
+
 
-        known = read_cached_membership(config.known_endpoints, config.settings)
-        routes = f", {len(config.routing_rules.routes)} routes" if config.routing_rules is not None else ""
-        counts = f"{len(known.endpoints)} backends known, {config.limits.max_clients} clients at most{routes}"
-        print(f"{config.name}: {counts}")
-    return 0
+def _platform_path(arguments: Arguments) -> str:
+    return arguments["--platform"] or os.environ.get("RELAY_CONFIG", "")
--- a/gannetweir/explain.py
+++ b/gannetweir/explain.py
@@ -2,23 +2,38 @@
 
 from __future__ import annotations
 
+import string
+from collections.abc import Iterator
+
 from gannetweir.config import ConfigError, parse_settings
 from gannetweir.config.operators_file import load_routing_rules
 from gannetweir.config.platform import parse_limits, read_json_object
 from gannetweir.config.settings import validate_settings
 from gannetweir.limits import Limits
 from gannetweir.placement.events import RequestArrived, RequestFlag
-from gannetweir.placement.settings import RequestClass, Settings
+from gannetweir.placement.settings import Idempotency, RequestClass, Settings
 from gannetweir.routing.route_admission import RouteAdmission, with_routed_classes
-from gannetweir.routing.rules import HEX_DIGITS, Route, RoutingRules
+from gannetweir.routing.rules import (
+    HEX_DIGITS,
+    ConnectionLimitRule,
+    RetryBudgetRule,
+    RetryOn,
+    Route,
+    RoutingRules,
+)
 from gannetweir.routing.schedule import Schedule, worst_case_schedule
 from gannetweir.routing.units import format_ms
 
-WIDTH = 48  # of the timeline, in characters
+TIMELINE_CHARACTERS = 48  # of the bar: a line fits a terminal of 100 columns
+_MAX_SHOWN_CHARACTERS = 40  # of a wrong value
+_SLACK = "to spare"
 
 
 def read_platform(path: str) -> tuple[Settings, Limits]:
-    """The settings and limits of the platform's JSON: a whole configuration, or the settings object alone."""
+    """Return the settings and limits of the platform's JSON, checked.
+
+    The file is a whole configuration, or the settings object alone. Raises `ConfigError`.
+    """
     data = read_json_object(path, "--platform")
     settings = parse_settings(data.get("settings", data))
     validate_settings(settings)
@@ -26,7 +41,10 @@
 
 
 def check_file(file: str, platform: str = "") -> str:
-    """What is to be said of a good file; `ConfigError` with every mistake of a bad one."""
+    """Return what to say of a good file. Raises `ConfigError` with every mistake of a bad one.
+
+    Without a `platform` file the operators' file is checked by itself.
+    """
     if not platform:
         rules = load_routing_rules(file)
         return f"{file}: {len(rules.routes)} routes; checked by itself: name --platform JSON for the rest"
@@ -34,83 +52,131 @@
     return f"{file}: {len(rules.routes)} routes, right together with {platform}"
 
 
-def _hex(text: str | None, what: str) -> int:
-    if not text:
-        return 0
-    if len(text) > HEX_DIGITS or any(c not in "0123456789abcdefABCDEF" for c in text):
-        raise ConfigError(f"--{what}: {text[:40]!r} is not 1 to {HEX_DIGITS} hex digits")
-    return int(text.ljust(HEX_DIGITS, "0"), 16)  # what is given is the beginning of it
-
-
 def explain(
     file: str,
     platform: str,
-    cls: str,
+    class_name: str,
     group: str | None = None,
     key: str | None = None,
-    again: bool = False,
+    returning: bool = False,
     retry: bool = False,
 ) -> str:
-    """The route taken and the schedule, as text of several lines."""
+    """Return the route that a request takes and its schedule, as text of several lines.
+
+    Raises `ConfigError` for wrong files, a class that is none of the platform's, and wrong hex digits.
+    """
     if not platform:
         raise ConfigError("explain: the classes are the platform's: add --platform JSON, or set RELAY_CONFIG")
     settings, limits = read_platform(platform)
     rules = load_routing_rules(file, settings, limits, with_lines=True)
-    names = [c.name for c in settings.classes]
-    if cls not in names:
-        raise ConfigError(f"--class: {cls!r} is none of {', '.join(names)}")
-    routed = with_routed_classes(settings, rules)
-    flags = (RequestFlag.RETURNED if again else 0) | (RequestFlag.CLIENT_RETRY if retry else 0)
-    number = names.index(cls)
-    wanted = RequestArrived(0, number, key=_hex(key, "key"), group=_hex(group, "group"), flags=flags)
-    keeper = RouteAdmission(rules, routed)
-    route, told = (
-        rules.routes[keeper.route_table.find_route(wanted)],
-        routed.classes[keeper.class_index_for(wanted)],
+    request = _parse_request(settings, class_name, group, key, _request_flags(returning, retry))
+    routed_settings = with_routed_classes(settings, rules)
+    admission = RouteAdmission(rules, routed_settings)
+    route = rules.routes[admission.route_table.find_route(request)]
+    routed = routed_settings.classes[admission.class_index_for(request)]
+    lines = [
+        f"{class_name}: route {route.name} ({file}:{route.line_of('name')})",
+        *_plan_lines(routed, settings),
+        *_budget_lines(route, rules),
+        *_limit_lines(route, rules),
+        "",
+        *_timeline_lines(worst_case_schedule(routed, settings, limits)),
+    ]
+    return "\n".join(lines)
+
+
+def _parse_request(
+    settings: Settings, class_name: str, group: str | None, key: str | None, flags: int
+) -> RequestArrived:
+    class_names = [request_class.name for request_class in settings.classes]
+    if class_name not in class_names:
+        raise ConfigError(f"--class: {class_name!r} is none of {', '.join(class_names)}")
+    return RequestArrived(
+        0,
+        class_names.index(class_name),
+        key=_parse_hex_prefix(key, "key"),
+        group=_parse_hex_prefix(group, "group"),
+        flags=flags,
     )
-    plan = worst_case_schedule(told, settings, limits)
-    lines = [f"{cls}: route {route.name} ({file}:{route.line_of('name')})"]
-    lines += _values(route, told, rules, settings)
-    return "\n".join([*lines, "", *_timeline(plan)])
 
 
-def _values(route: Route, told: RequestClass, rules: RoutingRules, settings: Settings) -> list[str]:
-    own = "the module's: the aim, doubled each time, the last to the end"
-    again = "may-have-run" if told.retries_executed_attempts and told.idempotency != "once" else "never-ran"
-    give_up_us = told.request_timeout_us or told.deadline_us
-    lines = [
-        f"  give-up        {format_ms(give_up_us)} (the client's: {format_ms(told.deadline_us)})",
-        f"  attempts       {told.max_attempts} (the platform's: {settings.max_attempts})",
-        f"  connect        {format_ms(told.connect_timeout_us or settings.connect_timeout_us)}",
-        f"  attempt        {format_ms(told.attempt_timeout_us) if told.attempt_timeout_us else own}",
-        f"  tried again    {again} (the class is {told.idempotency})",
-    ]
+def _parse_hex_prefix(digits: str | None, option: str) -> int:
+    """Return the least number that begins with these digits; 0 where there are none."""
+    if not digits:
+        return 0
+    if len(digits) > HEX_DIGITS or not set(digits) <= set(string.hexdigits):
+        raise ConfigError(
+            f"--{option}: {digits[:_MAX_SHOWN_CHARACTERS]!r} is not 1 to {HEX_DIGITS} hex digits"
+        )
+    return int(digits.ljust(HEX_DIGITS, "0"), 16)
+
+
+def _request_flags(returning: bool, retry: bool) -> int:
+    flags = 0
+    if returning:
+        flags |= RequestFlag.RETURNED
+    if retry:
+        flags |= RequestFlag.CLIENT_RETRY
+    return flags
+
+
+def _plan_lines(routed: RequestClass, settings: Settings) -> Iterator[str]:
+    request_timeout_us = routed.request_timeout_us or routed.deadline_us
+    connect_timeout_us = routed.connect_timeout_us or settings.connect_timeout_us
+    attempt_timeout = "the module's: the aim, doubled each time, the last to the end"
+    if routed.attempt_timeout_us:
+        attempt_timeout = format_ms(routed.attempt_timeout_us)
+    retries_executed = routed.retries_executed_attempts and routed.idempotency != Idempotency.ONCE
+    retry_on = RetryOn.MAY_HAVE_RUN if retries_executed else RetryOn.NEVER_RAN
+    yield f"  give-up        {format_ms(request_timeout_us)} (the client's: {format_ms(routed.deadline_us)})"
+    yield f"  attempts       {routed.max_attempts} (the platform's: {settings.max_attempts})"
+    yield f"  connect        {format_ms(connect_timeout_us)}"
+    yield f"  attempt        {attempt_timeout}"
+    yield f"  tried again    {retry_on.value} (the class is {routed.idempotency})"
+
+
+def _budget_lines(route: Route, rules: RoutingRules) -> Iterator[str]:
     for name, budget in (("retry-budget", route.retry_budget), ("of the relay", rules.retry_budget)):
         if budget is not None:
-            share = f"{budget.retry_ratio:.3g} of the first tries of {format_ms(budget.window_us)}"
-            lines.append(f"  {name:<14} {share}, {budget.min_retries} in any case")
+            yield f"  {name:<14} {_budget_text(budget)}"
+
+
+def _budget_text(budget: RetryBudgetRule) -> str:
+    first_attempts = f"the first tries of {format_ms(budget.window_us)}"
+    return f"{budget.retry_ratio:.3g} of {first_attempts}, {budget.min_retries} in any case"
+
+
+def _limit_lines(route: Route, rules: RoutingRules) -> Iterator[str]:
     for name, limits in (("limits", route.limits), ("of the relay", rules.limits)):
-        stated = [
-            f"open {limits.max_open}" if limits.max_open else "",
-            f"set-ups a second {limits.max_setups_per_s:g}" if limits.max_setups_per_s else "",
-            f"at one moment {limits.setup_burst}" if limits.setup_burst else "",
-            f"set-ups at a backend {limits.max_setups_per_endpoint}"
-            if limits.max_setups_per_endpoint
-            else "",
-        ]
-        if any(stated):
-            lines.append(f"  {name:<14} {', '.join(filter(None, stated))}")
-    return lines
-
-
-def _timeline(plan: Schedule) -> list[str]:
-    steps = [(step.name, step.start_us, step.end_us) for step in plan.steps]
-    steps.append(("to spare", plan.total_us, plan.request_timeout_us))
-    lines = ["  the worst case"]
-    for what, start, end in steps:
-        left, right = (round(at * WIDTH / plan.request_timeout_us) for at in (start, end))
-        bar = " " * left + ("." if what == "to spare" else "#") * (right - left)
-        lines.append(f"  {what:<15} {format_ms(start):>9} {format_ms(end):>9}  |{bar:<{WIDTH}}|")
-    kind = "" if plan.has_fixed_timeouts else "; the module divides what there is"
+        if stated := _limit_text(limits):
+            yield f"  {name:<14} {stated}"
+
+
+def _limit_text(limits: ConnectionLimitRule) -> str:
+    stated: list[str] = []
+    if limits.max_open:
+        stated.append(f"open {limits.max_open}")
+    if limits.max_setups_per_s:
+        stated.append(f"set-ups a second {limits.max_setups_per_s:g}")
+    if limits.setup_burst:
+        stated.append(f"at one moment {limits.setup_burst}")
+    if limits.max_setups_per_endpoint:
+        stated.append(f"set-ups at a backend {limits.max_setups_per_endpoint}")
+    return ", ".join(stated)
+
+
+def _timeline_lines(plan: Schedule) -> Iterator[str]:
+    yield "  the worst case"
+    for step in plan.steps:
+        yield _timeline_line(plan, step.name, step.start_us, step.end_us, "#")
+    yield _timeline_line(plan, _SLACK, plan.total_us, plan.request_timeout_us, ".")
     total = f"{format_ms(plan.total_us)} of {format_ms(plan.request_timeout_us)}"
-    return [*lines, f"  {total}, {format_ms(plan.slack_us)} to spare{kind}"]
+    remark = "" if plan.has_fixed_timeouts else "; the module divides what there is"
+    yield f"  {total}, {format_ms(plan.slack_us)} {_SLACK}{remark}"
+
+
+def _timeline_line(plan: Schedule, name: str, start_us: int, end_us: int, sign: str) -> str:
+    bar_start = round(start_us * TIMELINE_CHARACTERS / plan.request_timeout_us)
+    bar_end = round(end_us * TIMELINE_CHARACTERS / plan.request_timeout_us)
+    bar = " " * bar_start + sign * (bar_end - bar_start)
+    return f"  {name:<15} {format_ms(start_us):>9} {format_ms(end_us):>9}  |{bar:<{TIMELINE_CHARACTERS}}|"
