--- a/tests/failing_calls.py
+++ b/tests/failing_calls.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-Chosen = Callable[[socket.socket], bool]
+SocketPredicate = Callable[[socket.socket], bool]
 
 
 class FailingCalls:
@@ -18,16 +18,16 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.monkeypatch = monkeypatch
-        self.left: dict[str, deque[int]] = {}
+        self.remaining_errors: dict[str, deque[int]] = {}
 
-    def fail(self, call: str, errors: list[int], chosen: Chosen = lambda sock: True) -> None:
+    def fail(self, call: str, errors: list[int], is_chosen: SocketPredicate = lambda sock: True) -> None:
         """The next calls of this name on a chosen socket fail with these errors, then they work again."""
-        left = self.left.setdefault(call, deque())
+        left = self.remaining_errors.setdefault(call, deque())
         left.extend(errors)
         real = getattr(socket.socket, call)
 
         def wrapped(sock: socket.socket, *args: Any) -> Any:
-            if left and chosen(sock):
+            if left and is_chosen(sock):
                 code = left.popleft()
                 if call == "connect_ex":
                     return code
@@ -38,7 +38,7 @@
 
     def fail_new_sockets(self, errors: list[int]) -> None:
         """The next sockets can't be made."""
-        left = self.left.setdefault("socket", deque())
+        left = self.remaining_errors.setdefault("socket", deque())
         left.extend(errors)
         real = socket.socket.__init__
 
@@ -51,7 +51,7 @@
         self.monkeypatch.setattr(socket.socket, "__init__", wrapped)
 
 
-def to_port(port: int) -> Chosen:
+def is_connected_to_port(port: int) -> SocketPredicate:
     """Sockets whose peer is at this port."""
 
     def chosen(sock: socket.socket) -> bool:
@@ -63,7 +63,7 @@
     return chosen
 
 
-def at_port(port: int) -> Chosen:
+def is_connected_at_port(port: int) -> SocketPredicate:
     """Sockets that are bound to this port and connected: a relay's side of its clients' connections."""
 
     def chosen(sock: socket.socket) -> bool:
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -16,18 +16,20 @@
 from gannetweir.net import connecting
 from gannetweir.placement.actions import Action, StartAttempt
 from gannetweir.proto.endpoint_watch import read_membership
-from tests.place import (
-    QUICK,
+from tests.relay_harness import (
+    SHORT_TIMES,
     Peer,
-    Place,
+    RelayHarness,
     anyio_backend,  # noqa: F401
-    played,
-    served,
+    established_client,
+    run_scenario,
 )
 from tests.scenario import CLASSES
 
-LINE = r"OPEN 0a 0b c=plain,d=2000\r\n"
-MORE = "x" * 4000 + r"\r\n"  # three of these go beyond one read, and are still within what may come early
+OPEN_LINE = r"OPEN 0a 0b c=plain,d=2000\r\n"
+EARLY_LINE = (
+    "x" * 4000 + r"\r\n"
+)  # three of these go beyond one read, and are still within what may come early
 
 
 def finishes(client: Peer) -> None:
@@ -42,104 +44,104 @@
     client.close(True)
 
 
-Leave = Callable[[Peer], None]
+Departure = Callable[[Peer], None]
 
 
 @dataclass
 class Leaver:
     """One client, and how it leaves."""
 
-    place: Place
+    harness: RelayHarness
     client: Peer
-    leave: Leave
+    leave: Departure
 
-    def leave_after(self, name: str, more: str = "") -> None:
+    def leave_after(self, name: str, sent_before: str = "") -> None:
         """Leave at the end of the engine's next call of this name, with so much sent before the end."""
-        engine = self.place.relay.engine
+        engine = self.harness.relay.engine
         call = getattr(engine, name)
 
         def then_leave(*args: Any) -> Any:
             setattr(engine, name, call)
             result = call(*args)
-            if more:
-                self.client.send(more)
+            if sent_before:
+                self.client.send(sent_before)
             self.leave(self.client)
             return result
 
         setattr(engine, name, then_leave)
 
 
-def tell_hosts(place: Place, *hosts: tuple[str, int, str]) -> None:
-    """The whole list, as discovery tells it."""
-    entries = [{"host": h, "dial": f"127.0.0.1:{port}", "health": health} for h, port, health in hosts]
-    news = read_membership({"seq": 7, "whole": True, "hosts": entries}, place.relay.runtime.settings)
-    place.relay.runtime.run_engine_call(place.relay.engine.endpoint_update_received, news)
+def send_endpoint_list(harness: RelayHarness, *hosts: tuple[str, int, str]) -> None:
+    """The complete list, as discovery sends it."""
+    entries = [{"host": name, "dial": f"127.0.0.1:{port}", "health": health} for name, port, health in hosts]
+    update = read_membership({"seq": 7, "whole": True, "hosts": entries}, harness.relay.runtime.settings)
+    harness.relay.runtime.run_engine_call(harness.relay.engine.endpoint_update_received, update)
 
 
-def two_backends(place: Place) -> None:
+def list_two_endpoints(harness: RelayHarness) -> None:
     """Two names for one listener, so that whichever is tried next is seen there."""
-    port = place.backend.getsockname()[1]
-    tell_hosts(place, ("b1", port, "Ready"), ("b2", port, "Ready"))
+    port = harness.endpoint_listener.getsockname()[1]
+    send_endpoint_list(harness, ("b1", port, "Ready"), ("b2", port, "Ready"))
 
 
-async def as_its_first_line_is_read(at: Leaver) -> None:
-    at.leave_after("request_opened")
-    at.client.send(LINE)
+async def as_its_first_line_is_read(leaver: Leaver) -> None:
+    leaver.leave_after("request_opened")
+    leaver.client.send(OPEN_LINE)
 
 
-async def behind_more_than_one_read(at: Leaver) -> None:
-    at.client.send(LINE + MORE * 3)
-    at.leave(at.client)
+async def behind_more_than_one_read(leaver: Leaver) -> None:
+    leaver.client.send(OPEN_LINE + EARLY_LINE * 3)
+    leaver.leave(leaver.client)
 
 
-async def behind_more_that_comes_later(at: Leaver) -> None:
-    at.leave_after("request_opened", MORE * 3)
-    at.client.send(LINE)
+async def behind_more_that_comes_later(leaver: Leaver) -> None:
+    leaver.leave_after("request_opened", EARLY_LINE * 3)
+    leaver.client.send(OPEN_LINE)
 
 
-async def with_the_last_piece_of_its_line(at: Leaver) -> None:
-    for piece in LINE[:-4]:
-        at.client.send(piece)
+async def with_the_last_piece_of_its_line(leaver: Leaver) -> None:
+    for piece in OPEN_LINE[:-4]:
+        leaver.client.send(piece)
         await anyio.sleep(0)
-    at.client.send(r"\r\n")
-    at.leave(at.client)
+    leaver.client.send(r"\r\n")
+    leaver.leave(leaver.client)
 
 
-async def as_an_attempt_ends(at: Leaver) -> None:
-    two_backends(at.place)
-    at.client.send(LINE)
-    server = await at.place.accept()
+async def as_an_attempt_ends(leaver: Leaver) -> None:
+    list_two_endpoints(leaver.harness)
+    leaver.client.send(OPEN_LINE)
+    server = await leaver.harness.accept_upstream()
     await server.expect("OPEN 0a")
-    at.leave_after("upstream_ended")
+    leaver.leave_after("upstream_ended")
     server.send(r"BUSY\r\n")
     await server.expect("end")
 
 
-async def as_the_wait_before_a_repeat_ends(at: Leaver) -> None:
-    two_backends(at.place)
-    relay = at.place.relay
-    waits = [replace(CLASSES[0], retry_backoff_us=[20_000, 20_000])]
+async def as_the_wait_before_a_repeat_ends(leaver: Leaver) -> None:
+    list_two_endpoints(leaver.harness)
+    relay = leaver.harness.relay
+    classes = [replace(CLASSES[0], retry_backoff_us=[20_000, 20_000])]
     relay.runtime.run_engine_call(
-        relay.engine.reload, replace(relay.runtime.settings, classes=waits), relay.runtime.limits
+        relay.engine.reload, replace(relay.runtime.settings, classes=classes), relay.runtime.limits
     )
-    at.client.send(LINE)
-    server = await at.place.accept()
+    leaver.client.send(OPEN_LINE)
+    server = await leaver.harness.accept_upstream()
     await server.expect("OPEN 0a")
     server.send(r"BUSY\r\n")
     await server.expect("end")
-    await at.place.until(lambda: bool(relay.engine.balancer.retry_policy.retry_due_us))
+    await leaver.harness.wait_until(lambda: bool(relay.engine.balancer.retry_policy.retry_due_us))
     carry_out = relay.engine.placement_actions.carry_out
 
     def leaves_at_its_turn(action: Action) -> None:
         if isinstance(action, StartAttempt):
-            at.leave(at.client)
+            leaver.leave(leaver.client)
         carry_out(action)
 
     relay.engine.placement_actions.carry_out = leaves_at_its_turn  # type: ignore[method-assign]
 
 
-async def as_a_probe_is_answered(at: Leaver) -> None:
-    relay = at.place.relay
+async def as_a_probe_is_answered(leaver: Leaver) -> None:
+    relay = leaver.harness.relay
     settings = replace(
         relay.runtime.settings,
         load_probes_enabled=True,
@@ -148,39 +150,38 @@
     )
     relay.runtime.run_engine_call(relay.engine.reload, settings, relay.runtime.limits)
     relay.runtime.config = replace(relay.runtime.config, settings=settings)
-    tell_hosts(at.place, ("b1", at.place.backend.getsockname()[1], "Ready"))
+    send_endpoint_list(leaver.harness, ("b1", leaver.harness.endpoint_listener.getsockname()[1], "Ready"))
     relay.runtime.clock.offset_ns += 2_000_000_000  # what was known of it is stale: it has to be asked first
-    at.client.send(LINE)
-    asked = await at.place.accept()
+    leaver.client.send(OPEN_LINE)
+    asked = await leaver.harness.accept_upstream()
     await asked.expect("STATS")
-    at.leave_after("load_probe_ended")
+    leaver.leave_after("load_probe_ended")
     asked.send(r"PONG inflight=1,util=0.1\r\n")
     await asked.expect("end")
-    await (await at.place.accept()).expect("STATS")  # got ahead for the next client
+    await (await leaver.harness.accept_upstream()).expect("STATS")  # got ahead for the next client
 
 
-async def as_a_long_list_moves_it_elsewhere(at: Leaver) -> None:
-    full = socket.socket()
-    full.bind(("127.0.0.1", 0))
-    full.listen(0)
-    held = [socket.socket() for _ in range(4)]  # its queue is full: no further connect comes up
-    for sock in held:
+async def as_a_long_list_moves_it_elsewhere(leaver: Leaver) -> None:
+    unreachable = socket.socket()
+    unreachable.bind(("127.0.0.1", 0))
+    unreachable.listen(0)
+    queued_sockets = [socket.socket() for _ in range(4)]  # its queue is full: no further connect comes up
+    for sock in queued_sockets:
         sock.setblocking(False)
-        sock.connect_ex(full.getsockname())
-    tell_hosts(at.place, ("b1", full.getsockname()[1], "Ready"))
-    at.client.send(LINE)
-    await at.place.until(
-        lambda: at.place.relay.runtime.descriptor_count.open == 2
-    )  # its connect is under way
-    at.leave_after("endpoint_update_received")
-    port = at.place.backend.getsockname()[1]
-    tell_hosts(at.place, ("b1", port, "Gone"), *((f"s{n}", port, "Ready") for n in range(1024)))
-    assert at.place.relay.engine.counters.counts["flows"] == 2
-    for sock in (full, *held):
+        sock.connect_ex(unreachable.getsockname())
+    send_endpoint_list(leaver.harness, ("b1", unreachable.getsockname()[1], "Ready"))
+    leaver.client.send(OPEN_LINE)
+    descriptors = leaver.harness.relay.runtime.descriptor_count
+    await leaver.harness.wait_until(lambda: descriptors.open == 2)  # its connect is under way
+    leaver.leave_after("endpoint_update_received")
+    port = leaver.harness.endpoint_listener.getsockname()[1]
+    send_endpoint_list(leaver.harness, ("b1", port, "Gone"), *((f"s{n}", port, "Ready") for n in range(1024)))
+    assert leaver.harness.relay.engine.counters.counts["flows"] == 2
+    for sock in (unreachable, *queued_sockets):
         sock.close()
 
 
-CASES: list[Callable[[Leaver], Awaitable[None]]] = [
+MOMENTS: list[Callable[[Leaver], Awaitable[None]]] = [
     as_its_first_line_is_read,
     behind_more_than_one_read,
     behind_more_that_comes_later,
@@ -194,58 +195,58 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("leave", [finishes, closes, resets])
-@pytest.mark.parametrize("case", CASES)
-async def test_nothing_is_dialled_for_a_client_that_leaves(
-    case: Callable[[Leaver], Awaitable[None]], leave: Leave, capsys: pytest.CaptureFixture[str]
+@pytest.mark.parametrize("moment", MOMENTS)
+async def test_nothing_is_connected_for_a_client_that_leaves(
+    moment: Callable[[Leaver], Awaitable[None]], leave: Departure, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    async def play(place: Place) -> None:
-        client = await place.client()
-        await place.until(lambda: place.relay.clients.open_count == 1)
-        await case(Leaver(place, client, leave))
-        await place.until(lambda: place.relay.clients.open_count == 0)
+    async def play(harness: RelayHarness) -> None:
+        client = await harness.connect_client()
+        await harness.wait_until(lambda: harness.relay.clients.open_count == 1)
+        await moment(Leaver(harness, client, leave))
+        await harness.wait_until(lambda: harness.relay.clients.open_count == 0)
         with pytest.raises(BlockingIOError):
-            place.backend.accept()
-        assert not place.relay.engine.requests
+            harness.endpoint_listener.accept()
+        assert not harness.relay.engine.requests
 
-    await played(Place(**QUICK | {"connect_timeout_us": 5_000_000}), play, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES | {"connect_timeout_us": 5_000_000}), play, capsys)
 
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("leave", [finishes, closes, resets])
-async def test_nothing_is_written_once_a_held_connect_is_up(
-    leave: Leave, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+async def test_nothing_is_written_once_a_connect_is_up_whose_client_has_left(
+    leave: Departure, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(place: Place) -> None:
-        client = await place.client()
+    async def play(harness: RelayHarness) -> None:
+        client = await harness.connect_client()
         connect = connecting.connect
 
         async def leaves_as_it_is_up(sock: socket.socket, address: Any, *told: Any) -> None:
             await connect(sock, address, *told)
-            if address[1] == place.backend.getsockname()[1]:
+            if address[1] == harness.endpoint_listener.getsockname()[1]:
                 leave(client)
 
         monkeypatch.setattr(connecting, "connect", leaves_as_it_is_up)
-        client.send(LINE)
-        await (await place.accept()).expect("end")  # without a line
-        await place.until(lambda: place.relay.clients.open_count == 0)
+        client.send(OPEN_LINE)
+        await (await harness.accept_upstream()).expect("end")  # without a line
+        await harness.wait_until(lambda: harness.relay.clients.open_count == 0)
         monkeypatch.setattr(connecting, "connect", connect)
-        await served(place, "ff")
+        await established_client(harness, "ff")
 
-    await played(Place(**QUICK), play, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES), play, capsys)
 
 
 @pytest.mark.anyio
-async def test_a_last_look_changes_no_order_of_lines(capsys: pytest.CaptureFixture[str]) -> None:
-    async def play(place: Place) -> None:
-        client = await place.client()
-        await place.until(lambda: place.relay.clients.open_count == 1)
+async def test_reading_pending_input_changes_no_order_of_lines(capsys: pytest.CaptureFixture[str]) -> None:
+    async def play(harness: RelayHarness) -> None:
+        client = await harness.connect_client()
+        await harness.wait_until(lambda: harness.relay.clients.open_count == 1)
         early = [f"{n:04d}" + "y" * 3000 for n in range(5)]  # over one read, within what may come early
-        client.send(LINE + "".join(line + r"\r\n" for line in early))
-        server = await place.accept()
+        client.send(OPEN_LINE + "".join(line + r"\r\n" for line in early))
+        server = await harness.accept_upstream()
         await server.expect("OPEN 0a")
         server.send(r"UP r1\r\n")
         await client.expect("UP r1")
         for line in early:
             await server.expect(line)
 
-    await played(Place(**QUICK), play, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES), play, capsys)
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -16,124 +16,124 @@
 from hypothesis import strategies as st
 
 from gannetweir.net.client_connection import ClientConnectionDriver
-from tests.place import (
-    QUICK,
+from tests.relay_harness import (
+    SHORT_TIMES,
     Peer,
-    Place,
+    RelayHarness,
     anyio_backend,  # noqa: F401
-    played,
-    served,
+    established_client,
+    run_scenario,
 )
-from tests.test_client_left import two_backends
-from tests.test_descriptors import LATE, Fleet
+from tests.test_client_left import list_two_endpoints
+from tests.test_descriptors import LATE, RelayProcess
 
 LINE = r"OPEN 0a 0b c=plain,d=300\r\n"
 MARGIN_MS = 40  # the relay answers so long before its client gives up
 
 
-def advance_clocks(place: Place, seconds: float) -> None:
+def advance_clocks(harness: RelayHarness, seconds: float) -> None:
     """Advance the clock of the relay and that of its event loop."""
     loop = asyncio.get_running_loop()
     now = loop.time
     loop.time = lambda: now() + seconds  # type: ignore[method-assign]
-    place.relay.runtime.clock.offset_ns += int(seconds * 1e9)
+    harness.relay.runtime.clock.offset_ns += int(seconds * 1e9)
 
 
-async def connection_awaiting_its_first_line(place: Place) -> ClientConnectionDriver:
-    await place.until(lambda: bool(place.relay.runtime.descriptor_budget.awaiting_first_line))
-    connection = next(iter(place.relay.runtime.descriptor_budget.awaiting_first_line))
+async def connection_awaiting_its_first_line(harness: RelayHarness) -> ClientConnectionDriver:
+    await harness.wait_until(lambda: bool(harness.relay.runtime.descriptor_budget.awaiting_first_line))
+    connection = next(iter(harness.relay.runtime.descriptor_budget.awaiting_first_line))
     assert isinstance(connection, ClientConnectionDriver)
     return connection
 
 
-async def first_line_but_its_last_byte(place: Place) -> Peer:
+async def first_line_but_its_last_byte(harness: RelayHarness) -> Peer:
     """A client that has sent its first line but for the last byte, each byte in a segment of its own."""
-    client = await place.client()
-    connection = await connection_awaiting_its_first_line(place)
+    client = await harness.connect_client()
+    connection = await connection_awaiting_its_first_line(harness)
     raw = LINE.encode().decode("unicode_escape").encode()
     for count, byte in enumerate(raw[:-1], 1):
         client.sock.send(bytes([byte]))
-        await place.until(lambda count=count: len(connection.protocol.lines.partial_line) == count)  # type: ignore[misc]
+        await harness.wait_until(lambda count=count: len(connection.protocol.lines.partial_line) == count)  # type: ignore[misc]
     return client
 
 
-async def last_byte_in_time(place: Place) -> None:
-    client = await first_line_but_its_last_byte(place)
-    advance_clocks(place, 2.4)
+async def last_byte_in_time(harness: RelayHarness) -> None:
+    client = await first_line_but_its_last_byte(harness)
+    advance_clocks(harness, 2.4)
     client.sock.send(b"\n")
-    server = await place.accept()
+    server = await harness.accept_upstream()
     await server.expect(f"OPEN 0a 0b c=plain,d={300 - MARGIN_MS}")  # counted from that byte
     server.send(r"UP r1\r\n")
     await client.expect("UP r1")
-    assert place.relay.engine.counters.counts["flows"] == 1
+    assert harness.relay.engine.counters.counts["flows"] == 1
 
 
-async def last_byte_after_the_timeout(place: Place) -> None:
-    client = await first_line_but_its_last_byte(place)
-    advance_clocks(place, 2.7)
+async def last_byte_after_the_timeout(harness: RelayHarness) -> None:
+    client = await first_line_but_its_last_byte(harness)
+    advance_clocks(harness, 2.7)
     await client.expect("ERR")
     client.sock.send(b"\n")
     await client.expect("end")
-    assert place.relay.engine.counters.counts["flows"] == 0
+    assert harness.relay.engine.counters.counts["flows"] == 0
 
 
-async def answer_is_read_before_timers(place: Place) -> None:
-    client = await place.client()
+async def answer_is_read_before_timers(harness: RelayHarness) -> None:
+    client = await harness.connect_client()
     client.send(LINE)
-    server = await place.accept()
+    server = await harness.accept_upstream()
     await server.expect("OPEN 0a")
     # past the client's deadline, before the timers have run
-    place.relay.runtime.clock.offset_ns += 400_000_000
+    harness.relay.runtime.clock.offset_ns += 400_000_000
     server.send(r"UP late\r\n")
     await client.expect("UP late")  # the one final answer
-    place.relay.runtime.timers.wake.set()
-    await place.until(lambda: place.relay.engine.next_due() > place.relay.runtime.clock())
+    harness.relay.runtime.timers.wake.set()
+    await harness.wait_until(lambda: harness.relay.engine.next_due() > harness.relay.runtime.clock())
     client.finish()
     await client.expect("end")
     await server.expect("end")
 
 
-async def answer_after_the_final_answer(place: Place) -> None:
+async def answer_after_the_final_answer(harness: RelayHarness) -> None:
     for answer in (r"UP late\r\n", r"UP la"):
-        client = await place.client()
+        client = await harness.connect_client()
         client.send(LINE)
-        server = await place.accept()
+        server = await harness.accept_upstream()
         await server.expect("OPEN 0a")
         server.send(answer[:2])  # half of its answer is in
-        place.relay.runtime.clock.offset_ns += 400_000_000
-        place.relay.runtime.timers.wake.set()
+        harness.relay.runtime.clock.offset_ns += 400_000_000
+        harness.relay.runtime.timers.wake.set()
         await client.expect("BUSY")
-        await place.until(lambda: place.relay.runtime.descriptor_count.open <= 1)
+        await harness.wait_until(lambda: harness.relay.runtime.descriptor_count.open <= 1)
         with contextlib.suppress(ConnectionError):  # it may know of its end by now
             server.send(answer[2:])
         await client.expect("end")
-        assert await server._next() in ("end", "reset")
-        await place.until(lambda: place.relay.clients.open_count == 0)
+        assert await server.next_line() in ("end", "reset")
+        await harness.wait_until(lambda: harness.relay.clients.open_count == 0)
 
 
-async def answer_of_an_attempt_that_timed_out(place: Place) -> None:
-    await place.client()  # it runs by now
-    two_backends(place)
+async def answer_of_an_attempt_that_timed_out(harness: RelayHarness) -> None:
+    await harness.connect_client()  # it runs by now
+    list_two_endpoints(harness)
     for ident, answer in (("0a", r"UP r2\r\n"), ("0b", r"BUSY\r\n")):
-        client = await place.client()
+        client = await harness.connect_client()
         client.send(rf"OPEN {ident} 0b c=plain,d=2000\r\n")
-        timed_out = await place.accept()
+        timed_out = await harness.accept_upstream()
         await timed_out.expect(f"OPEN {ident}")
-        place.relay.runtime.clock.offset_ns += 600_000_000  # the attempt has timed out
-        place.relay.runtime.timers.wake.set()
+        harness.relay.runtime.clock.offset_ns += 600_000_000  # the attempt has timed out
+        harness.relay.runtime.timers.wake.set()
         timed_out.send(r"UP late\r\n")  # in the same turn of the event loop
-        retried = await place.accept()
+        retried = await harness.accept_upstream()
         await retried.expect(f"OPEN {ident}")
-        assert await timed_out._next() in ("end", "reset")  # before the second has answered
+        assert await timed_out.next_line() in ("end", "reset")  # before the second has answered
         retried.send(answer)
         await client.expect(answer[:4].strip())
         client.finish()
         await client.expect("end")
-    counts = place.relay.engine.counters.counts
+    counts = harness.relay.engine.counters.counts
     assert (counts["flows"], counts["served"], counts["attempts.timeout"]) == (4, 1, 2)
 
 
-PLAYS: list[Callable[[Place], Awaitable[None]]] = [
+PLAYS: list[Callable[[RelayHarness], Awaitable[None]]] = [
     last_byte_in_time,
     last_byte_after_the_timeout,
     answer_is_read_before_timers,
@@ -145,14 +145,14 @@
 @pytest.mark.anyio
 @pytest.mark.parametrize("play", PLAYS)
 async def test_on_sockets(
-    play: Callable[[Place], Awaitable[None]], capsys: pytest.CaptureFixture[str]
+    play: Callable[[RelayHarness], Awaitable[None]], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    await played(Place(**QUICK), play, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES), play, capsys)
 
 
 @pytest.fixture
-def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    fleet = Fleet(tmp_path, 256, 256)
+def fleet(tmp_path: Path) -> Iterator[RelayProcess]:
+    fleet = RelayProcess(tmp_path, 256, 256)
     yield fleet
     fleet.end()
 
@@ -163,7 +163,7 @@
     return sum(row[1].endswith(f":{port:04X}") and row[3] == "06" for row in rows)
 
 
-def test_a_relay_starts_at_once_on_the_address_of_a_killed_one(fleet: Fleet) -> None:
+def test_a_relay_starts_at_once_on_the_address_of_a_killed_one(fleet: RelayProcess) -> None:
     fleet.served(b"01")
     answered = fleet.client(b"OPEN 0a 0b c=none,d=2000\r\n")
     while answered.recv(100):
@@ -208,10 +208,10 @@
         assert got == raw
 
     async def play() -> None:
-        place = Place(**QUICK)
+        harness = RelayHarness(SHORT_TIMES)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(place.relay.run)
-            client, server = await served(place)
+            tasks.start_soon(harness.relay.run)
+            client, server = await established_client(harness)
             await passes(client, server)
             await passes(server, client)
             tasks.cancel_scope.cancel()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,19 +20,19 @@
 from gannetweir.net.transport import Transport
 from gannetweir.placement.actions import ProbeLoad
 from gannetweir.proto.endpoint_watch import read_membership
-from tests.place import (
-    BEAT,
-    HEAD,
-    QUICK,
-    SOON,
+from tests.relay_harness import (
+    DEADLINE_S,
+    HEARTBEAT_CHUNK,
+    SHORT_TIMES,
+    WATCH_RESPONSE_HEAD,
     Peer,
-    Place,
-    Play,
+    RelayHarness,
+    Scenario,
     anyio_backend,  # noqa: F401
-    bound,
-    played,
-    served,
-    told,
+    established_client,
+    listening_socket,
+    run_scenario,
+    unchanged_update_chunk,
 )
 from tests.scenario import play
 
@@ -184,76 +184,76 @@
     )
 
 
-def disconnects_with_its_first_line(reset: bool) -> Play:
-    async def disconnects(place: Place) -> None:
+def disconnects_with_its_first_line(reset: bool) -> Scenario:
+    async def disconnects(harness: RelayHarness) -> None:
         for number in range(20):
-            client = await place.client()
-            await place.until(lambda: place.relay.clients.open_count == 1)
+            client = await harness.connect_client()
+            await harness.wait_until(lambda: harness.relay.clients.open_count == 1)
             client.send(rf"OPEN {number:x} 0b c=plain,d=2000\r\n")
             if reset:
                 client.close(True)
             else:
                 client.finish()
                 await client.expect("end")
-            await place.until(lambda: place.relay.clients.open_count == 0)
+            await harness.wait_until(lambda: harness.relay.clients.open_count == 0)
         with pytest.raises(BlockingIOError):  # not even a connect was started
-            place.backend.accept()
-        assert reset or place.relay.engine.counters.counts["requests"] == 20  # a reset may come first
-        await served(place, "ff")
+            harness.endpoint_listener.accept()
+        assert reset or harness.relay.engine.counters.counts["requests"] == 20  # a reset may come first
+        await established_client(harness, "ff")
 
     disconnects.__name__ = f"the first line and the client's {'reset' if reset else 'end'} together"
     return disconnects
 
 
-async def a_watch_that_sends_no_complete_line(place: Place) -> None:
-    watcher = await place.watcher(place.discovery, 1)
-    watcher.send(HEAD + BEAT + r"fff\r\n")
+async def a_watch_that_sends_no_complete_line(harness: RelayHarness) -> None:
+    watcher = await harness.accept_watch(harness.discovery_listener, 1)
+    watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK + r"fff\r\n")
     with contextlib.suppress(BrokenPipeError, ConnectionResetError):
         for _ in range(400):  # bytes extend no timeout: only a complete line or a heartbeat does
             watcher.send(" ")
             await anyio.sleep(0.005)
-            if place.relay.engine.counters.counts["pool_failures"]:
+            if harness.relay.engine.counters.counts["pool_failures"]:
                 break
-    assert place.relay.engine.counters.counts["pool_failures"] == 1
-
-
-async def the_previous_discovery_address_sends_once_more(place: Place) -> None:
-    old = await place.watcher(place.discovery, 1)
-    old.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.endpoint_watch.has_answered)
-    discovery = bound()
-    place.hup(discovery_address=SocketAddress(*discovery.getsockname()))
-    new = await place.watcher(discovery, 0)
-    new.send(HEAD + told(9))
-    old.send(told(8))  # both are read in one turn, the new one first
-    await place.until(lambda: place.relay.engine.endpoint_list.version >= 8)
+    assert harness.relay.engine.counters.counts["pool_failures"] == 1
+
+
+async def the_previous_discovery_address_sends_once_more(harness: RelayHarness) -> None:
+    old = await harness.accept_watch(harness.discovery_listener, 1)
+    old.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
+    await harness.wait_until(lambda: harness.relay.endpoint_watch.has_answered)
+    discovery = listening_socket()
+    harness.reload(discovery_address=SocketAddress(*discovery.getsockname()))
+    new = await harness.accept_watch(discovery, 0)
+    new.send(WATCH_RESPONSE_HEAD + unchanged_update_chunk(9))
+    old.send(unchanged_update_chunk(8))  # both are read in one turn, the new one first
+    await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version >= 8)
     await old.expect("end")
-    assert place.relay.engine.endpoint_list.version == 9
+    assert harness.relay.engine.endpoint_list.version == 9
 
 
-async def a_first_line_as_its_timeout_expires(place: Place) -> None:
+async def a_first_line_as_its_timeout_expires(harness: RelayHarness) -> None:
     for has_pinged in (True, False):
-        client = await place.client()
+        client = await harness.connect_client()
         if has_pinged:  # it stays open, as the front's do
             client.send(r"PING\r\n")
             await client.expect("PONG")
-        await place.until(lambda: place.relay.clients.open_count == 1)
+        await harness.wait_until(lambda: harness.relay.clients.open_count == 1)
         time.sleep(0.07)  # the timeout has expired, but no task has run since
         client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
-        server = await place.accept()
+        server = await harness.accept_upstream()
         await server.expect("OPEN 0a 0b")
         server.send(r"UP r1\r\n")
         await client.expect("UP r1")
         client.close()
-        await place.until(lambda: place.relay.clients.open_count == 0)
+        await harness.wait_until(lambda: harness.relay.clients.open_count == 0)
 
 
-async def a_first_line_as_its_connection_is_evicted(place: Place) -> None:
-    standing = await served(place, "0c")
-    silent = [await place.client() for _ in range(2)]
-    await place.until(lambda: len(place.relay.runtime.descriptor_budget.awaiting_first_line) == 2)
+async def a_first_line_as_its_connection_is_evicted(harness: RelayHarness) -> None:
+    standing = await established_client(harness, "0c")
+    silent = [await harness.connect_client() for _ in range(2)]
+    await harness.wait_until(lambda: len(harness.relay.runtime.descriptor_budget.awaiting_first_line) == 2)
     for session, client in zip(
-        list(place.relay.runtime.descriptor_budget.awaiting_first_line), silent, strict=True
+        list(harness.relay.runtime.descriptor_budget.awaiting_first_line), silent, strict=True
     ):
 
         def speaks(client: Peer = client) -> bool:
@@ -261,56 +261,56 @@
             return False
 
         session.client.has_unread_input = speaks  # type: ignore[method-assign]
-    last = await place.client()
+    last = await harness.connect_client()
     await silent[0].expect("BUSY 250")
     await silent[0].expect("end")  # no reset, which could take the answer along
     for peer in (last, *standing):
         peer.close()
     with pytest.raises(BlockingIOError):
-        place.backend.accept()
+        harness.endpoint_listener.accept()
 
 
-async def established_as_the_attempt_times_out(place: Place) -> None:
-    client = await place.client()
+async def established_as_the_attempt_times_out(harness: RelayHarness) -> None:
+    client = await harness.connect_client()
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
-    server = await place.accept()
+    server = await harness.accept_upstream()
     await server.expect("OPEN 0a 0b c=plain,d=500")
-    place.relay.runtime.clock.offset_ns += 600_000_000  # the attempt has timed out: the timer comes first
-    place.relay.runtime.timers.wake.set()
+    harness.relay.runtime.clock.offset_ns += 600_000_000  # the attempt has timed out: the timer comes first
+    harness.relay.runtime.timers.wake.set()
     server.send(r"UP late\r\n")
     await server.expect("reset")  # closed, in spite of what it has just sent
     await client.expect("BUSY")  # the one final answer: there is no other backend
     await client.expect("end")
-    counts = place.relay.engine.counters.counts
+    counts = harness.relay.engine.counters.counts
     assert (counts["flows"], counts["attempts.timeout"], counts["served"]) == (1, 1, 0)
 
 
-def established_as_the_client_disconnects(reset: bool) -> Play:
-    async def disconnects(place: Place) -> None:
-        client = await place.client()
+def established_as_the_client_disconnects(reset: bool) -> Scenario:
+    async def disconnects(harness: RelayHarness) -> None:
+        client = await harness.connect_client()
         client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
-        server = await place.accept()
+        server = await harness.accept_upstream()
         await server.expect("OPEN 0a 0b")
         server.send(r"UP r1\r\n")  # in one turn, whichever is read first
         client.close(reset)
-        ended = "reset" if reset and place.relay.engine.counters.counts["served"] else "end"
-        with anyio.fail_after(SOON):
-            assert await server._next() in (ended, "reset", "end")
-        await place.until(lambda: place.relay.clients.open_count == 0)
+        ended = "reset" if reset and harness.relay.engine.counters.counts["served"] else "end"
+        with anyio.fail_after(DEADLINE_S):
+            assert await server.next_line() in (ended, "reset", "end")
+        await harness.wait_until(lambda: harness.relay.clients.open_count == 0)
         with pytest.raises(BlockingIOError):
-            place.backend.accept()  # no further attempt for a client that has disconnected
+            harness.endpoint_listener.accept()  # no further attempt for a client that has disconnected
 
     disconnects.__name__ = f"an UP and the client's {'reset' if reset else 'end'} together"
     return disconnects
 
 
-async def two_answers(place: Place) -> None:
-    client, _ = await served(place, "0a")
+async def two_answers(harness: RelayHarness) -> None:
+    client, _ = await established_client(harness, "0a")
     client.close()
     for answer, line in ((r"UP r1\r\n", r"UP r1\r\n"), (r"UP r1\r\n", r"BUSY\r\n")):
-        client = await place.client()
+        client = await harness.connect_client()
         client.send(r"OPEN 0b 0b c=plain,d=2000\r\n")
-        server = await place.accept()
+        server = await harness.accept_upstream()
         await server.expect("OPEN 0b 0b")
         server.send(answer + line)
         await client.expect("UP r1")  # the answer; whatever follows is a line like any other
@@ -320,16 +320,16 @@
         client.close()
         await server.expect("end")
     for answer in (r"BUSY\r\n", r"ERR\r\n"):
-        client = await place.client()
+        client = await harness.connect_client()
         client.send(r"OPEN 0c 0b c=plain,d=2000\r\n")
-        server = await place.accept()
+        server = await harness.accept_upstream()
         await server.expect("OPEN 0c 0b")
         server.send(answer + r"UP late\r\n")  # the second is nobody's
         await client.expect("BUSY")
         await client.expect("end")
 
 
-async def a_client_disconnects_while_the_connect_is_pending(place: Place) -> None:
+async def a_client_disconnects_while_the_connect_is_pending(harness: RelayHarness) -> None:
     full = socket.socket()
     full.bind(("127.0.0.1", 0))
     full.listen(0)
@@ -337,91 +337,91 @@
     for sock in pending:
         sock.setblocking(False)
         sock.connect_ex(full.getsockname())
-    await place.client()
+    await harness.connect_client()
     news = UPDATE % ("true", HOST_LINE % (1, full.getsockname()[1], "Ready", 0))
-    place.relay.runtime.run_engine_call(
-        place.relay.engine.endpoint_update_received,
-        read_membership(orjson.loads(news), place.relay.runtime.settings),
+    harness.relay.runtime.run_engine_call(
+        harness.relay.engine.endpoint_update_received,
+        read_membership(orjson.loads(news), harness.relay.runtime.settings),
     )
-    clients = place.relay.runtime.descriptor_count.open
-    client = await place.client()
+    clients = harness.relay.runtime.descriptor_count.open
+    client = await harness.connect_client()
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
-    await place.until(
-        lambda: place.relay.runtime.descriptor_count.open == clients + 2
+    await harness.wait_until(
+        lambda: harness.relay.runtime.descriptor_count.open == clients + 2
     )  # its connect is under way
     client.finish()
     await client.expect("end")
-    await place.until(lambda: place.relay.runtime.descriptor_count.open == clients)
-    assert place.relay.engine.counters.counts["flows"] == 1
+    await harness.wait_until(lambda: harness.relay.runtime.descriptor_count.open == clients)
+    assert harness.relay.engine.counters.counts["flows"] == 1
     for sock in (full, *pending):
         sock.close()
 
 
-async def discovery_moves_to_a_closed_port(place: Place) -> None:
-    old = await place.watcher(place.discovery, 1)
-    old.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.endpoint_watch.has_answered)
-    live = bound()
-    nowhere = SocketAddress("127.0.0.1", place.free_port())
-    place.hup(discovery_address=nowhere)
-    await place.until(lambda: place.relay.engine.counters.counts["pool_failures"] == 1)
-    old.send(told(7))  # nobody answers there: updates from the previous one still count
-    await place.until(lambda: place.relay.engine.endpoint_list.version == 7)
-    place.hup(discovery_address=nowhere)  # the same again, and on at once
-    place.hup(discovery_address=SocketAddress(*live.getsockname()))
-    new = await place.watcher(live, 0)
-    old.send(told(8))
-    await place.until(lambda: place.relay.engine.endpoint_list.version == 8)
-    new.send(HEAD + told(9))
+async def discovery_moves_to_a_closed_port(harness: RelayHarness) -> None:
+    old = await harness.accept_watch(harness.discovery_listener, 1)
+    old.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
+    await harness.wait_until(lambda: harness.relay.endpoint_watch.has_answered)
+    live = listening_socket()
+    nowhere = SocketAddress("127.0.0.1", harness.free_port())
+    harness.reload(discovery_address=nowhere)
+    await harness.wait_until(lambda: harness.relay.engine.counters.counts["pool_failures"] == 1)
+    old.send(unchanged_update_chunk(7))  # nobody answers there: updates from the previous one still count
+    await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 7)
+    harness.reload(discovery_address=nowhere)  # the same again, and on at once
+    harness.reload(discovery_address=SocketAddress(*live.getsockname()))
+    new = await harness.accept_watch(live, 0)
+    old.send(unchanged_update_chunk(8))
+    await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 8)
+    new.send(WATCH_RESPONSE_HEAD + unchanged_update_chunk(9))
     await old.expect("end")
-    assert place.relay.engine.endpoint_list.version == 9
-    assert place.relay.engine.endpoint_list.has_ready_endpoint()
+    assert harness.relay.engine.endpoint_list.version == 9
+    assert harness.relay.engine.endpoint_list.has_ready_endpoint()
 
 
-async def a_probe_of_an_endpoint_that_drains(place: Place) -> None:
-    relay, dial = place.relay, place.relay.engine.endpoint_list.address_of("b1")
-    (await place.client()).close()  # it runs by now
+async def a_probe_of_an_endpoint_that_drains(harness: RelayHarness) -> None:
+    relay, dial = harness.relay, harness.relay.engine.endpoint_list.address_of("b1")
+    (await harness.connect_client()).close()  # it runs by now
     for health in ("Terminating", "Gone"):
         relay.runtime.spawn(partial(run_probe, relay.runtime, StartLoadProbe("b1", dial)))
         news = read_membership(
             orjson.loads(UPDATE % ("false", HOST_LINE % (1, 1, health, 0))), relay.runtime.settings
         )
         relay.runtime.run_engine_call(relay.engine.endpoint_update_received, news)  # before the connect is up
-        await (await place.accept()).expect("end")  # without a question
+        await (await harness.accept_upstream()).expect("end")  # without a question
 
 
-async def a_fault_in_a_timer_and_in_a_reload(place: Place) -> None:
-    client, server = await served(place)
-    relay = place.relay
+async def a_fault_in_a_timer_and_in_a_reload(harness: RelayHarness) -> None:
+    client, server = await established_client(harness)
+    relay = harness.relay
 
     def fails(*_: object) -> None:
         raise KeyError("made to fail")
 
     advance, relay.engine.advance = relay.engine.advance, fails  # type: ignore[assignment,method-assign]
     relay.runtime.timers.wake.set()
-    await place.until(lambda: relay.engine.counters.counts["driver_faults"] > 0)
+    await harness.wait_until(lambda: relay.engine.counters.counts["driver_faults"] > 0)
     relay.engine.advance = advance  # type: ignore[method-assign]
     relay.engine.counters.counts["driver_faults"] = 0
     relay.configuration.reread = fails  # type: ignore[assignment]
-    place.hup()
-    await place.until(lambda: relay.engine.counters.counts["driver_faults"] == 1)
+    harness.reload()
+    await harness.wait_until(lambda: relay.engine.counters.counts["driver_faults"] == 1)
     client.send(r"still here\r\n")
     await server.expect("still here")
-    await served(place, "0c")
+    await established_client(harness, "0c")
     del relay.engine.counters.counts["driver_faults"]  # both are accounted for
 
 
-async def first_lines_at_the_exit(place: Place) -> None:
-    client, server = await served(place)
-    rests, silent = await place.client(), await place.client()
+async def first_lines_at_the_exit(harness: RelayHarness) -> None:
+    client, server = await established_client(harness)
+    rests, silent = await harness.connect_client(), await harness.connect_client()
     rests.send(r"PING\r\n")
     await rests.expect("PONG")
-    await place.until(lambda: len(place.relay.runtime.descriptor_budget.awaiting_first_line) == 2)
-    place.relay.runtime.run_engine_call(place.relay.engine.drain)
-    place.relay.runtime.run_engine_call(lambda _now_us: place.relay.engine.draining.exit())
+    await harness.wait_until(lambda: len(harness.relay.runtime.descriptor_budget.awaiting_first_line) == 2)
+    harness.relay.runtime.run_engine_call(harness.relay.engine.drain)
+    harness.relay.runtime.run_engine_call(lambda _now_us: harness.relay.engine.draining.exit())
     # from here on: what no task has had a turn to read, on a connection and in the listener's queue
     rests.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
-    at = place.relay.runtime.config.listen_address
+    at = harness.relay.runtime.config.listen_address
     queued = [Peer(socket.create_connection((at.host, at.port))) for _ in range(3)]
     for last in queued[1:]:
         last.send(r"OPEN 0a 0b c=plain,d=2000\r\n" * 2)
@@ -432,7 +432,7 @@
         await last.expect("BUSY 250")
         await last.expect("end")
     with pytest.raises(BlockingIOError):
-        place.backend.accept()
+        harness.endpoint_listener.accept()
 
 
 @pytest.mark.anyio
@@ -457,8 +457,10 @@
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
-async def test_on_sockets(crossing: Play, limits: dict[str, int], capsys: pytest.CaptureFixture[str]) -> None:
-    await played(Place(**QUICK | limits), crossing, capsys)
+async def test_on_sockets(
+    crossing: Scenario, limits: dict[str, int], capsys: pytest.CaptureFixture[str]
+) -> None:
+    await run_scenario(RelayHarness(SHORT_TIMES | limits), crossing, capsys)
 
 
 async def read_for_ever(transport: Transport) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,13 +18,13 @@
 
 import pytest
 
-from tests.place import (
-    QUICK,
-    Place,
+from tests.relay_harness import (
+    SHORT_TIMES,
+    RelayHarness,
     anyio_backend,  # noqa: F401
-    bound,
-    played,
-    served,
+    established_client,
+    listening_socket,
+    run_scenario,
 )
 
 ROOT = Path(__file__).parent.parent
@@ -37,40 +37,40 @@
 # ---- in one loop with the relay
 
 
-def watch_the_ledger(place: Place) -> list[int]:
+def watch_the_ledger(harness: RelayHarness) -> list[int]:
     """The most that clients and flows have held at once."""
     most = [0]
-    add = place.relay.runtime.descriptor_count.add
+    add = harness.relay.runtime.descriptor_count.add
 
     def seen(count: int) -> None:
         add(count)
-        most[0] = max(most[0], place.relay.runtime.descriptor_count.open)
+        most[0] = max(most[0], harness.relay.runtime.descriptor_count.open)
 
-    place.relay.runtime.descriptor_count.add = seen  # type: ignore[method-assign]
+    harness.relay.runtime.descriptor_count.add = seen  # type: ignore[method-assign]
     return most
 
 
-async def answered_and_sending(place: Place) -> None:
+async def answered_and_sending(harness: RelayHarness) -> None:
     """Both have had their answer, and go on sending by more than is read at once."""
     for _ in range(2):
-        bad = await place.client()
+        bad = await harness.connect_client()
         bad.send("x" * 9000)
         await bad.expect("ERR")
         bad.sock.send(b"y" * 400_000)
 
 
-async def with_requests_of_their_own(place: Place) -> None:
+async def with_requests_of_their_own(harness: RelayHarness) -> None:
     """Neither has been read yet, and both are one too many."""
-    late = [await place.client() for _ in range(2)]
-    await place.until(lambda: place.relay.clients.open_count == 2)
+    late = [await harness.connect_client() for _ in range(2)]
+    await harness.wait_until(lambda: harness.relay.clients.open_count == 2)
     for n, client in enumerate(late):
         client.send(LINE % f"1{n}")
 
 
-async def left_while_the_backend_goes_on(place: Place) -> None:
-    client, _ = await served(place, "1a")
+async def left_while_the_backend_goes_on(harness: RelayHarness) -> None:
+    client, _ = await established_client(harness, "1a")
     client.finish()
-    await place.until(lambda: not place.relay.engine.requests)
+    await harness.wait_until(lambda: not harness.relay.engine.requests)
 
 
 @pytest.mark.anyio
@@ -78,26 +78,26 @@
     "others", [answered_and_sending, with_requests_of_their_own, left_while_the_backend_goes_on]
 )
 async def test_flows_take_nothing_that_is_kept(
-    others: Callable[[Place], Any], capsys: pytest.CaptureFixture[str]
+    others: Callable[[RelayHarness], Any], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    async def play(place: Place) -> None:
-        most = watch_the_ledger(place)
-        mine = [await place.client() for _ in range(2)]
-        await place.until(lambda: place.relay.clients.open_count == 2)
-        await others(place)
+    async def play(harness: RelayHarness) -> None:
+        most = watch_the_ledger(harness)
+        mine = [await harness.connect_client() for _ in range(2)]
+        await harness.wait_until(lambda: harness.relay.clients.open_count == 2)
+        await others(harness)
         for n, client in enumerate(mine):  # in one turn
             client.send(LINE % f"0{n}")
         for _ in mine:
-            server = await place.accept()
+            server = await harness.accept_upstream()
             await server.expect("OPEN 0")
             server.send(r"UP r1\r\n")
         for client in mine:
             await client.expect("UP r1")
         assert (
-            most[0] <= place.relay.runtime.limits.client_sockets + 1
+            most[0] <= harness.relay.runtime.limits.client_sockets + 1
         )  # the one that is accepted to be told so
 
-    await played(Place(**QUICK | {"sockets": FEW, "linger_us": 2_000_000}), play, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES | {"sockets": FEW, "linger_us": 2_000_000}), play, capsys)
 
 
 # ---- a process of its own
@@ -107,15 +107,15 @@
     return f"{at[0]}:{at[1]}"
 
 
-class Fleet:
+class RelayProcess:
     """One relay as a program, held to few descriptors, before a discovery that is down."""
 
     def __init__(self, folder: Path, told: int, allowed: int) -> None:
-        self.backend, self.idle = bound(), list[socket.socket]()
+        self.backend, self.idle = listening_socket(), list[socket.socket]()
         self.discovery = socket.socket()
         self.discovery.bind(("127.0.0.1", 0))  # but does not listen: every call is refused
-        self.at = ("127.0.0.1", Place.free_port())
-        self.door = ("127.0.0.1", Place.free_port())
+        self.at = ("127.0.0.1", RelayHarness.free_port())
+        self.door = ("127.0.0.1", RelayHarness.free_port())
         host = {"host": "b1", "dial": address(self.backend.getsockname()), "health": "Ready"}
         config = {
             "name": "n0",
@@ -197,35 +197,37 @@
 
 
 @pytest.fixture(params=[(SOCKETS, SOCKETS), (1024, SOCKETS)], ids=["told", "not told"])
-def fleet(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[Fleet]:
-    fleet = Fleet(tmp_path, *request.param)
+def fleet(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[RelayProcess]:
+    fleet = RelayProcess(tmp_path, *request.param)
     yield fleet
     fleet.end()
 
 
-def silent(fleet: Fleet) -> None:
+def silent(fleet: RelayProcess) -> None:
     fleet.client()
 
 
-def pinged(fleet: Fleet) -> None:
+def pinged(fleet: RelayProcess) -> None:
     fleet.client(b"PING\r\n").recv(100)
 
 
-def mid_line(fleet: Fleet) -> None:
+def mid_line(fleet: RelayProcess) -> None:
     fleet.client(b"OPEN 0a 0b c=pl")
 
 
-def answered(fleet: Fleet) -> None:
+def answered(fleet: RelayProcess) -> None:
     fleet.client(b"OPEN 0a 0b c=none,d=2000\r\n").recv(100)
 
 
-def of_each_kind(fleet: Fleet) -> None:
+def of_each_kind(fleet: RelayProcess) -> None:
     for kind in (silent, pinged, mid_line, answered):
         kind(fleet)
 
 
 @pytest.mark.parametrize("kind", [silent, pinged, mid_line, answered, of_each_kind])
-def test_the_watch_and_a_request_come_through_a_crowd(fleet: Fleet, kind: Callable[[Fleet], None]) -> None:
+def test_the_watch_and_a_request_come_through_a_crowd(
+    fleet: RelayProcess, kind: Callable[[RelayProcess], None]
+) -> None:
     standing = fleet.served(b"01")
     for _ in range(2 * SOCKETS):
         kind(fleet)
@@ -243,7 +245,7 @@
     assert "Too many open files" not in fleet.log.read_text()
 
 
-def test_the_watch_comes_through_served_clients_that_stay(fleet: Fleet) -> None:
+def test_the_watch_comes_through_served_clients_that_stay(fleet: RelayProcess) -> None:
     pairs = [fleet.served(b"%02x" % n) for n in range(19)]  # all that fit: each holds two descriptors
     fleet.client(b"OPEN ff 0b c=plain,d=2000\r\n")
     fleet.discovery.listen()
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -20,7 +20,17 @@
 from gannetweir.placement import endpoint_polling
 from gannetweir.placement.events import AttemptStatus, EndpointEntry, EndpointStatus
 from tests.helpers import SECOND, settings
-from tests.place import BEAT, HEAD, QUICK, Peer, Place, Play, anyio_backend, bound, played  # noqa: F401
+from tests.relay_harness import (  # noqa: F401
+    HEARTBEAT_CHUNK,
+    SHORT_TIMES,
+    WATCH_RESPONSE_HEAD,
+    Peer,
+    RelayHarness,
+    Scenario,
+    anyio_backend,
+    listening_socket,
+    run_scenario,
+)
 from tests.scenario import CLASSES, play
 
 CHANGE_IN_FORCE_US = 6 * SECOND  # from when discovery had a change and could be reached
@@ -263,80 +273,80 @@
     return rf"{len(line) + 1:x}\r\n{line}\n\r\n"
 
 
-def watch_failures(place: Place) -> int:
-    return place.relay.engine.counters.counts["pool_failures"]
+def watch_failures(harness: RelayHarness) -> int:
+    return harness.relay.engine.counters.counts["pool_failures"]
 
 
-async def heartbeats_then_silence(place: Place) -> None:
-    watcher = await place.watcher(place.discovery, 1)
-    watcher.send(HEAD + BEAT)
+async def heartbeats_then_silence(harness: RelayHarness) -> None:
+    watcher = await harness.accept_watch(harness.discovery_listener, 1)
+    watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
     for version in range(2, 12):  # over three times the time for silence
-        await place.until(lambda seen=version - 1: place.relay.engine.endpoint_list.version == seen)  # type: ignore[misc]
+        await harness.wait_until(lambda seen=version - 1: harness.relay.engine.endpoint_list.version == seen)  # type: ignore[misc]
         await anyio.sleep(0.02)
         watcher.send(chunk_of(version, False, "Ready"))
-    await place.until(lambda: place.relay.engine.endpoint_list.version == 11)
-    assert not watch_failures(place)
-    next_watcher = await place.watcher(place.discovery, 11)
+    await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 11)
+    assert not watch_failures(harness)
+    next_watcher = await harness.accept_watch(harness.discovery_listener, 11)
     await watcher.expect("end")
-    assert watch_failures(place) == 1
-    next_watcher.send(HEAD + chunk_of(12, False, "Terminating"))
-    await place.until(lambda: not place.relay.engine.endpoint_list.accepts_requests("b1"))
+    assert watch_failures(harness) == 1
+    next_watcher.send(WATCH_RESPONSE_HEAD + chunk_of(12, False, "Terminating"))
+    await harness.wait_until(lambda: not harness.relay.engine.endpoint_list.accepts_requests("b1"))
 
 
-async def incomplete_head(place: Place) -> None:
-    watcher = await place.watcher(place.discovery, 1)
-    watcher.send(HEAD[:20])
+async def incomplete_head(harness: RelayHarness) -> None:
+    watcher = await harness.accept_watch(harness.discovery_listener, 1)
+    watcher.send(WATCH_RESPONSE_HEAD[:20])
     with contextlib.suppress(BrokenPipeError, ConnectionResetError):
         for _ in range(400):
             watcher.send("x")
             await anyio.sleep(0.005)
-            if watch_failures(place):
+            if watch_failures(harness):
                 break
-    assert watch_failures(place) == 1
-    next_watcher = await place.watcher(place.discovery, 1)
-    next_watcher.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.endpoint_watch.has_answered)
-
-
-async def truncated_answer(place: Place) -> None:
-    truncated = await place.watcher(place.discovery, 1)
-    truncated.send(HEAD + chunk_of(2, True, "Ready")[:40])
-    complete = await place.watcher(place.discovery, 1)
-    complete.send(HEAD + chunk_of(2, True, "Terminating"))
-    await place.until(lambda: not place.relay.engine.endpoint_list.accepts_requests("b1"))
-    assert watch_failures(place) == 1
-
-
-async def new_address_hangs(place: Place) -> None:
-    old, new = await place.watcher(place.discovery, 1), bound()
-    old.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.endpoint_watch.has_answered)
-    place.hup(discovery_address=SocketAddress(*new.getsockname()))
+    assert watch_failures(harness) == 1
+    next_watcher = await harness.accept_watch(harness.discovery_listener, 1)
+    next_watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
+    await harness.wait_until(lambda: harness.relay.endpoint_watch.has_answered)
+
+
+async def truncated_answer(harness: RelayHarness) -> None:
+    truncated = await harness.accept_watch(harness.discovery_listener, 1)
+    truncated.send(WATCH_RESPONSE_HEAD + chunk_of(2, True, "Ready")[:40])
+    complete = await harness.accept_watch(harness.discovery_listener, 1)
+    complete.send(WATCH_RESPONSE_HEAD + chunk_of(2, True, "Terminating"))
+    await harness.wait_until(lambda: not harness.relay.engine.endpoint_list.accepts_requests("b1"))
+    assert watch_failures(harness) == 1
+
+
+async def new_address_hangs(harness: RelayHarness) -> None:
+    old, new = await harness.accept_watch(harness.discovery_listener, 1), listening_socket()
+    old.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
+    await harness.wait_until(lambda: harness.relay.endpoint_watch.has_answered)
+    harness.reload(discovery_address=SocketAddress(*new.getsockname()))
     hung: list[Peer] = []
     for count in range(3):  # no answer from the new one: the old one's updates still count
-        hung.append(await place.watcher(new, 0))
-        assert watch_failures(place) == count
+        hung.append(await harness.accept_watch(new, 0))
+        assert watch_failures(harness) == count
         old.send(chunk_of(40 + count, False, "Terminating" if count == 1 else "Ready"))
-        await place.until(lambda seen=40 + count: place.relay.engine.endpoint_list.version == seen)  # type: ignore[misc]
-        assert place.relay.engine.endpoint_list.accepts_requests("b1") is (count != 1)
-        old.send(BEAT)
-    answers = await place.watcher(new, 0)
-    answers.send(HEAD + chunk_of(50, True, "Terminating"))
-    await place.until(lambda: not place.relay.engine.endpoint_list.accepts_requests("b1"))
+        await harness.wait_until(lambda seen=40 + count: harness.relay.engine.endpoint_list.version == seen)  # type: ignore[misc]
+        assert harness.relay.engine.endpoint_list.accepts_requests("b1") is (count != 1)
+        old.send(HEARTBEAT_CHUNK)
+    answers = await harness.accept_watch(new, 0)
+    answers.send(WATCH_RESPONSE_HEAD + chunk_of(50, True, "Terminating"))
+    await harness.wait_until(lambda: not harness.relay.engine.endpoint_list.accepts_requests("b1"))
     await old.expect("end")
 
 
-async def new_address_has_an_older_list(place: Place) -> None:
-    old, new = await place.watcher(place.discovery, 1), bound()
-    old.send(HEAD + chunk_of(42, False, "Terminating"))
-    await place.until(lambda: place.relay.engine.endpoint_list.version == 42)
-    place.hup(discovery_address=SocketAddress(*new.getsockname()))
-    peer = await place.watcher(new, 0)
-    peer.send(HEAD + chunk_of(41, True, "Ready"))
-    await place.until(lambda: place.relay.engine.endpoint_list.version == 41)
-    assert not place.relay.engine.endpoint_list.accepts_requests("b1")
+async def new_address_has_an_older_list(harness: RelayHarness) -> None:
+    old, new = await harness.accept_watch(harness.discovery_listener, 1), listening_socket()
+    old.send(WATCH_RESPONSE_HEAD + chunk_of(42, False, "Terminating"))
+    await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 42)
+    harness.reload(discovery_address=SocketAddress(*new.getsockname()))
+    peer = await harness.accept_watch(new, 0)
+    peer.send(WATCH_RESPONSE_HEAD + chunk_of(41, True, "Ready"))
+    await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 41)
+    assert not harness.relay.engine.endpoint_list.accepts_requests("b1")
     peer.send(chunk_of(43, False, "Ready"))  # ready again, in a change that is newer than the drain
-    await place.until(lambda: place.relay.engine.endpoint_list.accepts_requests("b1"))
+    await harness.wait_until(lambda: harness.relay.engine.endpoint_list.accepts_requests("b1"))
 
 
 @pytest.mark.anyio
@@ -351,5 +361,7 @@
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
-async def test_on_sockets(crossing: Play, limits: dict[str, int], capsys: pytest.CaptureFixture[str]) -> None:
-    await played(Place(**QUICK | limits), crossing, capsys)
+async def test_on_sockets(
+    crossing: Scenario, limits: dict[str, int], capsys: pytest.CaptureFixture[str]
+) -> None:
+    await run_scenario(RelayHarness(SHORT_TIMES | limits), crossing, capsys)
--- a/tests/test_drivers_that_fail.py
+++ b/tests/test_drivers_that_fail.py
@@ -19,16 +19,16 @@
 from gannetweir.limits import Limits
 from gannetweir.net import listener
 from gannetweir.net import relay as relay_module
-from tests.place import (
-    BEAT,
-    HEAD,
-    QUICK,
-    SOON,
-    Place,
+from tests.relay_harness import (
+    DEADLINE_S,
+    HEARTBEAT_CHUNK,
+    SHORT_TIMES,
+    WATCH_RESPONSE_HEAD,
+    RelayHarness,
     anyio_backend,  # noqa: F401
-    played,
-    served,
-    told,
+    established_client,
+    run_scenario,
+    unchanged_update_chunk,
 )
 
 pytestmark = pytest.mark.anyio
@@ -53,25 +53,25 @@
     return wrapped
 
 
-async def the_watch_is_opened_again(place: Place) -> None:
-    engine = place.relay.engine
-    watcher = await place.watcher(place.discovery, 1)
-    watcher.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.endpoint_watch.has_answered)
+async def the_watch_is_opened_again(harness: RelayHarness) -> None:
+    engine = harness.relay.engine
+    watcher = await harness.accept_watch(harness.discovery_listener, 1)
+    watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
+    await harness.wait_until(lambda: harness.relay.endpoint_watch.has_answered)
     engine.endpoint_update_received = once(engine.endpoint_update_received, RuntimeError("a fault of ours"))
-    watcher.send(told(7))
-    again = await place.watcher(place.discovery, 1)
-    again.send(HEAD + told(8))
-    await place.until(lambda: engine.endpoint_list.version == 8)
+    watcher.send(unchanged_update_chunk(7))
+    again = await harness.accept_watch(harness.discovery_listener, 1)
+    again.send(WATCH_RESPONSE_HEAD + unchanged_update_chunk(8))
+    await harness.wait_until(lambda: engine.endpoint_list.version == 8)
     assert engine.counters.counts.pop("driver_faults") == 1
 
 
-async def a_late_loop_is_no_failed_connect(place: Place) -> None:
+async def a_late_loop_is_no_failed_connect(harness: RelayHarness) -> None:
     """The loop is held up between the order of an attempt and its first turn, for longer than a connect may
     take. Everything it waits for has come by then.
     """
-    relay = place.relay
-    client = await place.client()
+    relay = harness.relay
+    client = await harness.connect_client()
     open_flow = relay.engine.attempts.open
 
     def held_up(*args: Any) -> None:
@@ -84,7 +84,7 @@
 
     relay.engine.attempts.open = held_up
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
-    server = await place.accept()
+    server = await harness.accept_upstream()
     await server.expect("OPEN 0a")
     server.send(r"UP r1\r\n")
     await client.expect("UP r1")
@@ -92,11 +92,11 @@
 
 
 async def test_a_watch_whose_driver_fails_is_opened_again(capsys: pytest.CaptureFixture[str]) -> None:
-    await played(Place(**QUICK), the_watch_is_opened_again, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES), the_watch_is_opened_again, capsys)
 
 
 async def test_a_loop_that_was_held_up_reads_before_it_judges(capsys: pytest.CaptureFixture[str]) -> None:
-    await played(Place(**QUICK), a_late_loop_is_no_failed_connect, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES), a_late_loop_is_no_failed_connect, capsys)
 
 
 def test_a_configuration_that_can_not_be_read_for_a_moment_is_read_all_the_same(
@@ -110,68 +110,68 @@
             assert load_config({"RELAY_CONFIG": str(path)}).name == "n0"
 
 
-async def a_probe_ends(place: Place) -> None:
+async def a_probe_ends(harness: RelayHarness) -> None:
     """Its driver fails, or its report's fields have changed meanwhile: no figure, and the next is asked."""
-    await place.client()
-    engine = place.relay.engine
-    real = place.relay.runtime.parse_endpoint_address
-    place.relay.runtime.parse_endpoint_address = once(real, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
+    await harness.connect_client()
+    engine = harness.relay.engine
+    real = harness.relay.runtime.parse_endpoint_address
+    harness.relay.runtime.parse_endpoint_address = once(real, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
     for number in (1, 2):
         engine.load_probes.start("b1")
-        place.relay.runtime.execute_commands()
+        harness.relay.runtime.execute_commands()
         if number == 2:
-            server = await place.accept()
+            server = await harness.accept_upstream()
             await server.expect("STATS")
-            place.hup(settings=replace(place.file.settings, load_report_fields=["x0", "concurrent"]))
-            await place.until(lambda: engine.counters.counts["reloads"] == 1)
+            harness.reload(settings=replace(harness.config.settings, load_report_fields=["x0", "concurrent"]))
+            await harness.wait_until(lambda: engine.counters.counts["reloads"] == 1)
             server.send(r"PONG concurrent=1,x0=0.5\r\n")
-        await place.until(lambda n=number: engine.counters.counts["probes.moot"] == n)  # type: ignore[misc]
+        await harness.wait_until(lambda n=number: engine.counters.counts["probes.moot"] == n)  # type: ignore[misc]
     assert engine.counters.counts.pop("driver_faults") == 1
 
 
 async def test_every_probe_ends_whatever_fails_here(capsys: pytest.CaptureFixture[str]) -> None:
-    await played(Place(**QUICK), a_probe_ends, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES), a_probe_ends, capsys)
 
 
 def test_a_loop_that_can_not_be_made_for_a_moment_is_made_later(monkeypatch: pytest.MonkeyPatch) -> None:
-    place = Place(**QUICK)
+    harness = RelayHarness(SHORT_TIMES)
     real = anyio.run
 
     def ended_at_once(run: Callable[..., Any]) -> None:
         async def serve_and_end() -> None:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(run)
-                await (await place.client()).expect("BUSY")
+                await (await harness.connect_client()).expect("BUSY")
 
-        place.relay.engine.drain(place.relay.runtime.clock())
+        harness.relay.engine.drain(harness.relay.runtime.clock())
         real(serve_and_end)
 
     monkeypatch.setattr(anyio, "run", once(ended_at_once, OSError(errno.ENFILE, "no descriptors")))
-    monkeypatch.setattr(relay_module, "Relay", lambda *_: place.relay)
-    relay_module.serve(place.file)
-    assert place.relay.started
+    monkeypatch.setattr(relay_module, "Relay", lambda *_: harness.relay)
+    relay_module.serve(harness.config)
+    assert harness.relay.started
 
 
-async def a_client_whose_driver_fails(place: Place) -> None:
+async def a_client_whose_driver_fails(harness: RelayHarness) -> None:
     """Its request is given back at once, its backend's side ends, and the guard tells that it was cut off."""
-    client, server = await served(place)
-    (session,) = place.relay.clients.by_request.values()
+    client, server = await established_client(harness)
+    (session,) = harness.relay.clients.by_request.values()
     session.client.read = once(session.client.read, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
     client.send(r"one\r\ntwo\r\n")
     await server.expect("one")
     client.send(r"three\r\n")
     await server.expect("two")
-    with anyio.fail_after(SOON):
-        while await server._next() not in ("end", "reset"):
+    with anyio.fail_after(DEADLINE_S):
+        while await server.next_line() not in ("end", "reset"):
             pass
-    engine = place.relay.engine
+    engine = harness.relay.engine
     assert not engine.requests and engine.counters.counts.pop("driver_faults") == 1
     assert engine.counters.counts["violations.cut_off"] == 1
     engine.guard.violations = 0  # the one that was meant
 
 
 async def test_a_client_whose_driver_fails_leaves_nothing_behind(capsys: pytest.CaptureFixture[str]) -> None:
-    await played(Place(**QUICK), a_client_whose_driver_fails, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES), a_client_whose_driver_fails, capsys)
 
 
 def test_an_address_that_is_not_free_yet_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -9,20 +9,20 @@
 import anyio
 import pytest
 
-from tests.failing_calls import FailingCalls, at_port, to_port
-from tests.place import (
-    BEAT,
-    HEAD,
-    QUICK,
+from tests.failing_calls import FailingCalls, is_connected_at_port, is_connected_to_port
+from tests.relay_harness import (
+    HEARTBEAT_CHUNK,
+    SHORT_TIMES,
+    WATCH_RESPONSE_HEAD,
     Peer,
-    Place,
+    RelayHarness,
     anyio_backend,  # noqa: F401
-    played,
-    served,
+    established_client,
+    run_scenario,
 )
 
 pytestmark = pytest.mark.anyio
-Play = Callable[[Place, FailingCalls], Awaitable[None]]
+Play = Callable[[RelayHarness, FailingCalls], Awaitable[None]]
 OPEN = r"OPEN {} 0b c=plain,d=2000\r\n"
 FOR_A_MOMENT = [errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EPROTO, errno.ENOMEM, errno.EMFILE]
 NO_BUFFERS = [errno.ENOBUFS, errno.ENOMEM]
@@ -33,17 +33,17 @@
 ) -> None:
     calls = FailingCalls(monkeypatch)
 
-    async def run(place: Place) -> None:
-        await play(place, calls)
+    async def run(harness: RelayHarness) -> None:
+        await play(harness, calls)
 
-    await played(Place(**QUICK | limits), run, capsys)
-    assert not any(calls.left.values()), calls.left  # each failure has happened
+    await run_scenario(RelayHarness(SHORT_TIMES | limits), run, capsys)
+    assert not any(calls.remaining_errors.values()), calls.remaining_errors  # each failure has happened
 
 
-async def queue_at_the_end(place: Place, calls: FailingCalls) -> None:
+async def queue_at_the_end(harness: RelayHarness, calls: FailingCalls) -> None:
     """Requests wait in the listener's queue as the relay leaves, and accepts fail."""
-    relay, real = place.relay, socket.socket.accept
-    clients = [await place.client() for _ in range(3)]
+    relay, real = harness.relay, socket.socket.accept
+    clients = [await harness.connect_client() for _ in range(3)]
 
     def not_before_the_end(sock: socket.socket) -> tuple[socket.socket, object]:
         if sock is relay.listener.sock and not relay.shutdown.is_exiting:
@@ -51,7 +51,7 @@
         return real(sock)
 
     calls.monkeypatch.setattr(socket.socket, "accept", not_before_the_end)
-    clients += [await place.client() for _ in range(3)]
+    clients += [await harness.connect_client() for _ in range(3)]
     for number, client in enumerate(clients):
         client.send(OPEN.format(f"a{number}"))
     calls.fail("accept", FOR_A_MOMENT, lambda sock: relay.shutdown.is_exiting)
@@ -61,90 +61,94 @@
         await client.expect("end")
 
 
-async def answers_that_can_not_be_sent_at_once(place: Place, calls: FailingCalls) -> None:
+async def answers_that_can_not_be_sent_at_once(harness: RelayHarness, calls: FailingCalls) -> None:
     """The answer, a line and MOVE: each send fails for a moment before it."""
-    mine = at_port(place.relay.runtime.config.listen_address.port)
+    mine = is_connected_at_port(harness.relay.runtime.config.listen_address.port)
     calls.fail("send", NO_BUFFERS, mine)
-    client, server = await served(place)
+    client, server = await established_client(harness)
     for error in NO_BUFFERS:
-        calls.left["send"].append(error)
+        calls.remaining_errors["send"].append(error)
         server.send(r"a line\r\n")
         await client.expect("a line")
-    calls.left["send"].append(errno.ENOBUFS)
-    place.relay.runtime.run_engine_call(place.relay.engine.drain)
+    calls.remaining_errors["send"].append(errno.ENOBUFS)
+    harness.relay.runtime.run_engine_call(harness.relay.engine.drain)
     await client.expect("MOVE")
     await client.expect("end")
 
 
-async def first_lines_that_can_not_be_sent_at_once(place: Place, calls: FailingCalls) -> None:
-    calls.fail("send", NO_BUFFERS, to_port(place.backend.getsockname()[1]))
-    client, server = await served(place)
-    calls.left["send"].append(errno.ENOBUFS)
+async def first_lines_that_can_not_be_sent_at_once(harness: RelayHarness, calls: FailingCalls) -> None:
+    calls.fail("send", NO_BUFFERS, is_connected_to_port(harness.endpoint_listener.getsockname()[1]))
+    client, server = await established_client(harness)
+    calls.remaining_errors["send"].append(errno.ENOBUFS)
     client.send(r"a line\r\n")
     await server.expect("a line")
 
 
-async def reads_that_fail(place: Place, calls: FailingCalls) -> None:
-    calls.fail("recv", [errno.ENOMEM, errno.ENOMEM], at_port(place.relay.runtime.config.listen_address.port))
-    client, server = await served(place)
-    calls.fail("recv", [errno.ENOMEM], to_port(place.backend.getsockname()[1]))
+async def reads_that_fail(harness: RelayHarness, calls: FailingCalls) -> None:
+    calls.fail(
+        "recv",
+        [errno.ENOMEM, errno.ENOMEM],
+        is_connected_at_port(harness.relay.runtime.config.listen_address.port),
+    )
+    client, server = await established_client(harness)
+    calls.fail("recv", [errno.ENOMEM], is_connected_to_port(harness.endpoint_listener.getsockname()[1]))
     server.send(r"a line\r\n")
     await client.expect("a line")
 
 
-async def no_socket_for_a_moment(place: Place, calls: FailingCalls) -> None:
+async def no_socket_for_a_moment(harness: RelayHarness, calls: FailingCalls) -> None:
     """A request is placed at its backend as if nothing had happened: no attempt is spent, nothing counted."""
-    client = await place.client()
+    client = await harness.connect_client()
     calls.fail_new_sockets([errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE])
     client.send(OPEN.format("0a"))
-    await _is_served_by_the_first_attempt(place, client)
+    await _is_served_by_the_first_attempt(harness, client)
 
 
-async def no_connect_for_a_moment(place: Place, calls: FailingCalls) -> None:
-    client = await place.client()
+async def no_connect_for_a_moment(harness: RelayHarness, calls: FailingCalls) -> None:
+    client = await harness.connect_client()
     local = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EAGAIN]
     calls.fail("connect_ex", local, lambda sock: True)
     client.send(OPEN.format("0a"))
-    await _is_served_by_the_first_attempt(place, client)
+    await _is_served_by_the_first_attempt(harness, client)
 
 
-async def _is_served_by_the_first_attempt(place: Place, client: Peer) -> None:
-    server = await place.accept()
+async def _is_served_by_the_first_attempt(harness: RelayHarness, client: Peer) -> None:
+    server = await harness.accept_upstream()
     await server.expect("OPEN 0a")
     server.send(r"UP r1\r\n")
     await client.expect("UP r1")
-    counts = place.relay.engine.counters.counts
+    counts = harness.relay.engine.counters.counts
     assert counts["flows"] == 1 and not counts["attempts.connect_failed"], counts
 
 
-async def no_socket_for_longer(place: Place, calls: FailingCalls) -> None:
+async def no_socket_for_longer(harness: RelayHarness, calls: FailingCalls) -> None:
     """A whole attempt passes without a socket: the backend is not set aside, and the next attempt serves."""
-    watcher = await place.watcher(place.discovery, 1)  # it takes none of the failures
-    watcher.send(HEAD + BEAT)
-    client = await place.client()
+    watcher = await harness.accept_watch(harness.discovery_listener, 1)  # it takes none of the failures
+    watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
+    client = await harness.connect_client()
     calls.fail_new_sockets([errno.ENFILE] * 20)
     client.send(OPEN.format("0a"))
-    server = await place.accept()
+    server = await harness.accept_upstream()
     await server.expect("OPEN 0a")
     server.send(r"UP r1\r\n")
     await client.expect("UP r1")
-    counts = place.relay.engine.counters.counts
+    counts = harness.relay.engine.counters.counts
     assert counts["attempts.connect_failed"] == 1 and counts["local_errors"] > 10, counts
-    assert place.relay.engine.balancer.state.endpoints["b1"].ejected_until_us == 0
+    assert harness.relay.engine.balancer.state.endpoints["b1"].ejected_until_us == 0
 
 
-async def a_probe_without_a_socket(place: Place, calls: FailingCalls) -> None:
+async def a_probe_without_a_socket(harness: RelayHarness, calls: FailingCalls) -> None:
     """Its result says nothing of the backend, whose clients stay."""
-    watcher = await place.watcher(place.discovery, 1)
-    watcher.send(HEAD + BEAT)
-    client, server = await served(place)
+    watcher = await harness.accept_watch(harness.discovery_listener, 1)
+    watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
+    client, server = await established_client(harness)
     calls.fail_new_sockets([errno.ENFILE] * 15)
-    place.relay.engine.load_probes.start("b1")
-    place.relay.runtime.execute_commands()
-    counts = place.relay.engine.counters.counts
-    await place.until(lambda: counts["probes.moot"] == 1)
-    assert place.relay.engine.balancer.state.endpoints["b1"].ejected_until_us == 0
-    calls.left["socket"].clear()
+    harness.relay.engine.load_probes.start("b1")
+    harness.relay.runtime.execute_commands()
+    counts = harness.relay.engine.counters.counts
+    await harness.wait_until(lambda: counts["probes.moot"] == 1)
+    assert harness.relay.engine.balancer.state.endpoints["b1"].ejected_until_us == 0
+    calls.remaining_errors["socket"].clear()
     server.send(r"still here\r\n")
     await client.expect("still here")
 
@@ -177,17 +181,17 @@
     await play_with(a_probe_without_a_socket, monkeypatch, capsys, connect_timeout_us=100_000)
 
 
-async def no_room_and_no_buffers(place: Place, calls: FailingCalls) -> None:
+async def no_room_and_no_buffers(harness: RelayHarness, calls: FailingCalls) -> None:
     """Silent clients fill the descriptors, and the answer to each that gives way can't be sent at first."""
-    room = place.relay.runtime.limits.client_sockets
-    clients = [await place.client() for _ in range(room)]
-    calls.fail("send", [], at_port(place.relay.runtime.config.listen_address.port))
+    room = harness.relay.runtime.limits.client_sockets
+    clients = [await harness.connect_client() for _ in range(room)]
+    calls.fail("send", [], is_connected_at_port(harness.relay.runtime.config.listen_address.port))
     for _ in range(3):
-        calls.left["send"].extend(NO_BUFFERS)
-        clients.append(await place.client())
-        await place.until(lambda: not calls.left["send"])
+        calls.remaining_errors["send"].extend(NO_BUFFERS)
+        clients.append(await harness.connect_client())
+        await harness.wait_until(lambda: not calls.remaining_errors["send"])
     await anyio.sleep(0)
-    assert place.relay.runtime.descriptor_count.peak <= room + 1  # the one that has just been accepted
+    assert harness.relay.runtime.descriptor_count.peak <= room + 1  # the one that has just been accepted
     for client in clients[:3]:
         await client.expect("BUSY")
         await client.expect("end")
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -8,19 +8,19 @@
 import anyio
 import pytest
 
-from tests.place import (
-    QUICK,
-    Place,
+from tests.relay_harness import (
+    SHORT_TIMES,
+    RelayHarness,
     anyio_backend,  # noqa: F401
-    served,
+    established_client,
 )
 
 pytestmark = pytest.mark.anyio
 MANY = 1000  # more than the kernel buffers for a loop that is held up
 
 
-async def a_flood_and_then_the_end(place: Place) -> None:
-    client, server = await served(place)
+async def a_flood_and_then_the_end(harness: RelayHarness) -> None:
+    client, server = await established_client(harness)
     for _ in range(MANY):
         os.kill(os.getpid(), signal.SIGUSR1)
     os.kill(os.getpid(), signal.SIGTERM)
@@ -29,9 +29,9 @@
 
 
 async def test_the_end_is_told_behind_a_flood_of_other_signals() -> None:
-    place, printed = Place(**QUICK), []
-    place.relay.print_counters = lambda: printed.append(1)  # type: ignore[method-assign]
+    harness, printed = RelayHarness(SHORT_TIMES), []
+    harness.relay.print_counters = lambda: printed.append(1)  # type: ignore[method-assign]
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(place.relay.run)
-        await a_flood_and_then_the_end(place)
+        tasks.start_soon(harness.relay.run)
+        await a_flood_and_then_the_end(harness)
     assert len(printed) >= 2  # once where it was asked for, and at the exit
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The drivers on loopback sockets: a relay that runs, among the stand-ins of `tests/place.py`."""
+"""The drivers on loopback sockets: a relay that runs, among the stand-ins of `tests/relay_harness.py`."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from gannetweir.config import SocketAddress
 from gannetweir.net.relay import Relay
 from gannetweir.placement.settings import RequestClass
-from tests.place import (
-    BAD,
-    BEAT,
-    HEAD,
-    QUICK,
-    SOON,
+from tests.relay_harness import (
+    DEADLINE_S,
+    HEARTBEAT_CHUNK,
+    SHORT_TIMES,
+    UNREADABLE_CONFIG_SEED,
+    WATCH_RESPONSE_HEAD,
     Peer,
-    Place,
-    Play,
+    RelayHarness,
+    Scenario,
     anyio_backend,  # noqa: F401
-    bound,
-    played,
-    served,
-    told,
+    established_client,
+    listening_socket,
+    run_scenario,
+    unchanged_update_chunk,
 )
 
 
-async def lines_pass(place: Place) -> None:
-    client, server = await served(place)
+async def lines_pass(harness: RelayHarness) -> None:
+    client, server = await established_client(harness)
     client.send(r"one\r\ntw")
     await server.expect("one")
     client.send(r"o\r\n")
@@ -45,47 +45,47 @@
     await client.expect("answer")
 
 
-async def ends_in_kind(place: Place) -> None:
+async def ends_in_kind(harness: RelayHarness) -> None:
     for reset in (False, True):
-        client, server = await served(place)
+        client, server = await established_client(harness)
         server.close(reset)
         await client.expect("reset" if reset else "end")
-        client, server = await served(place)
+        client, server = await established_client(harness)
         client.close(reset)
         await server.expect("reset" if reset else "end")
 
 
-async def bad_first_lines(place: Place) -> None:
+async def bad_first_lines(harness: RelayHarness) -> None:
     for raw in (r"\xff\xfe\r\n", "x" * 5000, r"OPEN a b c=none,d=1\r\n"):
-        client = await place.client()
+        client = await harness.connect_client()
         client.send(raw)
         await client.expect("ERR")
         await client.expect("end")
 
 
-async def half_a_first_line(place: Place) -> None:
-    client = await place.client()
+async def half_a_first_line(harness: RelayHarness) -> None:
+    client = await harness.connect_client()
     client.send("OPEN 0a 0b c=pl")
     await client.expect("ERR")
 
 
-async def pings(place: Place) -> None:
-    client = await place.client()
+async def pings(harness: RelayHarness) -> None:
+    client = await harness.connect_client()
     client.send(r"PING\r\nPING\r\n")
     await client.expect("PONG")
     await client.expect("PONG")
 
 
-async def too_many(place: Place) -> None:
-    pairs = [await served(place)]
-    silent = [await place.client() for _ in range(4)]  # room for two
+async def too_many(harness: RelayHarness) -> None:
+    pairs = [await established_client(harness)]
+    silent = [await harness.connect_client() for _ in range(4)]  # room for two
     for client in silent[:2]:  # who has said nothing for longest gives way to the next
         await client.expect("BUSY 250")
         await client.expect("end")
-    pairs.append(await served(place, "0c"))
+    pairs.append(await established_client(harness, "0c"))
     await silent[2].expect("BUSY 250")
     await silent[3].expect("BUSY 250")
-    last = await place.client()
+    last = await harness.connect_client()
     await last.expect("BUSY 250")  # not even read: its descriptor is wanted back at once
     await last.expect("end")
     for client, server in pairs:
@@ -93,31 +93,31 @@
         await server.expect("still here")
 
 
-async def who_gives_way(place: Place) -> None:
-    slow, asked, late = [await place.client() for _ in range(3)]  # room for one more
+async def who_gives_way(harness: RelayHarness) -> None:
+    slow, asked, late = [await harness.connect_client() for _ in range(3)]  # room for one more
     slow.send("OPEN 0a 0b c=pl")
     asked.send(r"PING\r\n")
     await asked.expect("PONG")
     await anyio.sleep(0.03)
-    latest = [await place.client() for _ in range(2)]
+    latest = [await harness.connect_client() for _ in range(2)]
     await asked.expect("BUSY 250")  # it has had what it came for
     await anyio.sleep(0.03)
-    latest.append(await place.client())
+    latest.append(await harness.connect_client())
     await latest[1].expect("BUSY 250")
     slow.send(r"ain,d=2000\r\n")
-    server = await place.accept()
+    server = await harness.accept_upstream()
     await server.expect("OPEN 0a 0b c=plain")
     server.send(r"UP r1\r\n")
     await slow.expect("UP r1")
     assert not late.buffer
 
 
-async def megabytes_that_mean_nothing(place: Place) -> None:
-    client, server = await served(place)
+async def megabytes_that_mean_nothing(harness: RelayHarness) -> None:
+    client, server = await established_client(harness)
     for raw in ("x" * 9000, r"OPEN 0c 0d c=none,d=2000\r\n"):
-        bad = await place.client()
+        bad = await harness.connect_client()
         bad.send(raw)
-        with anyio.fail_after(SOON):
+        with anyio.fail_after(DEADLINE_S):
             for _ in range(20):  # for longer than a connection lingers that has fallen silent
                 await anyio.wait_writable(bad.sock)
                 bad.sock.send(b"y" * 65536)
@@ -129,8 +129,8 @@
     await server.expect("still here")
 
 
-async def pings_without_end(place: Place) -> None:
-    client = await place.client()
+async def pings_without_end(harness: RelayHarness) -> None:
+    client = await harness.connect_client()
     client.send(r"PING\r\n" * 64)
     for _ in range(64):
         await client.expect("PONG")
@@ -138,8 +138,8 @@
     await client.expect("ERR")
 
 
-async def bytes_that_trickle(place: Place) -> None:
-    client = await place.client()
+async def bytes_that_trickle(harness: RelayHarness) -> None:
+    client = await harness.connect_client()
     for _ in range(4):
         client.send("O")
         await anyio.sleep(0.02)
@@ -147,138 +147,147 @@
     await client.expect("end")
 
 
-async def a_beat_confirms_the_pool(place: Place) -> None:
-    watcher = await place.watcher(place.discovery, 1)
-    watcher.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.engine.balancer.endpoint_polling.is_subscribed)
-
-
-async def a_reload_moves_the_watch(place: Place) -> None:
-    client, server = await served(place)
-    old = await place.watcher(place.discovery, 1)
-    old.send(HEAD + BEAT)
-    await place.until(lambda: place.relay.endpoint_watch.has_answered)
-    moved = [bound(), bound()]
-    place.hup(discovery_address=SocketAddress(*moved[0].getsockname()))
-    silent = await place.watcher(moved[0], 0)
-    old.send(told(7))  # the new one has not answered: the old one still counts
-    await place.until(lambda: place.relay.engine.endpoint_list.version == 7)
-    place.hup(discovery_address=SocketAddress(*moved[1].getsockname()))  # a second reload during the first
-    new = await place.watcher(moved[1], 0)
+async def a_beat_confirms_the_pool(harness: RelayHarness) -> None:
+    watcher = await harness.accept_watch(harness.discovery_listener, 1)
+    watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
+    await harness.wait_until(lambda: harness.relay.engine.balancer.endpoint_polling.is_subscribed)
+
+
+async def a_reload_moves_the_watch(harness: RelayHarness) -> None:
+    client, server = await established_client(harness)
+    old = await harness.accept_watch(harness.discovery_listener, 1)
+    old.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
+    await harness.wait_until(lambda: harness.relay.endpoint_watch.has_answered)
+    moved = [listening_socket(), listening_socket()]
+    harness.reload(discovery_address=SocketAddress(*moved[0].getsockname()))
+    silent = await harness.accept_watch(moved[0], 0)
+    old.send(unchanged_update_chunk(7))  # the new one has not answered: the old one still counts
+    await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 7)
+    harness.reload(
+        discovery_address=SocketAddress(*moved[1].getsockname())
+    )  # a second reload during the first
+    new = await harness.accept_watch(moved[1], 0)
     await silent.expect("end")
     old.close()  # as it does after a while; no failure, for the new one is under way
-    await place.until(lambda: place.relay.endpoint_watch.replaced_scope is None)
-    new.send(HEAD + told(9))
-    await place.until(lambda: place.relay.engine.endpoint_list.version == 9)
-    assert not place.relay.engine.counters.counts["pool_failures"]
-    assert place.relay.engine.endpoint_list.has_ready_endpoint()  # what the old one told has stayed
+    await harness.wait_until(lambda: harness.relay.endpoint_watch.replaced_scope is None)
+    new.send(WATCH_RESPONSE_HEAD + unchanged_update_chunk(9))
+    await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 9)
+    assert not harness.relay.engine.counters.counts["pool_failures"]
+    assert harness.relay.engine.endpoint_list.has_ready_endpoint()  # what the old one told has stayed
     client.send(r"still here\r\n")
     await server.expect("still here")
 
 
-async def a_bad_file_changes_nothing(place: Place) -> None:
-    client, server = await served(place)
-    before = place.relay.runtime.config
-    place.hup(seed=BAD)
-    await place.until(lambda: place.relay.engine.counters.counts["reload_failures"] == 1)
-    assert place.relay.runtime.config is before
+async def a_bad_file_changes_nothing(harness: RelayHarness) -> None:
+    client, server = await established_client(harness)
+    before = harness.relay.runtime.config
+    harness.reload(seed=UNREADABLE_CONFIG_SEED)
+    await harness.wait_until(lambda: harness.relay.engine.counters.counts["reload_failures"] == 1)
+    assert harness.relay.runtime.config is before
     classes = [RequestClass("plain"), RequestClass("other", idempotency="repeatable")]
-    place.hup(
+    harness.reload(
         seed=1,
         limits=replace(before.limits, linger_us=60_000),
         settings=replace(before.settings, classes=classes),
     )
-    await place.until(lambda: place.relay.engine.counters.counts["reloads"] == 1)
-    assert place.relay.engine.limits.linger_us == 60_000
-    other = await place.client()
+    await harness.wait_until(lambda: harness.relay.engine.counters.counts["reloads"] == 1)
+    assert harness.relay.engine.limits.linger_us == 60_000
+    other = await harness.connect_client()
     other.send(r"OPEN 0e 0f c=other,d=2000\r\n")
-    await (await place.accept()).expect("OPEN 0e 0f c=other")
+    await (await harness.accept_upstream()).expect("OPEN 0e 0f c=other")
     os.kill(os.getpid(), signal.SIGTERM)
     await client.expect("MOVE")
     await server.expect("end")
 
 
-async def a_ping_alone(place: Place) -> None:
-    client = await place.client()
+async def a_ping_alone(harness: RelayHarness) -> None:
+    client = await harness.connect_client()
     client.send(r"PING\r\n")
     await client.expect("PONG")
     await client.expect("BUSY 250")  # a first line that is on its way now has its answer
     await client.expect("end")
 
 
-async def refused_backend(place: Place) -> None:
-    place.backend.close()
-    client = await place.client()
+async def refused_backend(harness: RelayHarness) -> None:
+    harness.endpoint_listener.close()
+    client = await harness.connect_client()
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
     await client.expect("BUSY")
 
 
-async def the_door(place: Place) -> None:
-    await place.call(r"HEALTH\r\n", "ok")
-    idle = [Peer(socket.create_connection((place.door.host, place.door.port))) for _ in range(12)]
+async def the_door(harness: RelayHarness) -> None:
+    await harness.admin_call(r"HEALTH\r\n", "ok")
+    idle = [
+        Peer(socket.create_connection((harness.admin_address.host, harness.admin_address.port)))
+        for _ in range(12)
+    ]
     idle[-1].send("HEAL")
-    await place.call(r"OFFLINE b9\r\n", "fail unknown backend b9")
-    await place.call(r"junk\r\n", "fail")
-    client, server = await served(place)
+    await harness.admin_call(r"OFFLINE b9\r\n", "fail unknown backend b9")
+    await harness.admin_call(r"junk\r\n", "fail")
+    client, server = await established_client(harness)
     for _ in range(2):
-        await place.call(r"OFFLINE b1\r\n", "ok b1 out")
+        await harness.admin_call(r"OFFLINE b1\r\n", "ok b1 out")
     await client.expect("MOVE")
     await server.expect("end")
-    await place.call(r"HEALTH\r\n", "fail no backend in use")
+    await harness.admin_call(r"HEALTH\r\n", "fail no backend in use")
     for _ in range(2):
-        await place.call(r"ONLINE b1\r\n", "ok b1 in use")
-    await served(place, "0c")
-    place.relay.runtime.run_engine_call(place.relay.engine.drain)
-    await place.call(r"HEALTH\r\n", "fail draining")
+        await harness.admin_call(r"ONLINE b1\r\n", "ok b1 in use")
+    await established_client(harness, "0c")
+    harness.relay.runtime.run_engine_call(harness.relay.engine.drain)
+    await harness.admin_call(r"HEALTH\r\n", "fail draining")
 
 
-async def an_upgrade(place: Place) -> None:
-    door = SocketAddress("127.0.0.1", place.free_port())
+async def an_upgrade(harness: RelayHarness) -> None:
+    door = SocketAddress("127.0.0.1", harness.free_port())
     new = Relay(
-        replace(place.file, admin_address=door, inherited_listener_fd=os.dup(place.front.fileno())),
-        place.read_again,
+        replace(
+            harness.config,
+            admin_address=door,
+            inherited_listener_fd=os.dup(harness.inherited_listener.fileno()),
+        ),
+        harness.reread_config,
     )
-    client, _ = await served(place)
+    client, _ = await established_client(harness)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(new.run)
-        await place.until(
-            lambda: hasattr(new, "listener") and new.listener.accepting and bool(place.relay.handover.peers)
+        await harness.wait_until(
+            lambda: hasattr(new, "listener") and new.listener.accepting and bool(harness.relay.handover.peers)
         )
-        assert new.handover.count_peer_descriptors() == place.relay.runtime.descriptor_count.open >= 2
-        await place.call(r"HEALTH\r\n", "ok", door)
-        await place.call(r"OFFLINE b1\r\n", "ok b1 out", door)
-        waiting = await place.client()
+        assert new.handover.count_peer_descriptors() == harness.relay.runtime.descriptor_count.open >= 2
+        await harness.admin_call(r"HEALTH\r\n", "ok", door)
+        await harness.admin_call(r"OFFLINE b1\r\n", "ok b1 out", door)
+        waiting = await harness.connect_client()
         waiting.send(r"OPEN 0c 0d c=plain,d=400\r\n")
         await waiting.expect("BUSY")  # whichever took it, nothing starts there
-        await place.call(r"ONLINE b1\r\n", "ok b1 in use")
+        await harness.admin_call(r"ONLINE b1\r\n", "ok b1 in use")
         await client.expect("MOVE")
-        await place.until(lambda: not new.engine.endpoint_list.is_offline("b1"))
-        place.relay.shutdown.drain()
+        await harness.wait_until(lambda: not new.engine.endpoint_list.is_offline("b1"))
+        harness.relay.shutdown.drain()
         for n in range(8):  # the old one accepts none of these
-            again, _ = await served(place, f"1{n}")
-        await place.until(lambda: not new.handover.peers)
+            again, _ = await established_client(harness, f"1{n}")
+        await harness.wait_until(lambda: not new.handover.peers)
         assert new.engine.counters.counts["served"] >= 8
         new.shutdown.drain()
         await again.expect("MOVE")
 
 
-async def drains(place: Place) -> None:
-    client, server = await served(place)
-    place.relay.runtime.run_engine_call(place.relay.engine.drain)
+async def drains(harness: RelayHarness) -> None:
+    client, server = await established_client(harness)
+    harness.relay.runtime.run_engine_call(harness.relay.engine.drain)
     await client.expect("MOVE")
     await client.expect("end")
     await server.expect("end")
 
 
-async def signals(place: Place) -> None:
-    client, _ = await served(place)
+async def signals(harness: RelayHarness) -> None:
+    client, _ = await established_client(harness)
     os.kill(os.getpid(), signal.SIGUSR1)
     os.kill(os.getpid(), signal.SIGTERM)
     await client.expect("MOVE")
 
 
-async def long_lines_back_up(place: Place) -> None:
-    client, server = await served(place)
+async def long_lines_back_up(harness: RelayHarness) -> None:
+    client, server = await established_client(harness)
     line = "x" * 4000 + r"\r\n"
     sent = 0
     with contextlib.suppress(BlockingIOError):
@@ -286,8 +295,8 @@
             server.send(line * 8)
             sent += 8
             await anyio.sleep(0)
-    (session,) = place.relay.clients.by_request.values()
-    assert len(session.client.unsent) <= 2 * place.relay.runtime.config.limits.max_buffered_bytes + 8192
+    (session,) = harness.relay.clients.by_request.values()
+    assert len(session.client.unsent) <= 2 * harness.relay.runtime.config.limits.max_buffered_bytes + 8192
     client.close()
 
 
@@ -318,8 +327,8 @@
     ],
 )
 async def test_on_sockets(
-    play: Play, limits: dict[str, int], capsys: pytest.CaptureFixture[str], tmp_path: Path
+    play: Scenario, limits: dict[str, int], capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
-    place = Place(tmp_path if play is an_upgrade else None, **QUICK | limits)
+    harness = RelayHarness(SHORT_TIMES | limits, tmp_path if play is an_upgrade else None)
     # the counters at the exit, and once more where they were asked for
-    await played(place, play, capsys, 2 if play in (signals, an_upgrade) else 1)
+    await run_scenario(harness, play, capsys, 2 if play in (signals, an_upgrade) else 1)
--- a/tests/test_standard_error.py
+++ b/tests/test_standard_error.py
@@ -13,18 +13,18 @@
 
 import orjson
 
-from tests.place import Place
+from tests.relay_harness import RelayHarness
 
 SMALLEST_PIPE_BYTES = 4096
 COUNTER_LINES = 150  # several times what fits into the pipe
 
 
 def test_a_relay_serves_and_exits_though_nobody_reads_its_standard_error(tmp_path: Path) -> None:
-    port = Place.free_port()
+    port = RelayHarness.free_port()
     config = {
         "name": "n0",
         "listen": f"127.0.0.1:{port}",
-        "discovery": f"127.0.0.1:{Place.free_port()}",
+        "discovery": f"127.0.0.1:{RelayHarness.free_port()}",
         "known": {"seq": 1, "hosts": [{"host": "b1", "dial": "127.0.0.1:1", "health": "Ready"}]},
         "settings": {"categories": [{"name": "plain", "hard-limit-us": 200_000}]},
     }
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tests.place import Place
+from tests.relay_harness import RelayHarness
 
 ROOT = Path(__file__).parent.parent
 # Sends itself a signal as a module is asked for: so it comes at that very point of the start.
@@ -30,7 +30,7 @@
 
 
 def started(tmp_path: Path, code: str, stderr: int = subprocess.PIPE) -> subprocess.Popen[str]:
-    listen, discovery = (f"127.0.0.1:{Place.free_port()}" for _ in range(2))
+    listen, discovery = (f"127.0.0.1:{RelayHarness.free_port()}" for _ in range(2))
     config = {
         "name": "n0",
         "listen": listen,
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -13,7 +13,7 @@
 from gannetweir.net.relay import Relay
 from gannetweir.placement.events import RequestArrived
 from gannetweir.proto.endpoint_watch import read_membership
-from tests.place import Place
+from tests.relay_harness import RelayHarness
 from tests.scenario import CLASSES
 
 WALL_AHEAD_S = 1_700_000_000
@@ -37,20 +37,28 @@
     shared: Path | None = None, has_new_endpoint: bool = True, port: int = 0
 ) -> Relay:
     """A relay with six endpoints. One has just started (`has_new_endpoint`), by the clock of discovery."""
-    place = Place()
+    harness = RelayHarness()
     hosts: list[dict[str, str | int]] = [
         {"host": f"b{n}", "dial": f"127.0.0.1:{n + 1}", "health": "Ready"} for n in range(6)
     ]
     if has_new_endpoint:
         hosts[0]["born_ms"] = time.monotonic_ns() // 1_000_000 + WALL_AHEAD_S * 1000
     if port:  # processes that share a folder serve one address
-        place.file = replace(place.file, listen_address=replace(place.file.listen_address, port=port))
+        harness.config = replace(
+            harness.config, listen_address=replace(harness.config.listen_address, port=port)
+        )
     settings = replace(
-        place.file.settings, classes=CLASSES, slow_start_window_us=SLOW_START_WINDOW_US, groups_enabled=False
+        harness.config.settings,
+        classes=CLASSES,
+        slow_start_window_us=SLOW_START_WINDOW_US,
+        groups_enabled=False,
     )
     return Relay(
         replace(
-            place.file, settings=settings, known_endpoints={"seq": 1, "hosts": hosts}, shared_folder=shared
+            harness.config,
+            settings=settings,
+            known_endpoints={"seq": 1, "hosts": hosts},
+            shared_folder=shared,
         )
     )
 
@@ -98,11 +106,14 @@
         }
         for n in range(6)
     ]
-    place = Place()
+    harness = RelayHarness()
     settings = replace(
-        place.file.settings, classes=CLASSES, slow_start_window_us=SLOW_START_WINDOW_US, groups_enabled=False
+        harness.config.settings,
+        classes=CLASSES,
+        slow_start_window_us=SLOW_START_WINDOW_US,
+        groups_enabled=False,
     )
-    relay = Relay(replace(place.file, settings=settings, known_endpoints={"seq": 1, "hosts": hosts}))
+    relay = Relay(replace(harness.config, settings=settings, known_endpoints={"seq": 1, "hosts": hosts}))
     assert len(set(endpoints_chosen(relay, relay.runtime.clock(), 200))) == 6
     update = read_membership({"seq": 2, "whole": True, "hosts": hosts}, settings)
     relay.engine.endpoint_update_received(update, relay.runtime.clock())
