--- a/gannetweir/core/__init__.py
+++ b/gannetweir/core/__init__.py
@@ -19,6 +19,7 @@
     WriteLogLine,
 )
 from gannetweir.core.engine import Engine
+from gannetweir.core.options import EngineOptions
 
 __all__ = [
     "CloseUpstream",
@@ -26,6 +27,7 @@
     "EndClient",
     "EndUpstream",
     "Engine",
+    "EngineOptions",
     "Exit",
     "FailClient",
     "MigrateClient",
--- a/gannetweir/core/context.py
+++ b/gannetweir/core/context.py
@@ -3,18 +3,17 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
 from typing import TYPE_CHECKING
 
 from gannetweir.core.commands import Command, WriteLogLine
 from gannetweir.core.invariants import InvariantGuard, Violation
+from gannetweir.core.options import EngineOptions
 from gannetweir.core.reasons import Reason
-from gannetweir.core.request_log import RequestEvent, RequestLog, RequestStep
+from gannetweir.core.request_log import RequestLog, RequestStep
 from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer, TimerQueue
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import EndpointList
-from gannetweir.membership.operator_overrides import OperatorOverrides
 from gannetweir.observability.counters import Counters
 from gannetweir.placement.settings import Settings
 
@@ -34,25 +33,16 @@
     concern needs is that concern's own.
     """
 
-    def __init__(
-        self,
-        settings: Settings,
-        limits: Limits,
-        route_admission: RouteAdmission | None,
-        operator_overrides: OperatorOverrides | None,
-        now_us: int,
-        request_trace: Callable[[RequestEvent], None] | None = None,
-        wall_clock_ahead_us: int | None = None,
-    ) -> None:
+    def __init__(self, settings: Settings, limits: Limits, now_us: int, options: EngineOptions) -> None:
         self.settings = settings
         self.limits = limits
         self.now_us = now_us  # of the call that is being handled
-        self.route_admission = route_admission  # of the operators' routes; None where they have set none
+        self.route_admission: RouteAdmission | None = options.route_admission  # None: no operators' routes
         self.address_selector: AddressSelector | None = None  # None while every endpoint has one address
-        self.endpoint_list = EndpointList(operator_overrides, wall_clock_ahead_us)
+        self.endpoint_list = EndpointList(options.operator_overrides, options.wall_clock_ahead_us)
         self.counters = Counters()
         self.commands: deque[Command] = deque()  # for the drivers, who take them from the left
-        self.request_log = RequestLog(self.counters, request_trace)
+        self.request_log = RequestLog(self.counters, options.request_trace)
         self.guard = InvariantGuard(self.endpoint_list, self._report_violation)
         self.timers = TimerQueue()
         self.requests: dict[int, RequestState] = {}  # by request id, until their end
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import TYPE_CHECKING
 
 from gannetweir.core.answer_delays import AnswerDelays
@@ -16,17 +15,16 @@
 from gannetweir.core.load_probes import LoadProbes
 from gannetweir.core.membership_updates import MembershipUpdates
 from gannetweir.core.operator_overrides import OverrideUpdates
+from gannetweir.core.options import EngineOptions, PlacementTrace
 from gannetweir.core.placement_actions import PlacementActions
-from gannetweir.core.placement_dispatcher import PlacementDispatcher, PlacementTrace
+from gannetweir.core.placement_dispatcher import PlacementDispatcher
 from gannetweir.core.request_intake import RequestIntake
-from gannetweir.core.request_log import RequestEvent
 from gannetweir.core.request_state import RequestState
 from gannetweir.core.resumption import Resumption
 from gannetweir.core.timers import Timer
 from gannetweir.core.upstream_events import UpstreamEvents
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import MembershipUpdate
-from gannetweir.membership.operator_overrides import OperatorOverrides
 from gannetweir.placement.balancer import Balancer
 from gannetweir.placement.events import TimerExpired, UpdateKind
 from gannetweir.placement.settings import Settings
@@ -51,38 +49,24 @@
         seed: int,
         initial_membership: MembershipUpdate,
         now_us: int,
-        *,
-        operator_overrides: OperatorOverrides | None = None,
-        replaces_process: bool = False,
-        route_admission: RouteAdmission | None = None,
-        address_rules: AddressRules | None = None,
-        trace: PlacementTrace | None = None,
-        request_trace: Callable[[RequestEvent], None] | None = None,
-        wall_clock_ahead_us: int | None = None,
+        options: EngineOptions | None = None,
     ) -> None:
-        self.context = EngineContext(
-            settings,
-            limits,
-            route_admission,
-            operator_overrides,
-            now_us,
-            request_trace,
-            wall_clock_ahead_us,
-        )
+        options = options or EngineOptions()
+        self.context = EngineContext(settings, limits, now_us, options)
         self.endpoint_list = self.context.endpoint_list
         self.counters = self.context.counters
         self.guard = self.context.guard
         self.commands = self.context.commands
         self.requests = self.context.requests
         self.balancer = Balancer(settings, seed, now_us)
-        if not replaces_process:
+        if not options.replaces_process:
             # clients that return come from other relays, and their old connections may be counted nowhere
             self.balancer.expect_no_returns()
-        self._create_concerns(seed, trace)
+        self._create_concerns(seed, options.placement_trace)
         self._bind_calls()
         self.context.set_timer(limits.watchdog_interval_us, Timer.WATCHDOG)
-        if address_rules is not None:
-            self.membership_updates.apply_address_rules(address_rules)
+        if options.address_rules is not None:
+            self.membership_updates.apply_address_rules(options.address_rules)
         self.membership_updates.apply(UpdateKind.CACHED, initial_membership)
         self.membership_updates.watch_if_pushed()
 
--- a/gannetweir/core/placement_dispatcher.py
+++ b/gannetweir/core/placement_dispatcher.py
@@ -3,17 +3,15 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable, Sequence
 from typing import Protocol
 
 from gannetweir.core.context import EngineContext
+from gannetweir.core.options import PlacementTrace
 from gannetweir.core.timers import Timer
 from gannetweir.placement.actions import Action
 from gannetweir.placement.balancer import Balancer
 from gannetweir.placement.events import Event, TimerExpired
 
-PlacementTrace = Callable[[int, Event, Sequence[Action]], None]
-
 
 class ActionHandler(Protocol):
     """Who carries out what the balancer answers with."""
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -220,8 +220,7 @@
             seed,
             membership,
             now,
-            route_admission=route_admission,
-            address_rules=address_rules,
+            e.EngineOptions(route_admission=route_admission, address_rules=address_rules),
         )
         self.clients: dict[int, SimulatedClient] = {}  # by transaction
         self.log_lines: list[str] = []
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -13,7 +13,7 @@
 import anyio
 
 from gannetweir.config import Config, ConfigError
-from gannetweir.core import Engine
+from gannetweir.core import Engine, EngineOptions
 from gannetweir.net.admin import AdminListener, RelayOperations
 from gannetweir.net.client_registry import ClientRegistry
 from gannetweir.net.command_execution import CommandExecutor
@@ -177,13 +177,15 @@
         config.seed,
         membership,
         clock(),
-        operator_overrides=handover.overrides,
-        replaces_process=bool(handover.peers),
-        route_admission=make_route_admission(config, None),
-        address_rules=config.address_rules,
-        trace=trace,
-        request_trace=trace.record_request if trace is not None else None,
-        wall_clock_ahead_us=time.time_ns() // 1000 - clock(),
+        EngineOptions(
+            operator_overrides=handover.overrides,
+            replaces_process=bool(handover.peers),
+            route_admission=make_route_admission(config, None),
+            address_rules=config.address_rules,
+            placement_trace=trace,
+            request_trace=trace.record_request if trace is not None else None,
+            wall_clock_ahead_us=time.time_ns() // 1000 - clock(),
+        ),
     )
 
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -34,6 +34,7 @@
     EndClient,
     EndUpstream,
     Engine,
+    EngineOptions,
     Exit,
     FailClient,
     MigrateClient,
@@ -120,9 +121,8 @@
         )
         self.settings = with_routed_classes(self.settings, rules)
         route_admission = RouteAdmission(rules, self.settings) if rules else None
-        self.engine = Engine(
-            self.settings, self.limits, 7, membership, self.now_us, route_admission=route_admission
-        )
+        options = EngineOptions(route_admission=route_admission)
+        self.engine = Engine(self.settings, self.limits, 7, membership, self.now_us, options)
         self.client_connections: dict[str, ClientConnection] = {}
         self.first_lines: dict[str, FirstLine] = {}
         self.request_ids: dict[str, int] = {}
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -5,7 +5,7 @@
 import orjson
 import pytest
 
-from gannetweir.core import Engine, SetEndpointWatch
+from gannetweir.core import Engine, EngineOptions, SetEndpointWatch
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.observability.trace import Trace
@@ -17,7 +17,8 @@
 
 def traced_engine(file: io.StringIO) -> Engine:
     relay_settings = settings(polls_endpoint_list=True)
-    return Engine(relay_settings, Limits(), 1, KNOWN_ENDPOINTS, 0, trace=Trace("n3", relay_settings, file))
+    options = EngineOptions(placement_trace=Trace("n3", relay_settings, file))
+    return Engine(relay_settings, Limits(), 1, KNOWN_ENDPOINTS, 0, options)
 
 
 def test_every_event_with_its_actions_is_a_line_but_for_timers_without_actions() -> None:
@@ -57,7 +58,8 @@
     file = io.StringIO()
     relay_settings = settings(polls_endpoint_list=True, load_probes_enabled=False, load_report_source="none")
     trace = Trace("n3", relay_settings, file)
-    engine = Engine(relay_settings, Limits(), 1, KNOWN_ENDPOINTS, 0, request_trace=trace.record_request)
+    options = EngineOptions(request_trace=trace.record_request)
+    engine = Engine(relay_settings, Limits(), 1, KNOWN_ENDPOINTS, 0, options)
     request_id = engine.request_opened(RequestArrived(0, time_budget_us=SECOND), None, 5, "7f3a")
     engine.client_disconnected(request_id, False, 9)
     steps = [line for line in map(orjson.loads, file.getvalue().splitlines()) if "step" in line]
