--- a/gannetweir/core/answer_delays.py
+++ b/gannetweir/core/answer_delays.py
@@ -76,7 +76,7 @@
             del self._reported_us[endpoint_id]
         else:
             return
-        self.context.counters.add("delay_notes")
+        self.context.counters.add("delay_reports")
         self.dispatcher.dispatch(
             ConnectionMetric(
                 request.request_id, request.attempt, endpoint_id, MetricKind.MESSAGE_DELAY, delay_ms
@@ -95,7 +95,7 @@
         for request in awaiting:
             waited_us = self.context.now_us - request.unanswered_since_us[0]
             if waited_us > limits.answer_timeout_us:
-                self.context.counters.add("silent")
+                self.context.counters.add("answer_timeouts")
                 self.final_answers.migrate_client(request, AttemptStatus.RESET, Reason.ENDPOINT_SILENT)
             elif waited_us > limits.slow_answer_us:
                 # early enough for the balancer to check the endpoint's health before all answers are lost
--- a/gannetweir/core/attempts.py
+++ b/gannetweir/core/attempts.py
@@ -73,10 +73,10 @@
         request.counts_as_setup = not reason
         if not reason:
             return False
-        self.context.counters.add(f"held_back.{reason}")
+        self.context.counters.add(f"attempts_blocked.{reason}")
         self.context.log(
-            "attempt held back",
-            transaction=request.request_id,
+            "attempt blocked",
+            request=request.request_id,
             attempt=attempt,
             backend=endpoint_id,
             route=request.request_class.route,
@@ -108,7 +108,7 @@
         else:
             context.record_step(request, RequestStep.ATTEMPT)
         self._set_timeouts(request, timeout_us)
-        context.counters.add("flows")
+        context.counters.add("attempts_started")
 
     def _set_timeouts(self, request: RequestState, timeout_us: int) -> None:
         """A class's own timeout for an attempt counts from the first line's last byte, so it is added here to
@@ -193,13 +193,13 @@
         return False
 
     def _log_address_fault(self, request: RequestState, address: Address, status: AttemptStatus) -> None:
-        self.context.counters.add("path_faults")
+        self.context.counters.add("address_faults")
         self.context.log(
-            "path failed",
-            transaction=request.request_id,
+            "address failed",
+            request=request.request_id,
             attempt=request.attempt,
             backend=str(request.endpoint_id),
-            path=address,
+            address=address,
             reason="no answer" if status == AttemptStatus.TIMEOUT else "reset",
         )
 
@@ -209,4 +209,4 @@
         request = self.context.request_with_attempt(request_id, attempt)
         if request is not None:
             request.address = address
-            self.context.counters.add(f"paths.{address.family}")
+            self.context.counters.add(f"addresses.{address.family}")
--- a/gannetweir/core/context.py
+++ b/gannetweir/core/context.py
@@ -82,7 +82,7 @@
         self.log(
             "invariant violated",
             rule=violation.rule,
-            transaction=violation.request_id,
+            request=violation.request_id,
             id=history[0].client_request_id if history else "",
             reason=violation.detail,
             history=" ".join(map(str, history[-MAX_LOGGED_STEPS:])),
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -209,11 +209,11 @@
         figures = {
             "open": established,
             "pending": len(self.requests) - established,
-            "pool_version": self.endpoint_list.version,
+            "membership_version": self.endpoint_list.version,
             "violations": self.guard.violations,
         }
         if self.route_admission is not None:
             figures |= self.route_admission.current_figures()
         if self.address_selector is not None:
-            figures["paths.passed_over"] = self.address_selector.preferred_bypassed
+            figures["addresses.bypassed"] = self.address_selector.preferred_bypassed
         return figures
--- a/gannetweir/core/final_answers.py
+++ b/gannetweir/core/final_answers.py
@@ -76,7 +76,7 @@
     def migrate_client(self, request: RequestState, status: AttemptStatus, reason: Reason) -> None:
         """Ask the client to come again; it is asked before its upstream connection ends."""
         self.remove_request(request)
-        self.context.counters.add("moved")
+        self.context.counters.add("migrated")
         self.context.record_step(request, RequestStep.MIGRATED, reason)
         self.context.commands.append(MigrateClient(request.request_id))
         self.attempts.request_ended(request, status)
--- a/gannetweir/core/load_probes.py
+++ b/gannetweir/core/load_probes.py
@@ -25,7 +25,7 @@
             self._report(endpoint_id, AttemptStatus.NOT_STARTED)
         elif endpoint_id not in self._started_us:  # one in flight answers this question too
             self._started_us[endpoint_id] = self.context.now_us
-            self.context.counters.add("probes_sent")
+            self.context.counters.add("load_probes_sent")
             selector = self.context.address_selector
             races_addresses = selector is not None and selector.selects_address(str(endpoint_id))
             self.context.commands.append(StartLoadProbe(endpoint_id, address, races_addresses))
@@ -42,7 +42,7 @@
         """Take in the end of a probe, answered or not, and pass it on to the balancer."""
         self.context.now_us = now_us
         elapsed_us = now_us - self._started_us.pop(endpoint_id, now_us)
-        self.context.counters.add("probes", status)
+        self.context.counters.add("load_probes", status)
         self._report(endpoint_id, status, elapsed_us, load_report)
 
     def _report(
--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -40,7 +40,7 @@
     def update_received(self, update: MembershipUpdate, now_us: int) -> None:
         """Discovery, or the control plane, has sent an update."""
         self.context.now_us = now_us
-        self.context.counters.add("pool_news")
+        self.context.counters.add("membership_updates")
         self.consecutive_watch_failures = 0
         self.apply(UpdateKind.SNAPSHOT if update.complete else UpdateKind.DELTA, update)
 
@@ -78,8 +78,8 @@
         to poll again.
         """
         self.context.now_us = now_us
-        self.context.counters.add("pool_failures")
-        self.context.log(f"pool: {reason}")
+        self.context.counters.add("endpoint_watch_failures")
+        self.context.log(f"endpoint watch: {reason}")
         if self.context.settings.polls_endpoint_list:
             self._report_failed_poll()
             return
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -36,7 +36,7 @@
         self.context.now_us = now_us
         endpoint_list = self.context.endpoint_list
         newly_offline = endpoint_list.overrides.newly_offline(overrides)
-        self.context.counters.add("hand_changes")
+        self.context.counters.add("override_changes")
         # As a cached list: the balancer would take a snapshot or a delta for the answer to its watch.
         effective_entries = endpoint_list.apply_overrides(overrides, now_us)
         self.dispatcher.dispatch(
--- a/gannetweir/core/placement_dispatcher.py
+++ b/gannetweir/core/placement_dispatcher.py
@@ -63,9 +63,9 @@
             self._handler.carry_out(action)
 
     def _report_fault(self, event: Event, error: Exception) -> None:
-        self.context.counters.add("module_faults")
+        self.context.counters.add("placement_faults")
         kind = type(event).__name__
-        self.context.log(f"the decision module failed on {kind}: {type(error).__name__}: {error}")
+        self.context.log(f"placement failed on {kind}: {type(error).__name__}: {error}")
         if isinstance(event, TimerExpired):
             # the balancer sets its next timer while it handles this one: its upkeep must not end here
             self.context.set_timer(self.context.limits.placement_timer_retry_us, Timer.PLACEMENT, event.token)
--- a/gannetweir/core/reasons.py
+++ b/gannetweir/core/reasons.py
@@ -16,7 +16,7 @@
     AFTER_TIMEOUT = "after_timeout"
     AFTER_CONNECT_FAILED = "after_connect_failed"
     AFTER_RESET = "after_reset"
-    AFTER_NOT_STARTED = "after_moot"
+    AFTER_NOT_STARTED = "after_not_started"
     ADMISSION_CLOSED = "relay_closing"  # nothing new is admitted before the exit
     DRAIN = "drain"  # this relay shuts down
     DRAIN_TIME_OVER = "drain_over"  # the time for that is up
@@ -25,7 +25,7 @@
     OPERATORS = "operators"  # the operators took the endpoint offline
     UNKNOWN_ENDPOINT = "unknown_backend"
     DEADLINE = "deadline"  # the balancer left it unanswered to the end
-    PLACEMENT_FAULT = "module_fault"  # the balancer raised
+    PLACEMENT_FAULT = "placement_fault"  # the balancer raised
     ENDPOINT_SILENT = "backend_silent"
     ENDPOINT_ENDED = "backend_ended"
     ENDPOINT_RESET = "backend_reset"
--- a/gannetweir/core/request_intake.py
+++ b/gannetweir/core/request_intake.py
@@ -151,10 +151,10 @@
         return False
 
     def _reject_over_limit(self, request: RequestState, rejection: Rejection) -> None:
-        self.context.counters.add(f"over.{request.request_class.route}")
+        self.context.counters.add(f"route_rejections.{request.request_class.route}")
         self.context.log(
-            "over a limit",
-            transaction=request.request_id,
+            "rejected by a route's limit",
+            request=request.request_id,
             route=request.request_class.route,
             cls=request.request_class.name,
             reason=rejection.reason,
@@ -169,7 +169,7 @@
         if request is None:
             return
         self.final_answers.remove_request(request)
-        self.context.counters.add("clients_left")
+        self.context.counters.add("clients_disconnected")
         reason = Reason.CLIENT_RESET if reset else Reason.CLIENT_ENDED
         self.context.record_step(request, RequestStep.CLOSED, reason)
         if request.established:
--- a/gannetweir/core/request_log.py
+++ b/gannetweir/core/request_log.py
@@ -24,13 +24,13 @@
     OPENED = "opened"
     ATTEMPT = "attempt"
     RETRIED = "retried"
-    CONNECT_DELAYED = "held_up"  # its connect could not be started: an error of this machine
+    CONNECT_DELAYED = "connect_delayed"  # its connect could not be started: an error of this machine
     WRITTEN = "written"
     ATTEMPT_ENDED = "attempt_ended"
     SERVED = "served"
-    REJECTED = "refused"
+    REJECTED = "rejected"
     FAILED = "failed"
-    MIGRATED = "moved"
+    MIGRATED = "migrated"
     CLOSED = "closed"
 
 
--- a/gannetweir/core/upstream_events.py
+++ b/gannetweir/core/upstream_events.py
@@ -166,7 +166,7 @@
         self.context.now_us = now_us
         request = self.context.requests.get(request_id)
         if request is not None and request.established and self.context.settings.reports_connection_load:
-            self.context.counters.add("load_notes")
+            self.context.counters.add("load_reports")
             self.dispatcher.dispatch(
                 ConnectionMetric(request_id, request.attempt, request.endpoint_id, MetricKind.LOAD, load)
             )
--- a/gannetweir/lab/emulator/emulator.py
+++ b/gannetweir/lab/emulator/emulator.py
@@ -414,7 +414,7 @@
         """
         counted = sum([await relay.counters() for relay in self.relays], Counter[str]())
         delivered = sum(sum(node.deliveries.values()) for node in self.backends.values())
-        return delivered, counted["flows"] - counted["attempts.connect_failed"]
+        return delivered, counted["attempts_started"] - counted["attempts.connect_failed"]
 
 
 @asynccontextmanager
--- a/gannetweir/lab/experiments/address_faults.py
+++ b/gannetweir/lab/experiments/address_faults.py
@@ -112,7 +112,7 @@
     counts["served"], counts["lines in"] = checker.counts["up"], checker.counts["sent"]
     counts["most attempts"] = max((story.attempts for story in checker.traces.values()), default=0)
     for relay in world.relays:
-        counts["path faults"] += relay.engine.counters.counts["path_faults"]
+        counts["path faults"] += relay.engine.counters.counts["address_faults"]
     return counts
 
 
--- a/gannetweir/lab/experiments/experiment_run.py
+++ b/gannetweir/lab/experiments/experiment_run.py
@@ -44,7 +44,7 @@
 }
 # what the relays themselves counted, by its name in a run's counts
 RELAY_COUNTERS = {
-    "passed over": ("paths.passed_over",),
+    "passed over": ("addresses.bypassed",),
     "rejected": ("rejected",),
     "failed": ("failed",),
     "attempts failed": ("attempts.connect_failed", "attempts.timeout", "attempts.reset", "attempts.error"),
--- a/gannetweir/lab/experiments/fleet_simulation.py
+++ b/gannetweir/lab/experiments/fleet_simulation.py
@@ -183,7 +183,7 @@
         world = simulate_day(name, fleet_plan(seed, relays, backends))
         counts = world.checker.counts
         asked, served, sent = asked + len(world.checker.traces), served + counts["up"], sent + counts["sent"]
-        probes += sum(relay.engine.counters.counts["probes_sent"] for relay in world.relays)
+        probes += sum(relay.engine.counters.counts["load_probes_sent"] for relay in world.relays)
         worst, broken = max(worst, counts["cold_share"]), broken + len(world.checker.violations)
     share = f"{worst / 100:.2f}" if worst else "-"
     return [
--- a/gannetweir/lab/scale/fleets.py
+++ b/gannetweir/lab/scale/fleets.py
@@ -28,7 +28,7 @@
     checker = world.run(LENGTH_S)
     if checker.violations:
         raise ValueError(f"{relays} relays: {checker.violations[0]}")
-    probes = sum(relay.engine.counters.counts["probes_sent"] for relay in world.relays)
+    probes = sum(relay.engine.counters.counts["load_probes_sent"] for relay in world.relays)
     a_second = probes / LENGTH_S
     return {
         TRY.key: probes / max(1, len(checker.traces)),
--- a/gannetweir/lab/scale/skeleton_relay.py
+++ b/gannetweir/lab/scale/skeleton_relay.py
@@ -184,7 +184,7 @@
                 self.driver.apply_command(command)
             elif isinstance(command, e.StartLoadProbe):  # there is nothing to probe
                 self.record.unsent_probes += 1
-            elif isinstance(command, e.WriteLogLine) and command.text.startswith("pool: "):
+            elif isinstance(command, e.WriteLogLine) and command.text.startswith("endpoint watch: "):
                 self.record.watch_failures += 1
         if self.engine.next_due() < self.sleep_until:
             self.wake.set()
--- a/gannetweir/lab/soak/judge.py
+++ b/gannetweir/lab/soak/judge.py
@@ -382,8 +382,8 @@
             yield Finding(SoakRule.DESCRIPTORS, life.relay, life.ended_us, detail)
 
 
-_FAULTS = ("driver_faults", "module_faults", "violations")
-_SAID = ("invariant violated", "a driver failed", "decision module failed", "Traceback")
+_FAULTS = ("driver_faults", "placement_faults", "violations")
+_SAID = ("invariant violated", "a driver failed", "placement failed on", "Traceback")
 
 
 def _own_words(evidence: Evidence) -> Findings:
@@ -394,7 +394,7 @@
             yield Finding(SoakRule.INVARIANT, relay, 0, line[:300])
         counted: Counter[str] = Counter()
         for line in lines:
-            if line.startswith("{") and '"pool_version"' in line:
+            if line.startswith("{") and '"membership_version"' in line:
                 values = orjson.loads(line)
                 counted.update({name: values[name] for name in _FAULTS if values.get(name)})
         if counted and not said:
--- a/gannetweir/net/client_connection.py
+++ b/gannetweir/net/client_connection.py
@@ -140,7 +140,7 @@
         if self._awaits_first_line():
             self._feed(self.client.read_available())  # it may have come in this very moment
         if self._awaits_first_line():
-            self.context.engine.counters.add("first_line_late")
+            self.context.engine.counters.add("first_line_timeouts")
             self.close_before_request(too_late=not self.has_pinged)
 
     def _awaits_first_line(self) -> bool:
@@ -193,7 +193,7 @@
     def _handle_malformed(self, event: MalformedInput) -> None:
         engine = self.context.engine
         engine.counters.add("malformed")
-        self.context.log("malformed", transaction=self.request_id, reason=event.reason)
+        self.context.log("malformed", request=self.request_id, reason=event.reason)
         if self.request_id:
             engine.guard.client_ended(self.request_id)  # what it sent ends the connection
             self.context.run_engine_call(engine.client_disconnected, self.request_id, True)
--- a/gannetweir/net/client_registry.py
+++ b/gannetweir/net/client_registry.py
@@ -40,7 +40,7 @@
                 runtime.descriptor_budget.note_accepted(client)
                 runtime.spawn(client.run)
             else:
-                runtime.engine.counters.add("turned_away")
+                runtime.engine.counters.add("connections_rejected")
                 transport.write(rejection_line(runtime.limits.rejection_retry_after_us))
                 transport.close_now(self.discard_buffer)
 
--- a/gannetweir/net/operator_overrides.py
+++ b/gannetweir/net/operator_overrides.py
@@ -40,7 +40,7 @@
         overrides, engine = self.handover.overrides, self.context.engine
         if overrides != engine.endpoint_list.overrides:
             offline = ", ".join(sorted(map(str, overrides.offline)))
-            self.context.log(f"out by hand: {offline or 'none'}")
+            self.context.log(f"offline by operators: {offline or 'none'}")
             self.context.run_engine_call(engine.apply_operator_overrides, overrides)
 
     async def poll(self) -> None:
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -86,7 +86,7 @@
         figures = {
             "clients": self.clients.open_count,
             "descriptors": descriptors.open,
-            "descriptors_most": descriptors.peak,
+            "descriptors_peak": descriptors.peak,
         }
         line = self.engine.counters.to_json(**figures, **self.engine.current_figures())
         with contextlib.suppress(OSError):  # nobody reads them any more: no reason to fail
--- a/gannetweir/observability/counters.py
+++ b/gannetweir/observability/counters.py
@@ -16,7 +16,7 @@
     AttemptStatus.CONNECT_FAILED: "connect_failed",
     AttemptStatus.RESET: "reset",
     AttemptStatus.CANCELLED: "cancelled",
-    AttemptStatus.NOT_STARTED: "moot",
+    AttemptStatus.NOT_STARTED: "not_started",
 }
 
 
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -230,7 +230,7 @@
         harness.relay.runtime.run_engine_call(harness.relay.engine.drain)
     printed = capsys.readouterr().err
     assert "Traceback" not in printed
-    assert printed.count('"pool_version":') == counter_lines
+    assert printed.count('"membership_version":') == counter_lines
     assert harness.relay.clients.open_count == 0 and not harness.relay.engine.requests
     assert not harness.relay.engine.counters.counts["driver_faults"]
     assert not harness.relay.engine.guard.violations, printed
--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -414,5 +414,5 @@
         assert not run.engine.requests
         assert all(request.ended and request.in_flight is None for request in run.requests.values())
         counts = run.engine.counters.counts
-        assert not counts["module_faults"]
+        assert not counts["placement_faults"]
         assert not counts["overdue"]
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -143,7 +143,7 @@
         for engine in engines:
             live(engine, now)
             counts = engine.counters.counts
-            assert not counts["module_faults"], (value, engine.commands)
+            assert not counts["placement_faults"], (value, engine.commands)
 
 
 @pytest.mark.parametrize("name", ["ask-within-us", "fall-multiple"])
@@ -167,4 +167,4 @@
     world.engine.balancer.handle = faulty  # type: ignore[method-assign]
     world.play("time wait 10000")
     assert len(heard) > 8
-    assert world.engine.counters.counts["module_faults"] == 3
+    assert world.engine.counters.counts["placement_faults"] == 3
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -176,7 +176,7 @@
     leaver.leave_after("endpoint_update_received")
     port = leaver.harness.endpoint_listener.getsockname()[1]
     send_endpoint_list(leaver.harness, ("b1", port, "Gone"), *((f"s{n}", port, "Ready") for n in range(1024)))
-    assert leaver.harness.relay.engine.counters.counts["flows"] == 2
+    assert leaver.harness.relay.engine.counters.counts["attempts_started"] == 2
     for sock in (unreachable, *queued_sockets):
         sock.close()
 
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -65,7 +65,7 @@
     await server.expect(f"OPEN 0a 0b c=plain,d={300 - MARGIN_MS}")  # counted from that byte
     server.send(r"UP r1\r\n")
     await client.expect("UP r1")
-    assert harness.relay.engine.counters.counts["flows"] == 1
+    assert harness.relay.engine.counters.counts["attempts_started"] == 1
 
 
 async def last_byte_after_the_timeout(harness: RelayHarness) -> None:
@@ -74,7 +74,7 @@
     await client.expect("ERR")
     client.sock.send(b"\n")
     await client.expect("end")
-    assert harness.relay.engine.counters.counts["flows"] == 0
+    assert harness.relay.engine.counters.counts["attempts_started"] == 0
 
 
 async def answer_is_read_before_timers(harness: RelayHarness) -> None:
@@ -130,7 +130,7 @@
         client.finish()
         await client.expect("end")
     counts = harness.relay.engine.counters.counts
-    assert (counts["flows"], counts["served"], counts["attempts.timeout"]) == (4, 1, 2)
+    assert (counts["attempts_started"], counts["served"], counts["attempts.timeout"]) == (4, 1, 2)
 
 
 PLAYS: list[Callable[[RelayHarness], Awaitable[None]]] = [
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -58,14 +58,14 @@
         backends=1,
     )
     assert world.upstreams["c1"][0].address == "127.0.0.1:3"
-    world.play("c1/upstream send UP r1\nc1 expect UP r1\nrelay expect count flows 2")
+    world.play("c1/upstream send UP r1\nc1 expect UP r1\nrelay expect count attempts_started 2")
 
 
 @pytest.mark.parametrize("update", UNAVAILABLE.values(), ids=UNAVAILABLE.keys())
 def test_a_written_attempt_stays_at_an_endpoint_that(update: str) -> None:
     play(
         OPEN_REQUEST + f"c1/upstream written\ndiscovery send {update}\nc1/upstream expect nothing\n"
-        "c1/upstream send UP r1\nc1 expect UP r1\nrelay expect count flows 1",
+        "c1/upstream send UP r1\nc1 expect UP r1\nrelay expect count attempts_started 1",
         backends=1,
     )
 
@@ -212,9 +212,9 @@
         for _ in range(400):  # bytes extend no timeout: only a complete line or a heartbeat does
             watcher.send(" ")
             await anyio.sleep(0.005)
-            if harness.relay.engine.counters.counts["pool_failures"]:
+            if harness.relay.engine.counters.counts["endpoint_watch_failures"]:
                 break
-    assert harness.relay.engine.counters.counts["pool_failures"] == 1
+    assert harness.relay.engine.counters.counts["endpoint_watch_failures"] == 1
 
 
 async def the_previous_discovery_address_sends_once_more(harness: RelayHarness) -> None:
@@ -282,7 +282,7 @@
     await client.expect("BUSY")  # the one final answer: there is no other backend
     await client.expect("end")
     counts = harness.relay.engine.counters.counts
-    assert (counts["flows"], counts["attempts.timeout"], counts["served"]) == (1, 1, 0)
+    assert (counts["attempts_started"], counts["attempts.timeout"], counts["served"]) == (1, 1, 0)
 
 
 def established_as_the_client_disconnects(reset: bool) -> Scenario:
@@ -352,7 +352,7 @@
     client.finish()
     await client.expect("end")
     await harness.wait_until(lambda: harness.relay.runtime.descriptor_count.open == clients)
-    assert harness.relay.engine.counters.counts["flows"] == 1
+    assert harness.relay.engine.counters.counts["attempts_started"] == 1
     for sock in (full, *pending):
         sock.close()
 
@@ -364,7 +364,7 @@
     live = listening_socket()
     nowhere = SocketAddress("127.0.0.1", harness.free_port())
     harness.reload(discovery_address=nowhere)
-    await harness.wait_until(lambda: harness.relay.engine.counters.counts["pool_failures"] == 1)
+    await harness.wait_until(lambda: harness.relay.engine.counters.counts["endpoint_watch_failures"] == 1)
     old.send(unchanged_update_chunk(7))  # nobody answers there: updates from the previous one still count
     await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 7)
     harness.reload(discovery_address=nowhere)  # the same again, and on at once
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -274,7 +274,7 @@
 
 
 def watch_failures(harness: RelayHarness) -> int:
-    return harness.relay.engine.counters.counts["pool_failures"]
+    return harness.relay.engine.counters.counts["endpoint_watch_failures"]
 
 
 async def heartbeats_then_silence(harness: RelayHarness) -> None:
--- a/tests/test_drivers_that_fail.py
+++ b/tests/test_drivers_that_fail.py
@@ -88,7 +88,7 @@
     await server.expect("OPEN 0a")
     server.send(r"UP r1\r\n")
     await client.expect("UP r1")
-    assert relay.engine.counters.counts["flows"] == 1
+    assert relay.engine.counters.counts["attempts_started"] == 1
 
 
 async def test_a_watch_whose_driver_fails_is_opened_again(capsys: pytest.CaptureFixture[str]) -> None:
@@ -125,7 +125,7 @@
             harness.reload(settings=replace(harness.config.settings, load_report_fields=["x0", "concurrent"]))
             await harness.wait_until(lambda: engine.counters.counts["reloads"] == 1)
             server.send(r"PONG concurrent=1,x0=0.5\r\n")
-        await harness.wait_until(lambda n=number: engine.counters.counts["probes.moot"] == n)  # type: ignore[misc]
+        await harness.wait_until(lambda n=number: engine.counters.counts["load_probes.not_started"] == n)  # type: ignore[misc]
     assert engine.counters.counts.pop("driver_faults") == 1
 
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -118,7 +118,7 @@
     server.send(r"UP r1\r\n")
     await client.expect("UP r1")
     counts = harness.relay.engine.counters.counts
-    assert counts["flows"] == 1 and not counts["attempts.connect_failed"], counts
+    assert counts["attempts_started"] == 1 and not counts["attempts.connect_failed"], counts
 
 
 async def no_socket_for_longer(harness: RelayHarness, calls: FailingCalls) -> None:
@@ -146,7 +146,7 @@
     harness.relay.engine.load_probes.start("b1")
     harness.relay.runtime.execute_commands()
     counts = harness.relay.engine.counters.counts
-    await harness.wait_until(lambda: counts["probes.moot"] == 1)
+    await harness.wait_until(lambda: counts["load_probes.not_started"] == 1)
     assert harness.relay.engine.balancer.state.endpoints["b1"].ejected_until_us == 0
     calls.remaining_errors["socket"].clear()
     server.send(r"still here\r\n")
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -26,7 +26,7 @@
     assert day == "kill" or 0 < counts["cold_share"] <= 100  # cold ones were used, within what they bear
     for relay in world.relays:
         faults = relay.engine.counters.counts
-        assert not faults["module_faults"] and not faults["overdue"]
+        assert not faults["placement_faults"] and not faults["overdue"]
 
 
 def broken(day: str) -> str:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -206,5 +206,5 @@
         """
     )
     counts = world.engine.counters.counts
-    reasons = ("retried.after_full", "closed.client_ended", "moved.drain", "refused.relay_closing")
+    reasons = ("retried.after_full", "closed.client_ended", "migrated.drain", "rejected.relay_closing")
     assert [counts[reason] for reason in reasons] == [1, 1, 1, 1], counts
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -85,7 +85,7 @@
     world.engine.endpoint_watch_failed(broken.reason, world.now_us)
     world.play(f"""
         time wait 0
-        relay expect log pool: *{reason}*
+        relay expect log endpoint watch: *{reason}*
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*""")
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -11,14 +11,14 @@
 def test_plain_and_json_lines_have_the_same_fields() -> None:
     plain, json = io.StringIO(), io.StringIO()
     for form, file in (("plain", plain), ("json", json)):
-        Log("n3", 20, form, file)("attempt held back", transaction=7, cls="rider-area", reason="retry-budget")
-    assert plain.getvalue() == ("n3: attempt held back transaction=7 reason=retry-budget class=rider-area\n")
+        Log("n3", 20, form, file)("attempt blocked", request=7, cls="rider-area", reason="retry-budget")
+    assert plain.getvalue() == ("n3: attempt blocked request=7 reason=retry-budget class=rider-area\n")
     record = orjson.loads(json.getvalue())
     assert record.pop("timestamp").endswith("Z")
     assert record == {
         "relay": "n3",
-        "event": "attempt held back",
-        "transaction": 7,
+        "event": "attempt blocked",
+        "request": 7,
         "class": "rider-area",
         "reason": "retry-budget",
     }
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -126,7 +126,7 @@
         c2 expect BUSY*
         c2 expect end
         c2/upstream expect nothing
-        relay expect count held_back.retry-budget 1
+        relay expect count attempts_blocked.retry-budget 1
         time wait 12000
         c3 send OPEN 0e 0f c=plain,d=2000
         c3/upstream expect OPEN*
@@ -154,7 +154,7 @@
         c2 expect BUSY *
         c2 expect end
         c2/upstream expect nothing
-        relay expect count over.default 1
+        relay expect count route_rejections.default 1
         c1 close
         c3 send OPEN 0e 0f c=plain,d=2000
         c3/upstream expect OPEN*
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -29,44 +29,44 @@
     + """
         c1/upstream send LOAD 125.5
         c1 expect LOAD 125.5
-        relay expect count load_notes 1""",
+        relay expect count load_reports 1""",
     "a load that is no number is not reported": ESTABLISHED
     + """
         c1/upstream send LOAD nan
         c1 expect LOAD nan
-        relay expect count load_notes 0""",
+        relay expect count load_reports 0""",
     "late answers are reported once a second, and once more when they are in time again": ESTABLISHED
     + """
         c1 send 1
         time wait 30
         c1/upstream send 1
-        relay expect count delay_notes 0
+        relay expect count delay_reports 0
         c1 send 2
         time wait 40
         c1/upstream send 2
-        relay expect count delay_notes 1
+        relay expect count delay_reports 1
         c1 send 3
         time wait 40
         c1/upstream send 3
-        relay expect count delay_notes 1
+        relay expect count delay_reports 1
         time wait 1000
         c1 send 4
         time wait 40
         c1/upstream send 4
-        relay expect count delay_notes 2
+        relay expect count delay_reports 2
         c1 send 5
         c1/upstream send 5
-        relay expect count delay_notes 3
+        relay expect count delay_reports 3
         c1 send 6
         c1/upstream send 6
-        relay expect count delay_notes 3""",
+        relay expect count delay_reports 3""",
     "a load line answers no line of the client's": ESTABLISHED
     + """
         c1 send 1
         c1/upstream send LOAD 3
         time wait 40
         c1/upstream send 1
-        relay expect count delay_notes 1""",
+        relay expect count delay_reports 1""",
     "lines sent before the answer are buffered for the endpoint": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1 send early
@@ -188,7 +188,7 @@
         c2 expect ERR
         c1 send still here
         c1/upstream expect still here
-        relay expect count module_faults 2""",
+        relay expect count placement_faults 2""",
     "a client that disconnects ends its attempt": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*
@@ -207,18 +207,18 @@
         c1 expect MOVE
         c1 expect end
         c1/upstream expect end
-        relay expect count silent 1""",
+        relay expect count answer_timeouts 1""",
     "a line without an answer for over a second is reported as late, once a second": ESTABLISHED
     + """
         c1 send 1
         time wait 1000
-        relay expect count delay_notes 0
+        relay expect count delay_reports 0
         time wait 251
-        relay expect count delay_notes 1
+        relay expect count delay_reports 1
         time wait 900
-        relay expect count delay_notes 1
+        relay expect count delay_reports 1
         time wait 300
-        relay expect count delay_notes 2""",
+        relay expect count delay_reports 2""",
     "an endpoint that answers keeps its clients": ESTABLISHED
     + """
         c1 send 1
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -218,7 +218,7 @@
 def test_the_judge_reads_what_a_relay_says_of_itself() -> None:
     logs = {
         0: ["n0: invariant violated rule=overlap"],
-        1: ['{"pool_version":1,"violations":2}'],
+        1: ['{"membership_version":1,"violations":2}'],
         2: ["n2: x"],
     }
     verdict = judge([], PLAN, logs)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -172,7 +172,7 @@
     await harness.wait_until(lambda: harness.relay.endpoint_watch.replaced_scope is None)
     new.send(WATCH_RESPONSE_HEAD + unchanged_update_chunk(9))
     await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 9)
-    assert not harness.relay.engine.counters.counts["pool_failures"]
+    assert not harness.relay.engine.counters.counts["endpoint_watch_failures"]
     assert harness.relay.engine.endpoint_list.has_ready_endpoint()  # what the old one told has stayed
     client.send(r"still here\r\n")
     await server.expect("still here")
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -47,7 +47,7 @@
     ("number", "told"),
     [
         (signal.SIGHUP, "reload: done"),
-        (signal.SIGUSR1, '"pool_version"'),
+        (signal.SIGUSR1, '"membership_version"'),
         (signal.SIGTERM, ""),  # it drains, and ends by itself
     ],
 )
@@ -60,7 +60,7 @@
                 break
         relay.send_signal(signal.SIGTERM)
     rest = relay.communicate(timeout=20)[1]
-    assert relay.returncode == 0 and '"pool_version"' in rest
+    assert relay.returncode == 0 and '"membership_version"' in rest
 
 
 def test_a_log_that_nobody_reads_ends_no_relay(tmp_path: Path) -> None:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -111,7 +111,9 @@
     assert answers + left >= len(checker.traces) > 150
     assert checker.counts["up"] > 50
     for relay in world.relays:
-        assert relay.engine.counters.counts["overdue"] == relay.engine.counters.counts["module_faults"] == 0
+        assert (
+            relay.engine.counters.counts["overdue"] == relay.engine.counters.counts["placement_faults"] == 0
+        )
         if (keeper := relay.engine.route_admission) is not None:
             held = [tx for tx in relay.engine.requests.values() if tx.admission_permit is not None]
             assert keeper.relay_permit.limiter.open_connections == len(held)
@@ -129,7 +131,7 @@
         served, asked = served + checker.counts["up"], asked + len(checker.traces)
         for relay in world.relays:
             assert relay.engine.address_selector is not None
-            assert relay.engine.counters.counts["paths.unix"] > 0
+            assert relay.engine.counters.counts["addresses.unix"] > 0
     assert served >= 0.97 * asked > 500
 
 
@@ -147,10 +149,10 @@
     checker = world.run(20)
     assert not checker.violations
     engines = [relay.engine for relay in world.relays]
-    assert sum(engine.counters.counts["path_faults"] for engine in engines) > 0
+    assert sum(engine.counters.counts["address_faults"] for engine in engines) > 0
     assert not any("set aside" in text for relay in world.relays for text in relay.log_lines)
     assert checker.counts["up"] >= 0.97 * len(checker.traces)
-    late = [engine.counters.counts["paths.unix"] for engine in engines]
+    late = [engine.counters.counts["addresses.unix"] for engine in engines]
     assert min(late) > 20  # they carry traffic again
 
 
