--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -68,6 +68,8 @@
 OLD_CONTENT = entries_of(a="1", b="1", c="1")
 NEW_CONTENT = entries_of(a="1", b="2", d="1")  # b is changed, c removed, d added
 OLD_TO_NEW = [Entry("b", b'"2"'), Entry("c", None), Entry("d", b'"1"')]
+OLD_VERSION = version_of(5, OLD_CONTENT)
+NEW_VERSION = version_of(7, NEW_CONTENT)
 
 
 def follower_on_old_content() -> Follower:
@@ -79,8 +81,8 @@
     (nack,) = events
     assert isinstance(nack, Nack)
     assert nack.reason == reason
-    assert nack.applied == version_of(5, OLD_CONTENT)
-    assert follower.applied_version == version_of(5, OLD_CONTENT)
+    assert nack.applied == OLD_VERSION
+    assert follower.applied_version == OLD_VERSION
     assert follower.applied.entries == Content(OLD_CONTENT).entries
 
 
@@ -92,119 +94,149 @@
     base: int | None, parts: list[list[Entry]], budget: int
 ) -> None:
     follower = follower_on_old_content()
-    events = process_slices(follower, slices_of(version_of(7, NEW_CONTENT), base, parts), budget)
+    events = process_slices(follower, slices_of(NEW_VERSION, base, parts), budget)
     applied = [event for event in events if isinstance(event, ApplyEntries)]
     assert all(len(event.entries) <= budget for event in applied)
     assert applied[-1].completes_version
     assert {entry.key for event in applied for entry in event.entries} == {"b", "c", "d"}
-    assert events[-1] == Ack(MEMBERSHIP, version_of(7, NEW_CONTENT))
+    assert events[-1] == Ack(MEMBERSHIP, NEW_VERSION)
     assert follower.applied.entries == Content(NEW_CONTENT).entries
 
 
 def test_a_relay_that_starts_with_a_cached_list_applies_a_delta_on_it() -> None:
-    follower = Follower(
-        MEMBERSHIP, RejectMarkedBodies(), OLD_CONTENT, 5
-    )  # the epoch is not in what it was started with
-    assert process_slices(follower, slices_of(version_of(7, NEW_CONTENT, epoch=9), 5, [OLD_TO_NEW]))[
-        -1
-    ] == Ack(MEMBERSHIP, version_of(7, NEW_CONTENT, epoch=9))
+    follower = Follower(MEMBERSHIP, RejectMarkedBodies(), OLD_CONTENT, 5)  # a cached list has no epoch
+    target = version_of(7, NEW_CONTENT, epoch=9)
+    events = process_slices(follower, slices_of(target, 5, [OLD_TO_NEW]))
+    assert events[-1] == Ack(MEMBERSHIP, target)
 
 
 def test_a_duplicate_version_is_acknowledged_again_and_applied_once() -> None:
     follower = follower_on_old_content()
-    parts = slices_of(version_of(7, NEW_CONTENT), 5, [OLD_TO_NEW[:1], OLD_TO_NEW[1:]])
+    parts = slices_of(NEW_VERSION, 5, [OLD_TO_NEW[:1], OLD_TO_NEW[1:]])
     assert follower.receive(parts[0]) == follower.receive(parts[0]) == []  # a slice twice
     process_slices(follower, parts)
-    assert process_slices(follower, parts) == [Ack(MEMBERSHIP, version_of(7, NEW_CONTENT))]
+    assert process_slices(follower, parts) == [Ack(MEMBERSHIP, NEW_VERSION)]
+
+
+def too_many_slices() -> list[Slice]:
+    return [Slice(MEMBERSHIP, NEW_VERSION, None, 0, 1 << 40, ())]
+
+
+def slice_after_the_last() -> list[Slice]:
+    return [Slice(MEMBERSHIP, NEW_VERSION, None, 3, 2, ())]
 
 
 @pytest.mark.parametrize(
     ("parts", "reason"),
     [
-        (
+        pytest.param(
             slices_of(version_of(4, NEW_CONTENT), None, [NEW_CONTENT]),
             Reason.OLDER,
-        ),  # a machine restored from an old copy
-        (slices_of(version_of(9, NEW_CONTENT, epoch=1), 3, [OLD_TO_NEW]), Reason.WRONG_BASE),
-        (
+            id="older, of a machine restored from a copy",
+        ),
+        pytest.param(
+            slices_of(version_of(9, NEW_CONTENT), 3, [OLD_TO_NEW]), Reason.WRONG_BASE, id="another base"
+        ),
+        pytest.param(
             slices_of(version_of(9, NEW_CONTENT, epoch=2), 5, [OLD_TO_NEW]),
             Reason.WRONG_BASE,
-        ),  # another store's 5
-        (
+            id="the base of another epoch",
+        ),
+        pytest.param(
             slices_of(version_of(5, NEW_CONTENT), None, [NEW_CONTENT]),
             Reason.CONFLICT,
-        ),  # two stores that counted alike
-        (slices_of(version_of(7, NEW_CONTENT), 5, [OLD_TO_NEW[:1], OLD_TO_NEW[1:]])[1:], Reason.GAP),
-        (slices_of(version_of(7, NEW_CONTENT), 5, [OLD_TO_NEW[:1], [], OLD_TO_NEW[1:]])[::2], Reason.GAP),
-        (slices_of(version_of(7, NEW_CONTENT), 5, [OLD_TO_NEW[:2]]), Reason.DIGEST),
-        (slices_of(version_of(7, OLD_CONTENT), 5, [entries_of(a="bad")]), Reason.CHECK),
-        (
+            id="the applied number with another content",
+        ),
+        pytest.param(
+            slices_of(NEW_VERSION, 5, [OLD_TO_NEW[:1], OLD_TO_NEW[1:]])[1:],
+            Reason.GAP,
+            id="without the first slice",
+        ),
+        pytest.param(
+            slices_of(NEW_VERSION, 5, [OLD_TO_NEW[:1], [], OLD_TO_NEW[1:]])[::2],
+            Reason.GAP,
+            id="without the second slice",
+        ),
+        pytest.param(slices_of(NEW_VERSION, 5, [OLD_TO_NEW[:2]]), Reason.DIGEST, id="without an entry"),
+        pytest.param(
+            slices_of(version_of(7, OLD_CONTENT), 5, [entries_of(a="bad")]),
+            Reason.CHECK,
+            id="an entry that fails its check",
+        ),
+        pytest.param(
             slices_of(version_of(7, [*OLD_CONTENT, *entries_of(x="mix")]), 5, [entries_of(x="mix")]),
             Reason.CHECK,
+            id="entries that fail their check together",
+        ),
+        pytest.param(
+            slices_of(NEW_VERSION, 5, [[*OLD_TO_NEW, *OLD_TO_NEW]]), Reason.MALFORMED, id="a key twice"
         ),
-        (
-            slices_of(version_of(7, NEW_CONTENT), 5, [[*OLD_TO_NEW, *OLD_TO_NEW]]),
+        pytest.param(
+            slices_of(NEW_VERSION, None, [OLD_TO_NEW]), Reason.MALFORMED, id="a snapshot that removes"
+        ),
+        pytest.param(
+            slices_of(Version(1, MAX_NUMBER + 1, 0), None, [NEW_CONTENT]),
             Reason.MALFORMED,
-        ),  # a key twice
-        (
-            slices_of(version_of(7, NEW_CONTENT), None, [OLD_TO_NEW]),
+            id="a number out of range",
+        ),
+        pytest.param(
+            slices_of(Version(1, 7, 1 << 128), None, [NEW_CONTENT]),
             Reason.MALFORMED,
-        ),  # a snapshot that removes
-        (slices_of(Version(1, MAX_NUMBER + 1, 0), None, [NEW_CONTENT]), Reason.MALFORMED),
-        (slices_of(Version(1, 7, 1 << 128), None, [NEW_CONTENT]), Reason.MALFORMED),
-        (slices_of(version_of(7, NEW_CONTENT), 7, [OLD_TO_NEW]), Reason.MALFORMED),  # a delta from itself
-        ([Slice(MEMBERSHIP, version_of(7, NEW_CONTENT), None, 0, 1 << 40, ())], Reason.TOO_LARGE),
-        ([Slice(MEMBERSHIP, version_of(7, NEW_CONTENT), None, 3, 2, ())], Reason.MALFORMED),
-        (
-            [Slice(MEMBERSHIP, version_of(7, NEW_CONTENT), None, 0, 1, tuple(NEW_CONTENT * 500))],
+            id="a digest out of range",
+        ),
+        pytest.param(slices_of(NEW_VERSION, 7, [OLD_TO_NEW]), Reason.MALFORMED, id="a delta from itself"),
+        pytest.param(too_many_slices(), Reason.TOO_LARGE, id="too many slices"),
+        pytest.param(slice_after_the_last(), Reason.MALFORMED, id="a slice after the last"),
+        pytest.param(
+            [Slice(MEMBERSHIP, NEW_VERSION, None, 0, 1, tuple(NEW_CONTENT * 500))],
             Reason.TOO_LARGE,
+            id="too many entries in a slice",
+        ),
+        pytest.param(
+            slices_of(NEW_VERSION, 5, [[Entry("a", b"1" * 9000)]]), Reason.TOO_LARGE, id="too large an entry"
         ),
-        (slices_of(version_of(7, NEW_CONTENT), 5, [[Entry("a", b"1" * 9000)]]), Reason.TOO_LARGE),
     ],
 )
 def test_a_rejected_version_leaves_the_last_good_one_applied(parts: list[Slice], reason: Reason) -> None:
     follower = follower_on_old_content()
     assert_rejected(process_slices(follower, parts), reason, follower)
-    assert process_slices(follower, slices_of(version_of(10, NEW_CONTENT), 5, [OLD_TO_NEW]))[-1] == Ack(
-        MEMBERSHIP, version_of(10, NEW_CONTENT)
-    )  # and goes on from there
+    next_version = version_of(10, NEW_CONTENT)
+    events = process_slices(follower, slices_of(next_version, 5, [OLD_TO_NEW]))
+    assert events[-1] == Ack(MEMBERSHIP, next_version)
 
 
 def test_an_older_epoch_is_rejected_and_a_later_one_may_number_anew() -> None:
     follower = Follower(MEMBERSHIP, RejectMarkedBodies(), OLD_CONTENT, 5, epoch=3)
-    (nack,) = process_slices(follower, slices_of(version_of(9, NEW_CONTENT, epoch=2), None, [NEW_CONTENT]))
+    older = version_of(9, NEW_CONTENT, epoch=2)
+    (nack,) = process_slices(follower, slices_of(older, None, [NEW_CONTENT]))
     assert isinstance(nack, Nack)
     assert nack.reason == Reason.OLDER
     assert follower.applied_version.number == 5
-    assert process_slices(follower, slices_of(version_of(2, NEW_CONTENT, epoch=4), None, [NEW_CONTENT]))[
-        -1
-    ] == Ack(MEMBERSHIP, version_of(2, NEW_CONTENT, epoch=4))
+    later = version_of(2, NEW_CONTENT, epoch=4)
+    events = process_slices(follower, slices_of(later, None, [NEW_CONTENT]))
+    assert events[-1] == Ack(MEMBERSHIP, later)
 
 
 def test_an_older_version_is_rejected_while_a_newer_one_is_received() -> None:
     follower = follower_on_old_content()
-    assert (
-        follower.receive(slices_of(version_of(9, NEW_CONTENT), None, [NEW_CONTENT[:1], NEW_CONTENT[1:]])[0])
-        == []
-    )
-    (nack,) = follower.receive(
-        slices_of(version_of(8, OLD_CONTENT), None, [OLD_CONTENT])[0]
-    )  # while 9 comes in
+    newer = version_of(9, NEW_CONTENT)
+    newer_slices = slices_of(newer, None, [NEW_CONTENT[:1], NEW_CONTENT[1:]])
+    (older_slice,) = slices_of(version_of(8, OLD_CONTENT), None, [OLD_CONTENT])
+    assert follower.receive(newer_slices[0]) == []
+    (nack,) = follower.receive(older_slice)
     assert isinstance(nack, Nack)
     assert nack.reason == Reason.OLDER
-    assert process_slices(
-        follower, slices_of(version_of(9, NEW_CONTENT), None, [NEW_CONTENT[:1], NEW_CONTENT[1:]])[1:]
-    )[-1] == Ack(MEMBERSHIP, version_of(9, NEW_CONTENT))
+    assert process_slices(follower, newer_slices[1:])[-1] == Ack(MEMBERSHIP, newer)
 
 
 def test_an_incomplete_snapshot_changes_nothing_and_another_machine_begins_it_anew() -> None:
     follower = follower_on_old_content()
-    parts = slices_of(version_of(7, NEW_CONTENT), None, [NEW_CONTENT[:2], NEW_CONTENT[2:]])
+    parts = slices_of(NEW_VERSION, None, [NEW_CONTENT[:2], NEW_CONTENT[2:]])
     assert process_slices(follower, parts[:1]) == []
     follower.disconnected()
     assert follower.applied.entries == Content(OLD_CONTENT).entries
     assert_rejected(process_slices(follower, parts[1:]), Reason.GAP, follower)
-    assert process_slices(follower, parts)[-1] == Ack(MEMBERSHIP, version_of(7, NEW_CONTENT))
+    assert process_slices(follower, parts)[-1] == Ack(MEMBERSHIP, NEW_VERSION)
 
 
 def test_too_many_entries_are_rejected_before_any_is_checked() -> None:
@@ -213,9 +245,7 @@
         [Entry(f"{group}.{index}", b"1") for index in range(1000)] for group in range(MAX_ENTRIES // 1000 + 1)
     ]
     events = [
-        event
-        for part in slices_of(version_of(7, NEW_CONTENT), None, many_entries)
-        for event in follower.receive(part)
+        event for part in slices_of(NEW_VERSION, None, many_entries) for event in follower.receive(part)
     ]
     assert_rejected(events, Reason.TOO_LARGE, follower)
 
@@ -231,7 +261,7 @@
 def test_a_delta_may_be_received_while_the_version_before_is_applied() -> None:
     follower = follower_on_old_content()
     newest_content = entries_of(a="1", b="2", d="3")
-    assert follower.receive(slices_of(version_of(7, NEW_CONTENT), 5, [OLD_TO_NEW])[0]) == []
+    assert follower.receive(slices_of(NEW_VERSION, 5, [OLD_TO_NEW])[0]) == []
     follower.step()  # checked, not applied
     follower.step(1)
     assert follower.unapplied is not None
@@ -327,10 +357,9 @@
 
 def test_further_slices_of_a_rejected_version_are_not_answered() -> None:
     follower = follower_on_old_content()
-    parts = slices_of(version_of(9, NEW_CONTENT), 3, [OLD_TO_NEW[:1], OLD_TO_NEW[1:2], OLD_TO_NEW[2:]])
-    assert_rejected(
-        process_slices(follower, parts), Reason.WRONG_BASE, follower
-    )  # a second NACK would be taken for the snapshot's that follows
-    assert process_slices(
-        follower, slices_of(version_of(9, NEW_CONTENT), None, [NEW_CONTENT[:1], NEW_CONTENT[1:]])
-    )[-1] == Ack(MEMBERSHIP, version_of(9, NEW_CONTENT))
+    target = version_of(9, NEW_CONTENT)
+    delta_on_another_base = slices_of(target, 3, [OLD_TO_NEW[:1], OLD_TO_NEW[1:2], OLD_TO_NEW[2:]])
+    # a second NACK would be taken for an answer to the snapshot that follows
+    assert_rejected(process_slices(follower, delta_on_another_base), Reason.WRONG_BASE, follower)
+    snapshot = slices_of(target, None, [NEW_CONTENT[:1], NEW_CONTENT[1:]])
+    assert process_slices(follower, snapshot)[-1] == Ack(MEMBERSHIP, target)
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -79,37 +79,40 @@
     assert status_report(publisher).lowest == source.version.number
 
 
-def test_without_a_base_it_is_a_snapshot_in_slices_of_bounded_size() -> None:
+@pytest.mark.parametrize(
+    "applied", [pytest.param(NO_VERSION, id="nothing"), pytest.param(Version(1, 1, 77), id="another content")]
+)
+def test_without_a_base_it_is_a_snapshot_in_slices_of_bounded_size(applied: Version) -> None:
     source = VersionSource(2000)
     publisher = source.publisher
-    for held in NO_VERSION, Version(1, 1, 77), Version(3, 1, 0):
-        if held.epoch > 1:
-            with pytest.raises(MachineBehindError):
-                publisher.subscribe("r", held)
-            continue
-        publisher.subscribe("r", held)
-        parts = next_slices(publisher)
-        assert [part.index for part in parts] == list(range(len(parts)))
-        assert parts[0].count == len(parts) > 1
-        assert all(part.base is None for part in parts)
-        assert all(
-            sum(len(entry.key) + len(entry.body or b"") for entry in part.entries) <= SLICE_BYTES
-            for part in parts
-        )
-        assert {entry.key for part in parts for entry in part.entries} == set(source.content.entries)
+    publisher.subscribe("r", applied)
+    parts = next_slices(publisher)
+    assert [part.index for part in parts] == list(range(len(parts)))
+    assert parts[0].count == len(parts) > 1
+    assert all(part.base is None for part in parts)
+    assert all(
+        sum(len(entry.key) + len(entry.body or b"") for entry in part.entries) <= SLICE_BYTES
+        for part in parts
+    )
+    assert {entry.key for part in parts for entry in part.entries} == set(source.content.entries)
 
 
 def test_a_cached_list_without_an_epoch_is_a_base_where_its_digest_fits() -> None:
     source = VersionSource()
-    known = Version(0, 1, source.version.digest)
+    cached = Version(0, 1, source.version.digest)
     source.change(s0=b"1")
-    source.publisher.subscribe("r", known)
+    source.publisher.subscribe("r", cached)
     assert [part.base for part in next_slices(source.publisher)] == [1]
 
 
-def test_a_machine_that_is_behind_does_not_serve_the_relay() -> None:
+@pytest.mark.parametrize(
+    "applied",
+    [pytest.param(Version(1, 2, 5), id="a later number"), pytest.param(Version(3, 1, 0), id="a later epoch")],
+)
+def test_a_machine_that_is_behind_does_not_serve_the_relay(applied: Version) -> None:
+    publisher = VersionSource().publisher
     with pytest.raises(MachineBehindError):
-        VersionSource().publisher.subscribe("r", Version(1, 2, 5))
+        publisher.subscribe("r", applied)
 
 
 @pytest.mark.parametrize(
@@ -124,9 +127,7 @@
     assert source.publisher.newest == source.version
 
 
-def test_a_rejected_version_is_not_sent_again_and_a_delta_that_does_not_fit_is_followed_by_one_snapshot() -> (
-    None
-):
+def test_a_rejected_version_is_not_sent_again() -> None:
     source = VersionSource()
     publisher = source.publisher
     first = source.version
@@ -136,11 +137,24 @@
     publisher.record_answer("r", Nack(MEMBERSHIP, second, Reason.CHECK, "bad", first))
     assert next_slices(publisher) == []
     assert status_report(publisher).rejections == ("r: check: bad",)
-    third = source.change(s0=b"2")
+    source.change(s0=b"2")
+    assert [part.base for part in next_slices(publisher)] == [1]
+
+
+def test_a_delta_that_does_not_fit_is_followed_by_one_snapshot() -> None:
+    source = VersionSource()
+    publisher = source.publisher
+    first = source.version
+    publisher.subscribe("r", first)
+    source.change(s0=b"1")
+    rejected = publisher.newest
     assert [part.base for part in next_slices(publisher)] == [1]
-    publisher.record_answer("r", Nack(MEMBERSHIP, third, Reason.DIGEST, "", first))
+    publisher.record_answer("r", Nack(MEMBERSHIP, rejected, Reason.CHECK, "bad", first))
+    newest = source.change(s0=b"2")
+    assert [part.base for part in next_slices(publisher)] == [1]
+    publisher.record_answer("r", Nack(MEMBERSHIP, newest, Reason.DIGEST, "", first))
     assert [part.base for part in next_slices(publisher)] == [None]
-    publisher.record_answer("r", Nack(MEMBERSHIP, third, Reason.DIGEST, "", first))
+    publisher.record_answer("r", Nack(MEMBERSHIP, newest, Reason.DIGEST, "", first))
     assert next_slices(publisher) == []
 
 
@@ -188,10 +202,8 @@
 
 
 def test_relays_of_a_machine_that_dies_halfway_converge_at_another_one() -> None:
-    source, relays = (
-        VersionSource(),
-        {f"r{number}": Follower(MEMBERSHIP, AcceptEverything()) for number in range(4)},
-    )
+    source = VersionSource()
+    relays = {f"r{number}": Follower(MEMBERSHIP, AcceptEverything()) for number in range(4)}
     machines = [
         ControlMachine({MEMBERSHIP: Publisher(MEMBERSHIP, source.version, source.entries())})
         for _ in range(2)
@@ -199,9 +211,9 @@
     for name, relay in relays.items():
         machines[0].connect(name, {MEMBERSHIP: relay.applied_version}, 0)
         serve_relay(machines[0], name, relay)
-    now = source.change(s0=b"1")
+    newest = source.change(s0=b"1")
     for machine in machines:
-        machine.publishers[MEMBERSHIP].publish(Change(now, {"s0": b"1"}))
+        machine.publishers[MEMBERSHIP].publish(Change(newest, {"s0": b"1"}))
     for name in ("r0", "r1"):
         serve_relay(machines[0], name, relays[name])
     assert [relay.applied_version.number for relay in relays.values()] == [2, 2, 1, 1]
@@ -210,23 +222,26 @@
         relay.disconnected()
         machines[1].connect(name, {MEMBERSHIP: relay.applied_version}, 0)
         answers[name] = serve_relay(machines[1], name, relay)
-    assert answers == {"r0": [], "r1": [], "r2": [Ack(MEMBERSHIP, now)], "r3": [Ack(MEMBERSHIP, now)]}
-    assert {relay.applied_version for relay in relays.values()} == {now}
+    ack = Ack(MEMBERSHIP, newest)
+    assert answers == {"r0": [], "r1": [], "r2": [ack], "r3": [ack]}
+    assert {relay.applied_version for relay in relays.values()} == {newest}
 
 
 def test_two_stores_with_the_same_number_conflict_until_one_begins_a_new_epoch() -> None:
-    ours, theirs, relay = VersionSource(), VersionSource(), Follower(MEMBERSHIP, AcceptEverything())
+    ours = VersionSource()
+    theirs = VersionSource()
+    relay = Follower(MEMBERSHIP, AcceptEverything())
     ours.change(s0=b"ours")
-    held = theirs.change(s0=b"theirs")
+    applied = theirs.change(s0=b"theirs")
     machine = ControlMachine({MEMBERSHIP: theirs.publisher})
     machine.connect("r", {}, 0)
-    assert serve_relay(machine, "r", relay) == [Ack(MEMBERSHIP, held)]
+    assert serve_relay(machine, "r", relay) == [Ack(MEMBERSHIP, applied)]
     machine = ControlMachine({MEMBERSHIP: ours.publisher})
     machine.connect("r", {MEMBERSHIP: relay.applied_version}, 0)
     (nack,) = serve_relay(machine, "r", relay)
     assert isinstance(nack, Nack)
     assert nack.reason == Reason.CONFLICT
-    assert relay.applied_version == held
+    assert relay.applied_version == applied
     ours.publisher.load(Version(2, 1, ours.content.digest), ours.entries())
     machine.connect("r", {MEMBERSHIP: relay.applied_version}, 0)
     assert serve_relay(machine, "r", relay) == [Ack(MEMBERSHIP, Version(2, 1, ours.content.digest))]
@@ -244,8 +259,8 @@
             continue
         bucket.charge(size)
         sent_us.append(now_us)
-    most = max(sum(at <= other < at + 10 * SECOND_US for other in sent_us) * size for at in sent_us)
-    assert most <= 95_000
+    most_bytes = max(sum(at <= other < at + 10 * SECOND_US for other in sent_us) * size for at in sent_us)
+    assert most_bytes <= 95_000
     assert len(sent_us) * size > 0.95 * 60 * 7_500
 
 
@@ -275,17 +290,16 @@
     for number in range(9):
         publisher.subscribe(f"r{number}", first)
     staged = source.change(staged=True, s0=b"1")
-    got = {relay for relay in publisher.sessions if next_slices(publisher, relay)}
+    canaries = {relay for relay in publisher.sessions if next_slices(publisher, relay)}
     assert publisher.stage is not None
-    assert got == set(publisher.stage.canaries)
-    assert len(got) == 1
+    assert canaries == set(publisher.stage.canaries)
+    assert len(canaries) == 1
     publisher.subscribe("late", NO_VERSION)
-    late = next_slices(publisher, "late")
-    assert {part.target for part in late} == {first}  # a relay without a base starts on what is released
+    without_base = next_slices(publisher, "late")
+    assert {part.target for part in without_base} == {first}  # it starts on what is released
     publisher.release(staged.number)
-    assert {relay for relay in publisher.sessions if next_slices(publisher, relay)} == set(
-        publisher.sessions
-    ) - got - {"late"}
+    others = set(publisher.sessions) - canaries - {"late"}
+    assert {relay for relay in publisher.sessions if next_slices(publisher, relay)} == others
 
 
 def test_a_withdrawn_version_is_replaced_by_a_later_one() -> None:
@@ -298,21 +312,24 @@
     publisher.record_answer("r", Ack(MEMBERSHIP, staged))
     for number in range(9):
         publisher.subscribe(f"r{number}", first)
-    back = source.change(staged=True, s0=b"0")
-    publisher.release(back.number)
-    assert [(part.base, part.target) for part in next_slices(publisher)] == [(staged.number, back)]
+    reverted = source.change(staged=True, s0=b"0")
+    publisher.release(reverted.number)
+    assert [(part.base, part.target) for part in next_slices(publisher)] == [(staged.number, reverted)]
     assert all(
-        [part.target for part in next_slices(publisher, f"r{number}")] == [back] for number in range(9)
+        [part.target for part in next_slices(publisher, f"r{number}")] == [reverted] for number in range(9)
     )
 
 
 STAGED_VERSION = Version(1, 2, 3)
-ACK, NACK = Ack(MEMBERSHIP, STAGED_VERSION), Nack(MEMBERSHIP, STAGED_VERSION, Reason.CHECK, "bad", NO_VERSION)
+ACK = Ack(MEMBERSHIP, STAGED_VERSION)
+NACK = Nack(MEMBERSHIP, STAGED_VERSION, Reason.CHECK, "bad", NO_VERSION)
 
 
 def stage_verdict(*events: tuple[str, Ack | Nack | None, int]) -> tuple[Verdict, str]:
     """Two canaries; each event is a relay, its answer (None: it leaves), and how many of 100 it failed."""
-    stage, coordinator, now = CanaryStage(STAGED_VERSION), RolloutCoordinator(), 0
+    stage = CanaryStage(STAGED_VERSION)
+    coordinator = RolloutCoordinator()
+    now_us = 0
     stage.choose_canaries(["a", "b"])
     for count, (relay, answer, failed) in enumerate(events, 1):
         if answer is None:
@@ -321,24 +338,37 @@
             stage.record_answer(relay, answer, ServiceTotals(100 * count - failed, failed))
     while True:
         report = replace(status_report(VersionSource().publisher), stage=stage.report())
-        (found,) = coordinator.decide({"c": [report]}, now)
-        if found.verdict is not Verdict.WAIT:
-            return found.verdict, found.reason
-        now += 100_000
-        assert now <= MAX_STAGE_US + OBSERVATION_US
+        (decision,) = coordinator.decide({"c": [report]}, now_us)
+        if decision.verdict is not Verdict.WAIT:
+            return decision.verdict, decision.reason
+        now_us += 100_000
+        assert now_us <= MAX_STAGE_US + OBSERVATION_US
 
 
 @pytest.mark.parametrize(
     ("events", "verdict", "reason"),
     [
-        ([("a", ACK, 0), ("b", ACK, 0)], Verdict.RELEASE, ""),
-        ([("a", ACK, 0)], Verdict.HALT, "not in force at b"),
-        ([("a", ACK, 0), ("b", NACK, 0)], Verdict.HALT, "b: check: bad"),
-        ([("a", ACK, 5), ("b", ACK, 0), ("a", ACK, 10)], Verdict.RELEASE, ""),
-        ([("a", ACK, 5), ("b", ACK, 0), ("a", ACK, 60)], Verdict.HALT, "a: its service fell"),
-        ([("a", ACK, 0), ("b", ACK, 0), ("b", None, 0)], Verdict.HALT, "b: lost"),
-        ([("b", None, 0), ("a", ACK, 0)], Verdict.RELEASE, ""),
-        ([("a", None, 0), ("b", None, 0)], Verdict.HALT, "any relay"),
+        pytest.param([("a", ACK, 0), ("b", ACK, 0)], Verdict.RELEASE, "", id="all apply it"),
+        pytest.param([("a", ACK, 0)], Verdict.HALT, "not in force at b", id="one is pending"),
+        pytest.param([("a", ACK, 0), ("b", NACK, 0)], Verdict.HALT, "b: check: bad", id="one rejects it"),
+        pytest.param(
+            [("a", ACK, 5), ("b", ACK, 0), ("a", ACK, 10)], Verdict.RELEASE, "", id="one serves as before"
+        ),
+        pytest.param(
+            [("a", ACK, 5), ("b", ACK, 0), ("a", ACK, 60)],
+            Verdict.HALT,
+            "a: its service fell",
+            id="one serves worse",
+        ),
+        pytest.param(
+            [("a", ACK, 0), ("b", ACK, 0), ("b", None, 0)], Verdict.HALT, "b: lost", id="one is lost with it"
+        ),
+        pytest.param(
+            [("b", None, 0), ("a", ACK, 0)], Verdict.RELEASE, "", id="one leaves before it applies it"
+        ),
+        pytest.param(
+            [("a", None, 0), ("b", None, 0)], Verdict.HALT, "any relay", id="all leave before they apply it"
+        ),
     ],
 )
 def test_the_canary_stage_decides_on_a_release(
