--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -306,11 +306,17 @@
         assert follower.applied.digest == version_of(1, applied).digest
 
 
-def test_zones_of_the_applied_list_change_only_at_a_restart() -> None:
+@pytest.mark.parametrize(
+    ("zones", "fault"),
+    [
+        pytest.param(["a", "b"], "", id="the same"),
+        pytest.param(["b", "a"], "zones change only at a restart", id="another order"),
+    ],
+)
+def test_zones_of_the_applied_list_change_only_at_a_restart(zones: list[str], fault: str) -> None:
     check = RelayCheck(lambda: settings(zone_names=["a", "b"]))
-    for zones, fault in (["a", "b"], ""), (["b", "a"], "zones change only at a restart"):
-        new = {entry.key: entry.body for entry in settings_entries(zones=zones)}
-        assert check.check_version(Resource.SETTINGS, {}, new) == fault
+    new = {entry.key: entry.body for entry in settings_entries(zones=zones)}
+    assert check.check_version(Resource.SETTINGS, {}, new) == fault
 
 
 @pytest.mark.parametrize(
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -14,7 +14,7 @@
 from gannetweir.control.status_report import merge_reports, status_report
 from gannetweir.control.token_bucket import TokenBucket
 from gannetweir.control.version_history import SLICE_BYTES
-from gannetweir.control.version_log import Change, VersionLog
+from gannetweir.control.version_log import MAX_VERSIONS, Change, VersionLog
 from gannetweir.control.versions import (
     NO_VERSION,
     Ack,
@@ -399,7 +399,8 @@
 def changes_after_start(count: int) -> tuple[Version, list[Change], Publisher]:
     """A version, the store's changes after it, and a machine that started after all of them."""
     source = VersionSource()
-    first, log = source.version, VersionLog(source.version)
+    first = source.version
+    log = VersionLog(first)
     for number in range(count):
         log.add(Change(source.change(s0=b"%d" % number), {"s0": b"%d" % number}))
     return first, list(log.changes), Publisher(MEMBERSHIP, source.version, source.entries())
@@ -415,24 +416,29 @@
     publisher.subscribe("r", first)
     publisher.subscribe("between", changes[0].version)
     assert not publisher.history.is_compacted(first)
-    for relay, held in (("r", first), ("between", changes[0].version)):
+    for relay, applied in (("r", first), ("between", changes[0].version)):
         (part,) = next_slices(publisher, relay)
-        assert part.base == held.number
+        assert part.base == applied.number
         assert [entry.body for entry in part.entries] == [b"2"]
 
 
-@pytest.mark.parametrize("fault", ["a gap at the end", "none", "from a later version", "more than is kept"])
-def test_changes_that_do_not_lead_to_a_machines_start_are_left_out(fault: str) -> None:
+@pytest.mark.parametrize(
+    ("base_index", "changes_used", "max_versions"),
+    [
+        pytest.param(0, slice(0, -1), MAX_VERSIONS, id="a gap at the end"),
+        pytest.param(0, slice(0, 0), MAX_VERSIONS, id="none"),
+        pytest.param(3, slice(0, 3), MAX_VERSIONS, id="from a later version"),
+        pytest.param(0, slice(0, 3), 2, id="more than the log's limit"),
+    ],
+)
+def test_changes_that_do_not_lead_to_a_machines_start_are_left_out(
+    base_index: int, changes_used: slice, max_versions: int
+) -> None:
     first, changes, publisher = changes_after_start(3)
-    if fault == "a gap at the end":
-        changes = changes[:-1]
-    elif fault == "none":
-        changes = []
-    elif fault == "from a later version":
-        first = changes[-1].version
-    else:
-        publisher.history.log.max_versions = 2
-    publisher.history.extend_back(first, changes)
-    assert publisher.history.log.oldest == publisher.newest
-    assert not publisher.history.log.changes
-    assert publisher.history.log.digest_by_number == {publisher.newest.number: publisher.newest.digest}
+    base = [first, *(change.version for change in changes)][base_index]
+    log = publisher.history.log
+    log.max_versions = max_versions
+    publisher.history.extend_back(base, changes[changes_used])
+    assert log.oldest == publisher.newest
+    assert not log.changes
+    assert log.digest_by_number == {publisher.newest.number: publisher.newest.digest}
