--- a/gannetweir/config/settings.py
+++ b/gannetweir/config/settings.py
@@ -7,7 +7,6 @@
 
 import math
 from collections.abc import Callable, Iterator, Mapping
-from dataclasses import dataclass
 from typing import Any
 
 import orjson
@@ -52,12 +51,17 @@
     return is_list
 
 
-@dataclass(frozen=True, slots=True)
 class SettingKey:
-    """Where a setting stands in the JSON (names joined by dots), and the type it has there."""
+    """Where a setting stands in the JSON (names joined by dots), and the check of the type it has there.
 
-    path: str
-    has_type: TypeCheck
+    A plain class: every start makes these, and a dataclass would cost more than all of them.
+    """
+
+    __slots__ = ("has_type", "path")
+
+    def __init__(self, path: str, has_type: TypeCheck) -> None:
+        self.path = path
+        self.has_type = has_type
 
 
 # By the field of `Settings` that takes the value.
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -1,10 +1,10 @@
-"""Addresses, the order in which they are tried, what is learnt of them, and the race between them."""
+"""Addresses, the order in which they are tried, their health, and the race between them."""
 
 import contextlib
 import os
 import random
 import socket
-from collections.abc import Iterator
+from collections.abc import Iterator, Sequence
 from pathlib import Path
 from types import SimpleNamespace
 
@@ -19,6 +19,7 @@
 from gannetweir.addresses.connection_race import (
     CloseConnection,
     ConnectionRace,
+    RaceAction,
     RaceLost,
     RaceWon,
     SetTimer,
@@ -89,19 +90,17 @@
 
 
 @pytest.mark.parametrize(("text", "shown"), GOOD.items())
-def test_a_literal_is_read_to_its_shortest_form(text: str, shown: str) -> None:
+def test_a_literal_is_parsed_to_its_shortest_form(text: str, shown: str) -> None:
     assert str(parse_address(text)) == shown
     assert parse_address(str(parse_address(text))) == parse_address(text)
 
 
 @pytest.mark.parametrize("text", BAD)
-def test_anything_else_is_refused_with_what_is_allowed(text: str) -> None:
+def test_a_malformed_literal_is_rejected_with_what_is_allowed(text: str) -> None:
     with pytest.raises(AddressError, match=r"\w{3}"):
         parse_address(text)
 
 
-# ---- in the operators' file
-
 HEAD = "gannetweir version=1\n"
 END = "\ndefault {\n}\n"
 WRONG = {
@@ -129,155 +128,155 @@
     "a family twice": ('reach {\n prefer "unix" "unix"\n}', 3, ["same value twice"]),
     "a fallback over the connect time-out": ('reach {\n fallback "200ms"\n}', 0, ["200ms", "125ms"]),
     "a server without a name": ("server {\n}", 2, ["#null"]),
-    "a path too long": (f'server "a" {{\n address "unix:/{"x" * 110}"\n}}', 2, ["107 bytes"]),
+    "a socket path too long": (f'server "a" {{\n address "unix:/{"x" * 110}"\n}}', 2, ["107 bytes"]),
 }
 
 
 @pytest.mark.parametrize(("body", "line", "words"), WRONG.values(), ids=WRONG.keys())
-def test_what_is_wrong_is_told_at_load(body: str, line: int, words: list[str]) -> None:
+def test_a_wrong_address_section_is_rejected_with_its_line(body: str, line: int, words: list[str]) -> None:
     from tests.test_operators_file import LIMITS, SETTINGS
 
     with pytest.raises(OperatorsFileError) as caught:
         parse_operators_file(HEAD + body + END, SETTINGS, LIMITS, endpoint_names=["a", "b"])
     found = [m for m in caught.value.mistakes if all(word in m.text("f") for word in words)]
-    assert found and (not line or found[0].line == line), str(caught.value)
+    assert found, str(caught.value)
+    assert not line or found[0].line == line, str(caught.value)
 
 
-def test_addresses_come_from_the_file_then_from_discovery() -> None:
+def test_addresses_of_the_file_come_before_those_that_discovery_lists() -> None:
     body = f'server "a" {{\n address "{V6}" "{UNIX}"\n}}\n'
     body += 'server "s-*" {\n address "unix:/r/{host}"\n dial #false\n}'
-    _, reach = parse_operators_file(HEAD + body + END)
-    assert reach is not None
-    assert [str(a) for a in reach.addresses_of("a", V4)] == [V6, UNIX, V4]
-    assert [str(a) for a in reach.addresses_of("s-7", V4)] == ["unix:/r/s-7"]
-    assert [str(a) for a in reach.addresses_of("b", V4, [V6, V4, "nonsense"])] == [V6, V4]
-
-
-# ---- the order and what is learnt
+    _, rules = parse_operators_file(HEAD + body + END)
+    assert rules is not None
+    assert [str(a) for a in rules.addresses_of("a", V4)] == [V6, UNIX, V4]
+    assert [str(a) for a in rules.addresses_of("s-7", V4)] == ["unix:/r/s-7"]
+    assert [str(a) for a in rules.addresses_of("b", V4, [V6, V4, "nonsense"])] == [V6, V4]
 
 
-def paths_of(*texts: str, **changes: object) -> AddressSelector:
-    paths = AddressSelector(AddressRules(**changes), 1, 250 * MS)  # type: ignore[arg-type]
-    paths.update_endpoint("a", texts[0], texts[1:])
-    return paths
+def selector_of(*texts: str, **changes: object) -> AddressSelector:
+    selector = AddressSelector(AddressRules(**changes), 1, 250 * MS)  # type: ignore[arg-type]
+    selector.update_endpoint("a", texts[0], texts[1:])
+    return selector
 
 
-def shown(paths: AddressSelector, now: int = SECOND, probe: bool = False) -> list[str]:
-    return [str(a) for a in paths.ordered_addresses("a", now, probe)]
+def shown(selector: AddressSelector, now: int = SECOND, probe: bool = False) -> list[str]:
+    return [str(a) for a in selector.ordered_addresses("a", now, probe)]
 
 
-def test_families_take_turns_by_preference() -> None:
+def test_families_are_interleaved_by_preference() -> None:
     more = "10.1.0.19:8080", "[fd00::19]:8080"
-    paths = paths_of(V4, more[0], V6, more[1], UNIX)
-    # what discovery tells as `dial` is the last of its family
-    assert shown(paths) == [UNIX, V6, more[0], more[1], V4]
-    paths = paths_of(V4, more[0], V6, more[1], UNIX, family_preference=("ipv4", "unix"))
-    assert shown(paths)[:3] == [more[0], UNIX, V6]
+    selector = selector_of(V4, more[0], V6, more[1], UNIX)
+    # what discovery lists as `dial` is the last of its family
+    assert shown(selector) == [UNIX, V6, more[0], more[1], V4]
+    selector = selector_of(V4, more[0], V6, more[1], UNIX, family_preference=("ipv4", "unix"))
+    assert shown(selector)[:3] == [more[0], UNIX, V6]
 
 
-def test_a_much_slower_path_goes_behind_a_quicker_one() -> None:
-    paths = paths_of(V4, V6)
+def test_an_address_that_connects_much_slower_goes_behind() -> None:
+    selector = selector_of(V4, V6)
     for _ in range(8):
-        paths.record_connected("a", parse_address(V6), 2 * MS)
-        paths.record_connected("a", parse_address(V4), MS)
-    assert shown(paths) == [V6, V4]  # no more than twice as slow: the preference holds
+        selector.record_connected("a", parse_address(V6), 2 * MS)
+        selector.record_connected("a", parse_address(V4), MS)
+    assert shown(selector) == [V6, V4]  # no more than twice as slow: the preference holds
     for _ in range(20):
-        paths.record_connected("a", parse_address(V6), 60 * MS)
-    assert shown(paths) == [V4, V6]
+        selector.record_connected("a", parse_address(V6), 60 * MS)
+    assert shown(selector) == [V4, V6]
 
 
-def test_a_path_that_connects_alike_but_answers_late_goes_behind() -> None:
-    paths = paths_of(V4, V6, UNIX)
+def test_an_address_that_responds_much_slower_goes_behind() -> None:
+    selector = selector_of(V4, V6, UNIX)
     for n in range(4):
         for text, took in ((UNIX, 151 * MS), (V6, 2 * MS), (V4, MS)):
-            paths.record_connected("a", parse_address(text), MS)
-            paths.record_response("a", parse_address(text), SECOND + n, took)
-    assert shown(paths) == [V6, V4, UNIX]  # 2 ms are as good as 1
+            selector.record_connected("a", parse_address(text), MS)
+            selector.record_response("a", parse_address(text), SECOND + n, took)
+    assert shown(selector) == [V6, V4, UNIX]  # 2 ms are as good as 1
     for n in range(12):
-        paths.record_response("a", parse_address(UNIX), 2 * SECOND + n, MS)
-    assert shown(paths) == [UNIX, V6, V4]
+        selector.record_response("a", parse_address(UNIX), 2 * SECOND + n, MS)
+    assert shown(selector) == [UNIX, V6, V4]
 
 
-def test_a_broken_path_comes_last_and_is_tried_again_by_one_at_a_time() -> None:
-    paths, now = paths_of(V4, V6, UNIX), SECOND
-    paths.record_connect_failure("a", parse_address(UNIX), now)
-    assert shown(paths, now) == [V6, V4, UNIX]
+def test_an_unhealthy_address_comes_last_and_is_retried_by_one_at_a_time() -> None:
+    selector, now = selector_of(V4, V6, UNIX), SECOND
+    selector.record_connect_failure("a", parse_address(UNIX), now)
+    assert shown(selector, now) == [V6, V4, UNIX]
     later = now + 600 * MS
-    assert shown(paths, later) == [UNIX, V6, V4]  # due: this one tries it
-    assert shown(paths, later) == [V6, V4, UNIX]  # and no other at the same time
+    assert shown(selector, later) == [UNIX, V6, V4]  # due: this one tries it
+    assert shown(selector, later) == [V6, V4, UNIX]  # and no other at the same time
     for n in range(20):
-        paths.record_connect_failure("a", parse_address(UNIX), later + n)
-    assert shown(paths, later + 4 * SECOND + MS)[0] == UNIX  # within the bound, however often it failed
-    paths.record_response("a", parse_address(UNIX), later + 5 * SECOND)
-    assert shown(paths, later + 5 * SECOND) == [UNIX, V6, V4]
+        selector.record_connect_failure("a", parse_address(UNIX), later + n)
+    assert shown(selector, later + 4 * SECOND + MS)[0] == UNIX  # within the bound, however often it failed
+    selector.record_response("a", parse_address(UNIX), later + 5 * SECOND)
+    assert shown(selector, later + 5 * SECOND) == [UNIX, V6, V4]
 
 
-def test_where_all_are_broken_all_are_tried() -> None:
-    paths = paths_of(V4, V6)
+def test_where_all_addresses_are_unhealthy_all_are_tried() -> None:
+    selector = selector_of(V4, V6)
     for text in (V4, V6):
-        paths.record_connect_failure("a", parse_address(text), SECOND)
-    assert sorted(shown(paths, SECOND)) == sorted([V4, V6])
+        selector.record_connect_failure("a", parse_address(text), SECOND)
+    assert sorted(shown(selector, SECOND)) == sorted([V4, V6])
 
 
-def test_probes_go_round_the_sound_paths() -> None:
-    paths = paths_of(V4, V6, UNIX)
+def test_load_probes_go_round_the_healthy_addresses() -> None:
+    selector = selector_of(V4, V6, UNIX)
     seen = []
     for n in range(6):
-        first = paths.ordered_addresses("a", SECOND + n, for_probe=True)[0]
-        paths.record_response("a", first, SECOND + n)
+        first = selector.ordered_addresses("a", SECOND + n, for_probe=True)[0]
+        selector.record_response("a", first, SECOND + n)
         seen.append(str(first))
     assert sorted(seen[:3]) == sorted(seen[3:]) == sorted([V4, V6, UNIX])
 
 
-def test_a_silent_path_is_to_blame_only_while_another_is_sound() -> None:
-    paths = paths_of(V4, V6)
-    paths.record_response("a", parse_address(V4), SECOND)
-    assert paths.record_no_response("a", parse_address(V6), 2 * SECOND)
-    assert not paths.record_no_response("a", parse_address(V4), 3 * SECOND)  # none is left: it is the server
-    paths = paths_of(V4, V6)
-    paths.record_response("a", parse_address(V4), SECOND)
-    assert not paths.record_no_response(
+def test_an_address_is_at_fault_for_silence_only_while_another_may_be_alive() -> None:
+    selector = selector_of(V4, V6)
+    selector.record_response("a", parse_address(V4), SECOND)
+    assert selector.record_no_response("a", parse_address(V6), 2 * SECOND)
+    assert not selector.record_no_response("a", parse_address(V4), 3 * SECOND)
+    selector = selector_of(V4, V6)
+    selector.record_response("a", parse_address(V4), SECOND)
+    assert not selector.record_no_response(
         "a", parse_address(V6), 60 * SECOND
-    )  # what was heard long ago says nothing
-    assert not paths_of(V4).record_no_response("a", parse_address(V4), SECOND)
-    assert not paths_of(V4).record_no_response("b", parse_address(V4), SECOND)
-
-
-def test_a_connect_that_was_overtaken_is_broken_only_if_it_had_long_enough() -> None:
-    paths = paths_of(V4, V6)
-    paths.record_connected("a", parse_address(V6), 20 * MS)
-    paths.record_lost_race("a", parse_address(V6), 40 * MS, SECOND)
-    assert not paths.states_by_endpoint["a"][parse_address(V6)].is_unhealthy
-    paths.record_lost_race("a", parse_address(V6), 90 * MS, SECOND)
-    assert paths.states_by_endpoint["a"][parse_address(V6)].is_unhealthy
-
-
-def test_a_reload_adds_and_takes_addresses_and_keeps_what_was_learnt() -> None:
-    paths = paths_of(V4, V6)
-    paths.record_connect_failure("a", parse_address(V4), SECOND)
-    paths.apply_rules(AddressRules((EndpointRule("a", (UNIX,)),)), 250 * MS)
-    assert paths.states_by_endpoint["a"][parse_address(V4)].is_unhealthy
-    assert shown(paths)[0] == UNIX
-    paths.apply_rules(AddressRules((EndpointRule("a", (UNIX,), includes_listed_addresses=False),)), 250 * MS)
-    assert shown(paths) == [UNIX]
-    paths.record_connect_failure("a", parse_address(V4), SECOND)  # news of one that is gone
-    paths.record_response("a", parse_address(V4), SECOND)
-    paths.remove_endpoint("a")
-    assert shown(paths) == []
-    assert not paths.selects_address("a")
-
-
-def test_an_address_that_another_server_has_is_not_this_ones() -> None:
-    paths = paths_of(V4, V6)
-    paths.update_endpoint("b", UNIX, (V6,))
-    assert [str(a) for a in paths.ordered_addresses("b", 0)] == [UNIX]
-    paths.remove_endpoint("a")
-    paths.update_endpoint("b", UNIX, (V6, V4))
-    assert len(paths.ordered_addresses("b", 0)) == 3
-
-
-def test_a_reload_may_swap_the_addresses_of_two_servers() -> None:
-    def named(a: str, b: str) -> AddressRules:
+    )  # what was long ago says nothing
+    assert not selector_of(V4).record_no_response("a", parse_address(V4), SECOND)
+    assert not selector_of(V4).record_no_response("b", parse_address(V4), SECOND)
+
+
+def test_a_connect_that_lost_a_race_counts_as_failed_only_if_it_had_long_enough() -> None:
+    selector = selector_of(V4, V6)
+    selector.record_connected("a", parse_address(V6), 20 * MS)
+    selector.record_lost_race("a", parse_address(V6), 40 * MS, SECOND)
+    assert not selector.states_by_endpoint["a"][parse_address(V6)].is_unhealthy
+    selector.record_lost_race("a", parse_address(V6), 90 * MS, SECOND)
+    assert selector.states_by_endpoint["a"][parse_address(V6)].is_unhealthy
+
+
+def test_a_reload_adds_and_removes_addresses_and_keeps_their_states() -> None:
+    selector = selector_of(V4, V6)
+    selector.record_connect_failure("a", parse_address(V4), SECOND)
+    selector.apply_rules(AddressRules((EndpointRule("a", (UNIX,)),)), 250 * MS)
+    assert selector.states_by_endpoint["a"][parse_address(V4)].is_unhealthy
+    assert shown(selector)[0] == UNIX
+    selector.apply_rules(
+        AddressRules((EndpointRule("a", (UNIX,), includes_listed_addresses=False),)), 250 * MS
+    )
+    assert shown(selector) == [UNIX]
+    selector.record_connect_failure("a", parse_address(V4), SECOND)  # an event of a removed one
+    selector.record_response("a", parse_address(V4), SECOND)
+    selector.remove_endpoint("a")
+    assert shown(selector) == []
+    assert not selector.selects_address("a")
+
+
+def test_an_address_belongs_to_one_endpoint() -> None:
+    selector = selector_of(V4, V6)
+    selector.update_endpoint("b", UNIX, (V6,))
+    assert [str(a) for a in selector.ordered_addresses("b", 0)] == [UNIX]
+    selector.remove_endpoint("a")
+    selector.update_endpoint("b", UNIX, (V6, V4))
+    assert len(selector.ordered_addresses("b", 0)) == 3
+
+
+def test_a_reload_may_swap_the_addresses_of_two_endpoints() -> None:
+    def rules_for(a: str, b: str) -> AddressRules:
         return AddressRules(
             (
                 EndpointRule("a", (a, UNIX), includes_listed_addresses=False),
@@ -285,55 +284,54 @@
             )
         )
 
-    paths = AddressSelector(named(V4, V6), 1, 250 * MS)
-    paths.update_endpoint("a", "10.9.9.9:1")
-    paths.update_endpoint("b", "10.9.9.8:1")
-    paths.record_connect_failure("a", parse_address(UNIX), SECOND)
-    paths.apply_rules(named(V6, V4), 250 * MS)
-    assert shown(paths) == [V6, UNIX]
-    assert [str(a) for a in paths.ordered_addresses("b", 0)] == [V4]
-    assert paths.states_by_endpoint["a"][parse_address(UNIX)].is_unhealthy  # what it keeps is known as it was
+    selector = AddressSelector(rules_for(V4, V6), 1, 250 * MS)
+    selector.update_endpoint("a", "10.9.9.9:1")
+    selector.update_endpoint("b", "10.9.9.8:1")
+    selector.record_connect_failure("a", parse_address(UNIX), SECOND)
+    selector.apply_rules(rules_for(V6, V4), 250 * MS)
+    assert shown(selector) == [V6, UNIX]
+    assert [str(a) for a in selector.ordered_addresses("b", 0)] == [V4]
+    assert selector.states_by_endpoint["a"][
+        parse_address(UNIX)
+    ].is_unhealthy  # what it keeps is known as it was
 
 
-def test_one_address_that_is_not_discoverys_is_the_one_that_is_used() -> None:
-    paths = AddressSelector(
+def test_a_single_address_of_the_file_replaces_the_listed_one() -> None:
+    selector = AddressSelector(
         AddressRules((EndpointRule("a", (UNIX,), includes_listed_addresses=False),)), 1, 250 * MS
     )
-    paths.update_endpoint("a", V4)
-    paths.update_endpoint("b", V6)
-    assert paths.selects_address("a")
-    assert not paths.selects_address("b")
-    assert not paths.selects_address("c")
-    paths.update_endpoint("c", V6)  # another server's: nothing is left, and nothing is sent there
-    assert paths.selects_address("c")
-    assert paths.new_race("c", 0).start(0) == [RaceLost()]
-
-
-def test_news_of_one_server_is_told_of_that_one_alone() -> None:
-    """A delta comes for every change of a pool of hundreds; a whole list also ends what it lacks."""
-    members = [
+    selector.update_endpoint("a", V4)
+    selector.update_endpoint("b", V6)
+    assert selector.selects_address("a")
+    assert not selector.selects_address("b")
+    assert not selector.selects_address("c")
+    selector.update_endpoint("c", V6)  # another endpoint's: none is left
+    assert selector.selects_address("c")
+    assert selector.new_race("c", 0).start(0) == [RaceLost()]
+
+
+def test_a_delta_updates_the_addresses_of_its_endpoints_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A delta comes for every change of a list of hundreds; a snapshot also ends what it lacks."""
+    listed = [
         ListedEndpoint(EndpointEntry(f"s{n}"), f"10.0.{n}.1:80", (f"unix:/run/{n}",)) for n in range(200)
     ]
-    engine = Engine(settings(), Limits(), 1, MembershipUpdate(1, True, members), SECOND)
+    engine = Engine(settings(), Limits(), 1, MembershipUpdate(1, True, listed), SECOND)
     assert engine.address_selector is not None
     assert engine.address_selector.selects_address("s199")
-    told: list[str] = []
-    tell = engine.address_selector.update_endpoint
+    updated: list[str] = []
+    update_endpoint = engine.address_selector.update_endpoint
 
-    def counted(server: str, *args: object) -> None:
-        told.append(server)
-        tell(server, *args)  # type: ignore[arg-type]
+    def recorded(endpoint_name: str, address: str, more_addresses: Sequence[str] = ()) -> None:
+        updated.append(endpoint_name)
+        update_endpoint(endpoint_name, address, more_addresses)
 
-    engine.address_selector.update_endpoint = counted  # type: ignore[method-assign]
-    engine.endpoint_update_received(MembershipUpdate(2, False, [members[7]]), 2 * SECOND)
-    assert told == ["s7"]
-    engine.endpoint_update_received(MembershipUpdate(3, True, members[:3]), 3 * SECOND)
+    monkeypatch.setattr(engine.address_selector, "update_endpoint", recorded)
+    engine.endpoint_update_received(MembershipUpdate(2, False, [listed[7]]), 2 * SECOND)
+    assert updated == ["s7"]
+    engine.endpoint_update_received(MembershipUpdate(3, True, listed[:3]), 3 * SECOND)
     assert set(engine.address_selector.states_by_endpoint) == {"s0", "s1", "s2"}
 
 
-# ---- the race
-
-
 def addresses(count: int) -> list[Address]:
     return [parse_address(f"10.0.0.{n + 1}:80") for n in range(count)]
 
@@ -353,7 +351,7 @@
     assert race.timer_expired(99) == []
 
 
-def test_all_broken_is_one_loss() -> None:
+def test_a_race_without_a_winner_is_lost_once() -> None:
     a, b = addresses(2)
     race = ConnectionRace([a, b], [30, 30])
     race.start(0)
@@ -363,7 +361,7 @@
     assert ConnectionRace([], []).start(0) == [RaceLost()]
 
 
-def test_racing_connects_give_way_and_have_their_turn_again() -> None:
+def test_cancelled_attempts_have_their_turn_again_after_the_oldest_fails() -> None:
     a, b, c = addresses(3)
     race = ConnectionRace([a, b, c], [30, 30, 30])
     race.start(0)
@@ -376,58 +374,73 @@
     assert race.attempt_connected(b, 90) == [RaceWon(b, 10)]
 
 
-@profile(max_examples=500, deadline=None, derandomize=True)
-@given(st.integers(0, 5), st.integers(0, 10_000))
-def test_whatever_comes_when_one_connection_wins_and_all_others_are_closed(count: int, seed: int) -> None:
-    """Every order of connects, failures, wakes, ends and late news: at most one is ever won, each that began
-    is either the winner, failed by itself, or closed, and an end is told once.
-    """
-    rng, order = random.Random(seed), addresses(count)
-    race, now = ConnectionRace(order, [rng.choice([0, 10, 50]) for _ in order]), 0
-    begun: list[Address] = []
-    closed: list[Address] = []
-    failed: set[Address] = set()
-    ends: list[object] = []
+class RecordedRace:
+    """A race and what became of its attempts."""
+
+    def __init__(self, order: list[Address], delays_us: list[int]) -> None:
+        self.race = ConnectionRace(order, delays_us)
+        self.attempted: list[Address] = []
+        self.closed: list[Address] = []
+        self.failed: set[Address] = set()
+        self.ends: list[RaceWon | RaceLost] = []
 
-    def take(actions: list) -> None:
+    def carry_out(self, actions: list[RaceAction]) -> None:
         for action in actions:
             if isinstance(action, StartConnect):
-                assert action.address not in begun or action.address in closed
-                begun.append(action.address)
+                assert action.address not in self.attempted or action.address in self.closed
+                self.attempted.append(action.address)
             elif isinstance(action, CloseConnection):
-                closed.append(action.address)
+                self.closed.append(action.address)
             elif isinstance(action, RaceWon | RaceLost):
-                ends.append(action)
+                self.ends.append(action)
+
+    def play(self, event: str, rng: random.Random, now_us: int) -> None:
+        if event == "timer":
+            self.carry_out(self.race.timer_expired(now_us))
+        elif event == "cancel all but the oldest":
+            self.carry_out(self.race.cancel_all_but_oldest())
+        elif event == "cancel":
+            self.carry_out(self.race.cancel(now_us))
+        elif self.attempted:
+            self._end_attempt(event, rng.choice(self.attempted), now_us)
+
+    def _end_attempt(self, event: str, address: Address, now_us: int) -> None:
+        if event == "connected":
+            self.carry_out(self.race.attempt_connected(address, now_us))
+            return
+        if address in self.race.started_us:
+            self.failed.add(address)
+        self.carry_out(self.race.attempt_failed(address, now_us))
+
 
-    take(race.start(now))
+def random_race_event(rng: random.Random) -> str:
+    rare = "cancel" if rng.random() < 0.05 else "timer"
+    return rng.choice(["connected", "failed", "timer", "timer", "cancel all but the oldest", rare])
+
+
+@profile(max_examples=500, deadline=None, derandomize=True)
+@given(st.integers(0, 5), st.integers(0, 10_000))
+def test_in_any_order_of_events_at_most_one_wins_and_all_others_are_closed(count: int, seed: int) -> None:
+    """Every order of connects, failures, timers, cancellations and late events: at most one is ever won, each
+    that began is either the winner, failed by itself, or closed, and a race ends once.
+    """
+    rng, order = random.Random(seed), addresses(count)
+    recorded, now_us = RecordedRace(order, [rng.choice([0, 10, 50]) for _ in order]), 0
+    recorded.carry_out(recorded.race.start(now_us))
     for _ in range(40):
-        now += rng.randrange(20)
-        what = rng.choice(["up", "failed", "due", "due", "give", "stop" if rng.random() < 0.05 else "due"])
-        if what in ("up", "failed") and begun:
-            address = rng.choice(begun)
-            if what == "failed" and address in race.started_us:
-                failed.add(address)
-            take(race.attempt_connected(address, now) if what == "up" else race.attempt_failed(address, now))
-        elif what == "due":
-            take(race.timer_expired(now))
-        elif what == "give":
-            take(race.cancel_all_but_oldest())
-        elif what == "stop":
-            take(race.cancel(now))
-    take(race.cancel(now))
-    assert len(ends) <= 1
-    assert not race.started_us
-    winners = {end.address for end in ends if isinstance(end, RaceWon)}
-    assert set(begun) <= winners | failed | set(closed)
-    if ends and isinstance(ends[0], RaceLost):
-        assert set(order) == failed
-
-
-# ---- on sockets
+        now_us += rng.randrange(20)
+        recorded.play(random_race_event(rng), rng, now_us)
+    recorded.carry_out(recorded.race.cancel(now_us))
+    assert len(recorded.ends) <= 1
+    assert not recorded.race.started_us
+    winners = {end.address for end in recorded.ends if isinstance(end, RaceWon)}
+    assert set(recorded.attempted) <= winners | recorded.failed | set(recorded.closed)
+    if recorded.ends and isinstance(recorded.ends[0], RaceLost):
+        assert set(order) == recorded.failed
 
 
 @contextlib.contextmanager
-def without_rights() -> Iterator[None]:
+def without_privileges() -> Iterator[None]:
     """A superuser may open any socket: so be nobody for a while."""
     root = os.geteuid() == 0
     if root:
@@ -441,14 +454,14 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("anyio_backend", ["asyncio"])
-async def test_a_unix_socket_without_rights_is_a_path_that_refuses(tmp_path: Path) -> None:
+async def test_a_unix_socket_without_rights_is_a_failed_connect(tmp_path: Path) -> None:
     closed, other = socket.socket(socket.AF_UNIX), socket.create_server(("127.0.0.1", 0))
     closed.bind(str(tmp_path / "a.sock"))
     closed.listen()
     (tmp_path / "a.sock").chmod(0)
     dial = f"127.0.0.1:{other.getsockname()[1]}"
-    paths = paths_of(dial, f"unix:{tmp_path}/a.sock", family_preference=("unix", "ipv4"))
-    assert paths.ordered_addresses("a", 0)[0].family == "unix"
+    selector = selector_of(dial, f"unix:{tmp_path}/a.sock", family_preference=("unix", "ipv4"))
+    assert selector.ordered_addresses("a", 0)[0].family == "unix"
     async with anyio.create_task_group() as tasks:
         host = SimpleNamespace(
             limits=Limits(),
@@ -457,12 +470,12 @@
             clock=lambda: 0,
             has_capacity=lambda: True,
         )
-        with without_rights():
+        with without_privileges():
             endpoint, address = await AddressRaceDriver(
-                host, paths, "a", paths.new_race("a", 0), None
+                host, selector, "a", selector.new_race("a", 0), None
             ).connect()
         assert address.family == "ipv4"
-        assert paths.ordered_addresses("a", 0)[0] == address
+        assert selector.ordered_addresses("a", 0)[0] == address
         endpoint.close()
     for sock in (closed, other):
         sock.close()
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -1,4 +1,4 @@
-"""Every setting, spoilt in every way: refused in one clear line, or lived with; never a fault or a stop."""
+"""Every setting with every wrong value: rejected in one clear line, or tolerated; never a fault or a stop."""
 
 import copy
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 import pytest
 
 from gannetweir import core as e
-from gannetweir.config import ConfigError, load_config
+from gannetweir.config import Config, ConfigError, load_config
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.actions import Action
 from gannetweir.placement.events import (
@@ -52,20 +52,37 @@
         }
     ],
 }
-SPOILT = [None, True, 0, -1, 1e308, -1e308, 1 << 62, 1e-300, "", "x", [], {}, [0], [None], {"a": 1}, [""]]
+WRONG_VALUES = [
+    None,
+    True,
+    0,
+    -1,
+    1e308,
+    -1e308,
+    1 << 62,
+    1e-300,
+    "",
+    "x",
+    [],
+    {},
+    [0],
+    [None],
+    {"a": 1},
+    [""],
+]
 CONFIG = {"name": "n3", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c", "known": {}}
 
 
-def paths(data: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    """Every part of the settings, whole and leaf."""
+def setting_paths(data: object, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+    """Return the path of every part of the settings, objects and leaves."""
     if path:
         yield path
     parts = data.items() if isinstance(data, dict) else enumerate(data) if isinstance(data, list) else ()
     for name, part in parts:
-        yield from paths(part, (*path, name))
+        yield from setting_paths(part, (*path, name))
 
 
-def spoil(path: tuple[Any, ...], value: Any) -> dict[str, Any]:
+def with_value(path: tuple[Any, ...], value: object) -> dict[str, Any]:
     data = at = copy.deepcopy(SETTINGS)
     for name in path[:-1]:
         at = at[name]
@@ -73,17 +90,17 @@
     return data
 
 
-def live(engine: e.Engine, now: int) -> int:
+def play_six_seconds(engine: e.Engine, now: int) -> int:
     """Six seconds of a relay: cold and warm servers, groups, reports, answers of every kind, a list anew."""
 
-    def members(state: int, born: int) -> list[ListedEndpoint]:
-        warm = [ListedEndpoint(EndpointEntry(f"b{n}", n % 2), f"127.0.0.1:{n}") for n in range(1, 5)]
+    def listed_endpoints(state: int, started_us: int) -> list[ListedEndpoint]:
+        ready = [ListedEndpoint(EndpointEntry(f"b{n}", n % 2), f"127.0.0.1:{n}") for n in range(1, 5)]
         return [
-            *warm,
-            ListedEndpoint(EndpointEntry("cold", 0, state=state, started_us=born), "127.0.0.1:9"),
+            *ready,
+            ListedEndpoint(EndpointEntry("cold", 0, state=state, started_us=started_us), "127.0.0.1:9"),
         ]
 
-    ends = [
+    statuses = [
         AttemptStatus.OK,
         AttemptStatus.ERROR,
         AttemptStatus.FULL,
@@ -95,7 +112,7 @@
         now += 100_000
         if step % 20 == 0:
             engine.endpoint_update_received(
-                MembershipUpdate(50 + step, step == 0, members(1 + step // 20 % 2, now - 1000)), now
+                MembershipUpdate(50 + step, step == 0, listed_endpoints(1 + step // 20 % 2, now - 1000)), now
             )
         if step % 3 == 0:
             flags = (
@@ -103,8 +120,10 @@
                 | RequestFlag.RETURNED * (step % 2)
                 | RequestFlag.CLIENT_RETRY * (step % 4 == 0)
             )
-            wanted = RequestArrived(0, 0, group=step % 5, time_budget_us=2_000_000, load_hint=50, flags=flags)
-            engine.request_opened(wanted, "", now)
+            request = RequestArrived(
+                0, 0, group=step % 5, time_budget_us=2_000_000, load_hint=50, flags=flags
+            )
+            engine.request_opened(request, "", now)
         engine.advance(now)
         while engine.commands:
             command = engine.commands.popleft()
@@ -115,56 +134,62 @@
                 if step % 2:
                     engine.upstream_established(command.request_id, command.attempt, now)
                 else:
-                    status = ends[step // 2 % len(ends)]
+                    status = statuses[step // 2 % len(statuses)]
                     engine.upstream_ended(command.request_id, command.attempt, status, (), False, now)
     return now
 
 
-@pytest.mark.parametrize("path", list(paths(SETTINGS)), ids=lambda path: ".".join(map(str, path)))
-def test_a_spoilt_setting_is_refused_or_lived_with(tmp_path: Path, path: tuple[Any, ...]) -> None:
+@pytest.mark.parametrize("path", list(setting_paths(SETTINGS)), ids=lambda path: ".".join(map(str, path)))
+def test_a_wrong_setting_is_rejected_or_tolerated(tmp_path: Path, path: tuple[Any, ...]) -> None:
     env = {"RELAY_CONFIG": str(tmp_path / "config.json")}
 
-    def read(settings: dict[str, Any]) -> Any:
+    def load_with(settings: dict[str, Any]) -> Config | ConfigError:
         (tmp_path / "config.json").write_bytes(orjson.dumps(CONFIG | {"settings": settings}))
-        return load_config(env)
-
-    good = read(SETTINGS)
-    for value in SPOILT:
         try:
-            config = read(spoil(path, value))
+            return load_config(env)
         except ConfigError as error:
-            assert len(str(error).splitlines()) == 1
-            assert len(str(error)) < 500
+            return error
+
+    good = load_with(SETTINGS)
+    assert isinstance(good, Config)
+    for value in WRONG_VALUES:
+        config = load_with(with_value(path, value))
+        if isinstance(config, ConfigError):
+            assert len(str(config).splitlines()) == 1
+            assert len(str(config)) < 500
             continue
         known = MembershipUpdate(1, True, [])
         engines = [e.Engine(c.settings, c.limits, 7, known, 1_700_000_000_000_000) for c in (config, good)]
-        now = live(engines[1], 1_700_000_000_000_000)
+        now = play_six_seconds(engines[1], 1_700_000_000_000_000)
         engines[1].reload(config.settings, config.limits, now)  # with connections that stand
         for engine in engines:
-            live(engine, now)
+            play_six_seconds(engine, now)
             counts = engine.counters.counts
             assert not counts["placement_faults"], (value, engine.commands)
 
 
 @pytest.mark.parametrize("name", ["ask-within-us", "fall-multiple"])
-def test_a_contract_that_states_nothing_is_no_reason_not_to_start(tmp_path: Path, name: str) -> None:
-    (tmp_path / "config.json").write_bytes(orjson.dumps(CONFIG | {"settings": spoil(("contract", name), 0)}))
+def test_a_contract_value_of_0_leaves_the_default(tmp_path: Path, name: str) -> None:
+    (tmp_path / "config.json").write_bytes(
+        orjson.dumps(CONFIG | {"settings": with_value(("contract", name), 0)})
+    )
     settings = load_config({"RELAY_CONFIG": str(tmp_path / "config.json")}).settings
     assert settings.poll_interval_us > 1_000_000  # and the list is not asked for without a pause
 
 
-def test_upkeep_outlives_a_fault_in_it() -> None:
-    world, heard = play("", backends=1), list[int]()
+def test_timers_go_on_after_faults_of_the_balancer(monkeypatch: pytest.MonkeyPatch) -> None:
+    world = play("", backends=1)
+    handled_at_us: list[int] = []
     handle = world.engine.balancer.handle
 
     def faulty(event: Event, now: int) -> list[Action]:
         if isinstance(event, TimerExpired):
-            heard.append(now)
-            if len(heard) <= 3:
+            handled_at_us.append(now)
+            if len(handled_at_us) <= 3:
                 raise ZeroDivisionError
         return handle(event, now)
 
-    world.engine.balancer.handle = faulty  # type: ignore[method-assign]
+    monkeypatch.setattr(world.engine.balancer, "handle", faulty)
     world.play("time wait 10000")
-    assert len(heard) > 8
+    assert len(handled_at_us) > 8
     assert world.engine.counters.counts["placement_faults"] == 3
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -35,7 +35,7 @@
     return {"RELAY_CONFIG": str(path)}
 
 
-def test_what_is_told_is_taken(tmp_path: Path) -> None:
+def test_configuration_is_read_from_file_and_environment(tmp_path: Path) -> None:
     config = load_config(environment(tmp_path, {}) | {"RELAY_NAME": "n4"})
     assert (config.name, config.listen_address.port, config.seed) == ("n4", 0, 0x8C1F30D27A5BE964)
     assert (config.limits.sockets, config.limits.memory_mb, config.limits.connect_timeout_us) == (
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "advice"),
+    ("platform_limits", "expected_us"),
     [
         ({}, 250_000),
         ({"max-retry-after-us": 100_000}, 100_000),
@@ -59,33 +59,36 @@
         ({"max-retry-after-us": 0}, 0),
     ],
 )
-def test_advice_on_when_to_come_again_is_what_the_platform_allows(
-    tmp_path: Path, told: dict[str, object], advice: int
+def test_retry_after_is_at_most_what_the_platform_allows(
+    tmp_path: Path, platform_limits: dict[str, object], expected_us: int
 ) -> None:
-    config = load_config(environment(tmp_path, {"settings": {"categories": [{"name": "a"}], "limits": told}}))
-    assert config.limits.rejection_retry_after_us == advice
-    assert rejection_line(advice) == (b"BUSY %d\r\n" % (advice // 1000) if advice else b"BUSY\r\n")
-    balancer = Balancer(config.settings, 1, 0)  # knows no server: it refuses
-    advised = [
-        a.retry_after_us
+    config = load_config(
+        environment(tmp_path, {"settings": {"categories": [{"name": "a"}], "limits": platform_limits}})
+    )
+    assert config.limits.rejection_retry_after_us == expected_us
+    expected_line = b"BUSY %d\r\n" % (expected_us // 1000) if expected_us else b"BUSY\r\n"
+    assert rejection_line(expected_us) == expected_line
+    balancer = Balancer(config.settings, 1, 0)  # it has no endpoint: it rejects
+    retry_after_us = [
+        action.retry_after_us
         for n in range(50)
-        for a in balancer.handle(RequestArrived(n, time_budget_us=9), n)
-        if isinstance(a, RejectRequest)
+        for action in balancer.handle(RequestArrived(n, time_budget_us=9), n)
+        if isinstance(action, RejectRequest)
     ]
-    most = int(config.settings.max_retry_after_us) if advice else 0
-    assert advised
-    assert max(advised) <= most
-    assert not advice or min(advised) > 0
+    longest_us = int(config.settings.max_retry_after_us) if expected_us else 0
+    assert retry_after_us
+    assert max(retry_after_us) <= longest_us
+    assert not expected_us or min(retry_after_us) > 0
 
 
-def test_the_smallest_machine_in_service_is_enough(tmp_path: Path) -> None:
+def test_the_smallest_machine_in_service_admits_its_clients(tmp_path: Path) -> None:
     assert (
         load_config(environment(tmp_path, {"limits": {"sockets": 256, "memory_mb": 32}})).limits.max_clients
         == 112
     )
 
 
-def test_at_a_reload_the_file_goes_before_the_environment(tmp_path: Path) -> None:
+def test_at_a_reload_the_file_overrides_the_environment(tmp_path: Path) -> None:
     env = environment(tmp_path, {}) | {"RELAY_DISCOVERY": "127.0.0.1:2"}
     assert (
         load_config(env).discovery_address.port,
@@ -93,7 +96,7 @@
     ) == (2, 1)
 
 
-def test_the_door_and_the_inherited_listener(tmp_path: Path) -> None:
+def test_admin_listener_inherited_listener_and_shared_folder_are_optional(tmp_path: Path) -> None:
     plain = load_config(environment(tmp_path, {}))
     assert (plain.admin_address, plain.inherited_listener_fd, plain.shared_folder) == (None, None, None)
     env = environment(tmp_path, {"admin_addr": "127.0.0.1:7"}) | {"TMPDIR": str(tmp_path)}
@@ -109,13 +112,13 @@
 
 
 CLASSES = [{"name": "a", "hard-limit-us": 5, "idempotency": "once"}, {"name": "b", "hard-limit-us": 6}]
-TUNED = {"max-attempts": 6, "connect-timeout-us": 123000}
-STANDS: dict[str, Any] = {"settings": {"categories": CLASSES, "limits": TUNED}}
+LIMITS = {"max-attempts": 6, "connect-timeout-us": 123000}
+COMPLETE: dict[str, Any] = {"settings": {"categories": CLASSES, "limits": LIMITS}}
 
 
-def but(**settings: object) -> dict[str, object]:
+def with_settings(**settings: object) -> dict[str, object]:
     """The file with other settings."""
-    return GOOD | {"settings": STANDS["settings"] | settings}
+    return GOOD | {"settings": COMPLETE["settings"] | settings}
 
 
 @pytest.mark.parametrize(
@@ -124,34 +127,36 @@
         (b"", "not JSON"),
         (b'{"name":"n3","li', "not JSON"),
         (b"{}", "missing"),
-        (GOOD | STANDS | {"discovery": None}, "missing: discovery"),
-        (GOOD | STANDS | {"limits": {"sockets": 300}}, "missing: limits.memory_mb"),
-        (but(limits={"max-attempts": 6}), "connect-timeout-us"),
-        (but(limits={"max-attempts": -1, "connect-timeout-us": 1}), "over 0"),
-        (but(categories=[{"name": "a"}]), "categories[].hard-limit-us"),
-        (but(categories=[CLASSES[0], {"name": "c"}]), "categories[].hard-limit-us"),
-        (but(categories=[]), "categories"),
-        (but(categories=[CLASSES[0] | {"hard-limit-us": 0}]), "over 0"),
+        (GOOD | COMPLETE | {"discovery": None}, "missing: discovery"),
+        (GOOD | COMPLETE | {"limits": {"sockets": 300}}, "missing: limits.memory_mb"),
+        (with_settings(limits={"max-attempts": 6}), "connect-timeout-us"),
+        (with_settings(limits={"max-attempts": -1, "connect-timeout-us": 1}), "over 0"),
+        (with_settings(categories=[{"name": "a"}]), "categories[].hard-limit-us"),
+        (with_settings(categories=[CLASSES[0], {"name": "c"}]), "categories[].hard-limit-us"),
+        (with_settings(categories=[]), "categories"),
+        (with_settings(categories=[CLASSES[0] | {"hard-limit-us": 0}]), "over 0"),
     ],
 )
-def test_a_broken_file_is_refused_at_a_reload(tmp_path: Path, text: object, named: str) -> None:
-    env = environment(tmp_path, STANDS) | {"RELAY_DISCOVERY": "127.0.0.1:2"}
+def test_a_malformed_or_incomplete_file_is_rejected_at_a_reload(
+    tmp_path: Path, text: object, named: str
+) -> None:
+    env = environment(tmp_path, COMPLETE) | {"RELAY_DISCOVERY": "127.0.0.1:2"}
     standing = load_config(env)
     (tmp_path / "config.json").write_bytes(text if isinstance(text, bytes) else orjson.dumps(text))
     with pytest.raises(ConfigError, match=re.escape(named)):
         load_config(env, standing)
 
 
-def test_classes_may_come_and_go_at_a_reload(tmp_path: Path) -> None:
-    standing = load_config(environment(tmp_path, STANDS))
+def test_a_reload_may_add_and_remove_request_classes(tmp_path: Path) -> None:
+    standing = load_config(environment(tmp_path, COMPLETE))
     config = load_config(
-        environment(tmp_path, but(categories=[CLASSES[1] | {"name": "c", "aim-us": 1}])), standing
+        environment(tmp_path, with_settings(categories=[CLASSES[1] | {"name": "c", "aim-us": 1}])), standing
     )
     assert [c.name for c in config.settings.classes] == ["c"]
 
 
 @pytest.mark.parametrize("sockets", [64, 256, 384, 1024])
-def test_the_smallest_limits_hold_every_role(sockets: int) -> None:
+def test_sockets_suffice_for_every_role(sockets: int) -> None:
     limits = Limits(sockets=sockets)
     assert limits.client_sockets + limits.max_load_probes + limits.fixed_sockets <= sockets
     assert limits.max_clients >= sockets / 3 or sockets < 256  # so many are the usual ones
@@ -182,27 +187,36 @@
         ({"known": {"hosts": [{}]}}, "health"),
     ],
 )
-def test_what_is_wrong_is_named_in_one_line(tmp_path: Path, change: dict[str, object], named: str) -> None:
+def test_a_wrong_configuration_is_reported_in_one_line(
+    tmp_path: Path, change: dict[str, object], named: str
+) -> None:
     done = run(environment(tmp_path, change), "check-config")
     lines = done.stderr.decode().splitlines()
-    assert done.returncode == 2 and len(lines) == 1 and named in lines[0], done
+    assert done.returncode == 2, done
+    assert len(lines) == 1, done
+    assert named in lines[0], done
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]"])
-def test_a_file_that_is_missing_or_no_object(tmp_path: Path, text: str | None) -> None:
+def test_a_missing_file_or_one_without_an_object_is_reported_in_one_line(
+    tmp_path: Path, text: str | None
+) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
     done = run({"RELAY_CONFIG": str(path)}, "serve")
-    assert done.returncode == 2 and len(done.stderr.decode().splitlines()) == 1, done
+    assert done.returncode == 2, done
+    assert len(done.stderr.decode().splitlines()) == 1, done
 
 
-@pytest.mark.parametrize(("word", "code"), [("version", 0), ("check-config", 0), ("--help", 0), ("fly", 2)])
-def test_the_command_line(tmp_path: Path, word: str, code: int) -> None:
-    assert run(environment(tmp_path, {}), word).returncode == code
+@pytest.mark.parametrize(
+    ("command_name", "code"), [("version", 0), ("check-config", 0), ("--help", 0), ("fly", 2)]
+)
+def test_a_command_ends_with_its_exit_code(tmp_path: Path, command_name: str, code: int) -> None:
+    assert run(environment(tmp_path, {}), command_name).returncode == code
 
 
-def run(env: dict[str, str], word: str) -> subprocess.CompletedProcess[bytes]:
-    command = [sys.executable, "-m", "gannetweir", word]
+def run(env: dict[str, str], command_name: str) -> subprocess.CompletedProcess[bytes]:
+    command = [sys.executable, "-m", "gannetweir", command_name]
     path = {"PATH": os.environ.get("PATH", "")}
     return subprocess.run(command, env=env | path, capture_output=True, cwd=ROOT, check=False, timeout=60)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""What an operators' file does to transactions, told in the scenario language."""
+"""What an operators' file does to requests, in the scenario language."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 OPEN = "c1 send OPEN 0a 0b c=plain,d=2000\n"
 
 CASES = {
-    "the backend is told the attempt's own time": (
+    "the backend gets the attempt's own time": (
         default(PLAN),
         OPEN
         + """
@@ -28,7 +28,7 @@
         c1/upstream expect OPEN 0a 0b c=plain,d=300
         relay expect count attempts.timeout 1""",
     ),
-    "a connect that takes too long never ran; the attempt's time counts from the line": (
+    "a connect that times out never ran; the attempt's time-out counts from the line": (
         default(PLAN),
         OPEN
         + """
@@ -46,7 +46,7 @@
         time wait 1
         c1/upstream expect end""",
     ),
-    "a wait stands between two attempts, and a client may leave in it": (
+    "a backoff separates two attempts, and a client may disconnect in it": (
         default(PLAN + '\nwait "exponential" first="50ms"'),
         OPEN
         + """
@@ -78,7 +78,7 @@
         time wait 1
         c1/upstream expect OPEN*""",
     ),
-    "a backend that drains in the wait gets nothing after it": (
+    "a backend that drains in the backoff gets nothing after it": (
         default(PLAN + '\nwait "fixed" first="200ms"'),
         OPEN
         + """
@@ -93,7 +93,7 @@
         c1 expect end
         c1 expect nothing""",
     ),
-    "a wait for which no time is left is given up at once, not at the deadline": (
+    "a backoff for which no time is left fails at once, not at the deadline": (
         default('give-up "800ms"\nattempts 2\nattempt "100ms"\nconnect "20ms"\nwait "fixed" first="300ms"'),
         """
         c1 send OPEN 0a 0b c=plain,d=250
@@ -111,7 +111,7 @@
         time wait 180
         c1 expect BUSY*""",
     ),
-    "no further attempt past the budget, and the answer comes at once": (
+    "no retry past the budget, and the answer comes at once": (
         default(PLAN + '\nretry-budget share="1%" window="10s" floor=1'),
         OPEN
         + """
@@ -133,7 +133,7 @@
         c3/upstream send BUSY
         c3/upstream expect OPEN*""",
     ),
-    "what may have run is not tried again where the route says so, and is refused": (
+    "what may have run is not retried where the route says so, and is rejected": (
         default(PLAN + '\nretry-on "never-ran"'),
         OPEN
         + """
@@ -205,7 +205,7 @@
         c2 send OPEN 0c 0d c=plain,d=2000,g=5c0e6e1a2b3d4c59
         c2/upstream expect *,d=300,g=*""",
     ),
-    "a reload in the middle: the plan stays, a lower cap binds, what stands still counts": (
+    "a reload during attempts: the plan stays, a lower maximum binds, what is open still counts": (
         default(PLAN + "\nlimits open=2")
         | {"less": HEAD + 'default {\nattempts 1\nattempt "200ms"\nlimits open=1\n}\n'},
         OPEN
@@ -225,7 +225,7 @@
         c3 send OPEN 0e 0f c=plain,d=2000
         c3/upstream expect *d=200""",
     ),
-    "a reload that takes a route away leaves its transactions whole": (
+    "a reload that removes a route leaves its requests complete": (
         default('attempt "300ms"\nattempts 2', 'route "back" {\nmatch {\nagain #true\n}\nlimits open=1\n}')
         | {"less": HEAD + "default {\nlimits open=1\n}\n"},
         """
@@ -241,7 +241,7 @@
         c1 close
         c1/upstream expect end""",
     ),
-    "what resumes is counted, not turned away": (
+    "what resumes is counted, not rejected": (
         default("limits open=1"),
         """
         c1 send OPEN 0a 0b c=plain,at=b1
@@ -257,13 +257,13 @@
 
 
 @pytest.mark.parametrize(("files", "script"), CASES.values(), ids=CASES.keys())
-def test_routes(files: dict[str, str], script: str) -> None:
+def test_a_route_limits_and_times_its_requests(files: dict[str, str], script: str) -> None:
     world = play(script, 2, files)
-    keeper = world.engine.route_admission
-    assert keeper is not None
-    # what is held is what is there: nothing is lost, nothing is given back twice
-    assert keeper.relay_permit.limiter.open_connections == sum(
-        tx.admission_permit is not None for tx in world.engine.requests.values()
+    admission = world.engine.route_admission
+    assert admission is not None
+    # what is counted is what is there: nothing is lost, nothing is released twice
+    assert admission.relay_permit.limiter.open_connections == sum(
+        request.admission_permit is not None for request in world.engine.requests.values()
     )
-    setting_up = sum(tx.counts_as_setup for tx in world.engine.requests.values())
-    assert sum(keeper.setups_by_endpoint.values()) == setting_up
+    setups = sum(request.counts_as_setup for request in world.engine.requests.values())
+    assert sum(admission.setups_by_endpoint.values()) == setups
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""The deciders behind an operators' file: routes, budgets, limits, and the keeper that holds them."""
+"""The deciders behind an operators' file: routes, retry budgets, limits, and the admission that uses them."""
 
 import random
 from itertools import pairwise
@@ -26,23 +26,23 @@
 NAMES = ["a", "b"]
 
 
-def fits(match: RouteMatch, wanted: RequestArrived) -> bool:
-    """The meaning of a route, said as plainly as can be."""
-    again, retry = wanted.flags & RequestFlag.RETURNED > 0, wanted.flags & RequestFlag.CLIENT_RETRY > 0
-    group, key = f"{wanted.group:016x}", f"{wanted.key:016x}"
+def matches(match: RouteMatch, request: RequestArrived) -> bool:
+    """Return whether a route takes a request, written as plainly as can be."""
+    returning, retry = request.flags & RequestFlag.RETURNED > 0, request.flags & RequestFlag.CLIENT_RETRY > 0
+    group, key = f"{request.group:016x}", f"{request.key:016x}"
     return (
-        (not match.classes or NAMES[wanted.class_index] in match.classes)
-        and match.client_returning in (None, again)
+        (not match.classes or NAMES[request.class_index] in match.classes)
+        and match.client_returning in (None, returning)
         and match.client_retry in (None, retry)
         and (
             not match.group_prefixes
-            or (wanted.group > 0 and any(group.startswith(p) for p in match.group_prefixes))
+            or (request.group > 0 and any(group.startswith(p) for p in match.group_prefixes))
         )
         and (not match.key_prefixes or any(key.startswith(p) for p in match.key_prefixes))
     )
 
 
-def drawn(rng: random.Random) -> RouteMatch:
+def random_match(rng: random.Random) -> RouteMatch:
     def prefixes() -> tuple[str, ...]:
         count = rng.choice([0, 0, 1, 1, 2, 8])
         return tuple({"".join(rng.choice("01") for _ in range(rng.randint(1, 3))) for _ in range(count)})
@@ -52,7 +52,7 @@
     return RouteMatch(classes, prefixes(), prefixes(), *flags)
 
 
-def anyone(rng: random.Random) -> RequestArrived:
+def random_request(rng: random.Random) -> RequestArrived:
     def number() -> int:
         return int("".join(rng.choice("001") for _ in range(4)) + "0" * 12, 16)
 
@@ -60,37 +60,39 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_the_table_finds_the_first_route_that_fits(seed: int) -> None:
+def test_the_table_finds_the_first_route_that_matches(seed: int) -> None:
     rng = random.Random(seed)
-    routes = [Route(str(n), drawn(rng)) for n in range(rng.randint(0, 12))] + [Route("default")]
+    routes = [Route(str(n), random_match(rng)) for n in range(rng.randint(0, 12))] + [Route("default")]
     table = RouteTable(routes, NAMES)
     for _ in range(200):
-        wanted = anyone(rng)
-        assert table.find_route(wanted) == next(n for n, r in enumerate(routes) if fits(r.match, wanted))
+        request = random_request(rng)
+        assert table.find_route(request) == next(n for n, r in enumerate(routes) if matches(r.match, request))
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_route_is_dead_where_no_request_takes_it(seed: int) -> None:
-    """Against every request that can be told apart by prefixes of up to three binary digits."""
+def test_exactly_the_routes_that_no_request_takes_are_unreachable(seed: int) -> None:
+    """Against every request that prefixes of up to three binary digits distinguish."""
     rng = random.Random(1000 + seed)
-    routes = [Route(str(n), drawn(rng)) for n in range(rng.randint(1, 9))] + [Route("default")]
+    routes = [Route(str(n), random_match(rng)) for n in range(rng.randint(1, 9))] + [Route("default")]
     # digits other than 0 and 1 stand for all that no prefix names; 0000 in a group is no group
     digits = [a + b + c + "2" for a in "012" for b in "012" for c in "012"]
     groups = [0] + [int(d + "0" * 12, 16) for d in digits]
     keys = [int(d + "0" * 12, 16) for d in digits]
-    taken: set[int] = set()
+    admitted: set[int] = set()
     table = RouteTable(routes, NAMES)
-    for cls in range(2):
+    for class_index in range(2):
         for flags in (0, 2, 16, 18):
-            all_of = (RequestArrived(0, cls, key=k, group=g, flags=flags) for g in groups for k in keys)
-            taken |= {table.find_route(wanted) for wanted in all_of}
+            all_of = (
+                RequestArrived(0, class_index, key=k, group=g, flags=flags) for g in groups for k in keys
+            )
+            admitted |= {table.find_route(request) for request in all_of}
     found = route_reachability(routes, NAMES, True, True)
-    assert set(found.shadowed_by) == set(range(len(routes))) - taken
-    assert set().union(*found.reachable_by_class.values()) == taken
+    assert set(found.shadowed_by) == set(range(len(routes))) - admitted
+    assert set().union(*found.reachable_by_class.values()) == admitted
     assert all(-1 <= other < number for number, other in found.shadowed_by.items())
 
 
-def test_sixteen_prefixes_together_cover_what_has_a_group() -> None:
+def test_prefixes_of_every_digit_together_cover_a_longer_prefix() -> None:
     sixteen = [Route(d, RouteMatch(group_prefixes=(d,))) for d in "0123456789abcdef"]
     late, plain = (
         Route("late", RouteMatch(group_prefixes=("5c",))),
@@ -107,10 +109,7 @@
     ) == {0}
 
 
-# ---- budgets
-
-
-def test_further_attempts_are_a_share_of_recent_first_tries() -> None:
+def test_retries_are_a_ratio_of_recent_first_attempts() -> None:
     budget = RetryBudget(RetryBudgetRule(0.2, 10 * SECOND, 3))
     assert budget.remaining_retries(0) == 3
     for n in range(100):
@@ -124,15 +123,15 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_no_window_holds_more_than_its_share(seed: int) -> None:
-    """Whatever comes when: further attempts of one window never pass the share of the first tries of one and
-    a tenth (parts end at once), or the floor.
+def test_no_window_has_more_retries_than_its_ratio(seed: int) -> None:
+    """Whatever comes when: retries of one window never exceed the ratio of the first attempts of one window
+    and a tenth (parts expire at once), or the minimum.
     """
     rng = random.Random(seed)
     rule = RetryBudgetRule(rng.choice([0.05, 0.2, 0.5]), rng.choice([1, 10]) * SECOND, rng.choice([1, 5]))
     budget, now = RetryBudget(rule), 1_700_000_000 * SECOND
     first: list[int] = []
-    again: list[int] = []
+    retries: list[int] = []
     for _ in range(3000):
         now += int(rng.expovariate(1 / rng.choice([1000, 100_000])))
         if rng.random() < 0.4:
@@ -140,16 +139,16 @@
             first.append(now)
         elif budget.remaining_retries(now) >= 1:
             budget.record_retry(now)
-            again.append(now)
-    assert again
+            retries.append(now)
+    assert retries
     tenth = rule.window_us // 10
-    for at in again[::7]:
-        spent = sum(at - rule.window_us + tenth < t <= at for t in again)
+    for at in retries[::7]:
+        spent = sum(at - rule.window_us + tenth < t <= at for t in retries)
         earned = rule.retry_ratio * sum(at - rule.window_us - tenth <= t <= at for t in first)
         assert spent <= max(rule.min_retries, earned) + 1e-9
 
 
-def test_a_clock_set_back_and_a_reload_hand_out_nothing_anew() -> None:
+def test_a_clock_that_steps_back_and_a_reload_grant_no_new_retries() -> None:
     budget = RetryBudget(RetryBudgetRule(0.5, 10 * SECOND, 2))
     budget.record_retry(50 * SECOND)
     budget.record_retry(50 * SECOND)
@@ -161,41 +160,38 @@
     assert other.remaining_retries(60 * SECOND) == 3
 
 
-# ---- limits
-
-
-def test_set_ups_a_second_and_their_burst() -> None:
+def test_setups_are_limited_to_a_burst_and_a_rate() -> None:
     limit = ConnectionLimiter(ConnectionLimitRule(max_setups_per_s=10, setup_burst=3), SECOND)
-    taken = []
+    admitted = []
     for ms in range(0, 2000, 10):
         if not limit.exceeded_limit(ms * 1000):
             limit.acquire(ms * 1000)
-            taken.append(ms)
-    assert taken[:3] == [0, 10, 20]
-    assert len(taken) == 22  # three at once and ten a second for the rest
-    assert all(b - a >= 90 for a, b in pairwise(taken[3:]))
+            admitted.append(ms)
+    assert admitted[:3] == [0, 10, 20]
+    assert len(admitted) == 22  # three at once and ten a second for the rest
+    assert all(b - a >= 90 for a, b in pairwise(admitted[3:]))
 
 
-def test_those_who_are_over_are_told_times_of_their_own_and_are_taken_then() -> None:
+def test_rejected_clients_get_distinct_retry_after_and_are_admitted_then() -> None:
     limit = ConnectionLimiter(ConnectionLimitRule(max_setups_per_s=20, setup_burst=1), 1_500_000)
     rng = random.Random(3)
     limit.acquire(0)
-    told = sorted(limit.retry_after_us(0, rng.random()) for _ in range(25))
-    assert told[0] >= 50_000
-    assert told[-1] <= 1_500_000 + 50_000
-    assert all(b - a == 50_000 for a, b in pairwise(told))  # a place for each
-    for at in told:  # together, 24 of 25 would be over again
+    retry_after_us = sorted(limit.retry_after_us(0, rng.random()) for _ in range(25))
+    assert retry_after_us[0] >= 50_000
+    assert retry_after_us[-1] <= 1_500_000 + 50_000
+    assert all(b - a == 50_000 for a, b in pairwise(retry_after_us))  # a place for each
+    for at in retry_after_us:  # together, 24 of 25 would be over again
         assert not limit.exceeded_limit(at)
         limit.acquire(at)
     far = [
         limit.retry_after_us(0, rng.random()) for _ in range(200)
-    ]  # no place left within the longest advice
+    ]  # no set-up is left within the longest Retry-After
     assert min(far) >= 700_000
     assert max(far) <= 1_500_000
     assert len(set(far)) > 150
 
 
-def test_open_connections_come_back_when_they_end() -> None:
+def test_a_released_connection_makes_room_for_another() -> None:
     limit = ConnectionLimiter(ConnectionLimitRule(max_open=2), SECOND)
     limit.acquire(0)
     limit.acquire_resumed()
@@ -207,10 +203,7 @@
     assert limit.open_connections == 0
 
 
-# ---- the keeper
-
-
-def keeper_of(
+def admission_of(
     *routes: Route, relay: ConnectionLimitRule | None = None, budget: RetryBudgetRule | None = None
 ) -> RouteAdmission:
     rules = RoutingRules(routes, budget, relay or ConnectionLimitRule())
@@ -221,7 +214,7 @@
 SETTINGS = Settings(classes=CLASSES, max_attempts=4)
 
 
-def test_a_class_on_a_route_is_a_class_of_its_own() -> None:
+def test_settings_have_each_class_once_for_each_route() -> None:
     rules = RoutingRules(
         (
             Route("r", RouteMatch(classes=("b",)), attempt_timeout_us=7, max_attempts=2),
@@ -237,8 +230,8 @@
         ("a", "default", 3),
         ("b", "default", 3),
     ]
-    keeper = RouteAdmission(rules, settings)
-    assert [settings.classes[keeper.class_index_for(RequestArrived(0, n))].route for n in range(2)] == [
+    admission = RouteAdmission(rules, settings)
+    assert [settings.classes[admission.class_index_for(RequestArrived(0, n))].route for n in range(2)] == [
         "default",
         "r",
     ]
@@ -246,30 +239,33 @@
     assert platform_classes(settings) == CLASSES
 
 
-def test_nothing_is_counted_of_what_is_refused() -> None:
-    keeper = keeper_of(
+def test_a_rejected_request_is_not_counted() -> None:
+    admission = admission_of(
         Route("default", limits=ConnectionLimitRule(max_open=5)), relay=ConnectionLimitRule(max_open=2)
     )
-    share = keeper.permits["default"]
-    assert [keeper.admit(share, True, 0, 0.5) is None for _ in range(3)] == [True, True, False]
-    assert share.limiter.open_connections == keeper.relay_permit.limiter.open_connections == 2
-    refusal = keeper.admit(share, True, 0, 0.5)
-    assert refusal is not None
-    assert refusal.reason == "open of the relay"
-    assert refusal.retry_after_us > 0
-    keeper.release(share)
-    assert keeper.admit(share, True, 0, 0.5) is None
-
-
-def test_a_clients_own_retry_earns_no_further_attempts() -> None:
-    keeper = keeper_of(Route("default", retry_budget=RetryBudgetRule(1.0, SECOND, 1)))
-    share, cls = keeper.permits["default"], RequestClass("a", route="default")
+    permit = admission.permits["default"]
+    assert [admission.admit(permit, True, 0, 0.5) is None for _ in range(3)] == [True, True, False]
+    assert permit.limiter.open_connections == admission.relay_permit.limiter.open_connections == 2
+    rejection = admission.admit(permit, True, 0, 0.5)
+    assert rejection is not None
+    assert rejection.reason == "open of the relay"
+    assert rejection.retry_after_us > 0
+    admission.release(permit)
+    assert admission.admit(permit, True, 0, 0.5) is None
+
+
+def test_a_clients_own_retry_earns_no_retries() -> None:
+    admission = admission_of(Route("default", retry_budget=RetryBudgetRule(1.0, SECOND, 1)))
+    permit, request_class = admission.permits["default"], RequestClass("a", route="default")
     for _ in range(5):
-        keeper.admit(share, False, 0, 0.5)
-    assert [keeper.admit_attempt(share, cls, "s", 1, 0) for _ in range(2)] == ["", "retry-budget"]
+        admission.admit(permit, False, 0, 0.5)
+    assert [admission.admit_attempt(permit, request_class, "s", 1, 0) for _ in range(2)] == [
+        "",
+        "retry-budget",
+    ]
     for _ in range(5):
-        keeper.admit(share, True, 0, 0.5)
-    assert [keeper.admit_attempt(share, cls, "s", 1, 0) for _ in range(5)] == [
+        admission.admit(permit, True, 0, 0.5)
+    assert [admission.admit_attempt(permit, request_class, "s", 1, 0) for _ in range(5)] == [
         "",
         "",
         "",
@@ -278,18 +274,20 @@
     ]
 
 
-def test_the_relays_budget_holds_over_all_routes() -> None:
+def test_the_relays_retry_budget_covers_all_routes() -> None:
     one = Route("one", RouteMatch(classes=("a",)), retry_budget=RetryBudgetRule(1.0, SECOND, 9))
-    keeper = keeper_of(one, Route("default"), budget=RetryBudgetRule(0.5, SECOND, 2))
-    cls = RequestClass("a", route="one")
-    assert not keeper.admit_attempt(keeper.permits["one"], cls, "s", 1, 0)
-    assert not keeper.admit_attempt(keeper.permits["default"], cls, "s", 1, 0)
-    assert keeper.admit_attempt(keeper.permits["one"], cls, "s", 1, 0) == "retry-budget"
-    assert not keeper.admit_attempt(keeper.permits["one"], cls, "s", 0, 0)  # a first try asks no budget
-
-
-def test_set_ups_at_one_backend_are_those_of_all_routes() -> None:
-    keeper = keeper_of(
+    admission = admission_of(one, Route("default"), budget=RetryBudgetRule(0.5, SECOND, 2))
+    request_class = RequestClass("a", route="one")
+    assert not admission.admit_attempt(admission.permits["one"], request_class, "s", 1, 0)
+    assert not admission.admit_attempt(admission.permits["default"], request_class, "s", 1, 0)
+    assert admission.admit_attempt(admission.permits["one"], request_class, "s", 1, 0) == "retry-budget"
+    assert not admission.admit_attempt(
+        admission.permits["one"], request_class, "s", 0, 0
+    )  # no budget limits a first attempt
+
+
+def test_setups_at_an_endpoint_are_counted_over_all_routes() -> None:
+    admission = admission_of(
         Route("one", RouteMatch(classes=("a",)), limits=ConnectionLimitRule(max_setups_per_endpoint=2)),
         Route("default"),
     )
@@ -297,53 +295,50 @@
         RequestClass("a", route="one", max_setups_per_endpoint=2),
         RequestClass("b", route="default"),
     )
-    assert not keeper.admit_attempt(keeper.permits["default"], loose, "s", 0, 0)
-    assert not keeper.admit_attempt(keeper.permits["one"], tight, "s", 0, 0)
-    assert keeper.admit_attempt(keeper.permits["one"], tight, "s", 0, 0) == "setups-at-backend"
-    assert not keeper.admit_attempt(keeper.permits["one"], tight, "t", 0, 0)
-    keeper.setup_finished("s")
-    assert not keeper.admit_attempt(keeper.permits["one"], tight, "s", 0, 0)
+    assert not admission.admit_attempt(admission.permits["default"], loose, "s", 0, 0)
+    assert not admission.admit_attempt(admission.permits["one"], tight, "s", 0, 0)
+    assert admission.admit_attempt(admission.permits["one"], tight, "s", 0, 0) == "setups-at-backend"
+    assert not admission.admit_attempt(admission.permits["one"], tight, "t", 0, 0)
+    admission.setup_finished("s")
+    assert not admission.admit_attempt(admission.permits["one"], tight, "s", 0, 0)
     for _ in range(9):
-        keeper.setup_finished("s")
-    assert keeper.setups_by_endpoint == {"t": 1}
+        admission.setup_finished("s")
+    assert admission.setups_by_endpoint == {"t": 1}
 
 
-def test_a_reload_keeps_what_is_held_and_lowers_the_cap() -> None:
+def test_a_reload_keeps_counts_and_lowers_max_attempts() -> None:
     named = Route("r", RouteMatch(classes=("a",)), max_attempts=4, limits=ConnectionLimitRule(max_open=3))
-    keeper = keeper_of(named, Route("default"))
-    old = keeper.permits["r"]
+    admission = admission_of(named, Route("default"))
+    old = admission.permits["r"]
     plan = RequestClass("a", route="r", max_attempts=4)
-    keeper.admit(old, True, 0, 0.5)
+    admission.admit(old, True, 0, 0.5)
     rules = RoutingRules(
         (
             Route("r", RouteMatch(classes=("a",)), max_attempts=2, limits=ConnectionLimitRule(max_open=1)),
             Route("default"),
         )
     )
-    keeper.apply(rules, with_routed_classes(SETTINGS, rules))
-    assert keeper.permits["r"] is old
-    assert keeper.max_attempts_for(plan, 4) == 2
-    assert keeper.max_attempts_for(plan, 1) == 1
-    refusal = keeper.admit(old, True, 0, 0.5)
-    assert refusal is not None
-    assert refusal.reason == "open of route r"
+    admission.apply(rules, with_routed_classes(SETTINGS, rules))
+    assert admission.permits["r"] is old
+    assert admission.max_attempts_for(plan, 4) == 2
+    assert admission.max_attempts_for(plan, 1) == 1
+    rejection = admission.admit(old, True, 0, 0.5)
+    assert rejection is not None
+    assert rejection.reason == "open of route r"
     rules = RoutingRules((Route("default"),))
-    keeper.apply(rules, with_routed_classes(SETTINGS, rules))
-    assert keeper.max_attempts_for(plan, 4) == 4  # its route is gone: its own plan holds
-    keeper.release(old)  # what a route that is gone held is given back all the same
-    assert keeper.relay_permit.limiter.open_connections == 0
-
-
-# ---- waits
+    admission.apply(rules, with_routed_classes(SETTINGS, rules))
+    assert admission.max_attempts_for(plan, 4) == 4  # its route is removed: its own plan holds
+    admission.release(old)  # a removed route's requests release all the same
+    assert admission.relay_permit.limiter.open_connections == 0
 
 
-def test_the_waits_of_each_kind() -> None:
+def test_the_backoffs_of_each_kind() -> None:
     assert BackoffRule(BackoffKind.FIXED, 5).backoffs_us(4) == (5, 5, 5)
     assert BackoffRule(BackoffKind.EXPONENTIAL, 5, 12).backoffs_us(5) == (5, 10, 12, 12)
     assert BackoffRule(BackoffKind.EXPONENTIAL, 5).backoffs_us(4) == (5, 10, 20)
     assert BackoffRule(BackoffKind.FIXED, 5).backoffs_us(1) == ()
-    cls = RequestClass(retry_backoff_us=(1000, 2000), full_jitter=True)
-    assert [cls.backoff_us(n, 0, 0, lambda: 0.5) for n in range(4)] == [0, 500, 1000, 0]
+    request_class = RequestClass(retry_backoff_us=(1000, 2000), full_jitter=True)
+    assert [request_class.backoff_us(n, 0, 0, lambda: 0.5) for n in range(4)] == [0, 500, 1000, 0]
     every = RequestClass(retry_backoff_us=(1000, 1000), backoff_from_attempt_start=True)
     assert [every.backoff_us(1, 100, now, random.random) for now in (100, 600, 1100, 5000)] == [
         1000,
