--- a/gannetweir/control/__init__.py
+++ b/gannetweir/control/__init__.py
@@ -9,6 +9,7 @@
     store               the interface to the store of record
     version_log         recent versions of a resource, with compaction
     version_history     one resource as this machine has it: released and staged versions, and slices of them
+    session             one relay's watch of one resource: what it has applied, and what it is sent
     publisher           which version each subscribed relay gets, and what it has acknowledged
     machine             the publishers of all resources behind one token bucket a relay
     stage, rollout      the canary stage of a version, and the decision on it
--- a/gannetweir/control/machine.py
+++ b/gannetweir/control/machine.py
@@ -1,8 +1,8 @@
 """A control machine's decisions: the publishers of all resources, and each relay's budget of bytes over them.
 
-A `ControlMachine` belongs to the driver (`gannetweir.net.control_server`), which calls `poll` for each
-connected relay and sends what it returns. It owns the publishers and the relays' token buckets; it is
-replaced, never edited, when the store is read anew.
+A `ControlMachine` belongs to the driver's `StoreSync` (`gannetweir.net.control_store`), made when the store
+was first read. The `ControlServer` calls `poll` for each connected relay and sends what it returns. It owns
+the publishers, which follow the store, and the relays' token buckets.
 """
 
 from __future__ import annotations
