--- a/tests/failing_calls.py
+++ b/tests/failing_calls.py
@@ -6,7 +6,6 @@
 import socket
 from collections import deque
 from collections.abc import Callable
-from typing import Any
 
 import pytest
 
@@ -26,7 +25,7 @@
         left.extend(errors)
         real = getattr(socket.socket, call)
 
-        def wrapped(sock: socket.socket, *args: Any) -> Any:
+        def wrapped(sock: socket.socket, *args: object) -> object:
             if left and is_chosen(sock):
                 code = left.popleft()
                 if call == "connect_ex":
@@ -40,9 +39,9 @@
         """The next sockets can't be made."""
         left = self.remaining_errors.setdefault("socket", deque())
         left.extend(errors)
-        real = socket.socket.__init__
+        real: Callable[..., None] = socket.socket.__init__
 
-        def wrapped(sock: socket.socket, *args: Any, **named: Any) -> None:
+        def wrapped(sock: socket.socket, *args: object, **named: object) -> None:
             if left and named.get("fileno") is None and len(args) < 4:
                 code = left.popleft()
                 raise OSError(code, os.strerror(code))
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -6,7 +6,7 @@
 import os
 import signal
 import socket
-from collections.abc import Awaitable, Callable, Iterator, Mapping
+from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import replace
 from pathlib import Path
 
@@ -207,9 +207,9 @@
 
 
 @pytest.fixture(params=["asyncio"])
-def anyio_backend(request: pytest.FixtureRequest) -> Iterator[str]:
+def anyio_backend(request: pytest.FixtureRequest) -> str:
     """The event loop of the relay's own process."""
-    yield request.param
+    return str(request.param)
 
 
 SHORT_TIMES = {
@@ -231,6 +231,7 @@
     printed = capsys.readouterr().err
     assert "Traceback" not in printed
     assert printed.count('"membership_version":') == counter_lines
-    assert harness.relay.clients.open_count == 0 and not harness.relay.engine.requests
+    assert harness.relay.clients.open_count == 0
+    assert not harness.relay.engine.requests
     assert not harness.relay.engine.counters.counts["driver_faults"]
     assert not harness.relay.engine.guard.violations, printed
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -6,15 +6,15 @@
 from gannetweir.proto.admin import AdminCall, AdminCallError
 
 
-class Desk:
+class StubOperations:
     def health(self) -> str:
         raise AdminCallError("starting")
 
-    def offline(self, server: str) -> str:
-        return f"{server} out"
+    def offline(self, endpoint: str) -> str:
+        return f"{endpoint} out"
 
-    def online(self, server: str) -> str:
-        return f"{server} in use"
+    def online(self, endpoint: str) -> str:
+        return f"{endpoint} in use"
 
 
 @pytest.mark.parametrize(
@@ -36,7 +36,9 @@
 )
 @pytest.mark.parametrize("step", [1, 3, 9999])
 def test_a_call_is_answered_with_one_line(raw: bytes, answer: bytes, step: int) -> None:
-    call, got = AdminCall(Limits()), b""
-    for at in range(0, len(raw), step):
-        got = got or call.feed(raw[at : at + step], Desk())
-    assert got.startswith(answer) and bool(got) == bool(answer) and got.count(b"\r\n") == bool(answer)
+    call, received = AdminCall(Limits()), b""
+    for start in range(0, len(raw), step):
+        received = received or call.feed(raw[start : start + step], StubOperations())
+    assert received.startswith(answer)
+    assert bool(received) == bool(answer)
+    assert received.count(b"\r\n") == bool(answer)
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -1,6 +1,6 @@
 """No attempt begins for a client that has left. The client ends its side in the turn of the loop in which the
-relay decides to try: the end is in the kernel, but the loop has not been told of it. That is what a long turn
-(a whole list, a rush of other clients) looks like, without one.
+relay decides to try: the end is in the kernel, but the loop has not heard of it. That is what a long turn
+(a complete list, a rush of other clients) looks like, without one.
 """
 
 from __future__ import annotations
@@ -8,12 +8,12 @@
 import socket
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, replace
-from typing import Any
 
 import anyio
 import pytest
 
 from gannetweir.net import connecting
+from gannetweir.net.sockets import SocketName, connect
 from gannetweir.placement.actions import Action, StartAttempt
 from gannetweir.proto.endpoint_watch import read_membership
 from tests.relay_harness import (
@@ -60,7 +60,7 @@
         engine = self.harness.relay.engine
         call = getattr(engine, name)
 
-        def then_leave(*args: Any) -> Any:
+        def then_leave(*args: object) -> object:
             setattr(engine, name, call)
             result = call(*args)
             if sent_before:
@@ -120,7 +120,7 @@
 async def as_the_wait_before_a_repeat_ends(leaver: Leaver) -> None:
     list_two_endpoints(leaver.harness)
     relay = leaver.harness.relay
-    classes = [replace(CLASSES[0], retry_backoff_us=[20_000, 20_000])]
+    classes = [replace(CLASSES[0], retry_backoff_us=(20_000, 20_000))]
     relay.runtime.run_engine_call(
         relay.engine.reload, replace(relay.runtime.settings, classes=classes), relay.runtime.limits
     )
@@ -218,10 +218,11 @@
 ) -> None:
     async def play(harness: RelayHarness) -> None:
         client = await harness.connect_client()
-        connect = connecting.connect
 
-        async def leaves_as_it_is_up(sock: socket.socket, address: Any, *told: Any) -> None:
-            await connect(sock, address, *told)
+        async def leaves_as_it_is_up(
+            sock: socket.socket, address: SocketName, on_started: Callable[[], None]
+        ) -> None:
+            await connect(sock, address, on_started)
             if address[1] == harness.endpoint_listener.getsockname()[1]:
                 leave(client)
 
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -25,7 +25,7 @@
     run_scenario,
 )
 from tests.test_client_left import list_two_endpoints
-from tests.test_descriptors import LATE, RelayProcess
+from tests.test_descriptors import TIMEOUT_S, RelayProcess
 
 LINE = r"OPEN 0a 0b c=plain,d=300\r\n"
 MARGIN_MS = 40  # the relay answers so long before its client gives up
@@ -164,7 +164,7 @@
 
 
 def test_a_relay_starts_at_once_on_the_address_of_a_killed_one(fleet: RelayProcess) -> None:
-    fleet.served(b"01")
+    fleet.establish(b"01")
     answered = fleet.client(b"OPEN 0a 0b c=none,d=2000\r\n")
     while answered.recv(100):
         pass
@@ -174,14 +174,14 @@
     for _ in range(50):
         fleet.client(b"OPEN 0c 0b c=pl")  # some accepted, some still in the queue
     fleet.process.kill()
-    fleet.process.wait(LATE)
-    end = time.monotonic() + LATE
-    while not connections_in_time_wait(fleet.at[1]):
+    fleet.process.wait(TIMEOUT_S)
+    end = time.monotonic() + TIMEOUT_S
+    while not connections_in_time_wait(fleet.listen_address[1]):
         assert time.monotonic() < end
     fleet.start()
     front = fleet.client(b"PING\r\n")
     assert front.recv(100) == b"PONG\r\n"
-    fleet.served(b"02")
+    fleet.establish(b"02")
 
 
 @settings(max_examples=15, deadline=None)
--- a/tests/test_drivers_that_fail.py
+++ b/tests/test_drivers_that_fail.py
@@ -43,11 +43,11 @@
 
 def once(call: Callable[..., Any], error: BaseException) -> Callable[..., Any]:
     """A call that raises the first time."""
-    left = [error]
+    pending = [error]
 
-    def wrapped(*args: Any, **named: Any) -> Any:
-        if left:
-            raise left.pop()
+    def wrapped(*args: object, **named: object) -> object:
+        if pending:
+            raise pending.pop()
         return call(*args, **named)
 
     return wrapped
@@ -66,23 +66,24 @@
     assert engine.counters.counts.pop("driver_faults") == 1
 
 
-async def a_late_loop_is_no_failed_connect(harness: RelayHarness) -> None:
-    """The loop is held up between the order of an attempt and its first turn, for longer than a connect may
+async def a_delayed_loop_is_no_failed_connect(harness: RelayHarness) -> None:
+    """The loop is held up between the command of an attempt and its first turn, for longer than a connect may
     take. Everything it waits for has come by then.
     """
     relay = harness.relay
     client = await harness.connect_client()
-    open_flow = relay.engine.attempts.open
+    attempts: Any = relay.engine.attempts
+    open_upstream = attempts.open
 
-    def held_up(*args: Any) -> None:
-        open_flow(*args)
-        relay.engine.attempts.open = open_flow
-        relay.runtime.spawn(hold)
+    def opens_then_delays(*args: object) -> None:
+        open_upstream(*args)
+        attempts.open = open_upstream
+        relay.runtime.spawn(delay_the_loop)
 
-    async def hold() -> None:
+    async def delay_the_loop() -> None:
         time.sleep(0.3)
 
-    relay.engine.attempts.open = held_up
+    attempts.open = opens_then_delays
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
     server = await harness.accept_upstream()
     await server.expect("OPEN 0a")
@@ -95,8 +96,8 @@
     await run_scenario(RelayHarness(SHORT_TIMES), the_watch_is_opened_again, capsys)
 
 
-async def test_a_loop_that_was_held_up_reads_before_it_judges(capsys: pytest.CaptureFixture[str]) -> None:
-    await run_scenario(RelayHarness(SHORT_TIMES), a_late_loop_is_no_failed_connect, capsys)
+async def test_a_delayed_loop_reads_before_it_times_out(capsys: pytest.CaptureFixture[str]) -> None:
+    await run_scenario(RelayHarness(SHORT_TIMES), a_delayed_loop_is_no_failed_connect, capsys)
 
 
 def test_a_configuration_that_can_not_be_read_for_a_moment_is_read_all_the_same(
@@ -110,7 +111,7 @@
             assert load_config({"RELAY_CONFIG": str(path)}).name == "n0"
 
 
-async def a_probe_ends(harness: RelayHarness) -> None:
+async def every_load_probe_ends(harness: RelayHarness) -> None:
     """Its driver fails, or its report's fields have changed meanwhile: no figure, and the next is asked."""
     await harness.connect_client()
     engine = harness.relay.engine
@@ -130,7 +131,7 @@
 
 
 async def test_every_probe_ends_whatever_fails_here(capsys: pytest.CaptureFixture[str]) -> None:
-    await run_scenario(RelayHarness(SHORT_TIMES), a_probe_ends, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES), every_load_probe_ends, capsys)
 
 
 def test_a_loop_that_can_not_be_made_for_a_moment_is_made_later(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -155,8 +156,8 @@
 async def a_client_whose_driver_fails(harness: RelayHarness) -> None:
     """Its request is given back at once, its backend's side ends, and the guard tells that it was cut off."""
     client, server = await established_client(harness)
-    (session,) = harness.relay.clients.by_request.values()
-    session.client.read = once(session.client.read, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
+    (client_connection,) = harness.relay.clients.by_request.values()
+    client_connection.client.read = once(client_connection.client.read, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
     client.send(r"one\r\ntwo\r\n")
     await server.expect("one")
     client.send(r"three\r\n")
@@ -165,7 +166,8 @@
         while await server.next_line() not in ("end", "reset"):
             pass
     engine = harness.relay.engine
-    assert not engine.requests and engine.counters.counts.pop("driver_faults") == 1
+    assert not engine.requests
+    assert engine.counters.counts.pop("driver_faults") == 1
     assert engine.counters.counts["violations.cut_off"] == 1
     engine.guard.violations = 0  # the one that was meant
 
@@ -176,32 +178,33 @@
 
 def test_an_address_that_is_not_free_yet_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
     """The process before still holds it; it ends while the new one waits."""
-    with socket.socket() as held:
-        held.bind(("127.0.0.1", 0))
-        held.listen()
-        at = SocketAddress(*held.getsockname())
-        waits: list[float] = []
+    with socket.socket() as other:
+        other.bind(("127.0.0.1", 0))
+        other.listen()
+        address = SocketAddress(*other.getsockname())
+        delays: list[float] = []
 
-        def ends_meanwhile(seconds: float) -> None:
-            waits.append(seconds)
-            held.close()
+        def closes_meanwhile(seconds: float) -> None:
+            delays.append(seconds)
+            other.close()
 
-        monkeypatch.setattr(listener.time, "sleep", ends_meanwhile)
-        with listener.open_listener(at, Limits()) as opened:
-            assert opened.getsockname()[1] == at.port and len(waits) == 1
+        monkeypatch.setattr(time, "sleep", closes_meanwhile)
+        with listener.open_listener(address, Limits()) as opened:
+            assert opened.getsockname()[1] == address.port
+            assert len(delays) == 1
 
 
 def test_an_address_that_is_never_free_is_an_error_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
     now = [100.0]
 
-    def passes(seconds: float) -> None:
+    def advance_time(seconds: float) -> None:
         now[0] += seconds
 
-    monkeypatch.setattr(listener.time, "sleep", passes)
-    monkeypatch.setattr(listener.time, "monotonic", lambda: now[0])
-    with socket.socket() as held:
-        held.bind(("127.0.0.1", 0))
-        held.listen()
+    monkeypatch.setattr(time, "sleep", advance_time)
+    monkeypatch.setattr(time, "monotonic", lambda: now[0])
+    with socket.socket() as other:
+        other.bind(("127.0.0.1", 0))
+        other.listen()
         with pytest.raises(OSError, match="in use"):
-            listener.open_listener(SocketAddress(*held.getsockname()), Limits())
+            listener.open_listener(SocketAddress(*other.getsockname()), Limits())
     assert listener.LISTEN_TIMEOUT_S <= now[0] - 100.0 < 10.0
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The pool watch, fed bytes: news, beats, and every kind of broken answer."""
+"""The endpoint watch, fed bytes: updates, heartbeats, and every kind of malformed answer."""
 
 import json
 from collections.abc import Callable
@@ -14,11 +14,11 @@
 from tests.helpers import settings
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-HOST = (
+ENDPOINT_JSON = (
     b'{"host":"s-1","dial":"10.1.0.18:8080","site":"b","class":"m2","block":3,"health":"Terminating",'
     b'"share":1.5,"born_ms":1700000000123}'
 )
-NEWS = b'{"seq":43,"whole":false,"hosts":[' + HOST + b"]}\n"
+UPDATE_LINE = b'{"seq":43,"whole":false,"hosts":[' + ENDPOINT_JSON + b"]}\n"
 
 
 def chunk(data: bytes) -> bytes:
@@ -26,8 +26,8 @@
 
 
 def watch(limit: int = 4096) -> EndpointWatch:
-    s = settings(zone_names=["a", "b"], machine_types=["m1", "m2"])
-    return EndpointWatch("10.2.0.1:8500", 41, s, Limits(endpoint_watch_line_bytes=limit))
+    platform_settings = settings(zone_names=["a", "b"], machine_types=["m1", "m2"])
+    return EndpointWatch("10.2.0.1:8500", 41, platform_settings, Limits(endpoint_watch_line_bytes=limit))
 
 
 def test_the_request_names_the_version() -> None:
@@ -37,18 +37,19 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 4096])
-def test_news_and_beats_in_pieces_of_any_size(step: int) -> None:
-    w, found = watch(), list[object]()
+def test_updates_and_heartbeats_in_pieces_of_any_size(step: int) -> None:
+    endpoint_watch, found = watch(), list[object]()
     # an object may lie across chunks, and several lines in one
-    data = HEAD + chunk(NEWS[:30]) + chunk(NEWS[30:] + b"\n") + chunk(b"\n")
-    for at in range(0, len(data), step):
-        found += w.feed(data[at : at + step])
-    news, *beats = found
-    assert isinstance(news, MembershipUpdate) and (news.version, news.complete) == (43, False)
-    (member,) = news.endpoints
-    assert member.entry == EndpointEntry("s-1", 1, 1, 3, EndpointStatus.DRAINING, 1.5, 1700000000123000)
-    assert member.address == "10.1.0.18:8080"
-    assert beats == [Heartbeat(), Heartbeat()]
+    data = HEAD + chunk(UPDATE_LINE[:30]) + chunk(UPDATE_LINE[30:] + b"\n") + chunk(b"\n")
+    for start in range(0, len(data), step):
+        found += endpoint_watch.feed(data[start : start + step])
+    update, *heartbeats = found
+    assert isinstance(update, MembershipUpdate)
+    assert (update.version, update.complete) == (43, False)
+    (endpoint,) = update.endpoints
+    assert endpoint.entry == EndpointEntry("s-1", 1, 1, 3, EndpointStatus.DRAINING, 1.5, 1700000000123000)
+    assert endpoint.address == "10.1.0.18:8080"
+    assert heartbeats == [Heartbeat(), Heartbeat()]
 
 
 @pytest.mark.parametrize(
@@ -61,19 +62,20 @@
         HEAD + chunk(b"{]\n"),
         HEAD + chunk(b"[]\n"),
         HEAD + chunk(b'{"seq":43,"whole":true}\n'),
-        HEAD + chunk(NEWS.replace(b"Terminating", b"Asleep")),
-        HEAD + chunk(NEWS.replace(b'"born_ms":1700000000123', b'"born_ms":"now"')),
-        HEAD + chunk(NEWS.replace(b'"s-1"', b"7")),
+        HEAD + chunk(UPDATE_LINE.replace(b"Terminating", b"Asleep")),
+        HEAD + chunk(UPDATE_LINE.replace(b'"born_ms":1700000000123', b'"born_ms":"now"')),
+        HEAD + chunk(UPDATE_LINE.replace(b'"s-1"', b"7")),
         HEAD + chunk(b"x" * 5000),
         HEAD + b"zz\r\n",
     ],
 )
-def test_a_broken_answer_breaks_the_watch_and_tells_nothing(data: bytes) -> None:
-    (broken,) = watch().feed(data)
-    assert isinstance(broken, WatchFailed) and broken.reason
+def test_a_malformed_answer_fails_the_watch_and_updates_nothing(data: bytes) -> None:
+    (failure,) = watch().feed(data)
+    assert isinstance(failure, WatchFailed)
+    assert failure.reason
 
 
-OTHER = NEWS.replace(b"s-1", b"s-2").replace(b'"seq":43', b'"seq":44')
+OTHER_UPDATE_LINE = UPDATE_LINE.replace(b"s-1", b"s-2").replace(b'"seq":43', b'"seq":44')
 
 
 @pytest.mark.parametrize(
@@ -82,24 +84,34 @@
         b"0\r\n\r\n",
         b"zz\r\n",
         chunk(b"{]\n"),
-        chunk(OTHER.replace(b"Terminating", b"Asleep")),  # a good entry beside a bad one is no news either
+        chunk(
+            OTHER_UPDATE_LINE.replace(b"Terminating", b"Asleep")
+        ),  # a good entry beside a bad one updates nothing either
         chunk(b"x" * 5000),
-        chunk(OTHER[:60] + b"\n\n"),  # cut short, then a beat
-        chunk(OTHER[:60] + b"\n" + OTHER),  # and another
-        chunk(NEWS.replace(b'"seq":43', b'"seq":42')),  # older than what was told
+        chunk(OTHER_UPDATE_LINE[:60] + b"\n\n"),  # cut short, then a heartbeat
+        chunk(OTHER_UPDATE_LINE[:60] + b"\n" + OTHER_UPDATE_LINE),  # and another
+        chunk(UPDATE_LINE.replace(b'"seq":43', b'"seq":42')),  # older than what was sent
     ],
 )
 @pytest.mark.parametrize("apart", [False, True])
-def test_what_is_good_before_what_is_spoilt_holds_and_nothing_after(rest: bytes, apart: bool) -> None:
-    w = watch()
-    found = w.feed(HEAD + chunk(NEWS)) + w.feed(rest) if apart else w.feed(HEAD + chunk(NEWS) + rest)
-    news, broken = found
-    assert isinstance(news, MembershipUpdate) and news.version == 43 and isinstance(broken, WatchFailed)
-
-
-def test_lines_before_a_spoilt_one_in_the_same_chunk_hold() -> None:
-    news, beat, broken = watch().feed(HEAD + chunk(NEWS + b"\n" + b"{]\n" + OTHER))
-    assert isinstance(news, MembershipUpdate) and beat == Heartbeat() and isinstance(broken, WatchFailed)
+def test_what_is_valid_before_what_is_malformed_holds_and_nothing_after(rest: bytes, apart: bool) -> None:
+    endpoint_watch = watch()
+    found = (
+        endpoint_watch.feed(HEAD + chunk(UPDATE_LINE)) + endpoint_watch.feed(rest)
+        if apart
+        else endpoint_watch.feed(HEAD + chunk(UPDATE_LINE) + rest)
+    )
+    update, failure = found
+    assert isinstance(update, MembershipUpdate)
+    assert update.version == 43
+    assert isinstance(failure, WatchFailed)
+
+
+def test_lines_before_a_malformed_one_in_the_same_chunk_hold() -> None:
+    update, heartbeat, failure = watch().feed(HEAD + chunk(UPDATE_LINE + b"\n" + b"{]\n" + OTHER_UPDATE_LINE))
+    assert isinstance(update, MembershipUpdate)
+    assert heartbeat == Heartbeat()
+    assert isinstance(failure, WatchFailed)
 
 
 LAYOUTS: dict[str, Callable[[Any], str]] = {
@@ -113,11 +125,11 @@
 @pytest.mark.parametrize("step", [1, 11, 4096])
 @pytest.mark.parametrize("layout", LAYOUTS.values(), ids=LAYOUTS.keys())
 def test_objects_over_several_lines(step: int, layout: Callable[[Any], str]) -> None:
-    w, found = watch(), list[object]()
-    text = [layout(orjson.loads(data)).encode() for data in (NEWS, OTHER)]
+    endpoint_watch, found = watch(), list[object]()
+    text = [layout(orjson.loads(data)).encode() for data in (UPDATE_LINE, OTHER_UPDATE_LINE)]
     data = HEAD + chunk(text[0] + b"\n\n") + chunk(b"  " + text[1] + b"\n\n")
-    for at in range(0, len(data), step):
-        found += w.feed(data[at : at + step])
+    for start in range(0, len(data), step):
+        found += endpoint_watch.feed(data[start : start + step])
     assert [event.version if isinstance(event, MembershipUpdate) else event for event in found] == [
         43,
         Heartbeat(),
@@ -126,12 +138,14 @@
     ]
 
 
-@pytest.mark.parametrize(("whole", "holds"), [(b"true", True), (b"false", False)])
-def test_an_older_first_answer_holds_only_as_the_whole_list(whole: bytes, holds: bool) -> None:
-    (event,) = watch().feed(HEAD + chunk(NEWS.replace(b"false", whole).replace(b'"seq":43', b'"seq":7')))
+@pytest.mark.parametrize(("complete", "holds"), [(b"true", True), (b"false", False)])
+def test_an_older_first_answer_holds_only_as_a_complete_list(complete: bytes, holds: bool) -> None:
+    (event,) = watch().feed(
+        HEAD + chunk(UPDATE_LINE.replace(b"false", complete).replace(b'"seq":43', b'"seq":7'))
+    )
     assert isinstance(event, MembershipUpdate if holds else WatchFailed)
     assert not isinstance(event, MembershipUpdate) or event.is_stale
 
 
-def test_the_known_pool_may_be_missing() -> None:
+def test_the_cached_endpoint_list_may_be_missing() -> None:
     assert read_cached_membership({}, settings()) == MembershipUpdate(0, True, [])
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -22,19 +22,22 @@
 )
 
 pytestmark = pytest.mark.anyio
-Play = Callable[[RelayHarness, FailingCalls], Awaitable[None]]
-OPEN = r"OPEN {} 0b c=plain,d=2000\r\n"
-FOR_A_MOMENT = [errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EPROTO, errno.ENOMEM, errno.EMFILE]
-NO_BUFFERS = [errno.ENOBUFS, errno.ENOMEM]
+FailingScenario = Callable[[RelayHarness, FailingCalls], Awaitable[None]]
+OPEN_LINE = r"OPEN {} 0b c=plain,d=2000\r\n"
+MOMENTARY_ERRORS = [errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EPROTO, errno.ENOMEM, errno.EMFILE]
+NO_BUFFER_ERRORS = [errno.ENOBUFS, errno.ENOMEM]
 
 
-async def play_with(
-    play: Play, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], **limits: int
+async def run_with_failing_calls(
+    scenario: FailingScenario,
+    monkeypatch: pytest.MonkeyPatch,
+    capsys: pytest.CaptureFixture[str],
+    **limits: int,
 ) -> None:
     calls = FailingCalls(monkeypatch)
 
     async def run(harness: RelayHarness) -> None:
-        await play(harness, calls)
+        await scenario(harness, calls)
 
     await run_scenario(RelayHarness(SHORT_TIMES | limits), run, capsys)
     assert not any(calls.remaining_errors.values()), calls.remaining_errors  # each failure has happened
@@ -53,8 +56,8 @@
     calls.monkeypatch.setattr(socket.socket, "accept", not_before_the_end)
     clients += [await harness.connect_client() for _ in range(3)]
     for number, client in enumerate(clients):
-        client.send(OPEN.format(f"a{number}"))
-    calls.fail("accept", FOR_A_MOMENT, lambda sock: relay.shutdown.is_exiting)
+        client.send(OPEN_LINE.format(f"a{number}"))
+    calls.fail("accept", MOMENTARY_ERRORS, lambda sock: relay.shutdown.is_exiting)
     relay.runtime.run_engine_call(relay.engine.drain)
     for client in clients[3:]:
         await client.expect("BUSY")
@@ -64,9 +67,9 @@
 async def answers_that_can_not_be_sent_at_once(harness: RelayHarness, calls: FailingCalls) -> None:
     """The answer, a line and MOVE: each send fails for a moment before it."""
     mine = is_connected_at_port(harness.relay.runtime.config.listen_address.port)
-    calls.fail("send", NO_BUFFERS, mine)
+    calls.fail("send", NO_BUFFER_ERRORS, mine)
     client, server = await established_client(harness)
-    for error in NO_BUFFERS:
+    for error in NO_BUFFER_ERRORS:
         calls.remaining_errors["send"].append(error)
         server.send(r"a line\r\n")
         await client.expect("a line")
@@ -77,7 +80,7 @@
 
 
 async def first_lines_that_can_not_be_sent_at_once(harness: RelayHarness, calls: FailingCalls) -> None:
-    calls.fail("send", NO_BUFFERS, is_connected_to_port(harness.endpoint_listener.getsockname()[1]))
+    calls.fail("send", NO_BUFFER_ERRORS, is_connected_to_port(harness.endpoint_listener.getsockname()[1]))
     client, server = await established_client(harness)
     calls.remaining_errors["send"].append(errno.ENOBUFS)
     client.send(r"a line\r\n")
@@ -100,7 +103,7 @@
     """A request is placed at its backend as if nothing had happened: no attempt is spent, nothing counted."""
     client = await harness.connect_client()
     calls.fail_new_sockets([errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE])
-    client.send(OPEN.format("0a"))
+    client.send(OPEN_LINE.format("0a"))
     await _is_served_by_the_first_attempt(harness, client)
 
 
@@ -108,7 +111,7 @@
     client = await harness.connect_client()
     local = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EAGAIN]
     calls.fail("connect_ex", local, lambda sock: True)
-    client.send(OPEN.format("0a"))
+    client.send(OPEN_LINE.format("0a"))
     await _is_served_by_the_first_attempt(harness, client)
 
 
@@ -118,7 +121,8 @@
     server.send(r"UP r1\r\n")
     await client.expect("UP r1")
     counts = harness.relay.engine.counters.counts
-    assert counts["attempts_started"] == 1 and not counts["attempts.connect_failed"], counts
+    assert counts["attempts_started"] == 1, counts
+    assert not counts["attempts.connect_failed"], counts
 
 
 async def no_socket_for_longer(harness: RelayHarness, calls: FailingCalls) -> None:
@@ -127,17 +131,18 @@
     watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
     client = await harness.connect_client()
     calls.fail_new_sockets([errno.ENFILE] * 20)
-    client.send(OPEN.format("0a"))
+    client.send(OPEN_LINE.format("0a"))
     server = await harness.accept_upstream()
     await server.expect("OPEN 0a")
     server.send(r"UP r1\r\n")
     await client.expect("UP r1")
     counts = harness.relay.engine.counters.counts
-    assert counts["attempts.connect_failed"] == 1 and counts["local_errors"] > 10, counts
+    assert counts["attempts.connect_failed"] == 1, counts
+    assert counts["local_errors"] > 10, counts
     assert harness.relay.engine.balancer.state.endpoints["b1"].ejected_until_us == 0
 
 
-async def a_probe_without_a_socket(harness: RelayHarness, calls: FailingCalls) -> None:
+async def a_load_probe_without_a_socket(harness: RelayHarness, calls: FailingCalls) -> None:
     """Its result says nothing of the backend, whose clients stay."""
     watcher = await harness.accept_watch(harness.discovery_listener, 1)
     watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
@@ -156,48 +161,50 @@
 async def test_all_in_the_queue_are_answered_at_the_end_though_accepts_fail(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    await play_with(queue_at_the_end, monkeypatch, capsys)
+    await run_with_failing_calls(queue_at_the_end, monkeypatch, capsys)
 
 
 async def test_what_can_not_be_sent_for_a_moment_is_sent_later(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    await play_with(answers_that_can_not_be_sent_at_once, monkeypatch, capsys)
-    await play_with(first_lines_that_can_not_be_sent_at_once, monkeypatch, capsys)
-    await play_with(reads_that_fail, monkeypatch, capsys)
+    await run_with_failing_calls(answers_that_can_not_be_sent_at_once, monkeypatch, capsys)
+    await run_with_failing_calls(first_lines_that_can_not_be_sent_at_once, monkeypatch, capsys)
+    await run_with_failing_calls(reads_that_fail, monkeypatch, capsys)
 
 
 async def test_an_error_of_this_machine_spends_no_attempt_and_blames_no_backend(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    await play_with(no_socket_for_a_moment, monkeypatch, capsys)
-    await play_with(no_connect_for_a_moment, monkeypatch, capsys)
+    await run_with_failing_calls(no_socket_for_a_moment, monkeypatch, capsys)
+    await run_with_failing_calls(no_connect_for_a_moment, monkeypatch, capsys)
 
 
 async def test_a_longer_shortage_blames_no_backend_either(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    await play_with(no_socket_for_longer, monkeypatch, capsys)
-    await play_with(a_probe_without_a_socket, monkeypatch, capsys, connect_timeout_us=100_000)
+    await run_with_failing_calls(no_socket_for_longer, monkeypatch, capsys)
+    await run_with_failing_calls(
+        a_load_probe_without_a_socket, monkeypatch, capsys, connect_timeout_us=100_000
+    )
 
 
-async def no_room_and_no_buffers(harness: RelayHarness, calls: FailingCalls) -> None:
+async def no_descriptors_and_no_buffers(harness: RelayHarness, calls: FailingCalls) -> None:
     """Silent clients fill the descriptors, and the answer to each that gives way can't be sent at first."""
-    room = harness.relay.runtime.limits.client_sockets
-    clients = [await harness.connect_client() for _ in range(room)]
+    capacity = harness.relay.runtime.limits.client_sockets
+    clients = [await harness.connect_client() for _ in range(capacity)]
     calls.fail("send", [], is_connected_at_port(harness.relay.runtime.config.listen_address.port))
     for _ in range(3):
-        calls.remaining_errors["send"].extend(NO_BUFFERS)
+        calls.remaining_errors["send"].extend(NO_BUFFER_ERRORS)
         clients.append(await harness.connect_client())
         await harness.wait_until(lambda: not calls.remaining_errors["send"])
     await anyio.sleep(0)
-    assert harness.relay.runtime.descriptor_count.peak <= room + 1  # the one that has just been accepted
+    assert harness.relay.runtime.descriptor_count.peak <= capacity + 1  # the one that has just been accepted
     for client in clients[:3]:
         await client.expect("BUSY")
         await client.expect("end")
 
 
-async def test_who_gives_way_is_answered_and_gives_its_descriptor_back_at_once(
+async def test_an_evicted_client_is_answered_and_gives_its_descriptor_back_at_once(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    await play_with(no_room_and_no_buffers, monkeypatch, capsys, sockets=30)
+    await run_with_failing_calls(no_descriptors_and_no_buffers, monkeypatch, capsys, sockets=30)
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -17,7 +17,7 @@
 from gannetweir.proto.endpoint_watch import EndpointWatch, WatchFailed
 from tests.helpers import Gateway, of, settings
 from tests.scenario import play
-from tests.test_pool_watch import HEAD, LAYOUTS, chunk
+from tests.test_endpoint_watch import HEAD, LAYOUTS, chunk
 
 COUNT = 1024
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -16,22 +16,22 @@
 )
 
 pytestmark = pytest.mark.anyio
-MANY = 1000  # more than the kernel buffers for a loop that is held up
+FLOOD_SIZE = 1000  # more than the kernel buffers for a loop that is held up
 
 
-async def a_flood_and_then_the_end(harness: RelayHarness) -> None:
+async def a_flood_and_then_sigterm(harness: RelayHarness) -> None:
     client, server = await established_client(harness)
-    for _ in range(MANY):
+    for _ in range(FLOOD_SIZE):
         os.kill(os.getpid(), signal.SIGUSR1)
     os.kill(os.getpid(), signal.SIGTERM)
     await client.expect("MOVE")
     await server.expect("end")
 
 
-async def test_the_end_is_told_behind_a_flood_of_other_signals() -> None:
+async def test_sigterm_is_handled_behind_a_flood_of_other_signals() -> None:
     harness, printed = RelayHarness(SHORT_TIMES), []
     harness.relay.print_counters = lambda: printed.append(1)  # type: ignore[method-assign]
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(harness.relay.run)
-        await a_flood_and_then_the_end(harness)
+        await a_flood_and_then_sigterm(harness)
     assert len(printed) >= 2  # once where it was asked for, and at the exit
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The drivers on loopback sockets: a relay that runs, among the stand-ins of `tests/relay_harness.py`."""
+"""The drivers on loopback sockets: a relay that runs, among the stand-ins of the harness."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 )
 
 
-async def lines_pass(harness: RelayHarness) -> None:
+async def lines_are_forwarded(harness: RelayHarness) -> None:
     client, server = await established_client(harness)
     client.send(r"one\r\ntw")
     await server.expect("one")
@@ -45,7 +45,7 @@
     await client.expect("answer")
 
 
-async def ends_in_kind(harness: RelayHarness) -> None:
+async def ends_are_forwarded_in_kind(harness: RelayHarness) -> None:
     for reset in (False, True):
         client, server = await established_client(harness)
         server.close(reset)
@@ -55,7 +55,7 @@
         await server.expect("reset" if reset else "end")
 
 
-async def bad_first_lines(harness: RelayHarness) -> None:
+async def malformed_first_lines(harness: RelayHarness) -> None:
     for raw in (r"\xff\xfe\r\n", "x" * 5000, r"OPEN a b c=none,d=1\r\n"):
         client = await harness.connect_client()
         client.send(raw)
@@ -76,7 +76,7 @@
     await client.expect("PONG")
 
 
-async def too_many(harness: RelayHarness) -> None:
+async def more_clients_than_descriptors(harness: RelayHarness) -> None:
     pairs = [await established_client(harness)]
     silent = [await harness.connect_client() for _ in range(4)]  # room for two
     for client in silent[:2]:  # who has said nothing for longest gives way to the next
@@ -93,7 +93,7 @@
         await server.expect("still here")
 
 
-async def who_gives_way(harness: RelayHarness) -> None:
+async def clients_are_evicted_in_order(harness: RelayHarness) -> None:
     slow, asked, late = [await harness.connect_client() for _ in range(3)]  # room for one more
     slow.send("OPEN 0a 0b c=pl")
     asked.send(r"PING\r\n")
@@ -112,7 +112,7 @@
     assert not late.buffer
 
 
-async def megabytes_that_mean_nothing(harness: RelayHarness) -> None:
+async def megabytes_are_discarded(harness: RelayHarness) -> None:
     client, server = await established_client(harness)
     for raw in ("x" * 9000, r"OPEN 0c 0d c=none,d=2000\r\n"):
         bad = await harness.connect_client()
@@ -147,13 +147,13 @@
     await client.expect("end")
 
 
-async def a_beat_confirms_the_pool(harness: RelayHarness) -> None:
+async def a_heartbeat_confirms_the_endpoint_list(harness: RelayHarness) -> None:
     watcher = await harness.accept_watch(harness.discovery_listener, 1)
     watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
     await harness.wait_until(lambda: harness.relay.engine.balancer.endpoint_polling.is_subscribed)
 
 
-async def a_reload_moves_the_watch(harness: RelayHarness) -> None:
+async def a_reload_changes_the_discovery_address(harness: RelayHarness) -> None:
     client, server = await established_client(harness)
     old = await harness.accept_watch(harness.discovery_listener, 1)
     old.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
@@ -173,12 +173,12 @@
     new.send(WATCH_RESPONSE_HEAD + unchanged_update_chunk(9))
     await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 9)
     assert not harness.relay.engine.counters.counts["endpoint_watch_failures"]
-    assert harness.relay.engine.endpoint_list.has_ready_endpoint()  # what the old one told has stayed
+    assert harness.relay.engine.endpoint_list.has_ready_endpoint()  # what the old one sent has stayed
     client.send(r"still here\r\n")
     await server.expect("still here")
 
 
-async def a_bad_file_changes_nothing(harness: RelayHarness) -> None:
+async def a_bad_configuration_changes_nothing(harness: RelayHarness) -> None:
     client, server = await established_client(harness)
     before = harness.relay.runtime.config
     harness.reload(seed=UNREADABLE_CONFIG_SEED)
@@ -208,14 +208,14 @@
     await client.expect("end")
 
 
-async def refused_backend(harness: RelayHarness) -> None:
+async def an_endpoint_that_refuses(harness: RelayHarness) -> None:
     harness.endpoint_listener.close()
     client = await harness.connect_client()
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
     await client.expect("BUSY")
 
 
-async def the_door(harness: RelayHarness) -> None:
+async def admin_calls(harness: RelayHarness) -> None:
     await harness.admin_call(r"HEALTH\r\n", "ok")
     idle = [
         Peer(socket.create_connection((harness.admin_address.host, harness.admin_address.port)))
@@ -237,12 +237,12 @@
     await harness.admin_call(r"HEALTH\r\n", "fail draining")
 
 
-async def an_upgrade(harness: RelayHarness) -> None:
-    door = SocketAddress("127.0.0.1", harness.free_port())
+async def two_processes_of_one_relay(harness: RelayHarness) -> None:
+    admin_address = SocketAddress("127.0.0.1", harness.free_port())
     new = Relay(
         replace(
             harness.config,
-            admin_address=door,
+            admin_address=admin_address,
             inherited_listener_fd=os.dup(harness.inherited_listener.fileno()),
         ),
         harness.reread_config,
@@ -254,8 +254,8 @@
             lambda: hasattr(new, "listener") and new.listener.accepting and bool(harness.relay.handover.peers)
         )
         assert new.handover.count_peer_descriptors() == harness.relay.runtime.descriptor_count.open >= 2
-        await harness.admin_call(r"HEALTH\r\n", "ok", door)
-        await harness.admin_call(r"OFFLINE b1\r\n", "ok b1 out", door)
+        await harness.admin_call(r"HEALTH\r\n", "ok", admin_address)
+        await harness.admin_call(r"OFFLINE b1\r\n", "ok b1 out", admin_address)
         waiting = await harness.connect_client()
         waiting.send(r"OPEN 0c 0d c=plain,d=400\r\n")
         await waiting.expect("BUSY")  # whichever took it, nothing starts there
@@ -271,7 +271,7 @@
         await again.expect("MOVE")
 
 
-async def drains(harness: RelayHarness) -> None:
+async def a_drain(harness: RelayHarness) -> None:
     client, server = await established_client(harness)
     harness.relay.runtime.run_engine_call(harness.relay.engine.drain)
     await client.expect("MOVE")
@@ -279,14 +279,14 @@
     await server.expect("end")
 
 
-async def signals(harness: RelayHarness) -> None:
+async def signals_print_and_drain(harness: RelayHarness) -> None:
     client, _ = await established_client(harness)
     os.kill(os.getpid(), signal.SIGUSR1)
     os.kill(os.getpid(), signal.SIGTERM)
     await client.expect("MOVE")
 
 
-async def long_lines_back_up(harness: RelayHarness) -> None:
+async def back_pressure_bounds_the_buffer(harness: RelayHarness) -> None:
     client, server = await established_client(harness)
     line = "x" * 4000 + r"\r\n"
     sent = 0
@@ -295,40 +295,48 @@
             server.send(line * 8)
             sent += 8
             await anyio.sleep(0)
-    (session,) = harness.relay.clients.by_request.values()
-    assert len(session.client.unsent) <= 2 * harness.relay.runtime.config.limits.max_buffered_bytes + 8192
+    (client_connection,) = harness.relay.clients.by_request.values()
+    assert (
+        len(client_connection.client.unsent)
+        <= 2 * harness.relay.runtime.config.limits.max_buffered_bytes + 8192
+    )
     client.close()
 
 
 @pytest.mark.anyio
 @pytest.mark.parametrize(
-    ("play", "limits"),
+    ("scenario", "limits"),
     [
-        (lines_pass, {}),
-        (ends_in_kind, {}),
-        (bad_first_lines, {}),
+        (lines_are_forwarded, {}),
+        (ends_are_forwarded_in_kind, {}),
+        (malformed_first_lines, {}),
         (half_a_first_line, {"first_line_timeout_us": 30_000}),
         (pings, {}),
         (a_ping_alone, {"first_line_timeout_us": 30_000}),
-        (a_beat_confirms_the_pool, {}),
-        (a_reload_moves_the_watch, {}),
-        (a_bad_file_changes_nothing, {}),
-        (too_many, {"sockets": 30}),
-        (who_gives_way, {"sockets": 30, "eviction_grace_us": 20_000}),
-        (megabytes_that_mean_nothing, {}),
+        (a_heartbeat_confirms_the_endpoint_list, {}),
+        (a_reload_changes_the_discovery_address, {}),
+        (a_bad_configuration_changes_nothing, {}),
+        (more_clients_than_descriptors, {"sockets": 30}),
+        (clients_are_evicted_in_order, {"sockets": 30, "eviction_grace_us": 20_000}),
+        (megabytes_are_discarded, {}),
         (pings_without_end, {}),
         (bytes_that_trickle, {"first_line_timeout_us": 60_000}),
-        (refused_backend, {}),
-        (the_door, {}),
-        (an_upgrade, {}),
-        (drains, {}),
-        (signals, {}),
-        (long_lines_back_up, {}),
+        (an_endpoint_that_refuses, {}),
+        (admin_calls, {}),
+        (two_processes_of_one_relay, {}),
+        (a_drain, {}),
+        (signals_print_and_drain, {}),
+        (back_pressure_bounds_the_buffer, {}),
     ],
 )
 async def test_on_sockets(
-    play: Scenario, limits: dict[str, int], capsys: pytest.CaptureFixture[str], tmp_path: Path
+    scenario: Scenario, limits: dict[str, int], capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
-    harness = RelayHarness(SHORT_TIMES | limits, tmp_path if play is an_upgrade else None)
+    harness = RelayHarness(SHORT_TIMES | limits, tmp_path if scenario is two_processes_of_one_relay else None)
     # the counters at the exit, and once more where they were asked for
-    await run_scenario(harness, play, capsys, 2 if play in (signals, an_upgrade) else 1)
+    await run_scenario(
+        harness,
+        scenario,
+        capsys,
+        2 if scenario in (signals_print_and_drain, two_processes_of_one_relay) else 1,
+    )
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -17,7 +17,7 @@
 
 ROOT = Path(__file__).parent.parent
 # Sends itself a signal as a module is asked for: so it comes at that very point of the start.
-START = """
+SIGNAL_AT_IMPORT = """
 import importlib.abc, os, runpy, sys
 class At(importlib.abc.MetaPathFinder):
     def find_spec(self, name, path, target=None):
@@ -29,7 +29,7 @@
 """
 
 
-def started(tmp_path: Path, code: str, stderr: int = subprocess.PIPE) -> subprocess.Popen[str]:
+def start_relay(tmp_path: Path, code: str, stderr: int = subprocess.PIPE) -> subprocess.Popen[str]:
     listen, discovery = (f"127.0.0.1:{RelayHarness.free_port()}" for _ in range(2))
     config = {
         "name": "n0",
@@ -44,30 +44,33 @@
 
 @pytest.mark.parametrize("module", ["gannetweir.cli", "gannetweir.net.relay"])
 @pytest.mark.parametrize(
-    ("number", "told"),
+    ("number", "expected_output"),
     [
         (signal.SIGHUP, "reload: done"),
         (signal.SIGUSR1, '"membership_version"'),
         (signal.SIGTERM, ""),  # it drains, and ends by itself
     ],
 )
-def test_a_signal_before_its_handler_is_kept(tmp_path: Path, module: str, number: int, told: str) -> None:
-    relay = started(tmp_path, START.format(module=module, number=int(number)))
+def test_a_signal_before_its_handler_is_handled(
+    tmp_path: Path, module: str, number: int, expected_output: str
+) -> None:
+    relay = start_relay(tmp_path, SIGNAL_AT_IMPORT.format(module=module, number=int(number)))
     assert relay.stderr is not None
-    if told:
+    if expected_output:
         for line in relay.stderr:
-            if told in line:
+            if expected_output in line:
                 break
         relay.send_signal(signal.SIGTERM)
-    rest = relay.communicate(timeout=20)[1]
-    assert relay.returncode == 0 and '"membership_version"' in rest
+    output = relay.communicate(timeout=20)[1]
+    assert relay.returncode == 0
+    assert '"membership_version"' in output
 
 
 def test_a_log_that_nobody_reads_ends_no_relay(tmp_path: Path) -> None:
     reader, writer = os.pipe()
     os.close(reader)
     code = 'import runpy, sys; sys.argv = ["g", "serve"]; runpy.run_module("gannetweir", run_name="__main__")'
-    relay = started(tmp_path, code, writer)
+    relay = start_relay(tmp_path, code, writer)
     os.close(writer)
     at = json.loads((tmp_path / "config.json").read_text())["listen"].split(":")
     for number in (0, signal.SIGHUP, signal.SIGUSR1):  # both have something to write
@@ -91,10 +94,11 @@
     python.parent.mkdir(parents=True)
     python.write_text("#!/bin/sh\necho $$\nexec grep SigIgn /proc/self/status\n")
     python.chmod(0o755)
-    told = tomllib.loads((ROOT / f"deploy/{name}.toml").read_text())["run"]
-    run = subprocess.Popen(["/bin/sh", "-c", told], cwd=tmp_path, stdout=subprocess.PIPE, text=True)
+    command = tomllib.loads((ROOT / f"deploy/{name}.toml").read_text())["run"]
+    run = subprocess.Popen(["/bin/sh", "-c", command], cwd=tmp_path, stdout=subprocess.PIPE, text=True)
     number, ignored = run.communicate(timeout=10)[0].splitlines()
     assert int(number) == run.pid  # no shell stays in between
     mask = int(ignored.split()[1], 16)
-    assert mask >> (signal.SIGHUP - 1) & 1 and mask >> (signal.SIGUSR1 - 1) & 1
+    assert mask >> (signal.SIGHUP - 1) & 1
+    assert mask >> (signal.SIGUSR1 - 1) & 1
     assert not mask >> (signal.SIGTERM - 1) & 1
