--- a/gannetweir/placement/attempt_dispatch.py
+++ b/gannetweir/placement/attempt_dispatch.py
@@ -91,7 +91,7 @@
         request.attempted_endpoints.append(endpoint)
         endpoint.request_ids[request_id] = None
         self._load_model.count_placement(request_id, request, endpoint, now_us)
-        self._context.actions.append(StartAttempt(request_id, endpoint.id, timeout_us))
+        self._context.actions.append(StartAttempt(request_id, endpoint.endpoint_id, timeout_us))
 
     def finish(self, request_id: int, request: PendingRequest) -> None:
         """Give a request its final answer: rejected where a repeat is known to do no harm, else failed."""
--- a/gannetweir/placement/endpoint_updates.py
+++ b/gannetweir/placement/endpoint_updates.py
@@ -43,7 +43,9 @@
             self._polling.succeeded()
         if update.kind != UpdateKind.DELTA:
             listed = {entry.endpoint_id for entry in update.entries}
-            unlisted = [endpoint for endpoint in self._endpoints.values() if endpoint.id not in listed]
+            unlisted = [
+                endpoint for endpoint in self._endpoints.values() if endpoint.endpoint_id not in listed
+            ]
             for endpoint in unlisted:
                 self._withdraw(endpoint, EndpointStatus.REMOVED)
         for entry in update.entries:
@@ -52,7 +54,7 @@
             self._packing.sample_ahead(now_us)
 
     def _apply_entry(self, entry: EndpointEntry, now_us: int) -> None:
-        endpoint = self._endpoints.setdefault(entry.endpoint_id, EndpointState.from_entry(entry))
+        endpoint = self._endpoints.setdefault(entry.endpoint_id, EndpointState(entry))
         if entry.started_us != endpoint.started_us:
             self._reports.discard(endpoint)
             self._packing.end_fill(endpoint)  # a draw from before the start knew a warm one
--- a/gannetweir/placement/group_placement.py
+++ b/gannetweir/placement/group_placement.py
@@ -7,8 +7,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass
 from itertools import chain, islice
+from typing import NamedTuple
 
 from gannetweir.placement.admission import LoadLimit
 from gannetweir.placement.context import REPORT_FRESH_US, Choice, Deferral, PlacementContext
@@ -28,15 +28,15 @@
 RETURN_PERIOD_US = 5 * REPORT_FRESH_US  # after the start, in which returned connections are counted elsewhere
 
 
-@dataclass(slots=True, eq=False)
 class CandidateSearch:
     """The candidates for one arrival of a group so far, in their order."""
 
-    examined: list[EndpointState]  # in this search, or tried before
-    awaiting: EndpointState | None = None  # its probe is out
-    reported: EndpointState | None = None  # its probe has been answered
-    # The first of those that would do, though one more group is much for them.
-    fallback: EndpointState | None = None
+    def __init__(self, attempted: list[EndpointState]) -> None:
+        self.examined = list(attempted)  # in this search, or attempted before
+        self.awaiting: EndpointState | None = None  # its probe is out
+        self.reported: EndpointState | None = None  # its probe has been answered
+        # The first of those that would do, though one more group is much for them.
+        self.fallback: EndpointState | None = None
 
     def report_came(self, endpoint: EndpointState, may_be_sent_to: bool) -> None:
         """Go on from the endpoint whose probe has been answered, or past it."""
@@ -46,8 +46,7 @@
             self.examined.remove(endpoint)
 
 
-@dataclass(slots=True, eq=False)
-class _Preference:
+class _Preference(NamedTuple):
     """The order in which the endpoints come into question for a group, at one moment."""
 
     permitted: list[EndpointState]  # may be used though they are warming up
@@ -84,7 +83,7 @@
 
     def choose(self, request_id: int, request: PendingRequest, now_us: int) -> Choice:
         """Go on with the search of a request: an endpoint, none, or a deferral for a candidate's report."""
-        search = self.searches.setdefault(request_id, CandidateSearch(list(request.attempted_endpoints)))
+        search = self.searches.setdefault(request_id, CandidateSearch(request.attempted_endpoints))
         preference = self._preference(search, request.group)
         has_waited = request.has_waited(now_us)
         is_crowded = False
@@ -104,7 +103,7 @@
                     search.fallback = search.fallback or endpoint
         if is_crowded and not has_waited and search.fallback is None:
             self._context.start_wait(request, now_us)
-            self.searches[request_id] = CandidateSearch(list(request.attempted_endpoints))
+            self.searches[request_id] = CandidateSearch(request.attempted_endpoints)
             return Deferral.AWAITING_REPORT
         return search.fallback if search.fallback and search.fallback.is_ready else None
 
--- a/gannetweir/placement/load_probing.py
+++ b/gannetweir/placement/load_probing.py
@@ -28,7 +28,7 @@
     def probe(self, endpoint: EndpointState, now_us: int) -> None:
         """Probe one endpoint."""
         endpoint.probed_us = now_us
-        self._context.actions.append(ProbeLoad(endpoint.id))
+        self._context.actions.append(ProbeLoad(endpoint.endpoint_id))
 
     def probe_ahead(self, now_us: int) -> None:
         """Probe the endpoints of own connections whose last probe is old.
--- a/gannetweir/placement/pending_request.py
+++ b/gannetweir/placement/pending_request.py
@@ -2,34 +2,64 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-
 from gannetweir.placement.endpoint_state import EndpointState
 from gannetweir.placement.settings import RequestClass
 
 
-@dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed an answer, or an established connection."""
+    """A request that is owed an answer, or an established connection.
+
+    A plain class, as a dataclass of so many fields costs 2 ms at each start.
+    """
+
+    __slots__ = (
+        "attempt_started_us",
+        "attempted_endpoints",
+        "attempts",
+        "deadline_us",
+        "endpoint",
+        "executed_at",
+        "executed_us",
+        "group",
+        "is_established",
+        "load_hint",
+        "previous_endpoint",
+        "request_class",
+        "suspects",
+        "tenant",
+        "waits_until_us",
+        "was_returned",
+    )
 
-    request_class: RequestClass
-    tenant: int
-    group: int  # 0: the request belongs to no group
-    deadline_us: int
-    load_hint: float  # the load of its connection, in the client's own unit; 0 where it is not known
-    was_returned: bool = False  # its connection was broken or migrated
-    # Where a returned connection most likely was until just now: the reports there still count it.
-    previous_endpoint: EndpointState | None = None
-    is_established: bool = False
-    attempts: int = 0
-    endpoint: EndpointState | None = None  # that of the latest attempt
-    attempt_started_us: int = 0
-    attempted_endpoints: list[EndpointState] = field(default_factory=list)
-    # Endpoints that failed it in a way which may be the client's fault.
-    suspects: list[EndpointState] = field(default_factory=list)
-    waits_until_us: int = 0  # for a load report, at most until then; 0: it has not waited yet
-    executed_at: EndpointState | None = None  # where the first attempt that may have been executed went
-    executed_us: int = 0
+    def __init__(
+        self,
+        request_class: RequestClass,
+        tenant: int,
+        group: int,
+        deadline_us: int,
+        load_hint: float,
+        was_returned: bool,
+    ) -> None:
+        self.request_class = request_class
+        self.tenant = tenant
+        self.group = group  # 0: the request belongs to no group
+        self.deadline_us = deadline_us
+        self.load_hint = load_hint  # of its connection, in the client's own unit; 0 where it is not known
+        self.was_returned = was_returned  # its connection was broken or migrated
+        # Where a returned connection most likely was until just now: the reports there still count it.
+        self.previous_endpoint: EndpointState | None = None
+        self.is_established = False
+        self.attempts = 0
+        self.endpoint: EndpointState | None = None  # that of the latest attempt
+        self.attempt_started_us = 0
+        self.attempted_endpoints: list[EndpointState] = []
+        # Endpoints that failed it in a way which may be the client's fault.
+        self.suspects: list[EndpointState] = []
+        self.waits_until_us = 0  # for a load report, at most until then; 0: it has not waited yet
+        self.executed_at: EndpointState | None = (
+            None  # where the first attempt that may have been executed went
+        )
+        self.executed_us = 0  # when that attempt started
 
     def has_waited(self, now_us: int) -> bool:
         """Whether it has waited for a load report as long as it may."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -121,5 +121,7 @@
     def aside(self) -> list[EndpointId]:
         """The servers that nothing is sent to for now, by what was seen of them."""
         return [
-            node.id for node in self.balancer.state.endpoints.values() if node.ejected_until_us > self.now
+            node.endpoint_id
+            for node in self.balancer.state.endpoints.values()
+            if node.ejected_until_us > self.now
         ]
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -30,7 +30,7 @@
     count = 0
     for _ in range(ticks):
         g.balancer.slow_start.grant_permits(g.now)
-        count += sum(node.id == server for node in g.balancer.slow_start.permits)
+        count += sum(node.endpoint_id == server for node in g.balancer.slow_start.permits)
     return count
 
 
@@ -92,7 +92,7 @@
         g = Gateway(4, seed=seed, load_probes_enabled=False, load_report_source="none", relay_count=50)
         target = g.balancer.packing.target
         assert target is not None
-        g.mark(target.id, EndpointStatus.READY, g.now)  # it starts anew without having left the list
+        g.mark(target.endpoint_id, EndpointStatus.READY, g.now)  # it starts anew without having left the list
         for _ in range(8):
             g.arrive()
-        assert target.id not in [send.endpoint_id for send in g.sent]
+        assert target.endpoint_id not in [send.endpoint_id for send in g.sent]
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -75,7 +75,9 @@
 def test_a_group_belongs_to_the_same_two_servers_in_every_zone_once_room_is_short(load: float) -> None:
     """Each zone had its own place for every group: 26 places that were paid for became 150 in a release."""
     for group in range(1, 13):
-        places = [node.id for node in gateway().balancer.state.ready_endpoints.highest_ranked(group, 2, ())]
+        places = [
+            node.endpoint_id for node in gateway().balancer.state.ready_endpoints.highest_ranked(group, 2, ())
+        ]
         for zone in (0, 1):
             g = gateway(zone=zone, **ZONES)
             g.loads = dict.fromkeys(range(6), (10.0, load))
@@ -85,13 +87,13 @@
                 assert found in (own or places)
             else:
                 assert found == next(
-                    n.id for n in g.balancer.state.ready_endpoints.ranking(group) if n.zone == zone
+                    n.endpoint_id for n in g.balancer.state.ready_endpoints.ranking(group) if n.zone == zone
                 )
 
 
 def test_a_group_is_new_elsewhere_only_where_its_whole_cost_fits() -> None:
     g = gateway()
-    order = [node.id for node in g.balancer.state.ready_endpoints.ranking(5)]
+    order = [node.endpoint_id for node in g.balancer.state.ready_endpoints.ranking(5)]
     g.loads = {order[0]: (30.0, 0.85), order[1]: (30.0, 0.82), order[2]: (10.0, 0.7)}
     g.loads |= dict.fromkeys(order[3:], (10.0, 0.3))
     assert place(g, 5) == order[3]  # the third has room for a connection, not for a group more
@@ -106,7 +108,7 @@
     after: dict[object, set[object]] = {}
     for group in range(1, 60):
         first, second = order(group)[:2]
-        after.setdefault(first.id, set()).add(second.id)
+        after.setdefault(first.endpoint_id, set()).add(second.endpoint_id)
     assert len(after) == 6 and all(len(seconds) >= 3 for seconds in after.values())
 
 
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -120,4 +120,4 @@
 
 def test_an_endpoint_removed_while_it_was_offline_stays_removed() -> None:
     world = play("operators offline b1\n" + UPDATE % (42, "false", "Gone") + "operators online b1")
-    assert [endpoint.id for endpoint in world.engine.balancer.state.ready_endpoints.all] == ["b2"]
+    assert [endpoint.endpoint_id for endpoint in world.engine.balancer.state.ready_endpoints.all] == ["b2"]
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -129,15 +129,15 @@
     probes = len(of(g.log, ProbeLoad))
     first = g.balancer.packing.target
     actions = g.arrive()
-    assert [send.endpoint_id for send in of(actions, StartAttempt)] == [first.id]
+    assert [send.endpoint_id for send in of(actions, StartAttempt)] == [first.endpoint_id]
     assert not of(actions, SetTimer)  # nothing was held
     g.pass_time(3 * SECOND)
     target = g.balancer.packing.target
     g.silent = {0, 1, 2, 3}
     actions = g.arrive()
-    assert not of(actions, StartAttempt) and of(actions, ProbeLoad)[0].endpoint_id == target.id
+    assert not of(actions, StartAttempt) and of(actions, ProbeLoad)[0].endpoint_id == target.endpoint_id
     g.silent = set()
-    actions = g.give(LoadProbeResult(target.id, AttemptStatus.OK, 1000, (10.0, 0.5)))
+    actions = g.give(LoadProbeResult(target.endpoint_id, AttemptStatus.OK, 1000, (10.0, 0.5)))
     assert of(actions, StartAttempt)
     assert len(of(g.log, ProbeLoad)) > probes
 
@@ -209,7 +209,9 @@
         g.pass_time(3 * SECOND)
         timer = of(g.arrive(), SetTimer)[-1]
         g.pass_time(timer.after_us)
-        assert [send.endpoint_id for send in of(g.give(TimerExpired(timer.token)), StartAttempt)] == [last.id]
+        assert [send.endpoint_id for send in of(g.give(TimerExpired(timer.token)), StartAttempt)] == [
+            last.endpoint_id
+        ]
 
 
 def test_a_hold_leaves_half_of_a_short_budget() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -199,9 +199,9 @@
 def test_a_full_list_removes_what_it_leaves_out_and_a_failed_one_clears_nothing() -> None:
     g = Gateway(3, polls_endpoint_list=True)
     g.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 3, [EndpointEntry(0)]))
-    assert [n.id for n in g.balancer.state.ready_endpoints.all] == [0]
+    assert [n.endpoint_id for n in g.balancer.state.ready_endpoints.all] == [0]
     g.give(EndpointListUpdate(UpdateKind.FAILED, 3, []))
-    assert [n.id for n in g.balancer.state.ready_endpoints.all] == [0]
+    assert [n.endpoint_id for n in g.balancer.state.ready_endpoints.all] == [0]
 
 
 def test_the_list_is_asked_for_with_jitter_and_asked_again_later_after_each_failure() -> None:
