--- a/gannetweir/placement/actions.py
+++ b/gannetweir/placement/actions.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Start the request's next attempt; a time-out of 0 lasts until the client gives up."""
+    """Start the request's next attempt; a time-out of 0 lasts until the client disconnects."""
 
     request_id: int
     endpoint_id: EndpointId
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: not served, trying again is harmless."""
+    """Final answer: not served, and a repeat does no harm; Retry-After 0 states no time."""
 
     request_id: int
     retry_after_us: int
@@ -29,28 +29,28 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: not served, nothing promised."""
+    """Final answer: not served, and it may have been executed."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class ProbeLoad:
-    """Ask a server for its load."""
+    """Probe an endpoint for its load; answered by a `LoadProbeResult`."""
 
     endpoint_id: EndpointId
 
 
 @dataclass(slots=True)
 class MigrateConnection:
-    """End an open connection politely; its client comes again."""
+    """End an open connection in an orderly way; its client returns and is placed anew."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `TimerDue`."""
+    """Ask for a `TimerExpired` with this token."""
 
     token: int
     after_us: int
@@ -58,14 +58,14 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Subscribe to changes of the server list."""
+    """Subscribe to changes of the endpoint list; answered by an `EndpointListUpdate`."""
 
     enabled: int
 
 
 @dataclass(slots=True)
 class WriteLog:
-    """A line for the people on call."""
+    """A log line for engineers on call."""
 
     text: str
 
--- a/gannetweir/placement/events.py
+++ b/gannetweir/placement/events.py
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """One line of a server list."""
+    """One line of the endpoint list."""
 
     endpoint_id: EndpointId
     zone: int = 0
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """A whole list, changes to it, or word that asking for it failed."""
+    """A complete list, changes to it, or a poll that failed; `kind` is an `UpdateKind`."""
 
     kind: int
     version: int
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client wants a connection; one final answer is owed."""
+    """A client asks for a connection; one final answer is owed. `flags` are bits of `RequestFlag`."""
 
     request_id: int
     class_index: int = 0
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class ConnectionResumed:
-    """A connection that was already open through this instance when it started."""
+    """A connection that was already open through this relay when it started."""
 
     request_id: int
     load_hint: int
@@ -116,7 +116,7 @@
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """The connection stands."""
+    """An attempt has become an open connection."""
 
     request_id: int
     attempt: int
@@ -126,7 +126,10 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended; `closed` says that the request did too. `report` follows `report_names`."""
+    """An attempt ended; `closed` says that the request did too.
+
+    `status` is an `AttemptStatus`; `load_report` follows `Settings.load_report_fields`.
+    """
 
     request_id: int
     attempt: int
@@ -135,19 +138,19 @@
     endpoint_id: EndpointId
     elapsed_us: int
     load_report: tuple[float, ...] = ()
-    address_fault: bool = False  # the way there failed, not the server
+    address_fault: bool = False  # the address failed, not the endpoint
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client left; nothing more is owed."""
+    """The client has disconnected; nothing more is owed."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class LoadProbeResult:
-    """The answer to one probe."""
+    """The answer to one load probe, or its absence; `status` is an `AttemptStatus`."""
 
     endpoint_id: EndpointId
     status: int
@@ -157,7 +160,7 @@
 
 @dataclass(slots=True)
 class ConnectionMetric:
-    """News of an open connection: its load, or how long a message takes at its server."""
+    """A measurement of an open connection; `kind` is a `MetricKind`."""
 
     request_id: int
     attempt: int
@@ -168,14 +171,14 @@
 
 @dataclass(slots=True)
 class TimerExpired:
-    """A timer that the instance set has fallen due."""
+    """A timer that the balancer set has fallen due."""
 
     token: int
 
 
 @dataclass(slots=True)
 class PeerMessage:
-    """Bytes from another instance; instances share nothing here, so they are ignored."""
+    """Bytes from another relay; balancers share nothing here, so they are ignored."""
 
     sender: int
     data: bytes
