--- a/gannetweir/adapter.py
+++ b/gannetweir/adapter.py
@@ -1,4 +1,4 @@
-"""Stdin to stdout: one `Balancer` for each instance on the simulator's wire."""
+"""The simulator's adapter, from standard input to standard output: one `Balancer` for each instance."""
 
 from __future__ import annotations
 
@@ -12,86 +12,103 @@
 
 
 class Host:
-    """The instances of one process; they share nothing."""
+    """The instances of one process; they share nothing. Owns their balancers."""
 
     def __init__(self) -> None:
-        self.instances: dict[int, Balancer] = {}
-        self.faulted: set[int] = set()  # their day is over; what still comes for them is not an error
-
-    def batch(self, count: int, now_us: int, body: memoryview) -> bytes:
-        """Answer one frame's records."""
-        size = count * wire.EVENT_SIZE
-        if size > len(body):
-            raise wire.WireError(f"{count} records need {size} bytes, the frame holds {len(body)}")
-        tail = body[size:]
+        self._balancers: dict[int, Balancer] = {}
+        self._faulted: set[int] = set()  # had bad settings; what still comes for them is not an error
+
+    def answer(self, count: int, now_us: int, body: memoryview) -> bytes:
+        """Answer one frame of so many records.
+
+        Raises:
+            WireError: a record is malformed, or of an instance that does not exist.
+        """
+        records_bytes = count * wire.EVENT_BYTES
+        if records_bytes > len(body):
+            raise wire.WireError(f"{count} records need {records_bytes} bytes, the frame holds {len(body)}")
+        tail = body[records_bytes:]
         reply = wire.Reply()
-        for at in range(0, size, wire.EVENT_SIZE):
+        for number in range(count):
+            start = number * wire.EVENT_BYTES
             try:
-                self._event(body, at, tail, now_us, reply)
+                self._answer_record(body[start : start + wire.EVENT_BYTES], tail, now_us, reply)
             except wire.WireError as error:
-                raise wire.WireError(f"record {at // wire.EVENT_SIZE}: {error}") from None
+                raise wire.WireError(f"record {number}: {error}") from error
         return reply.frame()
 
-    def _event(self, body: memoryview, at: int, tail: memoryview, now_us: int, reply: wire.Reply) -> None:
-        code = body[at]
+    def _answer_record(self, record: memoryview, tail: memoryview, now_us: int, reply: wire.Reply) -> None:
+        code = record[0]
         if code == wire.CREATE:
-            instance, seed, offset, length = wire.CREATE_LAYOUT.unpack_from(body, at + 1)
-            text = bytes(wire.tail_slice(tail, offset, length))
-            try:
-                self.instances[instance] = Balancer(parse_settings_json(text), seed, now_us)
-                self.faulted.discard(instance)
-            except ConfigError as error:
-                self.faulted.add(instance)
-                reply.text(wire.FAULT, instance, str(error))
-            return
-        if code == wire.TEARDOWN:
-            (instance,) = wire.INSTANCE.unpack_from(body, at + 1)
-            if self.instances.pop(instance, None) is None and instance not in self.faulted:
-                raise wire.WireError(f"Teardown for instance {instance}, which does not exist")
-            return
-        row = wire.EVENTS.get(code)
-        if row is None:
+            self._create(record, tail, now_us, reply)
+        elif code == wire.TEARDOWN:
+            self._tear_down(record)
+        elif code in wire.EVENTS:
+            self._handle(wire.EVENTS[code], record, tail, now_us, reply)
+        else:
             raise wire.WireError(f"unknown event code {code}")
-        name, layout, make = row
-        instance, *fields = layout.unpack_from(body, at + 1)
-        balancer = self.instances.get(instance)
-        if balancer is None and instance in self.faulted:
-            return
+
+    def _create(self, record: memoryview, tail: memoryview, now_us: int, reply: wire.Reply) -> None:
+        instance, seed, offset, size = wire.CREATE_LAYOUT.unpack_from(record, 1)
+        text = bytes(wire.tail_slice(tail, offset, size))
+        try:
+            self._balancers[instance] = Balancer(parse_settings_json(text), seed, now_us)
+            self._faulted.discard(instance)
+        except ConfigError as error:
+            self._faulted.add(instance)
+            reply.add_text(wire.FAULT, instance, str(error))
+
+    def _tear_down(self, record: memoryview) -> None:
+        (instance,) = wire.TEARDOWN_LAYOUT.unpack_from(record, 1)
+        if self._balancers.pop(instance, None) is None and instance not in self._faulted:
+            raise wire.WireError(f"Teardown for instance {instance}, which does not exist")
+
+    def _handle(
+        self, kind: wire.EventRecord, record: memoryview, tail: memoryview, now_us: int, reply: wire.Reply
+    ) -> None:
+        instance, *fields = kind.layout.unpack_from(record, 1)
+        balancer = self._balancers.get(instance)
         if balancer is None:
-            raise wire.WireError(f"{name} for instance {instance}, which does not exist")
-        event = make(tail, *fields)
+            if instance in self._faulted:
+                return
+            raise wire.WireError(f"{kind.wire_name} for instance {instance}, which does not exist")
+        event = kind.decode(tail, *fields)
         try:
             actions = balancer.handle(event, now_us)
-        except Exception as error:  # the wire has an action for it; the day ends with this text
+        # The guarded edge: the wire has a record for it, which ends the instance.
+        except Exception as error:
             traceback.print_exc()
-            reply.text(wire.FAULT, instance, f"{name}: {type(error).__name__}: {error}")
+            reply.add_text(wire.FAULT, instance, f"{kind.wire_name}: {type(error).__name__}: {error}")
             return
-        if actions:
-            reply.add(instance, actions)
+        reply.add(instance, actions)
 
 
-def _exactly(stream: BinaryIO, size: int, what: str) -> bytes:
-    data = stream.read(size)
+def _read_exactly(source: BinaryIO, size: int, position: str) -> bytes:
+    data = source.read(size)
     if len(data) < size:
-        raise wire.WireError(f"{what}: input ended after {len(data)} of {size} bytes")
+        raise wire.WireError(f"{position}: input ended after {len(data)} of {size} bytes")
     return data
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer frames until the input ends between two of them."""
+    """Answer frames until the input ends between two of them.
+
+    Raises:
+        WireError: the input is malformed, or ends within a frame.
+    """
     host = Host()
     frames = 0
-    while first := source.read(1):
-        where = f"frame {frames}"
-        header = first + _exactly(source, wire.HEADER.size - 1, where)
-        length, count, now_us = wire.HEADER.unpack(header)
-        if not wire.HEADER.size <= length <= wire.FRAME_LIMIT:
-            raise wire.WireError(f"{where}: length {length} is outside 16 to {wire.FRAME_LIMIT}")
-        body = memoryview(_exactly(source, length - wire.HEADER.size, where))
+    while first_byte := source.read(1):
+        position = f"frame {frames}"
+        header = first_byte + _read_exactly(source, wire.FRAME_HEADER.size - 1, position)
+        length, count, now_us = wire.FRAME_HEADER.unpack(header)
+        if not wire.FRAME_HEADER.size <= length <= wire.MAX_FRAME_BYTES:
+            raise wire.WireError(f"{position}: length {length} is outside 16 to {wire.MAX_FRAME_BYTES}")
+        body = memoryview(_read_exactly(source, length - wire.FRAME_HEADER.size, position))
         try:
-            sink.write(host.batch(count, now_us, body))
+            sink.write(host.answer(count, now_us, body))
         except wire.WireError as error:
-            raise wire.WireError(f"{where}, {error}") from None
+            raise wire.WireError(f"{position}, {error}") from error
         sink.flush()
         frames += 1
 
--- a/gannetweir/wire.py
+++ b/gannetweir/wire.py
@@ -1,12 +1,17 @@
-"""Frames of the wire zinc-af87, table-driven, and the wire's names turned into the field's."""
+"""Frames of the simulator's wire, zinc-af87: tables of its records, and their names turned into the field's.
+
+A frame is a header, records of a fixed size, and a tail that records refer to by offset and size. All numbers
+are little-endian. The wire's own names for events stand in `EVENTS`, as error texts give them.
+"""
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Callable
 from operator import attrgetter
-from typing import Any
+from typing import NamedTuple
 
+from gannetweir.errors import GannetweirError
 from gannetweir.placement.actions import (
     Action,
     FailRequest,
@@ -33,65 +38,97 @@
     TimerExpired,
 )
 
-HEADER = struct.Struct("<IIQ")
-REPLY_HEADER = struct.Struct("<II")
-EVENT_SIZE, ACTION_SIZE = 48, 24
-FRAME_LIMIT = 1 << 28
-ENTRY = struct.Struct("<6sHHHBfQ")
-CREATE, TEARDOWN, FAULT = 16, 25, 25
-
+FRAME_HEADER = struct.Struct("<IIQ")  # length of the frame, number of records, the time in microseconds
+REPLY_HEADER = struct.Struct("<II")  # length of the frame, number of records
+EVENT_BYTES = 48  # of one record to the relay
+ACTION_BYTES = 24  # of one record from it
+MAX_FRAME_BYTES = 1 << 28  # 256 MiB, by the wire's page: a longer one is malformed
+ENTRY = struct.Struct("<6sHHHBfQ")  # one endpoint of a list, in the order of EndpointEntry's fields
 
-class WireError(Exception):
-    """What was wrong with the input, and where."""
+# Codes of the records that are no events or actions of a balancer.
+CREATE = 16  # makes an instance
+TEARDOWN = 25  # ends an instance
+FAULT = 25  # from the relay: an instance has failed, with a text
+LOG = 24  # from the relay: a line of log
 
 
-def _list(tail: memoryview, kind: int, version: int, offset: int, count: int) -> EndpointListUpdate:
-    part = tail_slice(tail, offset, count * ENTRY.size)
-    return EndpointListUpdate(kind, version, [EndpointEntry(*e) for e in ENTRY.iter_unpack(part)])
+class WireError(GannetweirError):
+    """The input is malformed; the text says what is wrong, and in which frame and record."""
 
 
 def tail_slice(tail: memoryview, offset: int, size: int) -> memoryview:
+    """Return the part of a frame's tail that a record refers to.
+
+    Raises:
+        WireError: the tail is shorter.
+    """
     if offset + size > len(tail):
         raise WireError(f"tail holds {len(tail)} bytes, the record names {offset}+{size}")
     return tail[offset : offset + size]
 
 
-def _peer(tail: memoryview, sender: int, offset: int, size: int) -> PeerMessage:
+def _endpoint_list_update(
+    tail: memoryview, kind: int, version: int, offset: int, count: int
+) -> EndpointListUpdate:
+    entries = tail_slice(tail, offset, count * ENTRY.size)
+    return EndpointListUpdate(kind, version, [EndpointEntry(*entry) for entry in ENTRY.iter_unpack(entries)])
+
+
+def _peer_message(tail: memoryview, sender: int, offset: int, size: int) -> PeerMessage:
     return PeerMessage(sender, bytes(tail_slice(tail, offset, size)))
 
 
-def _outcome(
-    _t: memoryview, r: int, a: int, s: int, c: int, v: bytes, e: int, n: int, *x: float
+def _attempt_ended(
+    _tail: memoryview,
+    request_id: int,
+    attempt: int,
+    status: int,
+    closed: int,
+    endpoint_id: bytes,
+    elapsed_us: int,
+    report_size: int,
+    *report: float,
 ) -> AttemptEnded:
-    return AttemptEnded(r, a, s, c, v, e, x[:n])
+    load_report = report[:report_size]
+    return AttemptEnded(request_id, attempt, status, closed, endpoint_id, elapsed_us, load_report)
+
+
+def _load_probe_result(
+    _tail: memoryview, endpoint_id: bytes, status: int, elapsed_us: int, report_size: int, *report: float
+) -> LoadProbeResult:
+    return LoadProbeResult(endpoint_id, status, elapsed_us, report[:report_size])
+
 
+def _in_field_order(event_type: Callable[..., Event]) -> Callable[..., Event]:
+    """Make an event whose fields are the record's, in the same order."""
+    return lambda _tail, *fields: event_type(*fields)
 
-def _probe(_t: memoryview, server: bytes, status: int, elapsed: int, n: int, *x: float) -> LoadProbeResult:
-    return LoadProbeResult(server, status, elapsed, x[:n])
 
+class EventRecord(NamedTuple):
+    """How one kind of event stands on the wire."""
 
-def _plain(cls: Callable[..., Event]) -> Callable[..., Event]:
-    return lambda _tail, *fields: cls(*fields)
+    wire_name: str
+    layout: struct.Struct  # from byte 1, the instance first
+    decode: Callable[..., Event]  # of the tail and the fields behind the instance
 
 
-# code: wire name, layout from byte 1 (the instance first), how the event is made
-EVENTS: dict[int, tuple[str, struct.Struct, Callable[..., Event]]] = {
-    17: ("Topology", struct.Struct("<HBIII"), _list),
-    18: ("Req", struct.Struct("<HQBHQIIQB"), _plain(RequestArrived)),
-    19: ("FirstByte", struct.Struct("<HQB6sI"), _plain(ConnectionEstablished)),
-    20: ("Verdict", struct.Struct("<HQBHB6sIBffff"), _outcome),
-    21: ("Lapsed", struct.Struct("<HQ"), _plain(ClientDisconnected)),
-    22: ("DeadlineHit", struct.Struct("<HQ"), _plain(TimerExpired)),
-    23: ("Sampled", struct.Struct("<H6sHIBffff"), _probe),
-    24: ("NeighbourSays", struct.Struct("<HIII"), _peer),
-    26: ("Resumed", struct.Struct("<HQIIQQH6sBB"), _plain(ConnectionResumed)),
-    27: ("Change", struct.Struct("<HQB6sBf"), _plain(ConnectionMetric)),
+EVENTS: dict[int, EventRecord] = {
+    17: EventRecord("Topology", struct.Struct("<HBIII"), _endpoint_list_update),
+    18: EventRecord("Req", struct.Struct("<HQBHQIIQB"), _in_field_order(RequestArrived)),
+    19: EventRecord("FirstByte", struct.Struct("<HQB6sI"), _in_field_order(ConnectionEstablished)),
+    20: EventRecord("Verdict", struct.Struct("<HQBHB6sIBffff"), _attempt_ended),
+    21: EventRecord("Lapsed", struct.Struct("<HQ"), _in_field_order(ClientDisconnected)),
+    22: EventRecord("DeadlineHit", struct.Struct("<HQ"), _in_field_order(TimerExpired)),
+    23: EventRecord("Sampled", struct.Struct("<H6sHIBffff"), _load_probe_result),
+    24: EventRecord("NeighbourSays", struct.Struct("<HIII"), _peer_message),
+    26: EventRecord("Resumed", struct.Struct("<HQIIQQH6sBB"), _in_field_order(ConnectionResumed)),
+    27: EventRecord("Change", struct.Struct("<HQB6sBf"), _in_field_order(ConnectionMetric)),
 }
-CREATE_LAYOUT = struct.Struct("<HQII")
-INSTANCE = struct.Struct("<H")
+CREATE_LAYOUT = struct.Struct("<HQII")  # instance, seed, offset and size of the settings in the tail
+TEARDOWN_LAYOUT = struct.Struct("<H")  # instance
 
-# action: code, layout after code and instance, fields in that order
-_ACTION_TABLE: dict[type, tuple[int, str, tuple[str, ...]]] = {
+# Of each action: its code, the layout behind code and instance, and the fields in that order.
+_ACTIONS: dict[type[Action], tuple[int, str, tuple[str, ...]]] = {
     StartAttempt: (16, "Q6sI", ("request_id", "endpoint_id", "timeout_us")),
     RejectRequest: (17, "QI", ("request_id", "retry_after_us")),
     FailRequest: (18, "Q", ("request_id",)),
@@ -102,39 +139,41 @@
 }
 
 
-def _encoder(code: int, layout: str, fields: tuple[str, ...]) -> Callable[[int, Any], bytes]:
-    body = struct.Struct("<BH" + layout)
-    record = struct.Struct(f"<BH{layout}{ACTION_SIZE - body.size}x")
-    get = attrgetter(*fields)
+def _encoder(code: int, layout: str, fields: tuple[str, ...]) -> Callable[[int, Action], bytes]:
+    padding_bytes = ACTION_BYTES - struct.calcsize("<BH" + layout)
+    record = struct.Struct(f"<BH{layout}{padding_bytes}x")
+    values_of = attrgetter(*fields)  # one value where there is one field, else a tuple
     if len(fields) == 1:
-        return lambda instance, action: record.pack(code, instance, get(action))
-    return lambda instance, action: record.pack(code, instance, *get(action))
+        return lambda instance, action: record.pack(code, instance, values_of(action))
+    return lambda instance, action: record.pack(code, instance, *values_of(action))
 
 
-_ENCODE = {cls: _encoder(*row) for cls, row in _ACTION_TABLE.items()}
-_TEXT = struct.Struct("<BHII13x")
-LOG = 24
+_ENCODERS = {action_type: _encoder(*row) for action_type, row in _ACTIONS.items()}
+_TEXT_RECORD = struct.Struct("<BHII13x")  # code, instance, offset and size of the text in the tail
 
 
 class Reply:
-    """Collects the actions of one batch."""
+    """Collects the records and the tail of one frame from the relay."""
 
     def __init__(self) -> None:
-        self.records: list[bytes] = []
-        self.tail = bytearray()
+        self._records: list[bytes] = []
+        self._tail = bytearray()
 
     def add(self, instance: int, actions: list[Action]) -> None:
+        """Add what an instance answered, in its order."""
         for action in actions:
             if isinstance(action, WriteLog):
-                self.text(LOG, instance, action.text)
+                self.add_text(LOG, instance, action.text)
             else:
-                self.records.append(_ENCODE[type(action)](instance, action))
+                self._records.append(_ENCODERS[type(action)](instance, action))
 
-    def text(self, code: int, instance: int, text: str) -> None:
-        data = text.encode("utf-8", "replace")
-        self.records.append(_TEXT.pack(code, instance, len(self.tail), len(data)))
-        self.tail += data
+    def add_text(self, code: int, instance: int, text: str) -> None:
+        """Add a record whose text stands in the tail."""
+        encoded = text.encode("utf-8", "replace")
+        self._records.append(_TEXT_RECORD.pack(code, instance, len(self._tail), len(encoded)))
+        self._tail += encoded
 
     def frame(self) -> bytes:
-        body = b"".join(self.records) + bytes(self.tail)
-        return REPLY_HEADER.pack(REPLY_HEADER.size + len(body), len(self.records)) + body
+        """Return the frame."""
+        body = b"".join(self._records) + bytes(self._tail)
+        return REPLY_HEADER.pack(REPLY_HEADER.size + len(body), len(self._records)) + body
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -293,8 +293,8 @@
 
     host = Host()
     data = create()
-    host.batch(2, 1000, memoryview(data)[16:])
+    host.answer(2, 1000, memoryview(data)[16:])
     monkeypatch.setattr(Balancer, "handle", broken)
-    reply = host.batch(1, 2000, memoryview(record(22, "0300 01")))
+    reply = host.answer(1, 2000, memoryview(record(22, "0300 01")))
     assert reply[8] == wire.FAULT and b"index out of range" in reply
     assert "Traceback" in capsys.readouterr().err
