--- a/tests/sabotage.py
+++ b/tests/fault_injection.py
@@ -1,4 +1,4 @@
-"""A relay with one rule broken on purpose: python -m tests.sabotage NAME serve
+"""A relay with one rule broken on purpose: python -m tests.fault_injection NAME serve
 
 Each name breaks one thing that the soak's judge has to find. Nothing here is imported by the relay.
 """
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -298,7 +298,7 @@
     def started(number: int) -> list[str]:
         if names[number] == "sound":
             return command()
-        return [sys.executable, "-m", "tests.sabotage", names[number], "serve"]
+        return [sys.executable, "-m", "tests.fault_injection", names[number], "serve"]
 
     return anyio.run(Soak(plan, folder, started).play, troubles)
 
