--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -7,13 +7,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Generator
 from dataclasses import dataclass
 from pathlib import Path
 
 import pytest
 
-MOST = 3
+MAX_LINES = 3
 FILE = "KNOWN-RED.txt"
 
 
@@ -31,32 +31,35 @@
     if not path.exists():
         return []
     lines = [line for line in path.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST:
-        raise pytest.UsageError(f"{path.name}: {len(lines)} lines, {MOST} at most")
+    if len(lines) > MAX_LINES:
+        raise pytest.UsageError(f"{path.name}: {len(lines)} lines, {MAX_LINES} at most")
     found = []
     for line in lines:
-        parts = [part.strip() for part in line.split(" | ")]
-        if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
-            raise pytest.UsageError(f"{path.name}: not 'test | cause | issue': {line}")
-        found.append(KnownFailure(*parts))
+        match [part.strip() for part in line.split(" | ")]:
+            case [test, cause, issue] if "::" in test and cause and issue:
+                found.append(KnownFailure(test, cause, issue))
+            case _:
+                raise pytest.UsageError(f"{path.name}: not 'test | cause | issue': {line}")
     return found
 
 
 class KnownRed:
     """Turns the failures of listed tests into expected ones, and reports them."""
 
-    def __init__(self, listed: list[KnownFailure], whole: bool) -> None:
+    def __init__(self, listed: list[KnownFailure], covers_suite: bool) -> None:
         self.listed = {known.test: known for known in listed}
-        self.whole = whole
+        self.covers_suite = covers_suite
         self.failed: list[KnownFailure] = []
 
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
         missing = set(self.listed) - {item.nodeid for item in items}
-        if missing and self.whole:
+        if missing and self.covers_suite:
             raise pytest.UsageError(f"{FILE}: no such test: {', '.join(sorted(missing))}")
 
     @pytest.hookimpl(wrapper=True)
-    def pytest_runtest_makereport(self, item: pytest.Item, call: pytest.CallInfo) -> Iterator[None]:
+    def pytest_runtest_makereport(
+        self, item: pytest.Item, call: pytest.CallInfo[None]
+    ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
         report = yield
         known = self.listed.get(item.nodeid)
         if known is not None and report.when == "call":
@@ -75,6 +78,6 @@
 
 def pytest_configure(config: pytest.Config) -> None:
     listed = read(config.rootpath / FILE)
-    whole = not config.args or config.args == config.getini("testpaths")
+    covers_suite = not config.args or config.args == config.getini("testpaths")
     if listed:
-        config.pluginmanager.register(KnownRed(listed, whole))
+        config.pluginmanager.register(KnownRed(listed, covers_suite))
