--- a/gannetweir/lab/soak/backend.py
+++ b/gannetweir/lab/soak/backend.py
@@ -10,7 +10,7 @@
 import anyio.abc
 
 from gannetweir.lab.soak import standin
-from gannetweir.lab.soak.records import BackendSaw, RecordFile, now_us
+from gannetweir.lab.soak.records import BackendObservation, RecordFile, now_us
 from gannetweir.lab.soak.standin import Connection, ConnectionEndedError
 
 SETUP_S = 0.002, 0.006
@@ -26,51 +26,51 @@
         self.rng = random.Random(name)
         self.fault = ""  # hang: says nothing; slow; reset: breaks what has begun; error: ERR to every other
         self.draining = False
-        self.warmth = 1.0
-        self.held: dict[Connection, None] = {}
+        self.capacity_factor = 1.0
+        self.established: dict[Connection, None] = {}
         self.served = 0
 
-    async def command(self, told: dict[str, Any]) -> None:
+    async def handle_command(self, command: dict[str, Any]) -> None:
         """Switch a fault, the drain, or how warm it is."""
-        self.fault = told.get("fault", self.fault)
-        self.draining = told.get("draining", self.draining)
-        self.warmth = told.get("warmth", self.warmth)
+        self.fault = command.get("fault", self.fault)
+        self.draining = command.get("draining", self.draining)
+        self.capacity_factor = command.get("warmth", self.capacity_factor)
 
     async def handle(self, connection: Connection) -> None:
         """One connection: probes, or a client's."""
         while True:
-            line = await connection.line()
+            line = await connection.read_line()
             if line.startswith(b"OPEN "):
-                await self._open(connection, line)
+                await self._serve_request(connection, line)
                 return
             while self.fault == "hang":
                 await anyio.sleep(0.05)
             if line.startswith(b"STATS"):
-                held = len(self.held)
-                load = held / (self.capacity * self.warmth)
+                held = len(self.established)
+                load = held / (self.capacity * self.capacity_factor)
                 await connection.write(b"PONG tps=1,concurrent=%d,x0=%.4f\r\n" % (held, load))
             else:
                 await connection.write(b"PONG\r\n" if line.startswith(b"PING") else b"SYNTAX\r\n")
 
-    async def _open(self, connection: Connection, line: bytes) -> None:
-        saw = BackendSaw(line.split(b" ")[1].decode(), self.name, now_us())
+    async def _serve_request(self, connection: Connection, line: bytes) -> None:
+        saw = BackendObservation(line.split(b" ")[1].decode(), self.name, now_us())
         try:
             await self._answer(connection, saw)
         except ConnectionEndedError:
             pass
         finally:
-            self.held.pop(connection, None)
+            self.established.pop(connection, None)
             self.records.write(saw)
 
-    async def _answer(self, connection: Connection, saw: BackendSaw) -> None:
+    async def _answer(self, connection: Connection, saw: BackendObservation) -> None:
         await anyio.sleep(SLOW_S if self.fault == "slow" else self.rng.uniform(*SETUP_S))
         if self.fault == "hang":
-            await self._hang(connection)
+            await self._discard_while_hanging(connection)
         if self.fault == "reset":
             saw.ended_us = now_us()
             connection.close(reset=True)
             return
-        if self.draining or len(self.held) >= 1.6 * self.capacity:
+        if self.draining or len(self.established) >= 1.6 * self.capacity:
             saw.answer = "BUSY"
         elif self.fault == "error" and self.rng.random() < 0.5:
             saw.answer = "ERR"
@@ -80,19 +80,19 @@
             return
         self.served += 1
         saw.answer, saw.receipt = "UP", f"{self.name}.{self.served}.{saw.request}"
-        self.held[connection] = None
+        self.established[connection] = None
         await connection.write(f"UP {saw.receipt}\r\n".encode())
-        await self._return_lines(connection, saw)
+        await self._echo_lines(connection, saw)
 
-    async def _hang(self, connection: Connection) -> None:
+    async def _discard_while_hanging(self, connection: Connection) -> None:
         while self.fault == "hang":
             with anyio.move_on_after(0.1):
                 await connection.read()
 
-    async def _return_lines(self, connection: Connection, saw: BackendSaw) -> None:
+    async def _echo_lines(self, connection: Connection, saw: BackendObservation) -> None:
         while not saw.ended_us:
             with anyio.move_on_after(0.1):
-                line = await connection.line()
+                line = await connection.read_line()
                 while self.fault == "hang":
                     await anyio.sleep(0.05)
                 await connection.write(line)
@@ -109,9 +109,9 @@
 
     async def run(records: RecordFile, tasks: anyio.abc.TaskGroup) -> None:
         backend, sock = Backend(name, float(capacity), records), standin.listener()
-        standin.say(port=sock.getsockname()[1])
+        standin.report_started(port=sock.getsockname()[1])
         tasks.start_soon(standin.serve, sock, backend.handle)
-        await standin.commands(backend.command)
+        await standin.serve_commands(backend.handle_command)
 
     standin.run_process(name, folder, run)
 
--- a/gannetweir/lab/soak/clients.py
+++ b/gannetweir/lab/soak/clients.py
@@ -13,11 +13,11 @@
 import anyio.abc
 
 from gannetweir.lab.soak import standin
-from gannetweir.lab.soak.plan import CLASSES, PATIENCE_S
-from gannetweir.lab.soak.records import ClientSaw, RecordFile, now_us
+from gannetweir.lab.soak.plan import ANSWER_WAIT_S, CLASSES
+from gannetweir.lab.soak.records import ClientObservation, RecordFile, now_us
 from gannetweir.lab.soak.standin import Connection, ConnectionEndedError
 
-TICK_S = 0.5
+LINE_INTERVAL_S = 0.5
 NONSENSE = (b"\xff\xfe\r\n", b"OPEN x\r\n", b"x" * 5000, b"PING", b"OPEN 1 2 c=none,d=1\r\n")
 
 
@@ -27,8 +27,8 @@
     def __init__(
         self, name: str, seed: int, per_s: float, life_s: float, patience: float, records: RecordFile
     ) -> None:
-        self.name, self.per_s, self.life_s, self.records = name, per_s, life_s, records
-        self.patience = patience
+        self.name, self.per_s, self.connection_s, self.records = name, per_s, life_s, records
+        self.deadline_factor = patience
         self.rng = random.Random(f"{seed} {name}")
         self.ports: dict[int, int] = {}  # relays that the front sends to
         self.idle: list[Connection] = []
@@ -36,22 +36,22 @@
         self.stopped = False
         self.tasks: anyio.abc.TaskGroup
 
-    async def command(self, told: dict[str, Any]) -> None:
+    async def handle_command(self, command: dict[str, Any]) -> None:
         """Admit or withdraw a relay, open idle connections to one, or begin no more requests."""
-        if "admit" in told:
-            self.ports[told["admit"]] = told["port"]
-        elif "withdraw" in told:
-            self.ports.pop(told["withdraw"], None)
-        elif "crowd" in told:
-            await self._crowd(told["port"], told["crowd"])
-        elif "leave" in told:
+        if "admit" in command:
+            self.ports[command["admit"]] = command["port"]
+        elif "withdraw" in command:
+            self.ports.pop(command["withdraw"], None)
+        elif "crowd" in command:
+            await self._open_idle_connections(command["port"], command["crowd"])
+        elif "leave" in command:
             for connection in self.idle:
                 connection.close()
             self.idle.clear()
-        elif "stop" in told:
+        elif "stop" in command:
             self.stopped = True
 
-    async def _crowd(self, port: int, count: int) -> None:
+    async def _open_idle_connections(self, port: int, count: int) -> None:
         for _ in range(count):
             try:
                 self.idle.append(await standin.connect(port, 0.5))
@@ -65,9 +65,9 @@
         while not self.stopped:
             due += self.rng.expovariate(self.per_s)
             await anyio.sleep_until(due)
-            tasks.start_soon(self._one, 0)
+            tasks.start_soon(self._run_client, 0)
 
-    async def _one(self, tries: int) -> None:
+    async def _run_client(self, tries: int) -> None:
         if not self.ports:
             return
         relay = self.rng.choice(sorted(self.ports))
@@ -89,17 +89,17 @@
             connection.close()
 
     async def _request(self, connection: Connection, relay: int, tries: int) -> None:
-        effect = self.rng.choices(CLASSES, [c.share for c in CLASSES])[0]
+        effect = self.rng.choices(CLASSES, [c.weight for c in CLASSES])[0]
         self.count += 1
         ident = f"{self.rng.getrandbits(32):08x}{self.count:08x}"
         group = self.rng.randrange(1, 40) * 0x9E3779B97F4A7C15 & (1 << 64) - 1
         mark = ",r=1" if tries else ""
-        wait_ms = int(self.patience * effect.wait_ms)
+        wait_ms = int(self.deadline_factor * effect.deadline_ms)
         key = self.rng.getrandbits(64)
         line = f"OPEN {ident} {key:x} c={effect.name},d={wait_ms},g={group:x}{mark}"
-        saw = ClientSaw(ident, relay, effect.name, line)
+        saw = ClientObservation(ident, relay, effect.name, line)
         try:
-            await self._play(connection, saw, wait_ms)
+            await self._await_answer(connection, saw, wait_ms)
         except ConnectionEndedError as end:
             saw.end, saw.ended_us = ("reset" if end.reset else "eof"), now_us()
         finally:
@@ -109,9 +109,9 @@
                 self.records.write(saw)
         if tries < 2 and (saw.moved or saw.answer in ("BUSY", "ERR") or saw.end == "reset"):
             await anyio.sleep(self.rng.choice((0.0, 0.1, 0.3)))
-            self.tasks.start_soon(self._one, tries + 1)
+            self.tasks.start_soon(self._run_client, tries + 1)
 
-    async def _play(self, connection: Connection, saw: ClientSaw, wait_ms: int) -> None:
+    async def _await_answer(self, connection: Connection, saw: ClientObservation, wait_ms: int) -> None:
         raw = saw.line.encode() + b"\r\n"
         if self.rng.random() < 0.1:  # one that writes slowly
             for at in range(0, len(raw), 20):
@@ -121,11 +121,11 @@
             await connection.write(raw)
         saw.sent_us = now_us()
         saw.deadline_us = saw.sent_us + wait_ms * 1000
-        patience = wait_ms / 1000 + PATIENCE_S
+        patience = wait_ms / 1000 + ANSWER_WAIT_S
         if leaves := self.rng.random() < 0.08:
             patience = self.rng.choice((0.0, 0.003, 0.02, self.rng.uniform(0, wait_ms / 1000)))
         with anyio.move_on_after(patience):
-            words = (await connection.line()).decode("latin1").split()
+            words = (await connection.read_line()).decode("latin1").split()
             saw.answer, saw.answered_us = (words or ["?"])[0], now_us()
             saw.receipt = words[1] if saw.answer == "UP" and len(words) > 1 else ""
         if not saw.answer:
@@ -134,20 +134,20 @@
             saw.left_us = now_us() if leaves else 0  # after it: the relay can't have known before
             return
         if saw.answer == "UP":
-            await self._stay(connection, saw)
+            await self._exchange_lines(connection, saw)
         else:
             with anyio.move_on_after(2.0):  # until the relay ends it
                 await connection.read()
 
-    async def _stay(self, connection: Connection, saw: ClientSaw) -> None:
-        leave_at = anyio.current_time() + self.rng.expovariate(1 / self.life_s)
+    async def _exchange_lines(self, connection: Connection, saw: ClientObservation) -> None:
+        leave_at = anyio.current_time() + self.rng.expovariate(1 / self.connection_s)
         count = 0
         while anyio.current_time() < leave_at and not saw.moved:
             count += 1
             text = b"tick %d\r\n" % count
             asked = now_us()
             await connection.write(text)
-            back = await connection.line()
+            back = await connection.read_line()
             took = now_us() - asked
             if back.strip() == b"MOVE":
                 saw.moved = True
@@ -155,7 +155,9 @@
             if took > saw.echo_us:
                 saw.echo_us, saw.echo_at_us = took, asked
             saw.echo_wrong |= back != text
-            saw.moved = await self._rest(connection, min(leave_at, anyio.current_time() + TICK_S))
+            saw.moved = await self._wait_for_move(
+                connection, min(leave_at, anyio.current_time() + LINE_INTERVAL_S)
+            )
         if saw.moved:
             with anyio.move_on_after(2.0):
                 await connection.read()
@@ -164,10 +166,10 @@
         saw.left_us = now_us()
 
     @staticmethod
-    async def _rest(connection: Connection, until: float) -> bool:
+    async def _wait_for_move(connection: Connection, until: float) -> bool:
         """Rest until then; was it told to move?"""
         with anyio.CancelScope(deadline=until):
-            return (await connection.line()).strip() == b"MOVE"
+            return (await connection.read_line()).strip() == b"MOVE"
         return False
 
 
@@ -176,9 +178,9 @@
 
     async def run(records: RecordFile, tasks: anyio.abc.TaskGroup) -> None:
         clients = Clients(name, int(seed), float(per_s), float(life_s), float(patience), records)
-        standin.say(ready=True)
+        standin.report_started(ready=True)
         tasks.start_soon(clients.run, tasks)
-        await standin.commands(clients.command)
+        await standin.serve_commands(clients.handle_command)
 
     standin.run_process(name, folder, run)
 
--- a/gannetweir/lab/soak/command.py
+++ b/gannetweir/lab/soak/command.py
@@ -48,7 +48,7 @@
     for seed in seeds:
         folder = root / f"seed{seed}"
         shutil.rmtree(folder, ignore_errors=True)
-        verdict = anyio.run(Soak(SoakPlan(seed=seed, seconds=seconds, relays=relays), folder).play)
+        verdict = anyio.run(Soak(SoakPlan(seed=seed, seconds=seconds, relays=relays), folder).run)
         rows.append(row(seed, verdict))
         print("  ".join(rows[-1]), flush=True)
         for finding in verdict.findings[:SHOWN]:
--- a/gannetweir/lab/soak/proxy.py
+++ b/gannetweir/lab/soak/proxy.py
@@ -17,13 +17,13 @@
 from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
 
 from gannetweir.lab.soak import standin
-from gannetweir.lab.soak.records import ProxySaw, RecordFile, now_us
+from gannetweir.lab.soak.records import AttemptObservation, RecordFile, now_us
 from gannetweir.lab.soak.standin import Connection, ConnectionEndedError
 
 FAULTS = ("", "late", "silent", "pieces", "reset")
-LATE_S = 0.3, 1.0
+FORWARD_DELAY_S = 0.3, 1.0
 PIECE_BYTES = 7
-RESET_SHARE = 0.2  # of the connections, while that fault is on
+RESET_PROBABILITY = 0.2  # of the connections, while that fault is on
 
 
 class Proxy:
@@ -34,11 +34,11 @@
         self.ports: dict[str, int] = {}
         self.faults: dict[str, str] = {}
 
-    async def command(self, told: dict[str, Any]) -> None:
+    async def handle_command(self, command: dict[str, Any]) -> None:
         """Switch the fault of one backend, or give it another port after its restart."""
-        backend = str(told["backend"])
-        self.ports[backend] = told.get("port", self.ports.get(backend, 0))
-        self.faults[backend] = told.get("fault", self.faults.get(backend, ""))
+        backend = str(command["backend"])
+        self.ports[backend] = command.get("port", self.ports.get(backend, 0))
+        self.faults[backend] = command.get("fault", self.faults.get(backend, ""))
 
     def fault(self, backend: str) -> str:
         """What is wrong with the way to a backend now."""
@@ -51,36 +51,39 @@
         except (OSError, TimeoutError):
             near.close(reset=True)
             return
-        link = Link(self, backend, near, far)
+        link = ProxiedConnection(self, backend, near, far)
         try:
             await link.run()
         finally:
             far.close()
 
 
-class Link:
+class ProxiedConnection:
     """One connection through the proxy, and the attempt on it if it carries one. What a relay sends is read
     at once, whatever is wrong with the way: its times are the network's, not the fault's.
     """
 
     def __init__(self, proxy: Proxy, backend: str, near: Connection, far: Connection) -> None:
-        self.proxy, self.backend, self.near, self.far = proxy, backend, near, far
-        self.saw: ProxySaw | None = None
-        self.head = b""
+        self.proxy, self.backend, self.relay_side, self.backend_side = proxy, backend, near, far
+        self.attempt: AttemptObservation | None = None
+        self.first_line_bytes = b""
         late = proxy.fault(backend) == "late"
-        self.forward_at = anyio.current_time() + (proxy.rng.uniform(*LATE_S) if late else 0.0)
+        self.forward_at = anyio.current_time() + (proxy.rng.uniform(*FORWARD_DELAY_S) if late else 0.0)
 
     async def run(self) -> None:
         """Until both sides have ended, or one was broken."""
         try:
             async with anyio.create_task_group() as tasks:
-                for source, sink in (self.near, self.far), (self.far, self.near):
+                for source, sink in (
+                    (self.relay_side, self.backend_side),
+                    (self.backend_side, self.relay_side),
+                ):
                     send, receive = anyio.create_memory_object_stream[bytes | ConnectionEndedError](math.inf)
                     tasks.start_soon(self._read, source, send)
-                    tasks.start_soon(self._pass, receive, sink)
+                    tasks.start_soon(self._forward_all, receive, sink)
         finally:
-            if self.saw is not None:
-                self.proxy.records.write(self.saw)
+            if self.attempt is not None:
+                self.proxy.records.write(self.attempt)
 
     async def _read(
         self, source: Connection, send: MemoryObjectSendStream[bytes | ConnectionEndedError]
@@ -89,15 +92,15 @@
             try:
                 while True:
                     data = await source.read()
-                    if source is self.near:
-                        self._look(data)
+                    if source is self.relay_side:
+                        self._observe_first_line(data)
                     send.send_nowait(data)
             except ConnectionEndedError as end:
-                if source is self.near and self.saw is not None:
-                    self.saw.relay_ended_us = self.saw.relay_ended_us or now_us()
+                if source is self.relay_side and self.attempt is not None:
+                    self.attempt.relay_ended_us = self.attempt.relay_ended_us or now_us()
                 send.send_nowait(end)
 
-    async def _pass(
+    async def _forward_all(
         self, receive: MemoryObjectReceiveStream[bytes | ConnectionEndedError], sink: Connection
     ) -> None:
         with receive:
@@ -108,7 +111,7 @@
                     if isinstance(data, ConnectionEndedError):
                         if data.reset:
                             sink.close(reset=True)
-                        sink.finish()
+                        sink.finish_writing()
                         return
                     await self._forward(sink, data)
             except ConnectionEndedError:
@@ -125,24 +128,24 @@
     async def _disturb(self) -> None:
         while self.proxy.fault(self.backend) == "silent":
             await anyio.sleep(0.02)
-        if self.proxy.fault(self.backend) == "reset" and self.proxy.rng.random() < RESET_SHARE:
-            if self.saw is not None:
-                self.saw.cut_us = now_us()
-            self.near.close(reset=True)
-            self.far.close(reset=True)
+        if self.proxy.fault(self.backend) == "reset" and self.proxy.rng.random() < RESET_PROBABILITY:
+            if self.attempt is not None:
+                self.attempt.cut_us = now_us()
+            self.relay_side.close(reset=True)
+            self.backend_side.close(reset=True)
             raise ConnectionEndedError(True)
 
-    def _look(self, data: bytes) -> None:
+    def _observe_first_line(self, data: bytes) -> None:
         """The first line that a relay writes, as it comes."""
-        if self.saw is None and data[:1] == b"O":
-            self.saw = ProxySaw("", self.backend, "", self.near.received_us())
-        if self.saw is None or self.saw.whole_us:
+        if self.attempt is None and data[:1] == b"O":
+            self.attempt = AttemptObservation("", self.backend, "", self.relay_side.received_us())
+        if self.attempt is None or self.attempt.whole_us:
             return
-        self.head += data
-        line, end, _ = self.head.partition(b"\r\n")
+        self.first_line_bytes += data
+        line, end, _ = self.first_line_bytes.partition(b"\r\n")
         if end:
-            self.saw.whole_us, self.saw.line = now_us(), line.decode("latin1")
-            self.saw.request = self.saw.line.split(" ")[1]
+            self.attempt.whole_us, self.attempt.line = now_us(), line.decode("latin1")
+            self.attempt.request = self.attempt.line.split(" ")[1]
 
 
 def main(name: str, folder: str, *backends: str) -> None:
@@ -156,8 +159,8 @@
             sock = standin.listener()
             told[backend] = sock.getsockname()[1]
             tasks.start_soon(standin.serve, sock, partial(proxy.handle, backend))
-        standin.say(ports=told)
-        await standin.commands(proxy.command)
+        standin.report_started(ports=told)
+        await standin.serve_commands(proxy.handle_command)
 
     standin.run_process(name, folder, run)
 
--- a/gannetweir/lab/soak/records.py
+++ b/gannetweir/lab/soak/records.py
@@ -7,7 +7,7 @@
 import time
 from dataclasses import asdict, dataclass, fields
 from pathlib import Path
-from typing import Any, TypeAlias, get_args
+from typing import Any, TypeAlias
 
 import orjson
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class ClientSaw:
+class ClientObservation:
     """One request from its client's side, written at its end. A time of 0 means that it did not happen."""
 
     request: str
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class ProxySaw:
+class AttemptObservation:
     """One attempt as it came from a relay, written at its end."""
 
     request: str
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class BackendSaw:
+class BackendObservation:
     """One first line at a backend, written at its end."""
 
     request: str
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Started:
+class BackendStart:
     """A backend's process has started, cold. `warm_per_s`: first lines a second that tip it when warm."""
 
     backend: str
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Change:
+class MembershipChange:
     """Discovery learnt something of a backend."""
 
     backend: str
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class WatchEventSent:
     """Discovery wrote a state to a relay."""
 
     relay: int
@@ -97,7 +97,7 @@
 
 
 @dataclass(slots=True)
-class Late:
+class LoopDelay:
     """A stand-in's loop was held up: what it saw until then may have come earlier."""
 
     process: str
@@ -116,7 +116,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class ProcessLifetime:
     """One relay process. `how`: term, kill or crash; empty while it runs."""
 
     relay: int
@@ -130,7 +130,7 @@
 
 
 @dataclass(slots=True)
-class Called:
+class OverrideCall:
     """An operator's call was answered `ok`. Taken out: from the answer on; back: from the call on."""
 
     relay: int
@@ -140,7 +140,7 @@
 
 
 @dataclass(slots=True)
-class TroubleSpan:
+class FaultSpan:
     """What was done to whom, and when."""
 
     kind: str
@@ -150,19 +150,33 @@
 
 
 Record: TypeAlias = (
-    ClientSaw
-    | ProxySaw
-    | BackendSaw
-    | Started
-    | Change
-    | Told
-    | Late
+    ClientObservation
+    | AttemptObservation
+    | BackendObservation
+    | BackendStart
+    | MembershipChange
+    | WatchEventSent
+    | LoopDelay
     | RunQueueWait
-    | Life
-    | Called
-    | TroubleSpan
+    | ProcessLifetime
+    | OverrideCall
+    | FaultSpan
 )
-_TYPES: dict[str, type[Any]] = {kind.__name__: kind for kind in get_args(Record)}
+# Each type's name in a file. Kept records of earlier runs have these names and the fields' names: both stay.
+_NAMES_IN_FILES: dict[type[Record], str] = {
+    ClientObservation: "ClientSaw",
+    AttemptObservation: "ProxySaw",
+    BackendObservation: "BackendSaw",
+    BackendStart: "Started",
+    MembershipChange: "Change",
+    WatchEventSent: "Told",
+    LoopDelay: "Late",
+    RunQueueWait: "RunQueueWait",
+    ProcessLifetime: "Life",
+    OverrideCall: "Called",
+    FaultSpan: "TroubleSpan",
+}
+_TYPES: dict[str, type[Any]] = {name: record_type for record_type, name in _NAMES_IN_FILES.items()}
 
 
 class RecordFile:
@@ -173,10 +187,10 @@
 
     def write(self, record: Record) -> None:
         """Write one record."""
-        self.file.write(orjson.dumps([type(record).__name__, asdict(record)]) + b"\n")
+        self.file.write(orjson.dumps([_NAMES_IN_FILES[type(record)], asdict(record)]) + b"\n")
 
 
-def read(folder: Path) -> list[Record]:
+def read_records(folder: Path) -> list[Record]:
     """All records of a run; half a line, of a process that was killed as it wrote, is skipped."""
     found: list[Record] = []
     for path in sorted(folder.glob("*.jsonl")):
--- a/gannetweir/lab/soak/relays.py
+++ b/gannetweir/lab/soak/relays.py
@@ -15,18 +15,18 @@
 import orjson
 
 from gannetweir.lab.soak import standin
-from gannetweir.lab.soak.plan import SoakPlan, settings, shares_listener
-from gannetweir.lab.soak.records import Life, RecordFile, Told, now_us
+from gannetweir.lab.soak.plan import SoakPlan, relay_settings, shares_listener
+from gannetweir.lab.soak.records import ProcessLifetime, RecordFile, WatchEventSent, now_us
 from gannetweir.lab.soak.run_queue import waited_us
 from gannetweir.lab.soak.shim import Shim
 from gannetweir.lab.soak.standin import ConnectionEndedError
 
-READY_S = 30.0  # a relay that is not ready by then has failed to start
-_PLACES = itertools.count()
+START_TIMEOUT_S = 30.0  # a relay that is not ready by then has failed to start
+_PORT_NUMBERS = itertools.count()
 FIRST_PORT, PORTS, BLOCKS = 18_000, 100, 140  # below those that Linux gives to outgoing connections
 
 
-class Relay:
+class RelayProcess:
     """One relay's name, address and folder, and the process that serves it now."""
 
     def __init__(
@@ -40,29 +40,29 @@
         command: list[str],
     ) -> None:
         self.number, self.plan, self.folder, self.shim = number, plan, folder, shim
-        self.discovery, self.records, self.command = discovery, records, command
+        self.discovery_ports, self.records, self.command = discovery, records, command
         self.listener: socket.socket | None = None
         if shares_listener(number):
             self.listener = standin.listener(_free_port())  # never one that the kernel chooses
             self.port = int(self.listener.getsockname()[1])
         else:
             self.port = _free_port()
-        self.doors = [_free_port(), _free_port()]  # for operators; the process that runs has the first
-        self.before: subprocess.Popen[bytes] | None = None  # during an upgrade, the one that leaves
-        self.address = 0  # which of discovery's it is told
+        self.admin_ports = [_free_port(), _free_port()]  # for operators; the process that runs has the first
+        self.replaced: subprocess.Popen[bytes] | None = None  # during an upgrade, the one that leaves
+        self.discovery_index = 0  # which of discovery's it is told
         self.process: subprocess.Popen[bytes] | None = None
-        self.life = Life(number, 0)
-        self.busy = False  # it is being ended and started
-        self.unread: int | None = None  # its standard error, where nobody reads that
+        self.lifetime = ProcessLifetime(number, 0)
+        self.is_restarting = False  # it is being ended and started
+        self.unread_stderr: int | None = None  # its standard error, where nobody reads that
         (folder / f"shared{number}").mkdir(exist_ok=True)
 
     @property
-    def log(self) -> Path:
+    def log_path(self) -> Path:
         """What it wrote to standard error."""
         return self.folder / f"relay{self.number}.log"
 
     @property
-    def config(self) -> Path:
+    def config_path(self) -> Path:
         """The file that the platform wrote for it."""
         return self.folder / f"relay{self.number}.json"
 
@@ -71,14 +71,14 @@
         data = {
             "name": f"n{self.number}",
             "listen": f"127.0.0.1:{self.port}",
-            "admin_addr": f"127.0.0.1:{self.doors[0]}",
-            "discovery": f"127.0.0.1:{self.discovery[self.address]}",
+            "admin_addr": f"127.0.0.1:{self.admin_ports[0]}",
+            "discovery": f"127.0.0.1:{self.discovery_ports[self.discovery_index]}",
             "seed": f"{self.plan.seed + self.number:x}",
             "limits": {"sockets": self.plan.sockets, "memory_mb": 96},
             "known": known,
-            "settings": settings(self.plan),
+            "settings": relay_settings(self.plan),
         }
-        self.config.write_bytes(orjson.dumps(data))
+        self.config_path.write_bytes(orjson.dumps(data))
 
     def start(self, known: dict[str, Any]) -> None:
         """Start a process; `ready` waits for it."""
@@ -86,7 +86,7 @@
         env = {
             "PATH": os.environ.get("PATH", ""),
             "PYTHONPATH": os.environ.get("PYTHONPATH", ""),
-            "RELAY_CONFIG": str(self.config),
+            "RELAY_CONFIG": str(self.config_path),
             "TMPDIR": str(self.folder / f"shared{self.number}"),
             "RELAY_LOG": "json" if self.number % 2 else "plain",
             **self.shim.environment,
@@ -94,11 +94,11 @@
         inherited = () if self.listener is None else (self.listener.fileno(),)
         if inherited:
             env["RELAY_INHERITED_FD"] = str(inherited[0])
-        with self.log.open("ab") as log:
+        with self.log_path.open("ab") as log:
             error: Any = log
             if self.number % 4 == 3:  # nobody reads its standard error
                 self.stop_reading()
-                self.unread, error = os.pipe()
+                self.unread_stderr, error = os.pipe()
             self.process = subprocess.Popen(
                 self.command,
                 env=env,
@@ -109,28 +109,28 @@
             )
             if isinstance(error, int):
                 os.close(error)
-        self.life = Life(self.number, now_us())
+        self.lifetime = ProcessLifetime(self.number, now_us())
         for host in known["hosts"]:  # what a process is started with counts as told
             state = host["host"], host["health"], host["born_ms"]
-            self.records.write(Told(self.number, *state, self.life.started_us))
+            self.records.write(WatchEventSent(self.number, *state, self.lifetime.started_us))
 
     def stop_reading(self) -> None:
         """Close the end of the pipe that nobody read."""
-        if self.unread is not None:
-            os.close(self.unread)
-            self.unread = None
+        if self.unread_stderr is not None:
+            os.close(self.unread_stderr)
+            self.unread_stderr = None
 
-    async def ready(self) -> bool:
+    async def wait_ready(self) -> bool:
         """Returns once it answers PONG, or its time is over."""
-        with anyio.move_on_after(READY_S):
+        with anyio.move_on_after(START_TIMEOUT_S):
             while self.process is not None and self.process.poll() is None:
-                if await self._pongs():
-                    self.life.ready_us = now_us()
+                if await self._answers_ping():
+                    self.lifetime.ready_us = now_us()
                     return True
                 await anyio.sleep(0.02)
         return False
 
-    async def _pongs(self) -> bool:
+    async def _answers_ping(self) -> bool:
         try:
             connection = await standin.connect(self.port, 0.5)
         except (OSError, TimeoutError):
@@ -138,20 +138,20 @@
         try:
             with anyio.fail_after(1.0):
                 await connection.write(b"PING\r\n")
-                return (await connection.line()).startswith(b"PONG")
+                return (await connection.read_line()).startswith(b"PONG")
         except (ConnectionEndedError, TimeoutError):
             return False
         finally:
             connection.close()
 
-    async def call(self, line: str) -> str:
+    async def call_admin(self, line: str) -> str:
         """What the operators' door answers; empty if it does not."""
         try:
             with anyio.fail_after(1.0):
-                connection = await standin.connect(self.doors[0], 0.5)
+                connection = await standin.connect(self.admin_ports[0], 0.5)
                 try:
                     await connection.write(f"{line}\r\n".encode())
-                    return (await connection.line()).decode().strip()
+                    return (await connection.read_line()).decode().strip()
                 finally:
                     connection.close()
         except (OSError, ConnectionEndedError, TimeoutError):
@@ -159,21 +159,21 @@
 
     async def upgrade(self, known: dict[str, Any]) -> None:
         """A second process takes over the listener; the first is told to end once the second is in health."""
-        old, life = self.process, self.life
+        old, life = self.process, self.lifetime
         assert old is not None
-        self.doors.reverse()
-        self.before = old
+        self.admin_ports.reverse()
+        self.replaced = old
         self.start(known)
-        with anyio.move_on_after(READY_S):
-            while not (await self.call("HEALTH")).startswith("ok"):
+        with anyio.move_on_after(START_TIMEOUT_S):
+            while not (await self.call_admin("HEALTH")).startswith("ok"):
                 await anyio.sleep(0.02)
-            self.life.ready_us = now_us()
+            self.lifetime.ready_us = now_us()
         life.asked_to_end_us = now_us()
         old.send_signal(signal.SIGTERM)
         await self._wait_for_end(old)
         life.how = "term" if old.poll() is not None else "late"
         old.kill()
-        life.code, self.before = old.wait(), None
+        life.code, self.replaced = old.wait(), None
         life.ended_us = now_us()
         self.records.write(life)
 
@@ -182,9 +182,9 @@
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    async def ended(self) -> None:
+    async def terminate(self) -> None:
         """After SIGTERM: wait for its exit, and kill it if that does not come."""
-        self.life.asked_to_end_us = now_us()
+        self.lifetime.asked_to_end_us = now_us()
         self.signal(signal.SIGTERM)
         if self.process is not None:
             await self._wait_for_end(self.process)
@@ -196,7 +196,7 @@
         asked_us, waited_before_us = now_us(), waited_us(process.pid)
         while process.poll() is None:
             not_counted_us = waited_us(process.pid) - waited_before_us
-            if now_us() - asked_us - not_counted_us > self.plan.killed_after_s * 1e6:
+            if now_us() - asked_us - not_counted_us > self.plan.termination_grace_s * 1e6:
                 return
             await anyio.sleep(0.01)
 
@@ -205,31 +205,31 @@
         if self.process is None:
             return
         self.process.kill()
-        self.life.code = self.process.wait()
-        self.life.ended_us = now_us()  # after it: nothing that this process did comes later
-        self.life.how = how
-        self.records.write(self.life)
+        self.lifetime.code = self.process.wait()
+        self.lifetime.ended_us = now_us()  # after it: nothing that this process did comes later
+        self.lifetime.how = how
+        self.records.write(self.lifetime)
         self.process = None
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Count its descriptors, and notice that it has died unasked."""
         if self.process is None:
             return
-        if self.process.poll() is not None and not self.life.asked_to_end_us:
-            self.kill("crash" if self.life.ready_us else "no start")
+        if self.process.poll() is not None and not self.lifetime.asked_to_end_us:
+            self.kill("crash" if self.lifetime.ready_us else "no start")
             return
         try:
-            both = [process for process in (self.process, self.before) if process is not None]
+            both = [process for process in (self.process, self.replaced) if process is not None]
             held = sum(len(os.listdir(f"/proc/{process.pid}/fd")) for process in both)
         except OSError:
             return
-        self.life.descriptors = max(self.life.descriptors, held)
+        self.lifetime.descriptors = max(self.lifetime.descriptors, held)
 
 
 def _free_port() -> int:
     """A port that is free now, and that neither the kernel nor a soak beside this one is likely to take."""
     while True:
-        port = FIRST_PORT + os.getpid() % BLOCKS * PORTS + next(_PLACES) % PORTS
+        port = FIRST_PORT + os.getpid() % BLOCKS * PORTS + next(_PORT_NUMBERS) % PORTS
         try:
             with socket.create_server(("127.0.0.1", port)):
                 return port
@@ -237,6 +237,6 @@
             continue
 
 
-def command() -> list[str]:
+def relay_command() -> list[str]:
     """How a relay is started."""
     return [sys.executable, "-m", "gannetweir", "serve"]
--- a/gannetweir/lab/soak/standin.py
+++ b/gannetweir/lab/soak/standin.py
@@ -16,10 +16,10 @@
 import anyio.abc
 import orjson
 
-from gannetweir.lab.soak.records import Late, RecordFile, now_us
+from gannetweir.lab.soak.records import LoopDelay, RecordFile, now_us
 
-BEAT_S = 0.01
-LATE_US = 20_000
+LOOP_INTERVAL_S = 0.01
+LOOP_DELAY_THRESHOLD_US = 20_000
 _UNACKNOWLEDGED = slice(24, 28)  # of Linux's struct tcp_info: segments
 _LAST_DATA_RECEIVED = slice(52, 56)  # milliseconds ago
 _RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # struct linger: on, 0 s
@@ -75,7 +75,7 @@
         except (OSError, ValueError, anyio.ClosedResourceError):
             raise ConnectionEndedError(True) from None
 
-    async def line(self) -> bytes:
+    async def read_line(self) -> bytes:
         """The next line with its end. Raises `ConnectionEndedError`."""
         while b"\n" not in self.buffer:
             self.buffer += await self.read()
@@ -97,7 +97,7 @@
             except OSError:
                 raise ConnectionEndedError(True) from None
 
-    def finish(self) -> None:
+    def finish_writing(self) -> None:
         """End the sending side."""
         if self.closed:
             return
@@ -167,7 +167,7 @@
         sock.close()
 
 
-async def commands(take: Callable[[dict[str, Any]], Awaitable[None]]) -> None:
+async def serve_commands(handle_command: Callable[[dict[str, Any]], Awaitable[None]]) -> None:
     """Read commands from standard input, a JSON line each, until it ends."""
     number, buffer = sys.stdin.fileno(), b""
     os.set_blocking(number, False)
@@ -181,17 +181,17 @@
             return
         *lines, buffer = (buffer + data).split(b"\n")
         for line in lines:
-            await take(orjson.loads(line))
+            await handle_command(orjson.loads(line))
 
 
-async def beat(name: str, records: RecordFile) -> None:
+async def record_loop_delays(name: str, records: RecordFile) -> None:
     """Write down when this process was held up."""
     while True:
         before = now_us()
-        await anyio.sleep(BEAT_S)
-        late = now_us() - before - int(BEAT_S * 1e6)
-        if late > LATE_US:
-            records.write(Late(name, now_us(), late))
+        await anyio.sleep(LOOP_INTERVAL_S)
+        late = now_us() - before - int(LOOP_INTERVAL_S * 1e6)
+        if late > LOOP_DELAY_THRESHOLD_US:
+            records.write(LoopDelay(name, now_us(), late))
 
 
 def run_process(
@@ -202,13 +202,13 @@
     async def run() -> None:
         records = RecordFile(Path(folder) / f"{name}.jsonl")
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(beat, name, records)
+            tasks.start_soon(record_loop_delays, name, records)
             await main(records, tasks)
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def say(**values: Any) -> None:
+def report_started(**values: Any) -> None:
     """Tell the soak something, once, on standard output (the ports)."""
     print(orjson.dumps(values).decode(), flush=True)
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -28,6 +28,7 @@
 from gannetweir.placement.attempt_dispatch import AttemptDispatch
 from gannetweir.placement.endpoint_state import EndpointState
 from gannetweir.placement.events import AttemptStatus, EndpointListUpdate, Event, UpdateKind
+from gannetweir.placement.pending_request import PendingRequest
 from gannetweir.placement.settings import RequestClass
 from gannetweir.proto.client_connection import ClientConnection, FirstLine
 
@@ -223,7 +224,9 @@
 def overload_started_last() -> None:
     """All goes to the endpoint that started last."""
 
-    def choose_latest(self: AttemptDispatch, *_: object) -> EndpointState:
+    def choose_latest(
+        self: AttemptDispatch, request_id: int, request: PendingRequest, now_us: int
+    ) -> EndpointState:
         return max(self._state.ready_endpoints.all, key=lambda endpoint: endpoint.started_us)
 
     AttemptDispatch._choose_among_all = choose_latest  # type: ignore[method-assign]
--- a/tests/test_reproductions.py
+++ b/tests/test_reproductions.py
@@ -10,8 +10,16 @@
 import anyio
 import pytest
 
-from gannetweir.lab.soak.plan import Kind, SoakPlan, Trouble
-from gannetweir.lab.soak.records import BackendSaw, ClientSaw, Life, Started, TroubleSpan, now_us, read
+from gannetweir.lab.soak.plan import Fault, FaultKind, SoakPlan
+from gannetweir.lab.soak.records import (
+    BackendObservation,
+    BackendStart,
+    ClientObservation,
+    FaultSpan,
+    ProcessLifetime,
+    now_us,
+    read_records,
+)
 from gannetweir.lab.soak.run import Soak
 from gannetweir.lab.soak.shim import Call
 
@@ -21,7 +29,7 @@
     proxies=1,
     client_processes=1,
     requests_per_s=150.0,
-    life_s=0.4,
+    connection_s=0.4,
     sockets=900,
     accepts_fail=0,
 )
@@ -30,14 +38,14 @@
 
 
 class Reproduction(Soak):
-    """A run with one course of events in place of drawn troubles."""
+    """A run with one course of events in place of drawn faults."""
 
     def __init__(self, plan: SoakPlan, folder: Path, course: Course) -> None:
         super().__init__(plan, folder)
         self.course = course
 
-    async def happen(self, trouble: Trouble) -> None:
-        """The course, whatever the trouble."""
+    async def inject(self, fault: Fault) -> None:
+        """The course, whatever the fault."""
         await self.course(self)
 
 
@@ -45,14 +53,14 @@
     """Clients come, and the relay is told to end."""
 
 
-def play(folder: Path, course: Course, **changes: object) -> list[ClientSaw]:
+def play(folder: Path, course: Course, **changes: object) -> list[ClientObservation]:
     """Play it; no rule may be broken. What the clients saw that asked before the relay was told to end."""
     plan = replace(PLAN, **changes)  # type: ignore[arg-type]
-    verdict = anyio.run(Reproduction(plan, folder, course).play, [Trouble(Kind.CALLS, 0.0, 0.0, 0)])
+    verdict = anyio.run(Reproduction(plan, folder, course).run, [Fault(FaultKind.SYSTEM_CALLS, 0.0, 0.0, 0)])
     assert not verdict.findings, verdict.findings[:5]
-    records = read(folder)
-    ended = max(life.asked_to_end_us for life in records if isinstance(life, Life))
-    return [saw for saw in records if isinstance(saw, ClientSaw) and saw.sent_us < ended - 1_000_000]
+    records = read_records(folder)
+    ended = max(life.asked_to_end_us for life in records if isinstance(life, ProcessLifetime))
+    return [saw for saw in records if isinstance(saw, ClientObservation) and saw.sent_us < ended - 1_000_000]
 
 
 @pytest.mark.parametrize("call", [Call.SOCKET, Call.CONNECT])
@@ -86,19 +94,23 @@
         killed_us = now_us()
         await soak.restart_backend("b0", 0.0, signal.SIGKILL)
         # else the ends of its clients' connections would be put down to the relay
-        soak.records.write(TroubleSpan(Kind.CRASH, "b0", killed_us, now_us()))
+        soak.records.write(FaultSpan(FaultKind.BACKEND_CRASHES, "b0", killed_us, now_us()))
         (relay,) = soak.relays
-        relay.busy = True
-        relay.life.asked_to_end_us = 1
+        relay.is_restarting = True
+        relay.lifetime.asked_to_end_us = 1
         relay.kill("kill")
         relay.shim.step_wall_clock(offset_s)
-        relay.start(soak.known())
-        await soak.admit(relay)
-        relay.busy = False
+        relay.start(soak.cached_membership())
+        await soak.admit_clients(relay)
+        relay.is_restarting = False
 
     play(tmp_path, start_anew, seconds=3.0)
-    records = read(tmp_path)
-    (start,) = [record for record in records if isinstance(record, Started)]
-    (ready,) = [life.ready_us for life in records if isinstance(life, Life) and life.started_us > start.at_us]
-    came = [saw.arrived_us for saw in records if isinstance(saw, BackendSaw) and saw.backend == "b0"]
+    records = read_records(tmp_path)
+    (start,) = [record for record in records if isinstance(record, BackendStart)]
+    (ready,) = [
+        life.ready_us
+        for life in records
+        if isinstance(life, ProcessLifetime) and life.started_us > start.at_us
+    ]
+    came = [saw.arrived_us for saw in records if isinstance(saw, BackendObservation) and saw.backend == "b0"]
     assert sum(start.at_us < at < ready + 1_000_000 for at in came) <= 5
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -19,24 +19,24 @@
 
 from gannetweir.lab.soak import shim, standin
 from gannetweir.lab.soak.judge import SoakRule, Verdict, judge
-from gannetweir.lab.soak.plan import Kind, SoakPlan, Trouble, draw_troubles
+from gannetweir.lab.soak.plan import Fault, FaultKind, SoakPlan, draw_faults
 from gannetweir.lab.soak.records import (
-    BackendSaw,
-    Called,
-    Change,
-    ClientSaw,
-    Life,
-    ProxySaw,
+    AttemptObservation,
+    BackendObservation,
+    BackendStart,
+    ClientObservation,
+    FaultSpan,
+    MembershipChange,
+    OverrideCall,
+    ProcessLifetime,
     Record,
     RecordFile,
     RunQueueWait,
-    Started,
-    Told,
-    TroubleSpan,
+    WatchEventSent,
     now_us,
-    read,
+    read_records,
 )
-from gannetweir.lab.soak.relays import command
+from gannetweir.lab.soak.relays import relay_command
 from gannetweir.lab.soak.run import Soak
 from gannetweir.lab.soak.run_queue import RunQueueSampler, waited_us
 
@@ -45,7 +45,7 @@
 SECOND = 1_000_000
 
 
-def client(**changes: object) -> ClientSaw:
+def client(**changes: object) -> ClientObservation:
     """A request of class `once` that was served, and whose client left after a second."""
     values: dict[str, object] = {
         "request": "r1",
@@ -59,19 +59,19 @@
         "answered_us": 10 * SECOND + 5000,
         "left_us": 11 * SECOND,
     }
-    return ClientSaw(**(values | changes))  # type: ignore[arg-type]
+    return ClientObservation(**(values | changes))  # type: ignore[arg-type]
 
 
-def attempt(backend: str = "b1", at: int = 10 * SECOND + 1000, **changes: object) -> ProxySaw:
+def attempt(backend: str = "b1", at: int = 10 * SECOND + 1000, **changes: object) -> AttemptObservation:
     values: dict[str, object] = {"whole_us": at, "relay_ended_us": 11 * SECOND}
-    return ProxySaw("r1", backend, LINE.format(300), at, **(values | changes))  # type: ignore[arg-type]
+    return AttemptObservation("r1", backend, LINE.format(300), at, **(values | changes))  # type: ignore[arg-type]
 
 
-AT_B1 = BackendSaw("r1", "b1", 10 * SECOND + 1000, "UP", "b1.1.r1")
+AT_B1 = BackendObservation("r1", "b1", 10 * SECOND + 1000, "UP", "b1.1.r1")
 SERVED: list[Record] = [client(), attempt(), AT_B1]
 GIVEN_UP = attempt("b0", 10 * SECOND + 500, relay_ended_us=10 * SECOND + 900)
 UNANSWERED = {"answer": "", "receipt": "", "answered_us": 0, "left_us": 0}
-KILLED = Life(0, 0, SECOND, 10 * SECOND, 10 * SECOND, "kill", -9)
+KILLED = ProcessLifetime(0, 0, SECOND, 10 * SECOND, 10 * SECOND, "kill", -9)
 BROKEN: dict[str, tuple[SoakRule, list[Record]]] = {
     "reset": (SoakRule.LOST, [client(**UNANSWERED, end="reset", ended_us=10 * SECOND)]),
     "no answer": (SoakRule.LOST, [client(**UNANSWERED)]),
@@ -101,11 +101,14 @@
     "another cell": (SoakRule.REPEAT, [client(cls="cell"), GIVEN_UP, attempt(), AT_B1]),
     "first line": (SoakRule.ALTERED, [client(line=LINE.format(1000) + "4"), attempt(), AT_B1]),
     "later line": (SoakRule.ALTERED, [client(echo_wrong=True), attempt(), AT_B1]),
-    "drain told": (SoakRule.DRAIN, [*SERVED, Told(0, "b1", "Terminating", 0, 9 * SECOND)]),
-    "drain not heard": (SoakRule.DRAIN, [*SERVED, Change("b1", "Terminating", 0, 3 * SECOND)]),
-    "client gone": (SoakRule.CLIENT_GONE, [client(**UNANSWERED | {"left_us": 9 * SECOND}), attempt()]),
+    "drain told": (SoakRule.DRAIN, [*SERVED, WatchEventSent(0, "b1", "Terminating", 0, 9 * SECOND)]),
+    "drain not heard": (SoakRule.DRAIN, [*SERVED, MembershipChange("b1", "Terminating", 0, 3 * SECOND)]),
+    "client gone": (
+        SoakRule.ATTEMPT_AFTER_DISCONNECT,
+        [client(**UNANSWERED | {"left_us": 9 * SECOND}), attempt()],
+    ),
     "client gone, with a processor": (
-        SoakRule.CLIENT_GONE,
+        SoakRule.ATTEMPT_AFTER_DISCONNECT,
         [
             client(**UNANSWERED | {"left_us": 9 * SECOND}),
             attempt(),
@@ -113,29 +116,35 @@
         ],
     ),
     "client gone, others without a processor": (
-        SoakRule.CLIENT_GONE,
+        SoakRule.ATTEMPT_AFTER_DISCONNECT,
         [
             client(**UNANSWERED | {"left_us": 9 * SECOND}),
             attempt(),
             RunQueueWait("n1", 9 * SECOND, 10 * SECOND, SECOND),
         ],
     ),
-    "no MOVE": (SoakRule.CUT_OFF, [client(left_us=0, end="eof", ended_us=11 * SECOND), attempt(), AT_B1]),
-    "held": (SoakRule.HELD_BACK, [client(echo_us=1_200_000, echo_at_us=10_100_000), attempt(), AT_B1]),
+    "no MOVE": (
+        SoakRule.CLOSED_WITHOUT_MOVE,
+        [client(left_us=0, end="eof", ended_us=11 * SECOND), attempt(), AT_B1],
+    ),
+    "held": (SoakRule.LINE_DELAYED, [client(echo_us=1_200_000, echo_at_us=10_100_000), attempt(), AT_B1]),
     "cold": (
-        SoakRule.COLD,
-        [Started("b1", SECOND, 100.0), *(BackendSaw(str(n), "b1", SECOND + n) for n in range(40))],
+        SoakRule.SLOW_START,
+        [
+            BackendStart("b1", SECOND, 100.0),
+            *(BackendObservation(str(n), "b1", SECOND + n) for n in range(40)),
+        ],
     ),
     "out by hand": (
-        SoakRule.OPERATORS,
-        [*SERVED, Called(0, "b1", True, 9 * SECOND), Called(0, "b1", False, 12 * SECOND)],
+        SoakRule.OPERATOR_OVERRIDE,
+        [*SERVED, OverrideCall(0, "b1", True, 9 * SECOND), OverrideCall(0, "b1", False, 12 * SECOND)],
     ),
-    "start": (SoakRule.START, [Life(0, 0, 11 * SECOND, 12 * SECOND, 13 * SECOND, "term")]),
-    "no start": (SoakRule.START, [Life(0, 0, 0, 0, 30 * SECOND, "no start", -9)]),
-    "exit": (SoakRule.EXIT, [Life(0, 0, SECOND, 2 * SECOND, 6 * SECOND, "late", -9)]),
-    "crash": (SoakRule.CRASH, [Life(0, 0, SECOND, 0, 2 * SECOND, "crash", 1)]),
-    "bad exit": (SoakRule.CRASH, [Life(0, 0, SECOND, 2 * SECOND, 3 * SECOND, "term", 1)]),
-    "descriptors": (SoakRule.DESCRIPTORS, [Life(0, 0, SECOND, 2, 3, "term", 0, 101)]),
+    "start": (SoakRule.START, [ProcessLifetime(0, 0, 11 * SECOND, 12 * SECOND, 13 * SECOND, "term")]),
+    "no start": (SoakRule.START, [ProcessLifetime(0, 0, 0, 0, 30 * SECOND, "no start", -9)]),
+    "exit": (SoakRule.EXIT, [ProcessLifetime(0, 0, SECOND, 2 * SECOND, 6 * SECOND, "late", -9)]),
+    "crash": (SoakRule.CRASH, [ProcessLifetime(0, 0, SECOND, 0, 2 * SECOND, "crash", 1)]),
+    "bad exit": (SoakRule.CRASH, [ProcessLifetime(0, 0, SECOND, 2 * SECOND, 3 * SECOND, "term", 1)]),
+    "descriptors": (SoakRule.DESCRIPTORS, [ProcessLifetime(0, 0, SECOND, 2, 3, "term", 0, 101)]),
 }
 ALLOWED: dict[str, list[Record]] = {
     "served": SERVED,
@@ -165,7 +174,12 @@
         KILLED,
     ],
     "its relay was killed": [client(**UNANSWERED, end="reset", ended_us=10 * SECOND + 1), KILLED],
-    "refused, then elsewhere": [client(), GIVEN_UP, BackendSaw("r1", "b0", 10 * SECOND, "BUSY"), *SERVED[1:]],
+    "refused, then elsewhere": [
+        client(),
+        GIVEN_UP,
+        BackendObservation("r1", "b0", 10 * SECOND, "BUSY"),
+        *SERVED[1:],
+    ],
     "read late, and in another order": [
         client(cls="free", receipt="b0.1.r1"),
         attempt("b0", 10 * SECOND + 500),
@@ -174,33 +188,41 @@
     "the same cell": [client(cls="cell", receipt="b3.1.r1"), GIVEN_UP, attempt("b3")],
     "back in use": [
         *SERVED,
-        Told(0, "b1", "Terminating", 0, 8 * SECOND),
-        Told(0, "b1", "Ready", 1, 9 * SECOND),
+        WatchEventSent(0, "b1", "Terminating", 0, 8 * SECOND),
+        WatchEventSent(0, "b1", "Ready", 1, 9 * SECOND),
     ],
-    "called back before": [*SERVED, Called(0, "b1", True, 8 * SECOND), Called(0, "b1", False, 9 * SECOND)],
-    "out elsewhere": [*SERVED, Called(1, "b1", True, 8 * SECOND), Called(1, "b1", False, 12 * SECOND)],
-    "told elsewhere": [*SERVED, Told(1, "b1", "Terminating", 0, 8 * SECOND)],
+    "called back before": [
+        *SERVED,
+        OverrideCall(0, "b1", True, 8 * SECOND),
+        OverrideCall(0, "b1", False, 9 * SECOND),
+    ],
+    "out elsewhere": [
+        *SERVED,
+        OverrideCall(1, "b1", True, 8 * SECOND),
+        OverrideCall(1, "b1", False, 12 * SECOND),
+    ],
+    "told elsewhere": [*SERVED, WatchEventSent(1, "b1", "Terminating", 0, 8 * SECOND)],
     "left, came back, leaves again": [
         *SERVED,
-        Change("b1", "Gone", 0, SECOND),
-        Change("b1", "Ready", 1, 2 * SECOND),
-        Change("b1", "Terminating", 1, 9 * SECOND),
+        MembershipChange("b1", "Gone", 0, SECOND),
+        MembershipChange("b1", "Ready", 1, 2 * SECOND),
+        MembershipChange("b1", "Terminating", 1, 9 * SECOND),
     ],
     "discovery was down": [
         *SERVED,
-        Change("b1", "Terminating", 0, 3 * SECOND),
-        TroubleSpan("discovery_down", "discovery", 2 * SECOND, 5 * SECOND),
+        MembershipChange("b1", "Terminating", 0, 3 * SECOND),
+        FaultSpan("discovery_down", "discovery", 2 * SECOND, 5 * SECOND),
     ],
     "ended by its backend": [
         client(left_us=0, end="eof", ended_us=11 * SECOND),
         attempt(),
-        BackendSaw("r1", "b1", 10 * SECOND, "UP", "b1.1.r1", 11 * SECOND),
+        BackendObservation("r1", "b1", 10 * SECOND, "UP", "b1.1.r1", 11 * SECOND),
     ],
     "broken by its relay's kernel": [
         client(left_us=0, end="reset", ended_us=11 * SECOND),
         attempt(),
         AT_B1,
-        TroubleSpan("broken_at", "n0", 10 * SECOND, 12 * SECOND),
+        FaultSpan("broken_at", "n0", 10 * SECOND, 12 * SECOND),
     ],
     "cut by the network": [
         client(left_us=0, end="reset", ended_us=11 * SECOND),
@@ -238,12 +260,12 @@
 
 def test_a_seed_draws_the_same_troubles_again_and_they_overlap() -> None:
     plan = SoakPlan(seed=5)
-    troubles = draw_troubles(plan)
-    assert troubles == draw_troubles(plan) != draw_troubles(SoakPlan(seed=6))
-    pairs = pairwise(troubles)
-    assert sum(two.at_s < one.at_s + one.length_s for one, two in pairs) > len(troubles) // 2
-    drawn = {trouble.kind for seed in range(30) for trouble in draw_troubles(SoakPlan(seed=seed))}
-    assert drawn == set(Kind)
+    faults = draw_faults(plan)
+    assert faults == draw_faults(plan) != draw_faults(SoakPlan(seed=6))
+    pairs = pairwise(faults)
+    assert sum(two.at_s < one.at_s + one.duration_s for one, two in pairs) > len(faults) // 2
+    drawn = {fault.kind for seed in range(30) for fault in draw_faults(SoakPlan(seed=seed))}
+    assert drawn == set(FaultKind)
 
 
 def wait_until(condition: Callable[[], bool]) -> None:
@@ -264,7 +286,7 @@
         process.kill()
         process.wait()
     sampler.sample([("n2", busy[0].pid)])
-    waits = read(tmp_path)
+    waits = read_records(tmp_path)
     assert [wait.process for wait in waits if isinstance(wait, RunQueueWait)] == ["n0", "n1"]
 
 
@@ -303,52 +325,58 @@
 
 
 def run_soak(
-    plan: SoakPlan, folder: Path, faults: Sequence[SoakRule | None], troubles: list[Trouble]
+    plan: SoakPlan, folder: Path, broken_rules: Sequence[SoakRule | None], faults: list[Fault]
 ) -> Verdict:
     """A run in which each relay breaks its rule; one with `None` breaks none."""
 
-    def relay_command(number: int) -> list[str]:
-        rule = faults[number]
+    def command(number: int) -> list[str]:
+        rule = broken_rules[number]
         if rule is None:
-            return command()
+            return relay_command()
         return [sys.executable, "-m", "tests.fault_injection", rule, "serve"]
 
-    return anyio.run(Soak(plan, folder, relay_command).play, troubles)
+    return anyio.run(Soak(plan, folder, command).run, faults)
 
 
-RULES_OF_ONE_RELAY = [rule for rule in SoakRule if rule is not SoakRule.COLD]
+RULES_OF_ONE_RELAY = [rule for rule in SoakRule if rule is not SoakRule.SLOW_START]
 
 
 def test_relays_that_break_a_rule_are_found_by_a_soak_and_a_sound_one_is_not(tmp_path: Path) -> None:
-    faults: list[SoakRule | None] = [*RULES_OF_ONE_RELAY, None]
+    broken_rules: list[SoakRule | None] = [*RULES_OF_ONE_RELAY, None]
     plan = SoakPlan(
         seed=2,
         seconds=9,
-        relays=len(faults),
+        relays=len(broken_rules),
         backends=9,
         client_processes=2,
         requests_per_s=150,
         accepts_fail=0,
     )
-    troubles = [
-        Trouble(Kind.HANG, 0.5, 6.0, 0),
-        Trouble(Kind.RESET, 0.5, 6.0, 1),
-        Trouble(Kind.DRAIN, 0.5, 0.0, 2),
-        Trouble(Kind.OPERATORS, 0.5, 6.0, faults.index(SoakRule.OPERATORS), 5),
-        Trouble(Kind.OPERATORS, 0.5, 6.0, faults.index(None), 5),
+    faults = [
+        Fault(FaultKind.BACKEND_HANGS, 0.5, 6.0, 0),
+        Fault(FaultKind.BACKEND_RESETS, 0.5, 6.0, 1),
+        Fault(FaultKind.BACKEND_DRAINS, 0.5, 0.0, 2),
+        Fault(FaultKind.OPERATOR_OVERRIDE, 0.5, 6.0, broken_rules.index(SoakRule.OPERATOR_OVERRIDE), 5),
+        Fault(FaultKind.OPERATOR_OVERRIDE, 0.5, 6.0, broken_rules.index(None), 5),
     ]
-    verdict = run_soak(plan, tmp_path, faults, troubles)
-    missed = [rule for number, rule in enumerate(faults) if rule and rule not in verdict.of(number)]
-    assert not missed, [finding for finding in verdict.findings if faults[finding.relay] in missed]
-    assert not verdict.of(faults.index(None)), verdict.findings
+    verdict = run_soak(plan, tmp_path, broken_rules, faults)
+    missed = [
+        rule
+        for number, rule in enumerate(broken_rules)
+        if rule and rule not in verdict.rules_broken_by(number)
+    ]
+    assert not missed, [finding for finding in verdict.findings if broken_rules[finding.relay] in missed]
+    assert not verdict.rules_broken_by(broken_rules.index(None)), verdict.findings
 
 
 def test_a_fleet_that_takes_cold_backends_for_warm_is_found_by_a_soak(tmp_path: Path) -> None:
     plan = SoakPlan(
         seed=2, seconds=5, relays=3, backends=6, requests_per_s=150, client_processes=2, accepts_fail=0
     )
-    verdict = run_soak(plan, tmp_path, [SoakRule.COLD] * 3, [Trouble(Kind.CRASH, 0.5, 0.5, 1)])
-    assert {finding.rule for finding in verdict.findings} == {SoakRule.COLD}
+    verdict = run_soak(
+        plan, tmp_path, [SoakRule.SLOW_START] * 3, [Fault(FaultKind.BACKEND_CRASHES, 0.5, 0.5, 1)]
+    )
+    assert {finding.rule for finding in verdict.findings} == {SoakRule.SLOW_START}
 
 
 def test_a_soak_that_is_killed_leaves_no_process_behind(tmp_path: Path) -> None:
