--- a/gannetweir/lab/soak/command.py
+++ b/gannetweir/lab/soak/command.py
@@ -11,7 +11,7 @@
 import anyio
 
 from gannetweir.lab.experiments.report import print_table
-from gannetweir.lab.soak.judge import Verdict
+from gannetweir.lab.soak.findings import Verdict
 from gannetweir.lab.soak.plan import SoakPlan
 from gannetweir.lab.soak.run import Soak
 
--- a/gannetweir/lab/soak/plan.py
+++ b/gannetweir/lab/soak/plan.py
@@ -30,6 +30,7 @@
 IDEMPOTENCY_WINDOW_US = 3_000_000
 SLOW_START_FROM, SLOW_START_US, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_US = 0.12, 8_000_000, 4.0, 1_500_000
 DRAIN_GRACE_US = 500_000
+CELLS = 3
 MAX_ATTEMPTS = 4
 # Clients wait so long beyond the deadline. An answer that is half a second late is a lost one; the rest is
 # for the time in which a busy machine gives its relay no processor.
@@ -144,6 +145,11 @@
         return OVERLOAD_MULTIPLE * self.capacity / self.connection_s
 
 
+def cell_of(backend: str) -> int:
+    """The cell that a backend stands in."""
+    return int(backend.removeprefix("b")) % CELLS
+
+
 def proxy_name(number: int) -> str:
     """Of the proxy before every backend whose number leaves this remainder, divided by the plan's proxies."""
     return f"proxy{number}"
--- /dev/null
+++ b/gannetweir/lab/soak/request_rules.py
@@ -0,0 +1,54 @@
+"""One final answer to a request, in time, made by a backend where it is UP."""
+
+from __future__ import annotations
+
+from gannetweir.lab.soak.evidence import PROTOCOL_TOLERANCE_US, Evidence
+from gannetweir.lab.soak.findings import Finding, SoakRule
+from gannetweir.lab.soak.records import ClientObservation
+
+FINAL_ANSWERS = "UP", "BUSY", "ERR"
+LATE_ANSWER_US = 500_000  # an answer that comes so long after the deadline is a lost one
+KILL_BEFORE_REQUEST_US = 1_000_000  # a connection that was made before a kill may carry a line after it
+
+
+def judge_answers(evidence: Evidence) -> list[Finding]:
+    """LOST and FABRICATED, for every client that waited for its answer."""
+    findings = []
+    for client in evidence.clients.values():
+        if client.left_us and not client.answer:
+            continue
+        until_us = _waited_until_us(client)
+        if detail := _lost(evidence, client):
+            findings.append(Finding(SoakRule.LOST, client.relay, until_us, detail))
+        if client.answer == "UP" and client.receipt.split(".")[-1] != client.request:
+            detail = f"{client.request}: {client.receipt}"
+            findings.append(Finding(SoakRule.FABRICATED, client.relay, until_us, detail))
+    return findings
+
+
+def _waited_until_us(client: ClientObservation) -> int:
+    """When it had its answer, or waited for none any more."""
+    gave_up_us = client.gave_up_us or client.deadline_us + LATE_ANSWER_US  # older records don't say when
+    return client.ended_us or client.answered_us or gave_up_us
+
+
+def _lost(evidence: Evidence, client: ClientObservation) -> str:
+    """How the answer was lost; empty if it was not, or if that can't be told."""
+    until_us = _waited_until_us(client)
+    slack_us = evidence.observation_slack_us(client.sent_us, until_us)
+    wait_us = evidence.relay_wait_us(client.relay, client.sent_us, until_us)
+    due_us = client.deadline_us + PROTOCOL_TOLERANCE_US + LATE_ANSWER_US + slack_us + wait_us
+    if client.answer in FINAL_ANSWERS:
+        late_ms = (client.answered_us - client.deadline_us) // 1000
+        return f"{client.request}: answered {late_ms} ms late" if client.answered_us > due_us else ""
+    # Where its relay had no processor for a while, only a client can tell that waited for that long, and that
+    # was let into the listener's queue.
+    was_starved = wait_us > PROTOCOL_TOLERANCE_US
+    waited_enough = until_us >= due_us and not client.unheard
+    if was_starved and not (client.answer or client.end or waited_enough):
+        return ""
+    killed_from_us = client.sent_us - KILL_BEFORE_REQUEST_US
+    if evidence.was_relay_killed(client.relay, killed_from_us, min(until_us, due_us) + slack_us):
+        return ""
+    took_ms = (until_us - client.sent_us) // 1000
+    return f"{client.request} {client.cls}: {client.answer or client.end or 'no answer'}, {took_ms} ms"
--- a/gannetweir/lab/soak/run.py
+++ b/gannetweir/lab/soak/run.py
@@ -17,13 +17,16 @@
 import orjson
 
 from gannetweir.lab.soak import relays as relay_processes
-from gannetweir.lab.soak.judge import BROKEN_CONNECTIONS, Verdict, judge
+from gannetweir.lab.soak.evidence import BROKEN_CONNECTIONS, relay_name
+from gannetweir.lab.soak.findings import Verdict
+from gannetweir.lab.soak.judge import judge
 from gannetweir.lab.soak.plan import (
     SLOW_START_FROM,
     SLOW_START_US,
     Fault,
     FaultKind,
     SoakPlan,
+    cell_of,
     draw_faults,
     proxy_name,
 )
@@ -124,8 +127,8 @@
         for proxy in self.proxies:
             dials |= (await proxy.wait_started())["ports"]
         at = (await self.discovery.wait_started())["ports"]
-        for place, name in enumerate(names):
-            self._change_membership(name, dial=f"127.0.0.1:{dials[name]}", block=place % 3)
+        for name in names:
+            self._change_membership(name, dial=f"127.0.0.1:{dials[name]}", block=cell_of(name))
         library = build(self.folder)
         for n in range(self.plan.relays):
             shim = Shim(library, self.folder / f"shim{n}", self.plan.seed * 1000 + n + 1)
@@ -297,7 +300,7 @@
             await self._restart_relay(relay, kind)
         else:
             await self._send_signals(relay, kind)
-        return f"n{relay.number}"
+        return relay_name(relay.number)
 
     async def _fail_calls(self, relay: RelayProcess, fault: Fault) -> None:
         began = now_us()
@@ -307,7 +310,7 @@
         for call, _ in fault.rates:
             relay.shim.fail(call, 0)
         if Call.BROKEN in dict(fault.rates):
-            self.records.write(FaultSpan(BROKEN_CONNECTIONS, f"n{relay.number}", began, now_us()))
+            self.records.write(FaultSpan(BROKEN_CONNECTIONS, relay_name(relay.number), began, now_us()))
 
     async def _override_backend(self, relay: RelayProcess, fault: Fault) -> None:
         """Take a backend out of use, and call it back. A call that is not answered `ok` is not relied on."""
@@ -383,7 +386,7 @@
         for relay in self.relays:
             for process in (relay.process, relay.replaced):
                 if process is not None:
-                    yield f"n{relay.number}", process.pid
+                    yield relay_name(relay.number), process.pid
         for name, backend in self.backends.items():
             yield name, backend.process.pid
         for number, proxy in enumerate(self.proxies):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -18,7 +18,8 @@
 import pytest
 
 from gannetweir.lab.soak import shim, standin
-from gannetweir.lab.soak.judge import SoakRule, Verdict, judge
+from gannetweir.lab.soak.findings import SoakRule, Verdict
+from gannetweir.lab.soak.judge import judge
 from gannetweir.lab.soak.plan import Fault, FaultKind, SoakPlan, draw_faults
 from gannetweir.lab.soak.records import (
     AttemptObservation,
