--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -7,17 +7,19 @@
 import contextlib
 import socket
 import time
+from collections.abc import Awaitable, Callable
 from functools import partial
 
 import anyio
 import orjson
 import pytest
+from anyio.abc import TaskGroup
 
 from gannetweir.config import SocketAddress
 from gannetweir.core import StartLoadProbe
 from gannetweir.limits import Limits
 from gannetweir.net.load_probes import run_probe
-from gannetweir.net.transport import Transport
+from gannetweir.net.transport import Spawn, Transport
 from gannetweir.placement.actions import ProbeLoad
 from gannetweir.proto.endpoint_watch import read_membership
 from tests.relay_harness import (
@@ -463,6 +465,16 @@
     await run_scenario(RelayHarness(SHORT_TIMES | limits), crossing, capsys)
 
 
+def spawn_in(tasks: TaskGroup) -> Spawn:
+    async def run(task: Callable[[], Awaitable[object]]) -> None:
+        await task()
+
+    def spawn(task: Callable[[], Awaitable[object]]) -> None:
+        tasks.start_soon(run, task)
+
+    return spawn
+
+
 async def read_for_ever(transport: Transport) -> None:
     while True:
         await transport.read()
@@ -484,7 +496,7 @@
         endpoint.close()
 
     async with anyio.create_task_group() as tasks:
-        endpoint = Transport(Endless(fileno=near.detach()), Limits(), tasks.start_soon)
+        endpoint = Transport(Endless(fileno=near.detach()), Limits(), spawn_in(tasks))
         tasks.start_soon(closes)
         with pytest.raises(OSError, match="closed here"):
             await read_for_ever(endpoint)
@@ -504,7 +516,7 @@
             return super().send(data, flags)
 
     async with anyio.create_task_group() as tasks:
-        endpoint = Transport(Reluctant(fileno=near.detach()), Limits(), tasks.start_soon)
+        endpoint = Transport(Reluctant(fileno=near.detach()), Limits(), spawn_in(tasks))
         endpoint.write(b"MOVE\r\n")  # the last word: its end follows, and must not come first
         endpoint.finish()
         await Peer(far).expect("MOVE")
