--- a/gannetweir/core/__init__.py
+++ b/gannetweir/core/__init__.py
@@ -18,8 +18,8 @@
     StartLoadProbe,
     WriteLogLine,
 )
+from gannetweir.core.context import EngineOptions
 from gannetweir.core.engine import Engine
-from gannetweir.core.options import EngineOptions
 
 __all__ = [
     "CloseUpstream",
--- a/gannetweir/core/context.py
+++ b/gannetweir/core/context.py
@@ -3,28 +3,49 @@
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 from gannetweir.core.commands import Command, WriteLogLine
 from gannetweir.core.invariants import InvariantGuard, Violation
-from gannetweir.core.options import EngineOptions
 from gannetweir.core.reasons import Reason
-from gannetweir.core.request_log import RequestLog, RequestStep
+from gannetweir.core.request_log import RequestEvent, RequestLog, RequestStep
 from gannetweir.core.request_state import RequestState
 from gannetweir.core.timers import Timer, TimerQueue
 from gannetweir.limits import Limits
 from gannetweir.membership.endpoint_list import EndpointList
+from gannetweir.membership.operator_overrides import OperatorOverrides
 from gannetweir.observability.counters import Counters
+from gannetweir.placement.actions import Action
+from gannetweir.placement.events import Event
 from gannetweir.placement.settings import Settings
 
 if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
     from gannetweir.addresses.address_selector import AddressSelector
+    from gannetweir.addresses.rules import AddressRules
     from gannetweir.routing.route_admission import RouteAdmission
 
 
 MAX_LOGGED_STEPS = 8  # steps of a request in the log line of a violation: one line stays readable
 
 
+PlacementTrace = Callable[[int, Event, Sequence[Action]], None]
+
+
+@dataclass(frozen=True, slots=True)
+class EngineOptions:
+    """Parts of an engine that a relay may do without; by default it has none of them."""
+
+    operator_overrides: OperatorOverrides | None = None  # those that are in force at the start
+    replaces_process: bool = False  # another process of this relay still has clients, who return here
+    route_admission: RouteAdmission | None = None  # admission by the operators' routes
+    address_rules: AddressRules | None = None  # the operators' choice between an endpoint's addresses
+    placement_trace: PlacementTrace | None = None  # called with every event for the balancer and its actions
+    request_trace: Callable[[RequestEvent], None] | None = None  # called with every step of a request
+    wall_clock_ahead_us: int | None = None  # ahead of the engine's clock; None: there is none to compare with
+
+
 class EngineContext:
     """State that the concerns of one engine share by reference.
 
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -9,13 +9,12 @@
 
 from gannetweir.core.answer_delays import AnswerDelays
 from gannetweir.core.attempts import Attempts
-from gannetweir.core.context import EngineContext
+from gannetweir.core.context import EngineContext, EngineOptions, PlacementTrace
 from gannetweir.core.draining import Draining
 from gannetweir.core.final_answers import FinalAnswers
 from gannetweir.core.load_probes import LoadProbes
 from gannetweir.core.membership_updates import MembershipUpdates
 from gannetweir.core.operator_overrides import OverrideUpdates
-from gannetweir.core.options import EngineOptions, PlacementTrace
 from gannetweir.core.placement_actions import PlacementActions
 from gannetweir.core.placement_dispatcher import PlacementDispatcher
 from gannetweir.core.request_intake import RequestIntake
--- a/gannetweir/core/placement_dispatcher.py
+++ b/gannetweir/core/placement_dispatcher.py
@@ -5,8 +5,7 @@
 from collections import deque
 from typing import Protocol
 
-from gannetweir.core.context import EngineContext
-from gannetweir.core.options import PlacementTrace
+from gannetweir.core.context import EngineContext, PlacementTrace
 from gannetweir.core.timers import Timer
 from gannetweir.placement.actions import Action
 from gannetweir.placement.balancer import Balancer
