--- a/benchmarks/against.py
+++ b/benchmarks/against.py
@@ -13,7 +13,7 @@
 import threading
 from pathlib import Path
 
-from routes_cost import ROOT, backend, free_port, measure, platform, report
+from routes_cost import ROOT, free_port, measure, report, run_backend, write_platform_config
 
 
 def main() -> None:
@@ -21,10 +21,10 @@
     pairs = int(sys.argv[2]) if len(sys.argv) > 2 else 7
     placements = int(sys.argv[3]) if len(sys.argv) > 3 else 3000
     listener = socket.create_server(("127.0.0.1", 0), backlog=256)
-    threading.Thread(target=backend, args=(listener,), daemon=True).start()
+    threading.Thread(target=run_backend, args=(listener,), daemon=True).start()
     with tempfile.TemporaryDirectory() as name:
         port = free_port()
-        config = platform(Path(name), port, listener.getsockname()[1])
+        config = write_platform_config(Path(name), port, listener.getsockname()[1])
         found = []
         for n in range(pairs):
             sides = [ROOT, other] if n % 2 else [other, ROOT]  # who goes first takes turns
--- a/benchmarks/routes_cost.py
+++ b/benchmarks/routes_cost.py
@@ -9,6 +9,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import json
 import os
 import signal
@@ -23,13 +24,17 @@
 
 ROOT = Path(__file__).parent.parent
 TICK = os.sysconf("SC_CLK_TCK")
+START_TIMEOUT_S = 20
+POLL_S = 0.002  # a start takes a hundred times as long
+CALL_TIMEOUT_S = 5
+ROUTES = 200
+DEFAULT_PAIRS, DEFAULT_PLACEMENTS = 7, 3000
 FIGURES = "start, ms", "resident, MB", "CPU a placement, us"
 Figures = tuple[float, float, float]
 
 
-def backend(listener: socket.socket) -> None:
-    """Answer every first line with UP, every probe with a report, until the client closes."""
-
+def run_backend(listener: socket.socket) -> None:
+    """Answer every first line with UP, every load probe with a report, until the client closes."""
     report = b"PONG tps=1,concurrent=9000,x0=0.2\r\n"  # so many that one more makes no difference
 
     def serve(sock: socket.socket) -> None:
@@ -47,11 +52,13 @@
 
 
 def free_port() -> int:
+    """Return a port on which nobody listens now."""
     with socket.create_server(("127.0.0.1", 0)) as probe:
         return int(probe.getsockname()[1])
 
 
-def platform(folder: Path, port: int, backend_port: int) -> Path:
+def write_platform_config(folder: Path, port: int, backend_port: int) -> Path:
+    """Write the configuration of a relay with one backend; return its path."""
     timing = {"aim-us": 500000, "hard-limit-us": 2000000, "idempotency": "repeatable", "importance": 1.0}
     classes = [{"name": name, **timing} for name in ("zone-view", "rider-area")]
     dial = f"127.0.0.1:{backend_port}"
@@ -79,7 +86,8 @@
     return path
 
 
-def routes(folder: Path, count: int) -> Path:
+def write_operators_file(folder: Path, count: int) -> Path:
+    """Write an operators' file with so many routes; return its path."""
     parts = ["gannetweir version=1"]
     for n in range(count - 1):
         parts.append(
@@ -95,46 +103,65 @@
 
 
 def ask(port: int, line: bytes) -> bytes:
-    with socket.create_connection(("127.0.0.1", port), timeout=5) as sock:
+    """Send a line on a connection of its own; return the first bytes of the answer."""
+    with socket.create_connection(("127.0.0.1", port), timeout=CALL_TIMEOUT_S) as sock:
         sock.sendall(line)
         return sock.recv(100)
 
 
-def cpu(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
+    """Return the CPU time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICK
 
 
+def resident_mb(pid: int) -> float:
+    """Return the resident memory of a process."""
+    status = Path(f"/proc/{pid}/status").read_text()
+    return int(status.split("VmRSS:")[1].split()[0]) / 1024
+
+
 def measure(config: Path, port: int, operators: Path | None, placements: int, root: Path = ROOT) -> Figures:
+    """Start the relay of the tree at `root`, let it serve placements, and return its figures.
+
+    Exits where it does not start or does not serve. The relay is killed in any case.
+    """
     env = {"RELAY_CONFIG": str(config), "PATH": os.environ.get("PATH", ""), "PYTHONPATH": str(root)}
     command = [sys.executable, "-m", "gannetweir", "serve"]
     command += ["--operators", str(operators)] if operators else []
-    begin = time.monotonic()
+    begin_s = time.monotonic()
     relay = subprocess.Popen(command, env=env, cwd=root, stderr=subprocess.DEVNULL)
     try:
-        while True:
-            try:
-                if ask(port, b"PING\r\n").startswith(b"PONG"):
-                    break
-            except OSError:
-                pass
-            if time.monotonic() - begin > 20 or relay.poll() is not None:
-                raise SystemExit("the relay did not start")
-            time.sleep(0.002)
-        started = (time.monotonic() - begin) * 1000
-        status = Path(f"/proc/{relay.pid}/status").read_text()
-        resident = int(status.split("VmRSS:")[1].split()[0]) / 1024
-        before = cpu(relay.pid)
-        for n in range(placements):
-            line = f"OPEN {n:x} {n:x} c=zone-view,d=2000,g={(n % 256) << 48 | 1:x}\r\n"
-            if not ask(port, line.encode()).startswith(b"UP"):
-                raise SystemExit(f"placement {n} was not served")
-        return started, resident, (cpu(relay.pid) - before) / placements * 1e6
+        wait_until_ready(relay, port, begin_s + START_TIMEOUT_S)
+        start_ms = (time.monotonic() - begin_s) * 1000
+        resident = resident_mb(relay.pid)
+        cpu_before_s = cpu_seconds(relay.pid)
+        for number in range(placements):
+            place(port, number)
+        return start_ms, resident, (cpu_seconds(relay.pid) - cpu_before_s) / placements * 1e6
     finally:
         relay.send_signal(signal.SIGKILL)
         relay.wait()
 
 
+def wait_until_ready(relay: subprocess.Popen[bytes], port: int, deadline_s: float) -> None:
+    """Return once the relay answers PONG; exit when it has ended or the deadline has passed."""
+    while True:
+        with contextlib.suppress(OSError):
+            if ask(port, b"PING\r\n").startswith(b"PONG"):
+                return
+        if time.monotonic() > deadline_s or relay.poll() is not None:
+            raise SystemExit("the relay did not start")
+        time.sleep(POLL_S)
+
+
+def place(port: int, number: int) -> None:
+    """Open a connection of one of 256 groups, and close it once it is served."""
+    line = f"OPEN {number:x} {number:x} c=zone-view,d=2000,g={(number % 256) << 48 | 1:x}\r\n"
+    if not ask(port, line.encode()).startswith(b"UP"):
+        raise SystemExit(f"placement {number} was not served")
+
+
 def report(found: list[tuple[Figures, Figures]], placements: int, sides: tuple[str, str]) -> None:
     """Print the medians of both sides of all pairs, and the median of the ratios within pairs."""
     print(f"{len(found)} pairs, {placements} placements each\n")
@@ -146,19 +173,20 @@
 
 
 def main() -> None:
-    pairs = int(sys.argv[1]) if len(sys.argv) > 1 else 7
-    placements = int(sys.argv[2]) if len(sys.argv) > 2 else 3000
+    """Measure pairs and print them."""
+    arguments = [int(argument) for argument in sys.argv[1:]]
+    pairs, placements = [*arguments, *(DEFAULT_PAIRS, DEFAULT_PLACEMENTS)[len(arguments) :]]
     listener = socket.create_server(("127.0.0.1", 0), backlog=256)
-    threading.Thread(target=backend, args=(listener,), daemon=True).start()
+    threading.Thread(target=run_backend, args=(listener,), daemon=True).start()
     with tempfile.TemporaryDirectory() as name:
         folder, port = Path(name), free_port()
-        config = platform(folder, port, listener.getsockname()[1])
-        file = routes(folder, 200)
+        config = write_platform_config(folder, port, listener.getsockname()[1])
+        file = write_operators_file(folder, ROUTES)
         found = []
         for _ in range(pairs):
             found.append((measure(config, port, file, placements), measure(config, port, None, placements)))
     listener.close()
-    report(found, placements, ("200 routes", "none"))
+    report(found, placements, (f"{ROUTES} routes", "none"))
 
 
 if __name__ == "__main__":
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs and prints what it says."""
+"""The README's example runs and prints what the README says."""
 
 import contextlib
 import io
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 
-def test_the_readme_example() -> None:
+def test_the_readmes_example_prints_what_the_readme_says() -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     (code,) = re.findall(r"```python\n(.*?)```", text, re.S)
     printed = io.StringIO()
