--- a/gannetweir/config/kdl_forms.py
+++ b/gannetweir/config/kdl_forms.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import dataclass
-from typing import Generic, TypeVar, cast
+from typing import Generic, NamedTuple, TypeVar, cast
 
 from gannetweir.config.kdl import KdlValue, Node
 from gannetweir.config.kdl_values import ValueFormatError, shown
@@ -35,8 +35,7 @@
     required: tuple[Property[object], ...] = ()
 
 
-@dataclass(frozen=True, slots=True)
-class NodeValues(Generic[T_co]):
+class NodeValues(NamedTuple, Generic[T_co]):
     """The values of a node, parsed. Those that are wrong have been reported and are left out."""
 
     arguments: tuple[T_co, ...]
@@ -119,6 +118,8 @@
         return arguments
 
     def _read_properties(self, node: Node, where: str, form: NodeForm[T]) -> dict[str, object]:
+        if not node.properties:
+            return {}
         known = {known.name: known for known in form.properties}
         properties: dict[str, object] = {}
         for name, value in node.properties.items():
--- a/gannetweir/config/operators_routes.py
+++ b/gannetweir/config/operators_routes.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from gannetweir.config.kdl import KdlValue, Node
+from gannetweir.config.kdl import Node
 from gannetweir.config.kdl_forms import NodeForm, NodeReader, NodeValues, Property
 from gannetweir.config.kdl_values import (
     member_of,
@@ -38,6 +38,10 @@
 DEFAULT_ROUTE = "default"
 _RESERVED_NAMES = (DEFAULT_ROUTE, "relay")  # of sections; messages and counters name routes beside them
 
+_DURATION = NodeForm(parse_duration_us)
+_COUNT = NodeForm(parse_count)
+_RETRY_ON = NodeForm(member_of(RetryOn))
+
 _RATIO = Property("share", parse_percent)
 _WINDOW = Property("window", parse_duration_us)
 _FLOOR = Property("floor", parse_count)
@@ -131,11 +135,11 @@
 
     def _read_body(self, node: Node, name: str, where: str, children: Mapping[str, Node]) -> Route:
         # mistakes of one line come in the order in which its parts are read here
-        request_timeout_us = self._read_single(children, "give-up", where, parse_duration_us)
-        connect_timeout_us = self._read_single(children, "connect", where, parse_duration_us)
-        attempt_timeout_us = self._read_single(children, "attempt", where, parse_duration_us)
-        max_attempts = self._read_single(children, "attempts", where, parse_count)
-        retry_on = self._read_single(children, "retry-on", where, member_of(RetryOn))
+        request_timeout_us = self._read_single(children, "give-up", where, _DURATION)
+        connect_timeout_us = self._read_single(children, "connect", where, _DURATION)
+        attempt_timeout_us = self._read_single(children, "attempt", where, _DURATION)
+        max_attempts = self._read_single(children, "attempts", where, _COUNT)
+        retry_on = self._read_single(children, "retry-on", where, _RETRY_ON)
         lines = {"": node.line, "name": node.line} | _lines_by_name(children.values())
         if "match" in children:
             lines |= _lines_by_name(children["match"].children)
@@ -155,12 +159,12 @@
         )
 
     def _read_single(
-        self, children: Mapping[str, Node], name: str, where: str, parse: Callable[[KdlValue], T]
+        self, children: Mapping[str, Node], name: str, where: str, form: NodeForm[T]
     ) -> T | None:
         """Return the one value of a child; None where the child is missing or its value wrong."""
         if name not in children:
             return None
-        return self._nodes.read_values(children[name], f"{where} {name}", NodeForm(parse)).single
+        return self._nodes.read_values(children[name], f"{where} {name}", form).single
 
     def _read_hedge(self, children: Mapping[str, Node], where: str) -> int:
         if "hedge" not in children:
