--- a/gannetweir/lab/experiments/address_faults.py
+++ b/gannetweir/lab/experiments/address_faults.py
@@ -11,7 +11,8 @@
 import anyio
 
 from gannetweir.lab.emulator.emulator import Emulator, EmulatorPlan
-from gannetweir.lab.model.world import World, WorldPlan
+from gannetweir.lab.model.plan import WorldPlan
+from gannetweir.lab.model.world import World
 
 FAMILIES = ("unix", "ipv6", "ipv4")
 KINDS = ("refuse", "hole", "stall", "reset", "slow")
--- a/gannetweir/lab/experiments/budgets.py
+++ b/gannetweir/lab/experiments/budgets.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from gannetweir.lab.model.world import SECOND_US, World, WorldPlan
+from gannetweir.lab.model.plan import SECOND_US, WorldPlan
+from gannetweir.lab.model.world import World
 
 FAILING_FROM_S, FAILING_UNTIL_S, LENGTH_S = 40, 70, 150  # seconds
 STEP_S = 2
@@ -68,7 +69,7 @@
     bad = [s for s in range(FAILING_UNTIL_S, LENGTH_S - 5) if served(s, s + 5) < 0.95]
     back = bad[-1] + 1 if bad else FAILING_UNTIL_S
     line = [0.0] * (LENGTH_S // STEP_S)
-    for at, answer in world.final_answers:
+    for at, answer in world.clients.final_answers:
         if answer == "up" and at // SECOND_US < LENGTH_S:
             line[at // SECOND_US // STEP_S] += 1.0 / STEP_S
     attempts = sum(n for n, _, _ in failing)
--- a/gannetweir/lab/experiments/fleet_simulation.py
+++ b/gannetweir/lab/experiments/fleet_simulation.py
@@ -10,7 +10,8 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from gannetweir.lab.model.backends import SimulatedBackend
-from gannetweir.lab.model.world import SECOND_US, Traffic, World, WorldPlan
+from gannetweir.lab.model.plan import SECOND_US, Traffic, WorldPlan
+from gannetweir.lab.model.world import World
 
 INCIDENT_S, DAY_S = 12.0, 36.0  # seconds: when the trouble begins, and how long a day is
 MEAN_DURATION_US = 15.0 * SECOND_US
@@ -123,7 +124,7 @@
         world.announce([backend], world.rng.uniform(0.1, 0.5) * SECOND_US)
 
     def burst(times: float) -> None:
-        world.arrival_rate_factor = times
+        world.clients.arrival_rate_factor = times
 
     world.schedule(1.0, lambda: vanish(joining))  # not there yet
     world.schedule(INCIDENT_S - 2.0, lambda: vanish(crashing))
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -9,7 +9,8 @@
 from gannetweir.lab.experiments.fleet_simulation import DAYS, fleet_plan, simulate_day
 from gannetweir.lab.model.backends import SimulatedBackend
 from gannetweir.lab.model.checker import RuleChecker
-from gannetweir.lab.model.world import SimulatedRelay, World
+from gannetweir.lab.model.relay import SimulatedRelay
+from gannetweir.lab.model.world import World
 from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.placement import ready_endpoints
 from gannetweir.placement.slow_start import SlowStart
@@ -81,7 +82,11 @@
 
 def test_the_same_seed_plays_the_same_day() -> None:
     def told(world: World) -> tuple[Any, ...]:
-        return world.checker.counts, world.final_answers, [r.engine.counters.counts for r in world.relays]
+        return (
+            world.checker.counts,
+            world.clients.final_answers,
+            [r.engine.counters.counts for r in world.relays],
+        )
 
     assert told(simulate_day("roll", fleet_plan(5, 3, 12))) == told(
         simulate_day("roll", fleet_plan(5, 3, 12))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,7 +13,8 @@
 from gannetweir.lab.__main__ import main as lab
 from gannetweir.lab.experiments.experiment_run import ExperimentError, ExperimentRun, parse_experiment
 from gannetweir.lab.experiments.results import compare, write_results
-from gannetweir.lab.model.world import Traffic, World, WorldPlan
+from gannetweir.lab.model.plan import Traffic, WorldPlan
+from gannetweir.lab.model.world import World
 
 ROOT = Path(__file__).parent.parent
 LATE_MS = 100.0  # by which a machine with cores to spare holds up no loop
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -9,7 +9,8 @@
 from gannetweir.lab.experiments.address_faults import simulate_day
 from gannetweir.lab.experiments.budgets import BUDGET_FILE, run_failing_fleet
 from gannetweir.lab.model.checker import RuleChecker
-from gannetweir.lab.model.world import SECOND_US, Traffic, World, WorldPlan
+from gannetweir.lab.model.plan import SECOND_US, Traffic, WorldPlan
+from gannetweir.lab.model.world import World
 from gannetweir.limits import Limits
 from gannetweir.placement.events import RequestArrived
 from gannetweir.routing.schedule import answer_margin_us, worst_case_schedule
@@ -45,7 +46,7 @@
         world = World(replace(SMALL, seed=seed), TWO_TIMINGS)
         world.schedule(5, lambda: setattr(world.backends["b1"], "failure_rate", 0.7))
         checker = world.run(15)
-        return checker.counts, world.final_answers, [s.attempts for s in checker.traces.values()]
+        return checker.counts, world.clients.final_answers, [s.attempts for s in checker.traces.values()]
 
     assert day(4) == day(4)
     assert day(4) != day(5)
