--- a/gannetweir/lab/model/load_probes.py
+++ b/gannetweir/lab/model/load_probes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol
 
 from gannetweir.addresses.address import Address
 from gannetweir.core import Engine, StartLoadProbe
@@ -22,8 +22,8 @@
     limits: Limits
     engine: Engine
 
-    def notify_engine(self, call: Callable[..., Any], *args: Any) -> Any:
-        """Report an event to the engine, and carry out what it commands."""
+    def notify_engine(self, report: Callable[[int], object]) -> None:
+        """Report an event to the engine at the present time, and do what it commands."""
 
 
 class SimulatedLoadProbe:
@@ -78,8 +78,8 @@
 
     def end(self, status: AttemptStatus, report: tuple[float, ...] = ()) -> None:
         """Report the result."""
-        relay = self._relay
-        relay.notify_engine(relay.engine.load_probe_ended, self._endpoint_id, status, report)
+        engine, endpoint_id = self._relay.engine, self._endpoint_id
+        self._relay.notify_engine(lambda now_us: engine.load_probe_ended(endpoint_id, status, report, now_us))
 
 
 class AddressProbe:
--- a/gannetweir/lab/model/relay.py
+++ b/gannetweir/lab/model/relay.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable
 from dataclasses import replace
-from typing import Any
 
 from gannetweir import core
 from gannetweir.addresses.rules import AddressRules
@@ -17,9 +16,29 @@
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.events import EndpointStatus, RequestArrived, RequestFlag
+from gannetweir.placement.settings import Settings
 from gannetweir.routing.route_admission import RouteAdmission, platform_classes, with_routed_classes
 
-MAX_LOG_LINES = 10_000  # kept of one relay, for the tests
+MAX_LOG_LINES = 10_000  # remembered of one relay, for the tests
+
+ClientCommand = (
+    core.StartForwarding
+    | core.RejectClient
+    | core.FailClient
+    | core.MigrateClient
+    | core.EndClient
+    | core.EndUpstream
+)
+
+
+def _apply_operators_file(
+    text: str, platform_settings: Settings, limits: Limits
+) -> tuple[Settings, RouteAdmission | None, AddressRules | None]:
+    if not text:
+        return platform_settings, None, None
+    rules, address_rules = parse_operators_file(text, platform_settings, limits)
+    settings = with_routed_classes(platform_settings, rules)
+    return settings, RouteAdmission(rules, settings), address_rules
 
 
 class SimulatedRelay:
@@ -50,13 +69,9 @@
             Limits(sockets=environment.plan.sockets),
             connect_timeout_us=int(platform_settings.connect_timeout_us),
         )
-        self.settings = platform_settings
-        route_admission: RouteAdmission | None = None
-        address_rules: AddressRules | None = None
-        if operators_file:
-            rules, address_rules = parse_operators_file(operators_file, platform_settings, self.limits)
-            self.settings = with_routed_classes(platform_settings, rules)
-            route_admission = RouteAdmission(rules, self.settings)
+        self.settings, route_admission, address_rules = _apply_operators_file(
+            operators_file, platform_settings, self.limits
+        )
         membership = environment.membership_snapshot()
         self.engine = core.Engine(
             self.settings,
@@ -88,7 +103,7 @@
             return
         for endpoint in update.endpoints:
             self._report_known(endpoint)
-        self.notify_engine(self.engine.endpoint_update_received, update)
+        self.notify_engine(lambda now_us: self.engine.endpoint_update_received(update, now_us))
 
     def zone_connected(self) -> None:
         """Apply what was missed while the zone was cut off, unless it still is."""
@@ -111,13 +126,12 @@
         self.engine.reload(self.settings, self.limits, now_us, route_admission, address_rules)
         self.carry_out()
 
-    def notify_engine(self, call: Callable[..., Any], *args: Any) -> Any:
-        """Report an event to the engine at the present time, and carry out its commands. Nothing, if dead."""
+    def notify_engine(self, report: Callable[[int], object]) -> None:
+        """Report an event at the present time, and do what the engine commands. Nothing, if dead."""
         if self.dead_since_us:
-            return None
-        result = call(*args, self.environment.clock.now_us)
+            return
+        report(self.environment.clock.now_us)
         self.carry_out()
-        return result
 
     def carry_out(self) -> None:
         """Do what the engine has commanded; set a timer where it needs an earlier one than is set."""
@@ -139,27 +153,36 @@
                 self.upstreams.open(self.clients[command.request_id], command)
             case core.CloseUpstream():
                 self._close_upstream(command)
-            case core.StartForwarding():
-                self._start_forwarding(command)
-            case core.RejectClient():
-                self._send_final_answer(command.request_id, "busy", command.retry_after_us)
-            case core.FailClient():
-                self._send_final_answer(command.request_id, "err", 0)
             case core.StartLoadProbe():
                 self._start_load_probe(command)
-            case core.MigrateClient():
-                self.environment.client_migrated(self._end_client(command.request_id))
-            case core.EndClient():
-                self.environment.client_broken(self._end_client(command.request_id))
-            case core.EndUpstream():
-                self._end_client(command.request_id)
             case core.WriteLogLine():
-                if len(self.log_lines) < MAX_LOG_LINES:
-                    self.log_lines.append(command.text)
+                self._remember_log_line(command.text)
             case core.SetEndpointWatch():
                 pass  # the world brings every update by itself
             case core.Exit():
                 self.on_exit(self)
+            case _:
+                self._carry_out_for_client(command)
+
+    def _carry_out_for_client(self, command: ClientCommand) -> None:
+        request_id = command.request_id
+        match command:
+            case core.StartForwarding():
+                self._start_forwarding(request_id)
+            case core.RejectClient():
+                self._send_final_answer(request_id, "busy", command.retry_after_us)
+            case core.FailClient():
+                self._send_final_answer(request_id, "err", 0)
+            case core.MigrateClient():
+                self.environment.client_migrated(self._end_client(request_id))
+            case core.EndClient():
+                self.environment.client_broken(self._end_client(request_id))
+            case core.EndUpstream():
+                self._end_client(request_id)
+
+    def _remember_log_line(self, text: str) -> None:
+        if len(self.log_lines) < MAX_LOG_LINES:
+            self.log_lines.append(text)
 
     def first_line_received(self, client: SimulatedClient, time_budget_us: int) -> None:
         """A client's request has come in; its commands may name the client at once."""
@@ -190,8 +213,8 @@
     def _send_final_answer(self, request_id: int, answer: str, retry_after_us: int) -> None:
         self.environment.client_answered(self.clients.pop(request_id), answer, retry_after_us)
 
-    def _start_forwarding(self, command: core.StartForwarding) -> None:
-        client = self.clients[command.request_id]
+    def _start_forwarding(self, request_id: int) -> None:
+        client = self.clients[request_id]
         client.is_established = True
         self.environment.client_answered(client, "up", 0)
 
--- a/gannetweir/lab/model/upstreams.py
+++ b/gannetweir/lab/model/upstreams.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 from functools import partial
-from typing import Any, Protocol
+from typing import Protocol
 
 from gannetweir.addresses.address import Address
 from gannetweir.core import Engine, OpenUpstream
@@ -21,8 +21,8 @@
     zone: int
     engine: Engine
 
-    def notify_engine(self, call: Callable[..., Any], *args: Any) -> Any:
-        """Report an event to the engine, and carry out what it commands."""
+    def notify_engine(self, report: Callable[[int], object]) -> None:
+        """Report an event to the engine at the present time, and do what it commands."""
 
 
 class SimulatedUpstreams:
@@ -75,7 +75,10 @@
         if attempt.is_over:
             return
         relay, environment = self._relay, self._environment
-        relay.notify_engine(relay.engine.upstream_first_line_written, attempt.request_id, attempt.number)
+        request_id, number = attempt.request_id, attempt.number
+        relay.notify_engine(
+            lambda now_us: relay.engine.upstream_first_line_written(request_id, number, now_us)
+        )
         if attempt.is_over:
             return
         attempt.first_line_arrived = True
@@ -110,7 +113,8 @@
         # It is answered, so that another attempt beside it breaks no rule from here on.
         self._environment.checker.attempt_ended(attempt.client.request_number, attempt.number)
         relay = self._relay
-        relay.notify_engine(relay.engine.upstream_established, attempt.request_id, attempt.number)
+        request_id, number = attempt.request_id, attempt.number
+        relay.notify_engine(lambda now_us: relay.engine.upstream_established(request_id, number, now_us))
 
     def _ended(self, attempt: SimulatedAttempt, status: AttemptStatus) -> None:
         if attempt.is_over:
