--- a/gannetweir/lab/emulator/emulator.py
+++ b/gannetweir/lab/emulator/emulator.py
@@ -300,7 +300,7 @@
                     )
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
             if number in self.checker.traces:
-                self.checker.client_left(number)  # its relay died: nothing is owed by the dead
+                self.checker.client_disconnected(number)  # its relay died: nothing is owed by the dead
             answer = "broken"
         if answer in ("moved", "cut", "broken"):
             self.counts[answer] += 1
--- a/gannetweir/lab/model/checker.py
+++ b/gannetweir/lab/model/checker.py
@@ -35,7 +35,7 @@
     open_attempts: dict[int, str] = field(default_factory=dict)  # the backend by the attempt's number
     answers: list[str] = field(default_factory=list)
     answered_us: int = -1  # -1: not yet
-    client_has_left: bool = False  # nothing more is owed
+    client_disconnected: bool = False  # nothing more is owed
 
     @property
     def last_answer_us(self) -> int:
@@ -48,7 +48,7 @@
     """A backend that has started anew: the set-ups that it bears, and those of the window that ends now."""
 
     started_us: int
-    warm_setups_per_s: float  # that it bears once it is warm, by the stated multiple
+    full_setups_per_s: float  # that it bears once it is warm, by the stated multiple
     min_share: float  # of that, at its start
     window_us: int  # until it is warm
     arrivals: deque[tuple[int, bool]] = field(default_factory=deque)  # when; did the relay know of the start?
@@ -57,7 +57,7 @@
         """Set-ups in one window, with two standard deviations and two more for chance."""
         warming_share = (1.0 - self.min_share) * (now_us - self.started_us) / self.window_us
         warmed_share = min(1.0, self.min_share + warming_share)
-        mean_setups = self.warm_setups_per_s * warmed_share * SLOW_START_COUNT_US / 1e6
+        mean_setups = self.full_setups_per_s * warmed_share * SLOW_START_COUNT_US / 1e6
         return float(mean_setups + 2.0 * mean_setups**0.5 + 2.0)
 
     def add_arrival(self, now_us: int, start_was_known: bool) -> None:
@@ -78,7 +78,7 @@
         self.traces: dict[int, RequestTrace] = {}
         # By relay and endpoint: since when the relay knows that it drains or is removed. An empty name of a
         # relay stands for all of them.
-        self.leaving_since_us: dict[tuple[str, str], int] = {}
+        self.unavailable_since_us: dict[tuple[str, str], int] = {}
         self.known_starts_us: dict[tuple[str, str], int] = {}  # the last start that a relay knows of
         self.slow_starts: dict[str, SlowStartBudget] = {}
         self.violations: list[str] = []
@@ -106,13 +106,13 @@
             return
         trace.answered_us = now_us
         if now_us > trace.last_answer_us:
-            late_ms = (now_us - trace.sent_us - trace.time_budget_us) / 1000
-            text = f"{answer} {late_ms:.1f} ms after {trace.request_class} gave up"
+            overdue_ms = (now_us - trace.sent_us - trace.time_budget_us) / 1000
+            text = f"{answer} {overdue_ms:.1f} ms after {trace.request_class} gave up"
             self._record_violation("late", request_number, now_us, text)
 
-    def client_left(self, request_number: int) -> None:
+    def client_disconnected(self, request_number: int) -> None:
         """A client has ended its connection: nothing more is owed."""
-        self.traces[request_number].client_has_left = True
+        self.traces[request_number].client_disconnected = True
 
     def attempt_arrived(
         self, request_number: int, attempt: int, endpoint: str, now_us: int, relay: str = ""
@@ -131,10 +131,10 @@
         trace.open_attempts[attempt] = endpoint
 
     def _check_drain(self, request_number: int, endpoint: str, now_us: int, relay: str) -> None:
-        leaving_since_us = self.leaving_since_us.get((relay, endpoint), now_us)
-        if now_us > leaving_since_us + DRAIN_GRACE_US:
-            late_ms = (now_us - leaving_since_us) / 1000
-            text = f"sent to {endpoint} {late_ms:.0f} ms after its drain was told"
+        unavailable_since_us = self.unavailable_since_us.get((relay, endpoint), now_us)
+        if now_us > unavailable_since_us + DRAIN_GRACE_US:
+            overdue_ms = (now_us - unavailable_since_us) / 1000
+            text = f"sent to {endpoint} {overdue_ms:.0f} ms after its drain was told"
             self._record_violation("drain", request_number, now_us, text)
 
     def _check_slow_start(self, request_number: int, endpoint: str, now_us: int, relay: str) -> None:
@@ -156,13 +156,13 @@
         self.traces[request_number].open_attempts.pop(attempt, None)
 
     def relay_notified(
-        self, endpoint: str, is_leaving: bool, now_us: int, relay: str = "", started_us: int = 0
+        self, endpoint: str, is_unavailable: bool, now_us: int, relay: str = "", started_us: int = 0
     ) -> None:
         """A relay knows that a backend drains or is removed, or that it is ready; and its last start."""
-        if is_leaving:
-            self.leaving_since_us.setdefault((relay, endpoint), now_us)
+        if is_unavailable:
+            self.unavailable_since_us.setdefault((relay, endpoint), now_us)
         else:
-            self.leaving_since_us.pop((relay, endpoint), None)
+            self.unavailable_since_us.pop((relay, endpoint), None)
         self.known_starts_us[relay, endpoint] = started_us
 
     def backend_started(self, endpoint: str, budget: SlowStartBudget) -> None:
@@ -176,7 +176,7 @@
     def finish(self, now_us: int) -> list[str]:
         """End the run: find what was never answered. All violations."""
         for request_number, trace in self.traces.items():
-            is_owed = not trace.answers and not trace.client_has_left
+            is_owed = not trace.answers and not trace.client_disconnected
             if is_owed and now_us > trace.last_answer_us:
                 self._record_violation("unanswered", request_number, now_us, f"a {trace.request_class}")
         return self.violations
--- a/gannetweir/lab/model/client_population.py
+++ b/gannetweir/lab/model/client_population.py
@@ -54,7 +54,7 @@
         if self.clock.elapsed_us >= self.arrivals_end_us:
             return
         rng, traffic = self.arrivals_rng, self.plan.traffic
-        request_class = rng.choices(range(len(traffic)), [one.share for one in traffic])[0]
+        request_class = rng.choices(range(len(traffic)), [one.arrival_share for one in traffic])[0]
         duration_us = rng.expovariate(1.0 / traffic[request_class].mean_duration_us)
         group = rng.randrange(1, self.plan.groups + 1) * GROUP_STEP & GROUP_MASK
         relay = self._choose_relay(rng)
@@ -66,12 +66,12 @@
         """A relay as the front chooses it, which knows of drains and deaths only some time later."""
         relay = rng.choice(self.relays)
         for _ in range(MAX_CHOICES):
-            if not self._is_known_to_leave(relay):
+            if not self._is_known_unavailable(relay):
                 break
             relay = rng.choice(self.relays)
         return relay
 
-    def _is_known_to_leave(self, relay: SimulatedRelay) -> bool:
+    def _is_known_unavailable(self, relay: SimulatedRelay) -> bool:
         now_us = self.clock.now_us
         if relay.draining_since_us and now_us > relay.draining_since_us + DRAIN_SEEN_AFTER_US:
             return True
@@ -98,14 +98,14 @@
         if answer == "up":
             self.clock.call_later(client.duration_us, lambda: client.relay.client_disconnected(client))
         elif client.retries_made < self.plan.traffic[client.request_class].retries:
-            wait_us = retry_after_us or self._drawn_wait_us()
+            wait_us = retry_after_us or self._random_wait_us()
             self._schedule_return(client, wait_us, client.retries_made + 1, has_returned=False)
 
     def return_after_wait(self, client: SimulatedClient) -> None:
         """A client whose connection was migrated or broken comes again, through any relay."""
-        self._schedule_return(client, self._drawn_wait_us(), 0, has_returned=True)
+        self._schedule_return(client, self._random_wait_us(), 0, has_returned=True)
 
-    def _drawn_wait_us(self) -> float:
+    def _random_wait_us(self) -> float:
         return self.rng.uniform(MIN_RETURN_US, MAX_RETURN_US)
 
     def _schedule_return(
--- a/gannetweir/lab/model/load_probes.py
+++ b/gannetweir/lab/model/load_probes.py
@@ -43,7 +43,7 @@
         self._clock = clock
         self._round_trip_us = round_trip_us
         self._until_us = clock.now_us + relay.limits.load_probe_timeout_us
-        self._tried: list[Address] = []
+        self._silent_addresses: list[Address] = []
 
     def start(self, is_partitioned: bool) -> None:
         """Probe the backend's one address."""
@@ -59,7 +59,7 @@
         address_selector = self._relay.engine.address_selector
         assert address_selector is not None
         target = RaceTarget(str(self._endpoint_id), self._backend, address_selector, self._round_trip_us)
-        address_probe = AddressProbe(self, target, self._clock, tuple(self._tried))
+        address_probe = AddressProbe(self, target, self._clock, tuple(self._silent_addresses))
         timeout_us = max(1, self._until_us - self._clock.now_us)
         self._clock.call_later(timeout_us, lambda: address_probe.end(AttemptStatus.TIMEOUT))
 
@@ -70,8 +70,11 @@
 
     def address_silent(self, address: Address) -> None:
         """An address has not answered: the next one is tried, if there is one and time is left."""
-        self._tried.append(address)
-        if len(self._tried) < len(self._backend.address_faults) and self._clock.now_us < self._until_us:
+        self._silent_addresses.append(address)
+        if (
+            len(self._silent_addresses) < len(self._backend.address_faults)
+            and self._clock.now_us < self._until_us
+        ):
             self.start_next_address()
         else:
             self.end(AttemptStatus.TIMEOUT)
--- a/gannetweir/lab/model/plan.py
+++ b/gannetweir/lab/model/plan.py
@@ -16,7 +16,7 @@
 class Traffic:
     """One class of the traffic, in the order of the plan's classes."""
 
-    share: float  # of all arrivals
+    arrival_share: float  # of all arrivals
     mean_duration_us: float = 40 * SECOND_US  # that a served client stays
     retries: int = 1  # of the client's own, after a wait
 
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -138,7 +138,7 @@
         for client in clients:
             relay.upstreams.finish_all(client)
             if not client.is_established:
-                self.checker.client_left(client.request_number)  # a dead relay owes no answer
+                self.checker.client_disconnected(client.request_number)  # a dead relay owes no answer
             self.clients.return_after_wait(client)
 
     def start_relay(self, relay: SimulatedRelay) -> None:
@@ -174,7 +174,7 @@
         backend.is_removed = False
         backend.started_us = self.clock.now_us
         settings = self.plan.settings()
-        mean_duration_us = sum(one.share * one.mean_duration_us for one in self.plan.traffic)
+        mean_duration_us = sum(one.arrival_share * one.mean_duration_us for one in self.plan.traffic)
         budget = SlowStartBudget(
             self.clock.now_us,
             settings.overload_multiple * backend.capacity / (mean_duration_us / SECOND_US),
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -35,7 +35,7 @@
 
 
 def test_the_bound_is_that_of_the_rule() -> None:
-    cold = SlowStartBudget(0, warm_setups_per_s=20.0, min_share=0.1, window_us=10 * SECOND)
+    cold = SlowStartBudget(0, full_setups_per_s=20.0, min_share=0.1, window_us=10 * SECOND)
     assert cold.setups_allowed(0) == pytest.approx(3.0 + 2.0 * 3.0**0.5 + 2.0)
     assert cold.setups_allowed(10 * SECOND) == pytest.approx(30.0 + 2.0 * 30.0**0.5 + 2.0)
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -108,7 +108,7 @@
     checker = world.run(30)
     assert not checker.violations, "\n".join(checker.violations[:5])
     answers = checker.counts["up"] + checker.counts["busy"] + checker.counts["err"]
-    left = sum(story.client_has_left for story in checker.traces.values())
+    left = sum(story.client_disconnected for story in checker.traces.values())
     assert answers + left >= len(checker.traces) > 150
     assert checker.counts["up"] > 50
     for relay in world.relays:
@@ -342,4 +342,4 @@
         ("attempt_ended", 1, 1),
         ("answer_received", 1, "up", 2 * SECOND_US + 20_000),
     ).violations
-    assert not checker_of(("client_left", 1)).violations
+    assert not checker_of(("client_disconnected", 1)).violations
