--- a/gannetweir/lab/experiments/fleet_simulation.py
+++ b/gannetweir/lab/experiments/fleet_simulation.py
@@ -167,7 +167,7 @@
 
 PAGE = """# Whole fleets on virtual time
 
-`gannetweir lab herd --seeds {seeds}`. The real engine and module of every relay; clients, backends, lists,
+`gannetweir lab fleets --seeds {seeds}`. The real engine and module of every relay; clients, backends, lists,
 zones and the session store are modelled. Days of {seconds:g} s, asked for a third of what the fleet holds.
 
 {table}
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -4,13 +4,16 @@
 import signal
 import subprocess
 import sys
+from collections import Counter
 from pathlib import Path
 
 import orjson
 import pytest
 
 from gannetweir.cli import main
+from gannetweir.lab.__main__ import RENAMED_COMMANDS
 from gannetweir.lab.__main__ import main as lab
+from gannetweir.lab.experiments import address_faults, fleet_simulation
 from gannetweir.lab.experiments.experiment_run import ExperimentError, ExperimentRun, parse_experiment
 from gannetweir.lab.experiments.results import compare, write_results
 from gannetweir.lab.model.plan import Traffic, WorldPlan
@@ -140,6 +143,28 @@
     assert counts["up"] == counts["first"] + counts["again"] == counts["sent"]
 
 
+@pytest.mark.parametrize(("earlier", "present"), RENAMED_COMMANDS.items())
+def test_a_renamed_command_does_the_same_and_says_its_present_name(
+    earlier: str,
+    present: str,
+    monkeypatch: pytest.MonkeyPatch,
+    capsys: pytest.CaptureFixture[str],
+) -> None:
+    monkeypatch.setattr(fleet_simulation, "fleet_table", lambda _: [["kill", *"0" * 8]])
+    monkeypatch.setattr(address_faults, "emulate_cases", lambda _: [["nothing", *"0" * 8]])
+    monkeypatch.setattr(address_faults, "simulate_days", lambda _: Counter({"days": 1}))
+    rest = ["none.kdl"] if earlier == "hollow" else ["--seeds", "1"]
+
+    codes, printed = [], []
+    for command in (earlier, present):
+        codes.append(lab([command, *rest]))
+        printed.append(capsys.readouterr())
+
+    assert codes[0] == codes[1] == (2 if earlier == "hollow" else 0)
+    assert printed[0].out == printed[1].out
+    assert printed[0].err == f"lab: {earlier} is now called {present}\n" + printed[1].err
+
+
 def test_only_what_is_beyond_noise_differs(tmp_path: Path) -> None:
     def kept(name: str, values: list[float]) -> Path:
         runs = [ExperimentRun("v", n, {"p99, ms": value}, {}, []) for n, value in enumerate(values)]
