--- a/gannetweir/lab/emulator/emulator.py
+++ b/gannetweir/lab/emulator/emulator.py
@@ -6,53 +6,27 @@
 
 from __future__ import annotations
 
-import os
 import random
-import signal
-import socket
-import subprocess
-import sys
 import tempfile
 import time
 from collections import Counter
-from collections.abc import Awaitable, Callable, Sequence
-from contextlib import AsyncExitStack, asynccontextmanager, suppress
-from dataclasses import dataclass, field
+from collections.abc import Callable
+from contextlib import AsyncExitStack, asynccontextmanager
+from dataclasses import dataclass
 from pathlib import Path
 from types import TracebackType
 from typing import Any
 
 import anyio
 import anyio.abc
-import orjson
 
 from gannetweir.lab.emulator.attempts import AttemptOverlaps
 from gannetweir.lab.emulator.backend import EmulatedBackend, EmulatedSessionStore, loopback_addresses
+from gannetweir.lab.emulator.plan import CLASSES, EmulatorPlan
 from gannetweir.lab.emulator.registry import EmulatedDiscovery
+from gannetweir.lab.emulator.relay_process import RelayProcess
 from gannetweir.lab.model.checker import RuleChecker
 
-CLASSES = (
-    ("zone-view", 2_000, 1.0, 0.36),
-    ("rider-area", 3_000, 3.0, 0.34),
-    ("closure-feed", 2_000, 3.0, 0.15),
-    ("outlet-status", 3_000, 1.0, 0.15),
-)
-
-
-@dataclass(frozen=True, slots=True)
-class EmulatorPlan:
-    """What a yard is made of."""
-
-    seed: int = 1
-    relays: int = 1
-    backends: int = 4
-    families: tuple[str, ...] = ("ipv4",)
-    capacity: int = 400
-    store_calls_per_s: float = 2000.0
-    sockets: int = 1024
-    operators_file: str = ""  # an operators' file's text
-    other_connections: int = 0  # connections that each node reports beside those of the yard
-
 
 @dataclass(slots=True)
 class AnsweredRequest:
@@ -64,124 +38,6 @@
     duration_s: float  # from the moment at which it was due
 
 
-class RelayProcess:
-    """One relay, started as an installation would."""
-
-    def __init__(self, emulator: Emulator, number: int) -> None:
-        self.emulator, self.number = emulator, number
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            self.port = int(free.getsockname()[1])
-        self.process: subprocess.Popen[bytes] | None = None
-        self.dead_since_s = -1.0  # since when it is dead
-
-    def start(self) -> None:
-        """Start it; `ready` waits for it."""
-        folder = Path(self.emulator.folder)
-        plan = self.emulator.plan
-        data: dict[str, Any] = {
-            "name": f"n{self.number}",
-            "listen": f"127.0.0.1:{self.port}",
-            "discovery": f"127.0.0.1:{self.emulator.discovery.port}",
-            "seed": f"{plan.seed + self.number:x}",
-            "limits": {"sockets": plan.sockets, "memory_mb": 192},
-            "known": self.emulator.discovery.snapshot(),
-            "settings": platform_settings(plan.relays),
-        }
-        path = folder / f"relay{self.number}.json"
-        path.write_bytes(orjson.dumps(data))
-        env = {"RELAY_CONFIG": str(path), "PATH": os.environ.get("PATH", "")}
-        if plan.operators_file:
-            (folder / "operators.kdl").write_text(plan.operators_file)
-            env["RELAY_OPERATORS"] = str(folder / "operators.kdl")
-        log = (folder / f"relay{self.number}.log").open("ab")
-        with log:
-            command = [sys.executable, "-m", "gannetweir", "serve"]
-            self.process = subprocess.Popen(
-                command, env=env, stderr=log, stdout=log, stdin=subprocess.DEVNULL
-            )
-        self.dead_since_s = -1.0
-
-    async def wait_ready(self, within_s: float = 15.0) -> None:
-        """Returns once it answers PONG."""
-        with anyio.fail_after(within_s):
-            while True:
-                with suppress(OSError, anyio.EndOfStream):
-                    async with await anyio.connect_tcp("127.0.0.1", self.port) as stream:
-                        await stream.send(b"PING\r\n")
-                        if (await stream.receive(100)).startswith(b"PONG"):
-                            return
-                await anyio.sleep(0.02)
-
-    async def stop(self, signal_number: signal.Signals = signal.SIGTERM, within_s: float = 5.0) -> None:
-        """End it with a signal; killed if it has not ended in time."""
-        if self.process is None:
-            return
-        self.dead_since_s = anyio.current_time()
-        self.process.send_signal(signal_number)
-        with anyio.move_on_after(within_s):
-            while self.process.poll() is None:
-                await anyio.sleep(0.02)
-        self.kill()
-
-    def kill(self) -> None:
-        """End it now."""
-        if self.process is not None:
-            with suppress(ProcessLookupError):
-                self.process.kill()
-            self.process.wait()
-            self.process = None
-
-    def _printed_counters(self) -> list[bytes]:
-        lines = (Path(self.emulator.folder) / f"relay{self.number}.log").read_bytes().splitlines()
-        return [line for line in lines if line[:1] == b"{"]
-
-    async def counters(self) -> Counter[str]:
-        """Its counters now, or as it last printed them."""
-        before = len(self._printed_counters())
-        if self.process is not None:
-            self.process.send_signal(signal.SIGUSR1)
-            with anyio.fail_after(5.0):
-                while len(self._printed_counters()) == before:
-                    await anyio.sleep(0.01)
-        return Counter(orjson.loads(self._printed_counters()[-1]))
-
-
-def platform_settings(relays: int) -> dict[str, Any]:
-    """What the platform tells each relay."""
-    return {
-        "categories": [
-            {
-                "name": name,
-                "aim-us": 500_000,
-                "hard-limit-us": ms * 1000,
-                "idempotency": "repeatable",
-                "dedup-scope": "all",
-                "importance": worth,
-            }
-            for name, ms, worth, _ in CLASSES
-        ],
-        "fleet-size": relays,
-        "zone": 0,
-        "zones": ["a"],
-        "kinds": ["m"],
-        "registry-mode": "on_request",
-        "contract": {"cold-from": 0.12, "warm-within-us": 23_000_000, "fall-multiple": 4.0},
-        "reporting": {"names": ["tps", "concurrent", "x0"], "source": "probe"},
-        "family-info": {
-            "groups": True,
-            "tells-delay": True,
-            "tells-load": True,
-            "message-aim-us": [100_000.0],
-        },
-        "limits": {
-            "probes": True,
-            "max-attempts": 6,
-            "connect-timeout-us": 250_000,
-            "max-retry-after-us": 1_500_000,
-        },
-    }
-
-
 class Emulator:
     """All of it. Use it with `async with`: at the end every process that it started has ended."""
 
@@ -231,7 +87,7 @@
             more = {"dials": dials} if len(dials) > 1 else {}
             self.discovery.change(node.name, dial=dials[0], **more)
         self.tasks.start_soon(self.discovery.run)
-        self.relays = [RelayProcess(self, n) for n in range(plan.relays)]
+        self.relays = [RelayProcess(plan, self.discovery, Path(self.folder), n) for n in range(plan.relays)]
         try:
             for relay in self.relays:
                 relay.start()
@@ -274,7 +130,7 @@
         """One client's connection from its first line to its end; its answer. A rejected one comes again as
         it was told, `retries` times. `MOVE` and breaks bring it back.
         """
-        name, give_up_ms, _, _ = CLASSES[class_number]
+        name, give_up_ms = CLASSES[class_number].name, CLASSES[class_number].time_budget_ms
         self.request_count += 1
         number = self.request_count
         due = anyio.current_time() if due_s < 0 else due_s
@@ -353,7 +209,7 @@
             due = start
             while (due := due + rng.expovariate(arrivals_per_s)) < start + seconds:
                 await anyio.sleep_until(due)
-                cls = rng.choices(range(4), [c[3] for c in CLASSES])[0]
+                cls = rng.choices(range(4), [one.arrival_share for one in CLASSES])[0]
                 life = rng.expovariate(1 / mean_duration_s)
                 group = rng.randrange(1, groups + 1) * 0x9E3779B97F4A7C15 & (1 << 64) - 1
 
@@ -424,44 +280,3 @@
             yield tasks
         finally:
             tasks.cancel_scope.cancel()
-
-
-@dataclass(slots=True)
-class ScriptedEvent:
-    """Something that is to happen at a time."""
-
-    at_s: float
-    action: Callable[[Emulator], Awaitable[None]]
-    description: str
-
-
-@dataclass(slots=True)
-class Script:
-    """A run: load, and what happens meanwhile."""
-
-    arrivals_per_s: float
-    seconds: float
-    mean_duration_s: float = 10.0
-    events: Sequence[ScriptedEvent] = field(default_factory=tuple)
-
-
-async def play(
-    emulator: Emulator,
-    script: Script,
-    progress: Callable[[float], None] = lambda share: None,
-    report: Callable[[str], None] = lambda what: None,
-) -> None:
-    """Run a script to its end; `say` hears what happens as it begins."""
-
-    async def happen(event: ScriptedEvent) -> None:
-        await anyio.sleep(event.at_s)
-        report(event.description)
-        await event.action(emulator)
-
-    async with anyio.create_task_group() as tasks:
-        for event in script.events:
-            tasks.start_soon(happen, event)
-        await emulator.offer_load(
-            script.arrivals_per_s, script.seconds, script.mean_duration_s, progress=progress
-        )
-        tasks.cancel_scope.cancel()
--- /dev/null
+++ b/gannetweir/lab/emulator/script.py
@@ -0,0 +1,51 @@
+"""What happens to an emulated fleet while it is under load."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable, Sequence
+from dataclasses import dataclass, field
+
+import anyio
+
+from gannetweir.lab.emulator.emulator import Emulator
+
+
+@dataclass(slots=True)
+class ScriptedEvent:
+    """An action on the fleet, so long after the load's start."""
+
+    at_s: float
+    action: Callable[[Emulator], Awaitable[None]]
+    description: str
+
+
+@dataclass(slots=True)
+class Script:
+    """One run: its load, and its events."""
+
+    arrivals_per_s: float
+    seconds: float
+    mean_duration_s: float = 10.0
+    events: Sequence[ScriptedEvent] = field(default_factory=tuple)
+
+
+async def play(
+    emulator: Emulator,
+    script: Script,
+    progress: Callable[[float], None] = lambda share: None,
+    report: Callable[[str], None] = lambda what: None,
+) -> None:
+    """Run a script to its end; `report` is called with each event's description as it begins."""
+
+    async def happen(event: ScriptedEvent) -> None:
+        await anyio.sleep(event.at_s)
+        report(event.description)
+        await event.action(emulator)
+
+    async with anyio.create_task_group() as tasks:
+        for event in script.events:
+            tasks.start_soon(happen, event)
+        await emulator.offer_load(
+            script.arrivals_per_s, script.seconds, script.mean_duration_s, progress=progress
+        )
+        tasks.cancel_scope.cancel()
--- a/gannetweir/lab/experiments/address_faults.py
+++ b/gannetweir/lab/experiments/address_faults.py
@@ -10,7 +10,8 @@
 
 import anyio
 
-from gannetweir.lab.emulator.emulator import Emulator, EmulatorPlan
+from gannetweir.lab.emulator.emulator import Emulator
+from gannetweir.lab.emulator.plan import EmulatorPlan
 from gannetweir.lab.model.plan import WorldPlan
 from gannetweir.lab.model.world import World
 
--- a/gannetweir/lab/experiments/demo.py
+++ b/gannetweir/lab/experiments/demo.py
@@ -10,7 +10,9 @@
 from rich.table import Table
 from rich.text import Text
 
-from gannetweir.lab.emulator.emulator import Emulator, EmulatorPlan, Script, play
+from gannetweir.lab.emulator.emulator import Emulator
+from gannetweir.lab.emulator.plan import EmulatorPlan
+from gannetweir.lab.emulator.script import Script, play
 from gannetweir.lab.experiments.experiment_run import parse_experiment, scripted_events
 
 LENGTH_S = 30.0
--- a/gannetweir/lab/experiments/experiment_run.py
+++ b/gannetweir/lab/experiments/experiment_run.py
@@ -32,7 +32,9 @@
 from gannetweir.config.kdl import KdlError, Node, parse_document
 from gannetweir.config.kdl_values import parse_duration_us
 from gannetweir.lab.emulator.backend import FAULTS
-from gannetweir.lab.emulator.emulator import Emulator, EmulatorPlan, Script, ScriptedEvent, play
+from gannetweir.lab.emulator.emulator import Emulator
+from gannetweir.lab.emulator.plan import EmulatorPlan
+from gannetweir.lab.emulator.script import Script, ScriptedEvent, play
 
 FAULT_DESCRIPTIONS = {
     "": "is mended",
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -14,7 +14,7 @@
 
 from gannetweir.config.settings import parse_settings
 from gannetweir.core import Engine
-from gannetweir.lab.emulator.emulator import platform_settings as platform_settings
+from gannetweir.lab.emulator.plan import platform_settings
 from gannetweir.lab.scale.measure import Named, Step, Sweep, elapsed_ms, processor_us, sweep
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.limits import Limits
--- a/gannetweir/lab/scale/processes.py
+++ b/gannetweir/lab/scale/processes.py
@@ -17,7 +17,7 @@
 
 import orjson
 
-from gannetweir.lab.emulator.emulator import platform_settings as platform_settings
+from gannetweir.lab.emulator.plan import platform_settings
 
 START_S = 20.0  # a process that does not answer by then has failed
 SOCKETS = 18_000
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -21,7 +21,8 @@
     loopback_addresses,
     spawn_in,
 )
-from gannetweir.lab.emulator.emulator import Emulator, EmulatorPlan
+from gannetweir.lab.emulator.emulator import Emulator
+from gannetweir.lab.emulator.plan import EmulatorPlan
 from gannetweir.lab.model.checker import RuleChecker
 from gannetweir.limits import Limits
 from gannetweir.net.dialer import AddressRaceDriver
