--- a/gannetweir/lab/emulator/attempts.py
+++ b/gannetweir/lab/emulator/attempts.py
@@ -74,7 +74,7 @@
 
 
 class AttemptOverlaps:
-    """The attempts over all stand-ins of one yard. `now_us` is the yard's clock. Run `beat` beside them."""
+    """The attempts at all backends of one emulator, by its clock `now_us`. Run `loop_delay` beside them."""
 
     def __init__(self, checker: RuleChecker, now_us: Callable[[], int]) -> None:
         self.checker, self.now_us, self.loop_delay = checker, now_us, LoopDelayMonitor()
--- a/gannetweir/lab/emulator/backend.py
+++ b/gannetweir/lab/emulator/backend.py
@@ -65,7 +65,7 @@
 
 
 class EmulatedBackend:
-    """One node. `attempts`, which a yard's nodes share, hears of every first line as the rules count it."""
+    """One backend. `attempts`, which all backends share, is told of every first line, as the rules count it."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
         self.limits = Limits()
         self.deliveries: dict[str, int] = {}  # by request, wherever they came in
         self.failure_rate = 0.0
-        self.other_connections = 0  # connections that are reported beside those of the yard
+        self.other_connections = 0  # connections that are reported beside those of the emulator
         self.draining = False
         self.started_s = 0.0  # 0: long ago
         self.slow_start_min_share, self.slow_start_window_s = 0.12, 23.0
--- a/gannetweir/lab/emulator/script.py
+++ b/gannetweir/lab/emulator/script.py
@@ -45,7 +45,7 @@
     async with anyio.create_task_group() as tasks:
         for event in script.events:
             tasks.start_soon(happen, event)
-        await emulator.offer_load(
+        await emulator.clients.offer_load(
             script.arrivals_per_s, script.seconds, script.mean_duration_s, progress=progress
         )
         tasks.cancel_scope.cancel()
--- a/gannetweir/lab/experiments/address_faults.py
+++ b/gannetweir/lab/experiments/address_faults.py
@@ -50,16 +50,18 @@
     plan = EmulatorPlan(
         backends=4, families=FAMILIES, capacity=4000, other_connections=400, store_calls_per_s=5000
     )
-    async with Emulator(plan) as yard:
-        for node in yard.backends.values():
+    async with Emulator(plan) as emulator:
+        for node in emulator.backends.values():
             for text, door in node.listeners.items():
                 if fault := dict(broken).get(door.address.family):
                     node.set_fault(text, fault)
-        answers = await yard.request_many(requests, at_once)
-        rules = yard.violations()
-        took = sorted(served.duration_s * 1000 for served in yard.answered if served.answer == "up")
-        attempts = [story.attempts for story in yard.checker.traces.values()]
-        delivered, written = await yard.count_first_lines()
+        answers = await emulator.clients.request_many(requests, at_once)
+        rules = emulator.violations()
+        took = sorted(
+            served.duration_s * 1000 for served in emulator.clients.answered if served.answer == "up"
+        )
+        attempts = [story.attempts for story in emulator.checker.traces.values()]
+        delivered, written = await emulator.count_first_lines()
         if delivered != written:
             rules.append(f"{delivered} first lines came in, {written} were written")
         name = ", ".join(f"{family} {fault}" for family, fault in broken) or "nothing"
@@ -71,7 +73,7 @@
             f"{took[len(took) * 99 // 100]:.1f}",
             f"{delivered}",
             f"{max(attempts)}",
-            f"{yard.undecided_overlaps()}",
+            f"{emulator.undecided_overlaps()}",
             f"{len(rules)}",
         ]
 
--- a/gannetweir/lab/experiments/demo.py
+++ b/gannetweir/lab/experiments/demo.py
@@ -43,11 +43,11 @@
     return tuple(found)
 
 
-def _state_table(yard: Emulator, said: list[str], share: float) -> Group:
+def _state_table(emulator: Emulator, said: list[str], share: float) -> Group:
     table = Table(title=f"gannetweir demo, {share:.0%}")
     for column in ("node", "state", "clients", ""):
         table.add_column(column, justify="right" if column == "clients" else "left")
-    for name, node in yard.backends.items():
+    for name, node in emulator.backends.items():
         state = (
             "drains"
             if node.draining
@@ -58,9 +58,9 @@
         ways = " ".join(
             f"{door.address.family}:{door.fault or door.first_lines}" for door in node.listeners.values()
         )
-        held = yard.open_connections[name]
+        held = emulator.clients.open_connections[name]
         table.add_row(name, state, str(held), "#" * min(40, held) + f"  {ways}")
-    counts = ", ".join(f"{yard.counts[k]} {k}" for k in ("up", "busy", "err", "moved", "broken"))
+    counts = ", ".join(f"{emulator.clients.counts[k]} {k}" for k in ("up", "busy", "err", "moved", "broken"))
     return Group(table, Text(f"clients so far: {counts}"), *(Text(f"  {line}") for line in said[-6:]))
 
 
@@ -72,17 +72,17 @@
     plan = EmulatorPlan(relays=2, backends=4, families=families(), capacity=60, store_calls_per_s=400)
     ways = ", ".join(plan.families)
     console.print(f"2 relays, a registry and 4 push nodes ({ways}) on loopback, {seconds:g} s")
-    async with Emulator(plan) as yard:
+    async with Emulator(plan) as emulator:
 
         def say(text: str) -> None:
-            said.append(f"{anyio.current_time() - yard.started_s:5.1f} s  {text}")
+            said.append(f"{anyio.current_time() - emulator.started_s:5.1f} s  {text}")
             if not live:
                 console.print(said[-1])
 
         async def draw() -> None:
-            with Live(_state_table(yard, said, 0.0), console=console, refresh_per_second=5) as picture:
+            with Live(_state_table(emulator, said, 0.0), console=console, refresh_per_second=5) as picture:
                 while True:
-                    picture.update(_state_table(yard, said, shares[-1]))
+                    picture.update(_state_table(emulator, said, shares[-1]))
                     await anyio.sleep(0.2)
 
         async with anyio.create_task_group() as beside:
@@ -93,15 +93,15 @@
             )
             events = [event for told in story.variants["demo"] for event in scripted_events(told)]
             life_s = MEAN_DURATION_SHARE * seconds  # the last to come stay for several lives after it
-            await play(yard, Script(20.0, seconds, life_s, events), shares.append, say)
+            await play(emulator, Script(20.0, seconds, life_s, events), shares.append, say)
             beside.cancel_scope.cancel()
         if live:
             for line in said:
                 console.print(line)
-        broken = yard.violations()
-        took = sorted(s.duration_s for s in yard.answered if s.answer == "up")
-        asked = len(yard.answered)
-        attempts = sum(story.attempts for story in yard.checker.traces.values())
+        broken = emulator.violations()
+        took = sorted(s.duration_s for s in emulator.clients.answered if s.answer == "up")
+        asked = len(emulator.clients.answered)
+        attempts = sum(story.attempts for story in emulator.checker.traces.values())
         table = Table(title="what came of it")
         for column in ("", "figure"):
             table.add_column(column)
@@ -115,7 +115,7 @@
                 else "-",
             ),
             ("attempts a request", f"{attempts / max(1, asked):.3f}"),
-            ("moved, and came again", f"{yard.counts['moved']}"),
+            ("moved, and came again", f"{emulator.clients.counts['moved']}"),
             ("rules broken", f"{len(broken)}"),
         ):
             table.add_row(what, figure)
--- a/gannetweir/lab/experiments/experiment_run.py
+++ b/gannetweir/lab/experiments/experiment_run.py
@@ -1,4 +1,4 @@
-"""Experiments on the yard, written in KDL: what it is made of, its load, its variants, what happens when.
+"""Experiments on the emulator, written in KDL: what it is made of, its load, its variants, what happens when.
 
     experiment "one path of three" {
         relays 1; nodes 4; families "unix" "ipv6" "ipv4"
@@ -195,24 +195,24 @@
 def scripted_events(step: dict[str, Any]) -> list[ScriptedEvent]:
     """What one `at` line does, and its end."""
 
-    def doors(yard: Emulator) -> list[tuple[str, str]]:
+    def doors(emulator: Emulator) -> list[tuple[str, str]]:
         return [
             (name, text)
-            for name, node in yard.backends.items()
+            for name, node in emulator.backends.items()
             if step.get("node", name) == name
             for text, door in node.listeners.items()
             if step.get("family", door.address.family) == door.address.family
         ]
 
-    async def fault(yard: Emulator, kind: str) -> None:
-        for name, text in doors(yard):
-            yard.backends[name].set_fault(text, kind)
+    async def fault(emulator: Emulator, kind: str) -> None:
+        for name, text in doors(emulator):
+            emulator.backends[name].set_fault(text, kind)
 
-    async def slow(yard: Emulator, times: float) -> None:
-        yard.store.slowdown = times
+    async def slow(emulator: Emulator, times: float) -> None:
+        emulator.store.slowdown = times
 
-    async def again(yard: Emulator, sign: signal.Signals) -> None:
-        relay = yard.relays[int(step["kill" if sign == signal.SIGKILL else "term"])]
+    async def again(emulator: Emulator, sign: signal.Signals) -> None:
+        relay = emulator.relays[int(step["kill" if sign == signal.SIGKILL else "term"])]
         await relay.stop(sign)
         relay.start()
         await relay.wait_ready()
@@ -226,23 +226,27 @@
         where = f"{step.get('node', 'every node')}, {step.get('family', 'every address')}"
         add(
             step["at"],
-            lambda yard: fault(yard, step["fault"]),
+            lambda emulator: fault(emulator, step["fault"]),
             f"{where} {FAULT_DESCRIPTIONS[step['fault']]}",
         )
         if "until" in step:
-            add(step["until"], lambda yard: fault(yard, ""), f"{where} is mended")
+            add(step["until"], lambda emulator: fault(emulator, ""), f"{where} is mended")
     if "drain" in step:
-        add(step["at"], lambda yard: yard.drain_backend(str(step["drain"])), f"{step['drain']} drains")
+        add(
+            step["at"], lambda emulator: emulator.drain_backend(str(step["drain"])), f"{step['drain']} drains"
+        )
     if "restart" in step:
         name = str(step["restart"])
-        add(step["at"], lambda yard: yard.restart_backend(name), f"{name} dies and comes back cold")
+        add(step["at"], lambda emulator: emulator.restart_backend(name), f"{name} dies and comes back cold")
     if "store" in step:
-        add(step["at"], lambda yard: slow(yard, float(step["store"])), "slow store")
-        add(step.get("until", step["at"] + 5), lambda yard: slow(yard, 1.0), "store as before")
+        add(step["at"], lambda emulator: slow(emulator, float(step["store"])), "slow store")
+        add(step.get("until", step["at"] + 5), lambda emulator: slow(emulator, 1.0), "store as before")
     if "kill" in step:
-        add(step["at"], lambda yard: again(yard, signal.SIGKILL), f"relay {step['kill']} killed")
+        add(step["at"], lambda emulator: again(emulator, signal.SIGKILL), f"relay {step['kill']} killed")
     if "term" in step:
-        add(step["at"], lambda yard: again(yard, signal.SIGTERM), f"relay {step['term']} starts again")
+        add(
+            step["at"], lambda emulator: again(emulator, signal.SIGTERM), f"relay {step['term']} starts again"
+        )
     return found
 
 
@@ -253,7 +257,7 @@
     experiment = experiment.with_swept_value(variant)
     plan = replace(experiment.plan, seed=seed)
     paths: dict[str, list[int]] = {family: [] for family in plan.families}
-    async with Emulator(plan) as yard:
+    async with Emulator(plan) as emulator:
 
         async def watch() -> None:
             last = dict.fromkeys(paths, 0)
@@ -262,7 +266,7 @@
                 for family in paths:
                     now = sum(
                         door.first_lines
-                        for node in yard.backends.values()
+                        for node in emulator.backends.values()
                         for door in node.listeners.values()
                         if door.address.family == family
                     )
@@ -273,17 +277,17 @@
         async with anyio.create_task_group() as beside:
             beside.start_soon(watch)
             await play(
-                yard,
+                emulator,
                 Script(experiment.arrivals_per_s, experiment.seconds, experiment.mean_duration_s, events),
                 progress,
             )
             beside.cancel_scope.cancel()
-        broken = yard.violations()
-        for relay in yard.relays:
+        broken = emulator.violations()
+        for relay in emulator.relays:
             counted = await relay.counters()
             for name, counters in RELAY_COUNTERS.items():
-                yard.counts[name] += sum(counted[counter] for counter in counters)
-        return _figures(experiment, variant, seed, yard, broken, paths)
+                emulator.clients.counts[name] += sum(counted[counter] for counter in counters)
+        return _figures(experiment, variant, seed, emulator, broken, paths)
 
 
 def _figures(
@@ -296,12 +300,12 @@
 ) -> ExperimentRun:
     whole = HdrHistogram(1, 60_000_000, 3)
     seconds: dict[int, HdrHistogram] = {}
-    for served in emulator.answered:
+    for served in emulator.clients.answered:
         if served.answer == "up":
             us = max(1, int(served.duration_s * 1e6))
             whole.record_value(us)
             seconds.setdefault(int(served.due_s), HdrHistogram(1, 60_000_000, 3)).record_value(us)
-    asked = max(1, len(emulator.answered))
+    asked = max(1, len(emulator.clients.answered))
     figures = {
         "served": whole.get_total_count() / asked,
         "p50, ms": whole.get_value_at_percentile(50) / 1000,
@@ -317,4 +321,6 @@
         for second, h in sorted(seconds.items())
         if 0 <= second < experiment.seconds
     ]
-    return ExperimentRun(variant, seed, figures, dict(emulator.counts), list(broken[:20]), line, paths)
+    return ExperimentRun(
+        variant, seed, figures, dict(emulator.clients.counts), list(broken[:20]), line, paths
+    )
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -34,11 +34,11 @@
 PAIRS = [(pair, "") for pair in combinations(KINDS, 2)]
 
 
-def paths_of(yard: Emulator, family: str) -> list[tuple[str, str]]:
+def paths_of(emulator: Emulator, family: str) -> list[tuple[str, str]]:
     """The address of that family of each node."""
     return [
         (name, text)
-        for name, node in yard.backends.items()
+        for name, node in emulator.backends.items()
         for text, door in node.listeners.items()
         if door.address.family == family
     ]
@@ -53,21 +53,23 @@
 
     async def run() -> None:
         plan = EmulatorPlan(backends=2, families=FAMILIES, capacity=1000, other_connections=100)
-        async with Emulator(plan) as yard:
+        async with Emulator(plan) as emulator:
             for fault, family in zip(faults, families, strict=True):
-                for name, text in paths_of(yard, family):
-                    yard.backends[name].set_fault(text, fault)
-            answers = await yard.request_many(60, 6)
+                for name, text in paths_of(emulator, family):
+                    emulator.backends[name].set_fault(text, fault)
+            answers = await emulator.clients.request_many(60, 6)
             assert answers["up"] >= 55, answers
             while (
-                yard.request_count - yard.undecided_overlaps() < 60
+                emulator.clients.request_count - emulator.undecided_overlaps() < 60
             ):  # each that a busy machine hides is asked anew
-                assert yard.request_count < 240, yard.attempt_overlaps.undecided_overlaps
-                answers += await yard.request_many(60 + yard.undecided_overlaps() - yard.request_count, 6)
-            assert not yard.violations(), yard.checker.violations[:3]
-            assert answers["up"] >= yard.request_count - 5, answers
-            sent, written = await yard.count_first_lines()
-            attempts = [story.attempts for story in yard.checker.traces.values()]
+                assert emulator.clients.request_count < 240, emulator.attempt_overlaps.undecided_overlaps
+                answers += await emulator.clients.request_many(
+                    60 + emulator.undecided_overlaps() - emulator.clients.request_count, 6
+                )
+            assert not emulator.violations(), emulator.checker.violations[:3]
+            assert answers["up"] >= emulator.clients.request_count - 5, answers
+            sent, written = await emulator.count_first_lines()
+            attempts = [story.attempts for story in emulator.checker.traces.values()]
             assert sent == written == sum(attempts) and max(attempts) <= 6
             if not {"stall", "reset"} & set(faults):  # nothing was ever out that had to be given up
                 assert sent == answers["up"] and max(attempts) == 1
@@ -79,22 +81,22 @@
     async def run() -> None:
         async with Emulator(
             EmulatorPlan(backends=1, families=("ipv6", "ipv4"), capacity=1000, other_connections=100)
-        ) as yard:
-            ((name, v6),) = paths_of(yard, "ipv6")
-            ((_, v4),) = paths_of(yard, "ipv4")
-            node = yard.backends[name]
+        ) as emulator:
+            ((name, v6),) = paths_of(emulator, "ipv6")
+            ((_, v4),) = paths_of(emulator, "ipv4")
+            node = emulator.backends[name]
             node.set_fault(v6, "refuse")
-            assert (await yard.request_many(30, 3))["up"] == 30
+            assert (await emulator.clients.request_many(30, 3))["up"] == 30
             assert node.listeners[v6].first_lines == 0 and node.listeners[v4].first_lines == 30
             node.set_fault(v6, "")
             with anyio.fail_after(5.0):
                 while not node.listeners[v6].first_lines:
-                    await yard.request_many(3, 1)
+                    await emulator.clients.request_many(3, 1)
             for text in (v6, v4):
                 node.set_fault(text, "refuse")
-            answers = await yard.request_many(5, 1)
-            assert answers["busy"] == 5 and not yard.violations()
-            relay = yard.relays[0]
+            answers = await emulator.clients.request_many(5, 1)
+            assert answers["busy"] == 5 and not emulator.violations()
+            relay = emulator.relays[0]
             await relay.stop()
             counts = await relay.counters()
             # an attempt at a server whose addresses all refuse is one failed connect, not one for each
@@ -107,14 +109,14 @@
     async def run() -> None:
         async with Emulator(
             EmulatorPlan(backends=2, families=("unix", "ipv4"), capacity=1000, other_connections=100)
-        ) as yard:
-            assert (await yard.request_many(20, 4))["up"] == 20
-            await yard.restart_backend("b1")
+        ) as emulator:
+            assert (await emulator.clients.request_many(20, 4))["up"] == 20
+            await emulator.restart_backend("b1")
             with anyio.fail_after(10.0):
-                before = sum(d.first_lines for d in yard.backends["b1"].listeners.values())
-                while sum(d.first_lines for d in yard.backends["b1"].listeners.values()) == before:
-                    await yard.request_many(4, 2)
-            assert not yard.violations(), yard.checker.violations[:3]
+                before = sum(d.first_lines for d in emulator.backends["b1"].listeners.values())
+                while sum(d.first_lines for d in emulator.backends["b1"].listeners.values()) == before:
+                    await emulator.clients.request_many(4, 2)
+            assert not emulator.violations(), emulator.checker.violations[:3]
 
     anyio.run(run)
 
