--- a/gannetweir/lab/emulator/backend.py
+++ b/gannetweir/lab/emulator/backend.py
@@ -65,7 +65,7 @@
 
 
 class EmulatedBackend:
-    """One backend. `attempts`, which all backends share, is told of every first line, as the rules count it."""
+    """One backend. `attempts`, which all backends share, is told of every first line."""
 
     def __init__(
         self,
