--- /dev/null
+++ b/gannetweir/lab/emulator/address_listener.py
@@ -0,0 +1,94 @@
+"""One address on which a backend listens, with the fault that was switched on for it."""
+
+from __future__ import annotations
+
+import socket
+from contextlib import suppress
+from dataclasses import dataclass, field
+from pathlib import Path
+
+import anyio
+
+from gannetweir.addresses.address import IPV6, UNIX, Address, parse_address
+
+FAULTS = ("", "refuse", "hole", "stall", "reset", "slow")
+BACKLOG = 1024
+QUEUE_FILLERS = 4  # connects that fill an accept queue of the length 0
+
+
+@dataclass(slots=True)
+class AddressListener:
+    """Owns the listening socket, and what fills its queue where it plays a black hole."""
+
+    address: Address
+    fault: str = ""
+    listener: socket.socket | None = None
+    queue_fillers: list[socket.socket] = field(default_factory=list)
+    accepted: int = 0  # connections
+    first_lines: int = 0  # that arrived complete
+
+    def open(self) -> socket.socket | None:
+        """Listen, as the fault says; the socket to accept from, or None where nothing is accepted."""
+        if self.fault == "refuse":
+            return None
+        sock = self._bound_socket()
+        sock.setblocking(False)
+        self.listener = sock
+        if self.fault == "hole":
+            self._fill_accept_queue(sock)
+            return None
+        sock.listen(BACKLOG)
+        return sock
+
+    def _bound_socket(self) -> socket.socket:
+        address = self.address
+        if address.family == UNIX:
+            Path(address.host).unlink(missing_ok=True)
+            sock = socket.socket(socket.AF_UNIX)
+            sock.bind(address.host)
+            return sock
+        sock = socket.socket(socket.AF_INET6 if address.family == IPV6 else socket.AF_INET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.bind((address.host, address.port))
+        return sock
+
+    def _fill_accept_queue(self, sock: socket.socket) -> None:
+        """Keep the queue full: a connect gets no answer, as from a black hole. A Unix socket has no such
+        state; there a full queue refuses.
+        """
+        sock.listen(0)
+        for _ in range(QUEUE_FILLERS):
+            filler = socket.socket(sock.family)
+            filler.setblocking(False)
+            with suppress(OSError):
+                filler.connect(sock.getsockname())
+            self.queue_fillers.append(filler)
+
+    def close(self) -> None:
+        """Stop listening; nothing, if it does not listen."""
+        if self.listener is not None:
+            with suppress(anyio.ClosedResourceError, OSError):
+                anyio.notify_closing(self.listener)
+            self.listener.close()
+            self.listener = None
+            if self.address.family == UNIX:
+                Path(self.address.host).unlink(missing_ok=True)
+        for filler in self.queue_fillers:
+            filler.close()
+        self.queue_fillers.clear()
+
+
+def _free_port(family: socket.AddressFamily, host: str) -> int:
+    with socket.socket(family) as sock:
+        sock.bind((host, 0))
+        return int(sock.getsockname()[1])
+
+
+def loopback_addresses(number: int, folder: str, families: tuple[str, ...]) -> list[Address]:
+    """The addresses of a backend, one a family, on ports that are free now. `KeyError` for another family."""
+    texts = {
+        "ipv4": lambda: f"127.0.0.1:{_free_port(socket.AF_INET, '127.0.0.1')}",
+        "ipv6": lambda: f"[::1]:{_free_port(socket.AF_INET6, '::1')}",
+        "unix": lambda: f"unix:{folder}/b{number}.sock",
+    }
+    return [parse_address(texts[family]()) for family in families]
--- a/gannetweir/lab/emulator/emulator.py
+++ b/gannetweir/lab/emulator/emulator.py
@@ -17,8 +17,9 @@
 import anyio
 import anyio.abc
 
+from gannetweir.lab.emulator.address_listener import loopback_addresses
 from gannetweir.lab.emulator.attempts import AttemptOverlaps
-from gannetweir.lab.emulator.backend import EmulatedBackend, EmulatedSessionStore, loopback_addresses
+from gannetweir.lab.emulator.backend import EmulatedBackend, EmulatedSessionStore
 from gannetweir.lab.emulator.clients import EmulatedClients
 from gannetweir.lab.emulator.plan import EmulatorPlan
 from gannetweir.lab.emulator.registry import EmulatedDiscovery
--- a/gannetweir/lab/experiments/experiment_run.py
+++ b/gannetweir/lab/experiments/experiment_run.py
@@ -31,7 +31,7 @@
 from gannetweir.addresses.address import FAMILIES
 from gannetweir.config.kdl import KdlError, Node, parse_document
 from gannetweir.config.kdl_values import parse_duration_us
-from gannetweir.lab.emulator.backend import FAULTS
+from gannetweir.lab.emulator.address_listener import FAULTS
 from gannetweir.lab.emulator.emulator import Emulator
 from gannetweir.lab.emulator.plan import EmulatorPlan
 from gannetweir.lab.emulator.script import Script, ScriptedEvent, play
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,13 +14,9 @@
 from gannetweir.addresses.address import IPV6, UNIX, Address
 from gannetweir.addresses.address_selector import AddressSelector
 from gannetweir.addresses.rules import AddressRules
+from gannetweir.lab.emulator.address_listener import loopback_addresses
 from gannetweir.lab.emulator.attempts import RESOLUTION_MS, TICKS_REMEMBERED, AttemptOverlaps, now_ms
-from gannetweir.lab.emulator.backend import (
-    EmulatedBackend,
-    EmulatedSessionStore,
-    loopback_addresses,
-    spawn_in,
-)
+from gannetweir.lab.emulator.backend import EmulatedBackend, EmulatedSessionStore, spawn_in
 from gannetweir.lab.emulator.emulator import Emulator
 from gannetweir.lab.emulator.plan import EmulatorPlan
 from gannetweir.lab.model.checker import RuleChecker
