--- a/gannetweir/net/upstream_connection.py
+++ b/gannetweir/net/upstream_connection.py
@@ -79,63 +79,40 @@
         """Forward a line of the endpoint's."""
 
 
-class UpstreamDriver:
-    """Connects to one endpoint, writes the client's first line, then forwards what comes.
+class UpstreamTransport:
+    """Brings up the transport of one attempt, to one address or to the first of several, and owns it.
 
-    `run` is the only task here; the client's connection calls all else.
+    `raise_if_closed` is called before each connect and after a race; it raises `OSError` for an attempt that
+    was closed meanwhile.
     """
 
     def __init__(
-        self, context: UpstreamContext, owner: UpstreamOwner, command: OpenUpstream, first_line: bytes
+        self, context: UpstreamContext, command: OpenUpstream, raise_if_closed: Callable[[], None]
     ) -> None:
-        self.context, self.owner, self.command = context, owner, command
-        self.protocol = UpstreamConnection(first_line, context.settings.load_report_fields, context.limits)
-        self.transport: Transport | None = None
-        self.dialer: AddressRaceDriver | None = None  # while addresses race
-        self.closed = False  # nothing that comes of it counts any more
-        self.end_reported = False  # the engine knows of its end, or ended it itself
-        self.finished = anyio.Event()
-
-    async def run(self) -> None:
-        """Connect, write and read until the endpoint ends.
+        self.context, self.command, self.raise_if_closed = context, command, raise_if_closed
+        self.transport: Transport | None = None  # from the first connect on; another one after a local error
+        self._race: AddressRaceDriver | None = None  # while addresses race
 
-        Raises nothing of the socket's. However this ends, by cancelling as well, the engine has heard of it
-        once, unless it closed the attempt first, and the transport is closed.
+    async def connect(self) -> Transport:
+        """The connected transport. Raises `OSError` if no address can be connected, or this is closed. What
+        is connecting when this is cancelled is closed.
         """
-        reset = False
-        try:
-            await self._connect()
-            reset = await self._read()
-        except OSError:
-            reset = True
-        finally:
-            self.finished.set()
-            if not self.end_reported:
-                self._report_transport_end(reset)
-            if self.transport is not None:
-                self.transport.close()
+        if self.command.races_addresses:
+            return await self._race_addresses()
+        return await self._connect_address()
 
-    async def _connect(self) -> None:
-        """Connect and write the whole first line. Raises `OSError` if that fails or the attempt is closed."""
-        try:
-            self._raise_if_closed()  # its client's end can be read before this task has its first turn
-            # Here, where the descriptor is opened, not with the command: of many commands in one turn each
-            # would find the same capacity.
-            self.context.descriptor_budget.make_capacity(for_request=True)
-            if self.command.races_addresses:
-                sock = await self._race_addresses()
-            else:
-                sock = await self._connect_address()
-            self.context.operator_overrides.refresh()  # offline by now? Then this attempt is closed
-            await self._write_first_line(sock)
-        except anyio.ClosedResourceError:
-            raise OSError("closed here") from None
-        # it may set an earlier time-out, so it is reported as what leads to commands is
-        self.context.run_engine_call(
-            self.context.engine.upstream_first_line_written, self.command.request_id, self.command.attempt
-        )
+    def close(self, reset: bool = False) -> None:
+        """Close the transport now, with its race if addresses race; `reset`: the endpoint sees a reset."""
+        if self._race is not None:
+            self._race.stop()
+        if self.transport is None:
+            return
+        if reset:
+            self.transport.abort()
+        else:
+            self.transport.close()
 
-    async def _race_addresses(self) -> socket.socket:
+    async def _race_addresses(self) -> Transport:
         """Connect to the first of the endpoint's addresses that can be connected."""
         from gannetweir.net.dialer import AddressRaceDriver  # only where an endpoint has several
 
@@ -144,29 +121,28 @@
         assert selector is not None
         endpoint = str(command.endpoint_id)
         race = selector.new_race(endpoint, context.clock())
-        self.dialer = AddressRaceDriver(context, selector, endpoint, race, context.descriptor_count)
+        self._race = AddressRaceDriver(context, selector, endpoint, race, context.descriptor_count)
         try:
-            self.transport, address = await self.dialer.connect()
+            self.transport, address = await self._race.connect()
         finally:
-            self.dialer = None
-        self._raise_if_closed()
+            self._race = None
+        self.raise_if_closed()
         context.notify_engine(context.engine.address_connected, command.request_id, command.attempt, address)
-        return self.transport.sock
+        return self.transport
 
-    async def _connect_address(self) -> socket.socket:
+    async def _connect_address(self) -> Transport:
         """Connect to the one address that discovery reports. What fails on this machine is tried again until
         the connect's time is over: it says nothing of the endpoint, which has not heard of this attempt.
         """
         address = self.context.parse_endpoint_address(self.command.address)
 
         def open_socket() -> tuple[socket.socket, tuple[str, int]]:
-            self._raise_if_closed()  # it may have been closed in a pause
+            self.raise_if_closed()  # it may have been closed in a pause
             return tcp_socket(address[0]), address
 
-        transport = await connect_endpoint(
+        return await connect_endpoint(
             open_socket, self._make_transport, self._report_local_error, self._report_connect_started
         )
-        return transport.sock
 
     def _make_transport(self, sock: socket.socket) -> Transport:
         context = self.context
@@ -188,6 +164,64 @@
             self.context.engine.upstream_connect_started, self.command.request_id, self.command.attempt
         )
 
+
+class UpstreamDriver:
+    """Connects to one endpoint, writes the client's first line, then forwards what comes.
+
+    `run` is the only task here; the client's connection calls all else.
+    """
+
+    def __init__(
+        self, context: UpstreamContext, owner: UpstreamOwner, command: OpenUpstream, first_line: bytes
+    ) -> None:
+        self.context, self.owner, self.command = context, owner, command
+        self.protocol = UpstreamConnection(first_line, context.settings.load_report_fields, context.limits)
+        self.connection = UpstreamTransport(context, command, self._raise_if_closed)
+        self.closed = False  # nothing that comes of it counts any more
+        self.end_reported = False  # the engine knows of its end, or ended it itself
+        self.finished = anyio.Event()
+
+    async def run(self) -> None:
+        """Connect, write and read until the endpoint ends.
+
+        Raises nothing of the socket's. However this ends, by cancelling as well, the engine has heard of it
+        once, unless it closed the attempt first, and the transport is closed.
+        """
+        reset = False
+        try:
+            await self._connect()
+            reset = await self._read()
+        except OSError:
+            reset = True
+        finally:
+            self.finished.set()
+            if not self.end_reported:
+                self._report_transport_end(reset)
+            if self.transport is not None:
+                self.transport.close()
+
+    @property
+    def transport(self) -> Transport | None:
+        """The endpoint's side; None before the first connect."""
+        return self.connection.transport
+
+    async def _connect(self) -> None:
+        """Connect and write the whole first line. Raises `OSError` if that fails or the attempt is closed."""
+        try:
+            self._raise_if_closed()  # its client's end can be read before this task has its first turn
+            # Here, where the descriptor is opened, not with the command: of many commands in one turn each
+            # would find the same capacity.
+            self.context.descriptor_budget.make_capacity(for_request=True)
+            transport = await self.connection.connect()
+            self.context.operator_overrides.refresh()  # offline by now? Then this attempt is closed
+            await self._write_first_line(transport.sock)
+        except anyio.ClosedResourceError:
+            raise OSError("closed here") from None
+        # it may set an earlier time-out, so it is reported as what leads to commands is
+        self.context.run_engine_call(
+            self.context.engine.upstream_first_line_written, self.command.request_id, self.command.attempt
+        )
+
     def _raise_if_closed(self) -> None:
         """Nothing is connected or written for an attempt that was closed meanwhile: its client has left, or
         the next attempt is under way. Raises `OSError` then. The client is read once more: its end may be
@@ -288,13 +322,7 @@
     def close(self, reset: bool = False) -> None:
         """Close the attempt now, with its race if addresses race; `reset`: the endpoint sees a reset."""
         self.closed = self.end_reported = True
-        if self.dialer is not None:
-            self.dialer.stop()
-        if self.transport is not None:
-            if reset:
-                self.transport.abort()
-            else:
-                self.transport.close()
+        self.connection.close(reset)
         command = self.command
         self.context.engine.guard.attempt_closed(
             command.request_id, command.attempt, self.protocol.may_have_executed
