--- a/gannetweir/proto/client_connection.py
+++ b/gannetweir/proto/client_connection.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 from gannetweir.limits import Limits
 from gannetweir.placement.events import RequestArrived, RequestFlag
@@ -18,8 +18,7 @@
 _DEADLINE_FIELD = "d="
 
 
-@dataclass(frozen=True, slots=True)
-class FirstLine:
+class FirstLine(NamedTuple):
     """An `OPEN` line as it came, and what it says."""
 
     before_deadline: bytes  # up to the value of `d`; empty where the line names no `d`
@@ -132,28 +131,24 @@
     ENDED = 4  # nothing it sends is read any more, only discarded
 
 
-@dataclass(frozen=True, slots=True)
 class PingReceived:
     """The front asks whether this relay is ready."""
 
 
-@dataclass(frozen=True, slots=True)
-class RequestOpened:
+class RequestOpened(NamedTuple):
     """A client wants a connection."""
 
     first_line: FirstLine
 
 
-@dataclass(frozen=True, slots=True)
-class MalformedInput:
+class MalformedInput(NamedTuple):
     """The client sent what cannot be served."""
 
     reason: str
     answer_owed: bool  # it has had no answer so far
 
 
-@dataclass(frozen=True, slots=True)
-class LineReceived:
+class LineReceived(NamedTuple):
     """A complete line for the endpoint."""
 
     line: bytes
--- a/gannetweir/proto/endpoint_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -4,7 +4,7 @@
 
 import re
 from dataclasses import dataclass, replace
-from typing import Any
+from typing import Any, NamedTuple
 
 import h11
 import orjson
@@ -89,8 +89,7 @@
     """Nothing has changed."""
 
 
-@dataclass(frozen=True, slots=True)
-class WatchFailed:
+class WatchFailed(NamedTuple):
     """The watch is of no more use; what it sent before still counts."""
 
     reason: str
--- a/gannetweir/proto/upstream_connection.py
+++ b/gannetweir/proto/upstream_connection.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from gannetweir.limits import Limits
 from gannetweir.placement.events import NOT_EXECUTED, AttemptStatus
@@ -13,30 +13,26 @@
 MAX_CONNECTION_LOAD = 1e15
 
 
-@dataclass(frozen=True, slots=True)
-class UpstreamEstablished:
+class UpstreamEstablished(NamedTuple):
     """The endpoint serves the connection; the line is the client's answer."""
 
     line: bytes
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointLine:
+class EndpointLine(NamedTuple):
     """A complete line for the client."""
 
     line: bytes
     may_answer: bool  # it may answer a line of the client's
 
 
-@dataclass(frozen=True, slots=True)
-class LoadReported:
+class LoadReported(NamedTuple):
     """The connection's load has changed."""
 
     load: float
 
 
-@dataclass(frozen=True, slots=True)
-class AttemptEnded:
+class AttemptEnded(NamedTuple):
     """The attempt, or a load probe, is over. `report`: the load figures that came with it, if any."""
 
     status: AttemptStatus
