--- a/gannetweir/net/runtime.py
+++ b/gannetweir/net/runtime.py
@@ -6,13 +6,13 @@
 import time
 from collections.abc import Awaitable, Callable, Iterator
 
+import anyio
 import anyio.abc
 
 from gannetweir.config import Config, SocketAddress, parse_socket_address
 from gannetweir.core import Command, Engine
 from gannetweir.limits import Limits
 from gannetweir.net.descriptors import DescriptorBudget, max_descriptors
-from gannetweir.net.engine_timers import EngineTimers
 from gannetweir.net.operator_overrides import OverridesSync
 from gannetweir.net.ports import Arguments, Evictable, Result
 from gannetweir.net.transport import DescriptorCount
@@ -35,6 +35,29 @@
         return (self.offset_ns + time.monotonic_ns()) // 1000
 
 
+class EngineTimers:
+    """Wakes the engine when its next timer is due. `sleep_until` is in microseconds of the relay's clock."""
+
+    def __init__(self, engine: Engine, clock: Callable[[], int]) -> None:
+        self.engine, self.clock = engine, clock
+        self.wake = anyio.Event()
+        self.sleep_until = 0
+
+    def reschedule(self) -> None:
+        """Wake the task if a timer has been set that is due before the one it sleeps for."""
+        if self.engine.next_due() < self.sleep_until:
+            self.wake.set()
+
+    async def run(self, advance: Callable[[], None]) -> None:
+        """Call `advance` whenever a timer is due, until cancelled. Raises what `advance` raises."""
+        while True:
+            self.wake = anyio.Event()
+            self.sleep_until = self.engine.next_due()
+            with anyio.move_on_after(max(0, self.sleep_until - self.clock()) / 1e6):
+                await self.wake.wait()
+            advance()
+
+
 class RelayRuntime:
     """Implements every protocol of `net.ports`. `config` is replaced as a whole, by a reload alone."""
 
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -36,7 +36,7 @@
 from gannetweir.proto.control_watch import ControlWatch, compress_line, stream_header
 from gannetweir.proto.endpoint_watch import EndpointListError, Heartbeat, WatchFailed
 from tests.helpers import settings
-from tests.test_start import START, started
+from tests.test_start import SIGNAL_AT_IMPORT, start_relay
 
 MEMBERSHIP, SETTINGS = Resource.MEMBERSHIP, Resource.SETTINGS
 TEST_TIMEOUT_S = 15.0  # only a failing test waits so long
@@ -428,8 +428,8 @@
 def test_an_ordinary_relay_does_not_load_the_control_plane(tmp_path: Path) -> None:
     shown = 'print("loaded:", *(m for m in sys.modules if m.startswith("gannetweir")), file=sys.stderr)'
     last = 'runpy.run_module("gannetweir", run_name="__main__")'
-    code = START.replace(last, f"try:\n    {last}\nfinally:\n    {shown}")
-    relay = started(tmp_path, code.format(module="gannetweir.net.relay", number=int(signal.SIGTERM)))
+    code = SIGNAL_AT_IMPORT.replace(last, f"try:\n    {last}\nfinally:\n    {shown}")
+    relay = start_relay(tmp_path, code.format(module="gannetweir.net.relay", number=int(signal.SIGTERM)))
     loaded = relay.communicate(timeout=20)[1].split("loaded:")[1].split()
     assert "gannetweir.net.relay" in loaded
     assert not [name for name in loaded if "control" in name]
