--- a/gannetweir/net/admin.py
+++ b/gannetweir/net/admin.py
@@ -72,7 +72,7 @@
                 while await caller.read():  # a close over unread bytes could cost the caller the answer
                     pass
         except OSError:
-            pass  # the caller has gone: nobody is left to answer
+            pass  # the caller has disconnected: nobody is left to answer
         finally:
             self.callers.pop(caller, None)
             caller.close()
--- a/gannetweir/net/client_connection.py
+++ b/gannetweir/net/client_connection.py
@@ -55,8 +55,10 @@
 class ClientConnectionDriver:
     """One client, from the accept to the close.
 
-    `run` reads and is the only task here. All else is called by the command executor, by the upstream
-    connection, or by the descriptor budget, and returns at once.
+    One class of over 200 lines: each command's effect depends on the phase and on what the reader has seen,
+    so that parts would reach into one another's state. `run` reads and is the only task here. All else is
+    called by the command executor, by the upstream connection, or by the descriptor budget, and returns at
+    once.
     """
 
     def __init__(self, context: ClientContext, clients: ConnectedClients, client: Transport) -> None:
--- a/gannetweir/net/command_execution.py
+++ b/gannetweir/net/command_execution.py
@@ -32,8 +32,8 @@
 
 
 class CommandExecutor:
-    """Dispatches each command by its type. A command for a client that has left is dropped: the engine has
-    been told of the end, or is about to be.
+    """Dispatches each command by its type. A command for a client that has left is dropped: the end of
+    its connection is reported to the engine by its driver.
     """
 
     def __init__(
--- a/gannetweir/net/configuration_reload.py
+++ b/gannetweir/net/configuration_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration for a running relay, and what a configuration is held to by this machine."""
+"""A new configuration for a running relay, and how a configuration is bounded by this machine."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ConfigurationReload:
-    """Puts a new configuration into force as a whole, or keeps the old one as a whole.
+    """Puts a new configuration into force as a whole, or leaves the old one in force as a whole.
 
     `reread` returns the configuration as its files have it now; it raises `ConfigError` for one that is bad.
     """
@@ -82,7 +82,7 @@
 
 
 def within_descriptor_limit(config: Config) -> Config:
-    """The same configuration, held to the descriptors that this process may have: what is reserved for the
+    """The same configuration, bounded by the descriptors that this process may have: what is reserved for the
     watch and the probes must not lie beyond them.
     """
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/gannetweir/net/listener.py
+++ b/gannetweir/net/listener.py
@@ -22,7 +22,7 @@
 from gannetweir.net.ports import LoggingContext
 from gannetweir.net.sockets import accept_connection, open_listening_socket
 
-# At a start the address may be held by another process, not be there yet, or the machine be short.
+# At a start the address may be in use by another process, not be there yet, or the machine be short.
 _TRANSIENT_BIND_ERRORS = SHORTAGE_ERRORS | {errno.EADDRINUSE, errno.EADDRNOTAVAIL}
 LISTEN_TIMEOUT_S = 8.0  # a relay is to be ready within 10 s
 _LISTEN_RETRY_S = 0.05
--- a/gannetweir/net/runtime.py
+++ b/gannetweir/net/runtime.py
@@ -23,8 +23,8 @@
 
 class Clock:
     """The clock of a relay: microseconds of the machine's monotonic clock. Every deadline, wait and age is a
-    span of real time; the wall clock may be stepped. It is asked at the start alone, where nothing else tells
-    the ages of a fleet, and for the time stamps of log lines.
+    span of real time; the wall clock may be stepped. It is asked at the start alone, where nothing else says
+    how old a fleet is, and for the time stamps of log lines.
     """
 
     def __init__(self) -> None:
@@ -98,7 +98,7 @@
         return self.descriptor_budget.has_capacity()
 
     def apply_config(self, config: Config) -> None:
-        """From now on this configuration is in force for the drivers; the engine is told by the reload."""
+        """From now on this configuration is in force for the drivers; the reload reports it to the engine."""
         self.config = config
         self.max_descriptors = max_descriptors(config.limits)
 
--- a/gannetweir/net/signals.py
+++ b/gannetweir/net/signals.py
@@ -1,6 +1,6 @@
 """Signals of the process, each kind remembered until it has been handled.
 
-The event loop hears of signals through a socket pair, a byte for each. While the loop is held up the pair
+The event loop hears of signals through a socket pair, a byte for each. While the loop is blocked the pair
 fills after some hundreds, and what comes then is dropped, of whatever kind. So a handler of the interpreter's
 own notes the kind, and the byte only wakes the loop.
 """
--- a/gannetweir/net/sockets.py
+++ b/gannetweir/net/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets: opened, listened on, accepted from and connected, with errors of this machine told apart."""
+"""Sockets: opened, listened on, accepted from, connected. Errors of this machine have their own type."""
 
 from __future__ import annotations
 
--- a/gannetweir/net/upstream_connection.py
+++ b/gannetweir/net/upstream_connection.py
@@ -66,7 +66,7 @@
 class UpstreamOwner(Protocol):
     """What an attempt needs of the client's connection that it serves."""
 
-    established_line: bytes  # the attempt sets it before it tells the engine
+    established_line: bytes  # the attempt sets it before it notifies the engine
 
     @property
     def client(self) -> Transport:
