--- a/gannetweir/explain.py
+++ b/gannetweir/explain.py
@@ -74,15 +74,10 @@
     admission = RouteAdmission(rules, routed_settings)
     route = rules.routes[admission.route_table.find_route(request)]
     routed = routed_settings.classes[admission.class_index_for(request)]
-    lines = [
-        f"{class_name}: route {route.name} ({file}:{route.line_of('name')})",
-        *_plan_lines(routed, settings),
-        *_budget_lines(route, rules),
-        *_limit_lines(route, rules),
-        "",
-        *_timeline_lines(worst_case_schedule(routed, settings, limits)),
-    ]
-    return "\n".join(lines)
+    route_lines = [*_plan_lines(routed, settings), *_budget_lines(route, rules), *_limit_lines(route, rules)]
+    timeline = _timeline_lines(worst_case_schedule(routed, settings, limits))
+    title = f"{class_name}: route {route.name} ({file}:{route.line_of('name')})"
+    return "\n".join([title, *route_lines, "", *timeline])
 
 
 def _parse_request(
