--- a/gannetweir/lab/scale/charts.py
+++ b/gannetweir/lab/scale/charts.py
@@ -7,7 +7,7 @@
 
 import pygal
 
-from gannetweir.lab.scale.model import Load
+from gannetweir.lab.scale.model import CapacityLoad
 from gannetweir.lab.scale.record import Record
 from gannetweir.lab.scale.role_table import rows
 from gannetweir.lab.scale.target import Assumptions
@@ -54,7 +54,7 @@
 
 
 def _ratios(record: Record) -> str:
-    found = [row for row in rows(Load(record, Assumptions())) if row.ratio is not None]
+    found = [row for row in rows(CapacityLoad(record, Assumptions())) if row.ratio is not None]
     found.sort(key=lambda row: row.ratio or 0.0)
     chart = pygal.HorizontalBar(
         title="Load over budget at the target, powers of ten (over 0: over budget)",
--- a/gannetweir/lab/scale/clients.py
+++ b/gannetweir/lab/scale/clients.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-FIRST = "OPEN {n:x} {n:x} c=zone-view,d=2000,g={g:x}\r\n"
+FIRST_LINE = "OPEN {n:x} {n:x} c=zone-view,d=2000,g={g:x}\r\n"
 GROUPS = 200
 AT_ONCE = 8  # set-ups under way
 WAIT_S = 20.0
@@ -26,7 +26,7 @@
         """Ask for a connection at once."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.write(FIRST.format(n=self.number, g=self.number % GROUPS + 1).encode())
+        transport.write(FIRST_LINE.format(n=self.number, g=self.number % GROUPS + 1).encode())
 
     def data_received(self, data: bytes) -> None:
         """The first line is the answer, all others count."""
@@ -49,7 +49,7 @@
         self.transport.write(line)
 
 
-class Crowd:
+class ClientConnections:
     """Standing connections, a few set up at a time."""
 
     def __init__(self, port: int) -> None:
--- a/gannetweir/lab/scale/control_relay.py
+++ b/gannetweir/lab/scale/control_relay.py
@@ -9,7 +9,7 @@
 from gannetweir.control.versions import Entry, Resource, Version
 from gannetweir.core import SetEndpointWatch
 from gannetweir.lab.scale.messages import RelayRecord, machine_name
-from gannetweir.lab.scale.skeleton_relay import HollowRelay, KnownList
+from gannetweir.lab.scale.skeleton_relay import KnownList, SkeletonRelay
 from gannetweir.net.control_check import RelayCheck
 from gannetweir.net.control_host import EngineHost
 from gannetweir.net.control_watch import ControlDriver
@@ -34,7 +34,7 @@
 class ControlledMembership:
     """The first order to watch starts the driver. Any other is ignored: the driver never stops by itself."""
 
-    def __init__(self, relay: HollowRelay) -> None:
+    def __init__(self, relay: SkeletonRelay) -> None:
         self.relay, self.started = relay, False
         check = RelayCheck(lambda: relay.settings)
         known = relay.config.known
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -29,7 +29,7 @@
 from gannetweir.placement.events import AttemptStatus, EndpointId
 from gannetweir.placement.settings import Settings
 
-TURNS = 24  # of the event loop, after which every watcher has been written to
+LOOP_TURNS = 24  # of the event loop, after which every watcher has been written to
 CHANGES = 3  # a round
 
 STAND_IN = Named(
@@ -68,8 +68,8 @@
     return found
 
 
-async def _turns() -> None:
-    for _ in range(TURNS):
+async def _run_loop_turns() -> None:
+    for _ in range(LOOP_TURNS):
         await asyncio.sleep(0)
 
 
@@ -80,13 +80,13 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(registry.run)
         socks = [await _watch(registry.port) for _ in range(watchers)]
-        await _turns()
+        await _run_loop_turns()
         _drain(socks)
         spent = []
         for number in range(CHANGES):
             began = _clock_us()
             registry.change("s-0", share=float(number))
-            await _turns()
+            await _run_loop_turns()
             spent.append(_clock_us() - began)
             if (told := _drain(socks)) != watchers:
                 raise OSError(f"{told} of {watchers} watchers were told")
--- a/gannetweir/lab/scale/fleet.py
+++ b/gannetweir/lab/scale/fleet.py
@@ -23,7 +23,7 @@
     RestartRelays,
     StartRelays,
 )
-from gannetweir.lab.scale.true_relay import TrueRelays, platform_settings
+from gannetweir.lab.scale.true_relay import WholeRelays, platform_settings
 
 POLL_S = 0.1  # between two looks at how many relays have a version
 # Of the first lists that one host waits for at once: more would delay one another. A control machine sends
@@ -44,7 +44,7 @@
         )
         self.distribution: Distribution = MAKERS[way](self.store, experiment, self.settings)
         self.hosts: list[Child] = []
-        self.true: TrueRelays | None = None
+        self.true: WholeRelays | None = None
         self.epoch_ns = time.monotonic_ns()
         self.empty: list[Usage] = []  # of the hosts, before they had any relay
 
@@ -52,7 +52,7 @@
         """Whole seconds since the epoch of the byte counts."""
         return (time.monotonic_ns() - self.epoch_ns) // 1_000_000_000
 
-    def placed(self, host: int) -> list[int]:
+    def relays_of_host(self, host: int) -> list[int]:
         """The relays of one host. The relays of a zone are spread over all hosts."""
         return list(range(host, self.relays, len(self.hosts)))
 
@@ -73,8 +73,8 @@
         await self.call_all([told] * len(self.hosts))
         self.empty = self.host_usage()
         wave = max(1, WAVE_ENTRIES[self.experiment.distribution] // max(1, len(self.store.members)))
-        self.true = TrueRelays(self.settings, self.distribution.for_true_relays)
-        await self.call_all([StartRelays(self.placed(n), wave) for n in range(len(self.hosts))])
+        self.true = WholeRelays(self.settings, self.distribution.for_true_relays)
+        await self.call_all([StartRelays(self.relays_of_host(n), wave) for n in range(len(self.hosts))])
 
     async def call_all(self, messages: Sequence[Message]) -> list[Message]:
         """One command to each host at the same time; their answers."""
--- a/gannetweir/lab/scale/fleets.py
+++ b/gannetweir/lab/scale/fleets.py
@@ -16,7 +16,7 @@
 SIZES, CHECK = (2, 12, 40, 200), 300
 SEEDS = 1, 2
 
-TRY = Named(
+PROBES_A_TRY = Named(
     "fleet.probes_a_try", "probes a client's try", "", "relays", "whole fleets on virtual time, no faults"
 )
 BACKEND = Named("fleet.probes_a_backend", "probes a second at a backend", "1/s", "relays", "the same fleets")
@@ -31,7 +31,7 @@
     probes = sum(relay.engine.counters.counts["load_probes_sent"] for relay in world.relays)
     a_second = probes / LENGTH_S
     return {
-        TRY.key: probes / max(1, len(checker.traces)),
+        PROBES_A_TRY.key: probes / max(1, len(checker.traces)),
         BACKEND.key: a_second / BACKENDS,
     }
 
@@ -58,5 +58,5 @@
             sample(name.key, CHECK),
             name.method,
         )
-        for name in (TRY, BACKEND)
+        for name in (PROBES_A_TRY, BACKEND)
     ]
--- a/gannetweir/lab/scale/flips.py
+++ b/gannetweir/lab/scale/flips.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from gannetweir.lab.scale import target as t
-from gannetweir.lab.scale.model import Load
+from gannetweir.lab.scale import target
+from gannetweir.lab.scale.model import CapacityLoad
 from gannetweir.lab.scale.record import Record
 from gannetweir.lab.scale.slopes import FitRefusedError
 from gannetweir.lab.scale.target import Assumptions, sweep
@@ -20,7 +20,7 @@
     """A load that is within its budget, or is not; `ratio` may raise `FitRefusedError`."""
 
     text: str
-    ratio: Callable[[Load], float]
+    ratio: Callable[[CapacityLoad], float]
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,18 +39,18 @@
         return len(verdicts) > 1
 
 
-def _processes(load: Load, sorted_order: bool = True) -> float:
+def _processes(load: CapacityLoad, sorted_order: bool = True) -> float:
     """Processes over the cores of a machine; without an answer, over any budget."""
     count = load.processes(sorted_order)
-    return float("inf") if count is None else count / load.a.cores
+    return float("inf") if count is None else count / load.assumptions.cores
 
 
 CONCLUSIONS = (
-    Conclusion("a whole list is told within 12 s at 10 KB/s", lambda load: load.list_s() / t.IN_FORCE_S),
-    Conclusion("a whole list stalls no line for 240 ms", lambda load: load.stall_ms() / t.DELIVERY_MS),
+    Conclusion("a whole list is told within 12 s at 10 KB/s", lambda load: load.list_s() / target.IN_FORCE_S),
+    Conclusion("a whole list stalls no line for 240 ms", lambda load: load.stall_ms() / target.DELIVERY_MS),
     Conclusion(
         "upkeep fits in 3.8% of a core, were a machine one process",
-        lambda load: load.control_core(1) / t.CONTROL_CORE,
+        lambda load: load.control_core(1) / target.CONTROL_CORE,
     ),
     Conclusion("a relay machine of 8 cores carries the load", _processes),
     Conclusion(
@@ -62,7 +62,7 @@
     ),
     Conclusion(
         "a zone's backends are told within 12 s at 10 KB/s",
-        lambda load: load.a.backends / t.ZONES * load.entry_bytes() / t.WINDOW_BYTES,
+        lambda load: load.assumptions.backends / target.ZONES * load.entry_bytes() / target.WINDOW_BYTES,
     ),
 )
 
@@ -87,7 +87,7 @@
     """The conclusion under every pair of assumptions, and the sizes at which it flips."""
 
     def ratio(a: Assumptions) -> float:
-        return conclusion.ratio(Load(record, a))
+        return conclusion.ratio(CapacityLoad(record, a))
 
     def tried(a: Assumptions) -> float | None:
         try:
@@ -99,8 +99,8 @@
     return Finding(
         conclusion.text,
         {a.name: tried(a) for a in sweep()},
-        edge(lambda n: ratio(replace(middle, backends=round(n))), t.BACKENDS[0], t.BACKENDS[-1]),
-        edge(lambda s: ratio(replace(middle, life_s=s)), t.LIVES_S[0], t.LIVES_S[-1]),
+        edge(lambda n: ratio(replace(middle, backends=round(n))), target.BACKENDS[0], target.BACKENDS[-1]),
+        edge(lambda s: ratio(replace(middle, life_s=s)), target.LIVES_S[0], target.LIVES_S[-1]),
     )
 
 
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -57,7 +57,7 @@
     "entries",
     "Balancer.handle, processor time",
 )
-HOLD = Named(
+LONGEST_TURN = Named(
     "list.hold",
     "longest turn of the event loop for a whole list",
     "ms",
@@ -142,7 +142,7 @@
         APPLY.key: applied_us,
         REPEAT.key: processor_us(lambda: engine.endpoint_update_received(news, NOW_US + 1)),
         MODULE.key: processor_us(lambda: engine.balancer.handle(event, NOW_US + 2)),
-        HOLD.key: held_ms,
+        LONGEST_TURN.key: held_ms,
     }
 
 
@@ -170,5 +170,5 @@
 
 def measure(step: Step) -> list[Cost]:
     """All costs of lists."""
-    timed = sweep(TIMES, (WIRE, READ, APPLY, REPEAT, MODULE, HOLD), times, step)
+    timed = sweep(TIMES, (WIRE, READ, APPLY, REPEAT, MODULE, LONGEST_TURN), times, step)
     return timed + sweep(MEMORIES, (MEMORY, PEAK), memory, step)
--- a/gannetweir/lab/scale/membership_drivers.py
+++ b/gannetweir/lab/scale/membership_drivers.py
@@ -7,24 +7,24 @@
 
 from collections.abc import Callable
 
-from gannetweir.lab.scale.skeleton_relay import HollowRelay, MembershipDriver
+from gannetweir.lab.scale.skeleton_relay import MembershipDriver, SkeletonRelay
 
 
-def direct_driver(relay: HollowRelay) -> MembershipDriver:
+def direct_driver(relay: SkeletonRelay) -> MembershipDriver:
     """Today's way: a watch on the one discovery."""
     from gannetweir.net.endpoint_watch import EndpointWatchDriver
 
     return EndpointWatchDriver(relay, relay.counted_endpoint)
 
 
-def control_driver(relay: HollowRelay) -> MembershipDriver:
+def control_driver(relay: SkeletonRelay) -> MembershipDriver:
     """A watch on one of the control machines."""
     from gannetweir.lab.scale.control_relay import ControlledMembership
 
     return ControlledMembership(relay)
 
 
-DRIVERS: dict[str, Callable[[HollowRelay], MembershipDriver]] = {
+DRIVERS: dict[str, Callable[[SkeletonRelay], MembershipDriver]] = {
     "direct": direct_driver,
     "control": control_driver,
 }
--- a/gannetweir/lab/scale/model.py
+++ b/gannetweir/lab/scale/model.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass
 
-from gannetweir.lab.scale import target as t
+from gannetweir.lab.scale import target
 from gannetweir.lab.scale.record import Record
 from gannetweir.lab.scale.slopes import FitRefusedError
 from gannetweir.lab.scale.target import Assumptions
@@ -22,17 +22,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class CapacityLoad:
     """The load on one relay machine at the target, under some assumptions."""
 
     record: Record
-    a: Assumptions
+    assumptions: Assumptions
 
     # ---- the data path
 
     def placement_us(self) -> float:
         """The module's part of a set-up whose group's order is not remembered, as for nearly all shards."""
-        return self.record["decision.new_group"].at(self.a.backends)
+        return self.record["decision.new_group"].at(self.assumptions.backends)
 
     def setup_us(self, sorted_order: bool = True) -> float:
         """A set-up through a relay; without the sort, as if every group's order were remembered."""
@@ -40,30 +40,30 @@
 
     def setups_core(self, sorted_order: bool = True) -> float:
         """Cores for set-ups in the ordinary state."""
-        return self.a.setups_s * self.setup_us(sorted_order) / 1e6
+        return self.assumptions.setups_s * self.setup_us(sorted_order) / 1e6
 
     def lines_core(self, processes: int) -> float:
         """Cores for deliveries, spread evenly over the processes."""
-        return processes * self.record["line.push.relay"].at(t.RELAY_DELIVERIES_S / processes) / 1e6
+        return processes * self.record["line.push.relay"].at(target.RELAY_DELIVERIES_S / processes) / 1e6
 
     def connections_mb(self, processes: int) -> float:
         """Resident memory of all processes of a machine, lists aside."""
         memory = self.record["connection.memory.relay"].fitted
-        return (processes * memory.fixed + memory.per_unit * t.RELAY_CONNECTIONS) / 1024
+        return (processes * memory.fixed + memory.per_unit * target.RELAY_CONNECTIONS) / 1024
 
     # ---- the control part
 
     def in_use(self, processes: int) -> float:
         """The share of the backends at which one process holds a connection, were they drawn evenly."""
-        return -math.expm1(-t.RELAY_CONNECTIONS / processes / self.a.backends)
+        return -math.expm1(-target.RELAY_CONNECTIONS / processes / self.assumptions.backends)
 
     def probes_s(self, processes: int) -> float:
         """Upkeep's probes a second of one process: it asks where it holds connections."""
-        return self.record["upkeep.probes"].at(self.a.backends) * self.in_use(processes)
+        return self.record["upkeep.probes"].at(self.assumptions.backends) * self.in_use(processes)
 
     def probing_core(self, processes: int) -> float:
         """Cores of one process for upkeep by backends: probes, their answers, ticks."""
-        ticks = self.record["upkeep.backends"].at(self.a.backends) * self.in_use(processes)
+        ticks = self.record["upkeep.backends"].at(self.assumptions.backends) * self.in_use(processes)
         return (self.probes_s(processes) * self.record["probe"].each + ticks) / 1e6
 
     def standing_core(self) -> float:
@@ -76,15 +76,15 @@
 
     def control_mb(self, processes: int) -> float:
         """Memory of a machine for control: its processes with their lists, without connections."""
-        return processes * self.record["start.memory"].at(self.a.backends) / 1024
+        return processes * self.record["start.memory"].at(self.assumptions.backends) / 1024
 
     def list_bytes(self) -> float:
         """A whole list on the wire, for one process."""
-        return self.record["list.wire"].at(self.a.backends)
+        return self.record["list.wire"].at(self.assumptions.backends)
 
     def list_s(self) -> float:
         """Seconds that one whole list takes at a relay's bytes a second for control."""
-        return self.list_bytes() / t.CONTROL_BYTES_S
+        return self.list_bytes() / target.CONTROL_BYTES_S
 
     def entry_bytes(self) -> float:
         """One entry on the wire."""
@@ -92,7 +92,7 @@
 
     def stall_ms(self) -> float:
         """The longest wait of a line while a whole list is taken."""
-        return self.record["list.stall"].at(self.a.backends)
+        return self.record["list.stall"].at(self.assumptions.backends)
 
     # ---- the machine
 
@@ -107,7 +107,7 @@
                 own += self.lines_core(count)
             except FitRefusedError:
                 continue  # more lines to a process than were measured, and no fit
-            if shared + own <= count * self.a.busy:
+            if shared + own <= count * self.assumptions.busy:
                 return count
         return None
 
@@ -115,20 +115,20 @@
 
     def backend_probes_s(self, processes: int) -> float:
         """Probes a second at one backend from the whole fleet."""
-        return t.RELAYS * processes * self.probes_s(processes) / self.a.backends
+        return target.RELAYS * processes * self.probes_s(processes) / self.assumptions.backends
 
     def store_calls_s(self) -> float:
         """Session-store calls a second of the whole fleet, one a set-up."""
-        return t.CONNECTIONS / self.a.life_s
+        return target.CONNECTIONS / self.assumptions.life_s
 
     def topic_backends(self) -> float:
         """Backends that the largest topic fills, from a load of a half up to the limit of 0.8."""
-        mean = t.CONNECTIONS / self.a.backends
-        return t.LARGEST_TOPIC / (mean * LOAD_LIMIT / MEAN_LOAD)
+        mean = target.CONNECTIONS / self.assumptions.backends
+        return target.LARGEST_TOPIC / (mean * LOAD_LIMIT / MEAN_LOAD)
 
     def spare_setups_s(self, processes: int) -> float:
         """Set-ups a second that a relay can take beside its ordinary load."""
-        return processes * (1.0 - self.a.busy) / self.setup_us() * 1e6
+        return processes * (1.0 - self.assumptions.busy) / self.setup_us() * 1e6
 
 
 def most_entries(record: Record) -> int:
@@ -139,4 +139,4 @@
 
 def window_entries(record: Record) -> int:
     """Entries that a relay can be told within the time for a change, at its bytes a second."""
-    return math.floor(t.WINDOW_BYTES / record["list.wire"].fitted.per_unit)
+    return math.floor(target.WINDOW_BYTES / record["list.wire"].fitted.per_unit)
--- a/gannetweir/lab/scale/module.py
+++ b/gannetweir/lab/scale/module.py
@@ -52,7 +52,7 @@
     "backends",
     "the same; each sorts all backends, and 256 groups' orders are kept until a backend comes or goes",
 )
-NEWS = Named(
+UPDATE = Named(
     "news.backends",
     "news of one entry",
     "µs",
@@ -87,14 +87,14 @@
     "connections",
     "Engine.advance over one second, processor time",
 )
-HOLD = Named(
+LONGEST_TURN = Named(
     "upkeep.hold",
     "longest turn of the event loop for upkeep",
     "ms",
     "connections",
     "one Engine.advance, elapsed",
 )
-NEWS_STANDING = Named(
+UPDATE_BY_CONNECTIONS = Named(
     "news.connections",
     "news of one entry",
     "µs",
@@ -103,7 +103,7 @@
 )
 
 
-class Module:
+class ProbedBalancer:
     """One `Balancer` whose probes are answered at once."""
 
     def __init__(self, backends: int) -> None:
@@ -136,10 +136,10 @@
         self.spent_us = spent
 
 
-def placements(backends: int) -> dict[str, float]:
+def placement_costs(backends: int) -> dict[str, float]:
     """Microseconds a placement, with an order that is remembered and with one that is not."""
     gc.collect()
-    module = Module(backends)
+    module = ProbedBalancer(backends)
     for group in range(1, 31):
         module.place(group, group)
     module.spent_us, module.sent = 0.0, 0
@@ -150,36 +150,41 @@
     module.spent_us = 0.0
     for number in range(NEW):
         module.place(5000 + number, 5000 + number)
-    return {DECISION.key: remembered, NEW_GROUP.key: module.spent_us / NEW, **changes(backends)}
+    return {DECISION.key: remembered, NEW_GROUP.key: module.spent_us / NEW, **update_costs(backends)}
 
 
-def changes(backends: int) -> dict[str, float]:
+def update_costs(backends: int) -> dict[str, float]:
     """Microseconds an engine spends on one entry that leaves or comes back."""
-    engine = Engine(relay_settings(), Limits(), 1, pool(0, True, list(range(backends))), NOW_US)
-    return {NEWS.key: told(engine, backends), PLAIN.key: told(engine, backends, "Ready")}
+    engine = Engine(relay_settings(), Limits(), 1, membership_update(0, True, list(range(backends))), NOW_US)
+    return {
+        UPDATE.key: update_cost_us(engine, backends),
+        PLAIN.key: update_cost_us(engine, backends, "Ready"),
+    }
 
 
-def pool(version: int, whole: bool, numbers: list[int], health: str = "Ready") -> MembershipUpdate:
+def membership_update(
+    version: int, whole: bool, numbers: list[int], health: str = "Ready"
+) -> MembershipUpdate:
     """News of some entries, as discovery would tell them."""
     hosts = [host(number) | {"health": health} for number in numbers]
     return read_membership({"seq": version, "whole": whole, "hosts": hosts}, relay_settings())
 
 
-def told(engine: Engine, backends: int, odd: str = "Terminating") -> float:
+def update_cost_us(engine: Engine, backends: int, odd: str = "Terminating") -> float:
     """Microseconds of one piece of news, the mean over entries that leave and return in turn, or stay."""
     spent = 0.0
     for number in range(CHANGES):
         chosen = [(number // 2 * 37) % backends]
-        news = pool(number + 1, False, chosen, "Ready" if number % 2 else odd)
+        news = membership_update(number + 1, False, chosen, "Ready" if number % 2 else odd)
         engine.commands.clear()
         spent += processor_us(lambda n=news: engine.endpoint_update_received(n, NOW_US + 1))  # type: ignore[misc]
     return spent / CHANGES
 
 
-def upkeep(backends: int) -> dict[str, float]:
+def upkeep_cost(backends: int) -> dict[str, float]:
     """Probes and microseconds a second of a module that holds a connection at each backend."""
     gc.collect()
-    module = Module(backends)
+    module = ProbedBalancer(backends)
     for number in range(backends):
         module.give(ConnectionResumed(number + 1, 0, 3_600_000_000, number + 1, 1, 1, number))
     for second in range(2 * UPKEEP_S):
@@ -190,10 +195,10 @@
     return {PROBES.key: module.probes / UPKEEP_S, UPKEEP.key: module.spent_us / UPKEEP_S}
 
 
-def standing(connections: int, backends: int = 64) -> Engine:
+def engine_with_connections(connections: int, backends: int = 64) -> Engine:
     """An engine through which so many connections stand, resumed ones, for they need no probes to place."""
     limits = Limits(sockets=4 * connections)
-    engine = Engine(relay_settings(), limits, 1, pool(0, True, list(range(backends))), NOW_US)
+    engine = Engine(relay_settings(), limits, 1, membership_update(0, True, list(range(backends))), NOW_US)
     names = list(engine.endpoint_list.entries)
     for number in range(connections):
         wanted = RequestArrived(
@@ -207,9 +212,9 @@
     return engine
 
 
-def seconds_of(connections: int) -> dict[str, float]:
+def engine_upkeep_cost(connections: int) -> dict[str, float]:
     """What one second of upkeep and one piece of news cost an engine through which connections stand."""
-    engine = standing(connections)
+    engine = engine_with_connections(connections)
     gc.collect()
     gc.freeze()  # what stands is no garbage; a relay's collector would come to know that as well
     try:
@@ -233,7 +238,11 @@
                 held = max(held, one)
             else:
                 advance()
-        return {TICKS.key: spent / 2, HOLD.key: held, NEWS_STANDING.key: told(engine, 64)}
+        return {
+            TICKS.key: spent / 2,
+            LONGEST_TURN.key: held,
+            UPDATE_BY_CONNECTIONS.key: update_cost_us(engine, 64),
+        }
     finally:
         gc.unfreeze()
 
@@ -245,10 +254,10 @@
 
 def measure_decisions(step: Step) -> list[Cost]:
     """Placements and news by backends."""
-    return sweep(BACKENDS, (DECISION, NEW_GROUP, NEWS, PLAIN), placements, step)
+    return sweep(BACKENDS, (DECISION, NEW_GROUP, UPDATE, PLAIN), placement_costs, step)
 
 
 def measure_upkeep(step: Step) -> list[Cost]:
     """Upkeep by backends and by connections, and news by connections."""
-    found = sweep(UPKEEPS, (PROBES, UPKEEP), upkeep, step)
-    return found + sweep(STANDING, (TICKS, HOLD, NEWS_STANDING), seconds_of, step)
+    found = sweep(UPKEEPS, (PROBES, UPKEEP), upkeep_cost, step)
+    return found + sweep(STANDING, (TICKS, LONGEST_TURN, UPDATE_BY_CONNECTIONS), engine_upkeep_cost, step)
--- a/gannetweir/lab/scale/page.py
+++ b/gannetweir/lab/scale/page.py
@@ -10,7 +10,7 @@
 from gannetweir.lab.scale import target as t
 from gannetweir.lab.scale.charts import draw
 from gannetweir.lab.scale.flips import findings
-from gannetweir.lab.scale.model import LOAD_LIMIT, MEAN_LOAD, Load, most_entries, window_entries
+from gannetweir.lab.scale.model import LOAD_LIMIT, MEAN_LOAD, CapacityLoad, most_entries, window_entries
 from gannetweir.lab.scale.record import Record
 from gannetweir.lab.scale.role_table import rows
 from gannetweir.lab.scale.seen import NEAR
@@ -72,7 +72,7 @@
     return "\n\n".join(["# Capacity at the target", *map(paragraph, (source, target, assumed))])
 
 
-def _roles(load: Load) -> list[str]:
+def _roles(load: CapacityLoad) -> list[str]:
     found = rows(load)
     about = f""""-" as a figure: not measured, or it needs a fit that was refused. A machine is
         {count_of(load.processes())} processes here, each with a control part of its own, as the program is
@@ -91,7 +91,7 @@
     return section("How many processes make a relay machine", paragraph(about), tables.process_table(record))
 
 
-def _lists(record: Record, load: Load) -> str:
+def _lists(record: Record, load: CapacityLoad) -> str:
     entry, memory = load.entry_bytes(), record["list.memory"]
     shards = "not known (refused)" if memory.refusal else f"{memory.line.at(t.SHARDS) / 1048576:.2f} GB"
     about = f"""A line of the watch may be {most_entries(record):,} entries long
@@ -111,8 +111,9 @@
     return section("Probes as relays grow", *parts)
 
 
-def _events(load: Load) -> str:
-    about = f"""Seconds of set-ups: relays' own work in the {1 - load.a.busy:.0%} of their cores that the
+def _events(load: CapacityLoad) -> str:
+    spare = 1 - load.assumptions.busy
+    about = f"""Seconds of set-ups: relays' own work in the {spare:.0%} of their cores that the
         ordinary load leaves; backends and the store may be slower. Seconds until in force: at
         {t.CONTROL_BYTES_S / 1e3:.0f} KB/s, detection and start-up included. A zone that is back gets
         connections as clients come; a relay moves at most one crossing a second home. 340 restarts a day
@@ -126,7 +127,7 @@
     each_us = record["line.push.relay"].each
     parts = []
     for backends in t.BACKENDS:
-        needs = number(Load(record, Assumptions(backends=backends)).topic_backends())
+        needs = number(CapacityLoad(record, Assumptions(backends=backends)).topic_backends())
         parts.append(
             f"{needs} at {backends:,} backends (a mean one holds {number(t.CONNECTIONS / backends)})"
         )
@@ -163,7 +164,7 @@
     rests.
     """
     middle = Assumptions()
-    load = Load(record, middle)
+    load = CapacityLoad(record, middle)
     parts = [
         _head(middle),
         *_roles(load),
--- a/gannetweir/lab/scale/relays.py
+++ b/gannetweir/lab/scale/relays.py
@@ -10,14 +10,14 @@
 import time
 from contextlib import ExitStack
 
-from gannetweir.lab.scale.clients import Crowd
+from gannetweir.lab.scale.clients import ClientConnections
 from gannetweir.lab.scale.lists import host, line
 from gannetweir.lab.scale.measure import Named, Step, Sweep, sweep
 from gannetweir.lab.scale.processes import Measured, backend, hosts_at, proxy, relay
 from gannetweir.lab.scale.slopes import Cost, Sample
 
 HOSTS = 400  # so that a process holds a few connections at each, as it would at the target
-CROWD = 64  # connections that lines are sent over
+LINE_CONNECTIONS = 64  # connections that lines are sent over
 LINES_S = 1.0
 SETTLE_S = 0.15
 
@@ -38,7 +38,7 @@
 
 
 def _lines(who: str, way: str, title: str) -> Named:
-    method = f"processor time a second, open loop over {CROWD} connections"
+    method = f"processor time a second, open loop over {LINE_CONNECTIONS} connections"
     return Named(f"line.{way}.{who}", f"{title} through a {who}", "µs/s", "lines/s", method)
 
 
@@ -57,7 +57,7 @@
 
 async def _stand(process: Measured, who: str, step: Step) -> dict[str, dict[int, float]]:
     """One process from its start on: memory and processor time at each size."""
-    crowd = Crowd(process.port)
+    crowd = ClientConnections(process.port)
     memory, spent = dict[int, float](), dict[int, float]()
     before = process.processor_us()
     try:
@@ -99,9 +99,9 @@
 
 async def _lines_at(process: Measured, per_s: int, way: str) -> float:
     """Processor microseconds a second at so many lines a second, scaled from the lines that did pass."""
-    crowd = Crowd(process.port)
+    crowd = ClientConnections(process.port)
     try:
-        await crowd.grow(CROWD)
+        await crowd.grow(LINE_CONNECTIONS)
         await asyncio.sleep(SETTLE_S)
         before, began, lines = process.processor_us(), time.monotonic(), crowd.lines
         if way == "both":
@@ -116,12 +116,12 @@
         crowd.close()
 
 
-WAYS = {"both": "a line there and back, counted as two,", "push": "a backend's line"}
+DIRECTIONS = {"both": "a line there and back, counted as two,", "push": "a backend's line"}
 
 
 def measure_lines(step: Step) -> list[Cost]:
     """Plain lines, both ways and from the backend alone, through a relay and through a proxy."""
-    names = [_lines(who, way, title) for way, title in WAYS.items() for who in ("relay", "proxy")]
+    names = [_lines(who, way, title) for way, title in DIRECTIONS.items() for who in ("relay", "proxy")]
     with ExitStack() as stack:
         port = stack.enter_context(backend())
         sides = {
@@ -132,7 +132,7 @@
         def one(per_s: int) -> dict[str, float]:
             return {
                 _lines(who, way, "").key: asyncio.run(_lines_at(process, per_s, way))
-                for way in WAYS
+                for way in DIRECTIONS
                 for who, process in sides.items()
             }
 
@@ -186,7 +186,7 @@
 
 async def _stall(process: Measured, discovery: Discovery, data: bytes) -> float:
     """The longest wait of a line, in milliseconds, until the relay has been quiet for a while."""
-    crowd = Crowd(process.port)
+    crowd = ClientConnections(process.port)
     try:
         await crowd.grow(1)
         (client,) = crowd.clients
--- a/gannetweir/lab/scale/role_loads.py
+++ b/gannetweir/lab/scale/role_loads.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from gannetweir.lab.scale import target as t
-from gannetweir.lab.scale.model import PROBE_BYTES, Load
+from gannetweir.lab.scale import target
+from gannetweir.lab.scale.model import PROBE_BYTES, CapacityLoad
 from gannetweir.lab.scale.roles import (
     BYTES,
     CORE,
@@ -20,7 +20,7 @@
 PRESENT, NEW = Carrier.PRESENT, Carrier.NEW
 MISSING, UNMEASURED = Carrier.MISSING, Carrier.UNMEASURED
 COUNT, A_SECOND, MEGABYTES = Budget(""), Budget("1/s"), Budget("MB")
-CONTROL_RELAYS = t.RELAYS // t.CONTROL_MACHINES
+CONTROL_RELAYS = target.RELAYS // target.CONTROL_MACHINES
 
 PROCESSES = "a process a core on one listener"
 ORDERS = "a group's first backends without a sort of all"
@@ -32,61 +32,68 @@
 FANOUT = "two-level fan-out, serialised once"
 PLACEMENT = "placement by filling"
 PROBING = "upkeep.probes, probe, upkeep.backends"
-WALKS = "walks over all connections, five a second"
+TIMER_SCANS = "walks over all connections, five a second"
 OTHERS = "not this project's"
 
 
 def _a_window(byte_count: float) -> float:
     """KB a second if so many bytes are told within the time for a change."""
-    return byte_count / t.IN_FORCE_S / 1e3
+    return byte_count / target.IN_FORCE_S / 1e3
 
 
-def _hold_ms(load: Load, processes: int) -> float:
+def _longest_turn_ms(load: CapacityLoad, processes: int) -> float:
     return load.record["upkeep.hold"].at(73300)
 
 
-def _news_ms(load: Load, processes: int) -> float:
+def _update_ms(load: CapacityLoad, processes: int) -> float:
     """One entry of news within the time for a change, in milliseconds a second over all processes."""
-    by_backends = load.record["news.backends"].at(load.a.backends)
-    by_connections = load.record["news.connections"].each * t.RELAY_CONNECTIONS / processes
-    return processes * (by_backends + by_connections) / 1e3 / t.IN_FORCE_S
+    by_backends = load.record["news.backends"].at(load.assumptions.backends)
+    by_connections = load.record["news.connections"].each * target.RELAY_CONNECTIONS / processes
+    return processes * (by_backends + by_connections) / 1e3 / target.IN_FORCE_S
 
 
-def _shards_mb(load: Load, processes: int) -> float:
-    return load.record["list.memory"].fitted.at(t.SHARDS) / 1024
+def _shards_mb(load: CapacityLoad, processes: int) -> float:
+    return load.record["list.memory"].fitted.at(target.SHARDS) / 1024
 
 
-def _change_ms(key: str, load: Load, watchers: int) -> float:
+def _change_ms(key: str, load: CapacityLoad, watchers: int) -> float:
     """One change to so many watchers."""
     return load.record[key].at(watchers) / 1e3
 
 
-def _restarts_kb(load: Load, processes: int) -> float:
+def _restarts_kb(load: CapacityLoad, processes: int) -> float:
     """KB a second of whole lists for the relays that are restarted on an ordinary day."""
-    return t.RESTARTS_A_DAY * processes * load.list_bytes() / 86400 / 1e3
+    return target.RESTARTS_A_DAY * processes * load.list_bytes() / 86400 / 1e3
 
 
-def _lists_mb(load: Load, processes: int) -> float:
+def _lists_mb(load: CapacityLoad, processes: int) -> float:
     """MB a second if a control machine's relays all read the whole list within the time for a change."""
-    return CONTROL_RELAYS * load.list_bytes() / t.IN_FORCE_S / 1e6
+    return CONTROL_RELAYS * load.list_bytes() / target.IN_FORCE_S / 1e6
 
 
 DATA_PATH = (
-    RoleLoad("connections", lambda a, n: t.RELAY_CONNECTIONS, COUNT, PROCESSES, MISSING, "told"),
+    RoleLoad(
+        "connections", lambda load, processes: target.RELAY_CONNECTIONS, COUNT, PROCESSES, MISSING, "told"
+    ),
     RoleLoad(
         "resident memory",
-        lambda a, n: a.connections_mb(n),
+        lambda load, processes: load.connections_mb(processes),
         MEGABYTES,
         "bounded buffers of each connection",
         PRESENT,
         "connection.memory.relay",
     ),
     RoleLoad(
-        "deliveries", lambda a, n: a.lines_core(n), MACHINE_CORES, PROCESSES, MISSING, "line.push.relay"
+        "deliveries",
+        lambda load, processes: load.lines_core(processes),
+        MACHINE_CORES,
+        PROCESSES,
+        MISSING,
+        "line.push.relay",
     ),
     RoleLoad(
         "set-ups, sorting included",
-        lambda a, n: a.setups_core(),
+        lambda load, processes: load.setups_core(),
         MACHINE_CORES,
         ORDERS,
         MISSING,
@@ -94,20 +101,29 @@
     ),
     RoleLoad(
         "set-ups, were no order sorted",
-        lambda a, n: a.setups_core(False),
+        lambda load, processes: load.setups_core(False),
         MACHINE_CORES,
         PROCESSES,
         MISSING,
         "setup.relay",
     ),
-    RoleLoad("a line waits for a whole list", lambda a, n: a.stall_ms(), LATENCY, SLICES, NEW, "list.stall"),
-    RoleLoad("longest turn for upkeep, one process", _hold_ms, LATENCY, WALKS, PRESENT, "upkeep.hold"),
+    RoleLoad(
+        "a line waits for a whole list",
+        lambda load, processes: load.stall_ms(),
+        LATENCY,
+        SLICES,
+        NEW,
+        "list.stall",
+    ),
+    RoleLoad(
+        "longest turn for upkeep, one process", _longest_turn_ms, LATENCY, TIMER_SCANS, PRESENT, "upkeep.hold"
+    ),
 )
 
 CONTROL_PART = (
     RoleLoad(
         "upkeep by backends, a process",
-        lambda a, n: a.probing_core(n) * 1e3,
+        lambda load, processes: load.probing_core(processes) * 1e3,
         CORE,
         SHARED,
         MISSING,
@@ -115,7 +131,7 @@
     ),
     RoleLoad(
         "upkeep by backends, all processes",
-        lambda a, n: n * a.probing_core(n) * 1e3,
+        lambda load, processes: processes * load.probing_core(processes) * 1e3,
         CORE,
         SHARED,
         MISSING,
@@ -123,15 +139,15 @@
     ),
     RoleLoad(
         "upkeep by connections, all processes",
-        lambda a, n: a.standing_core() * 1e3,
+        lambda load, processes: load.standing_core() * 1e3,
         CORE,
-        WALKS,
+        TIMER_SCANS,
         PRESENT,
         "upkeep.connections",
     ),
     RoleLoad(
         "probes' lines, all processes",
-        lambda a, n: n * a.probes_s(n) * PROBE_BYTES / 1e3,
+        lambda load, processes: processes * load.probes_s(processes) * PROBE_BYTES / 1e3,
         BYTES,
         SHARED,
         MISSING,
@@ -139,7 +155,7 @@
     ),
     RoleLoad(
         "one entry of news, all processes",
-        _news_ms,
+        _update_ms,
         CORE,
         "the watch's deltas",
         PRESENT,
@@ -147,7 +163,7 @@
     ),
     RoleLoad(
         "a whole list in 12 s, a process",
-        lambda a, n: _a_window(a.list_bytes()),
+        lambda load, processes: _a_window(load.list_bytes()),
         BYTES,
         VERSIONS,
         NEW,
@@ -155,7 +171,7 @@
     ),
     RoleLoad(
         "a whole list in 12 s, all processes",
-        lambda a, n: n * _a_window(a.list_bytes()),
+        lambda load, processes: processes * _a_window(load.list_bytes()),
         BYTES,
         ONE_PART,
         MISSING,
@@ -163,7 +179,7 @@
     ),
     RoleLoad(
         "a zone's 58,000 shards listed in 12 s",
-        lambda a, n: _a_window(t.ENTRIES[-1] * a.entry_bytes()),
+        lambda load, processes: _a_window(target.ENTRIES[-1] * load.entry_bytes()),
         BYTES,
         DERIVED,
         MISSING,
@@ -171,7 +187,7 @@
     ),
     RoleLoad(
         "memory without connections, all processes",
-        lambda a, n: a.control_mb(n),
+        lambda load, processes: load.control_mb(processes),
         MEMORY,
         ONE_PART,
         MISSING,
@@ -183,7 +199,7 @@
 CONTROL_MACHINE = (
     RoleLoad(
         "one change to 100 relays, serialised once",
-        lambda a, n: _change_ms("fanout.once", a, CONTROL_RELAYS),
+        lambda load, processes: _change_ms("fanout.once", load, CONTROL_RELAYS),
         IN_FORCE,
         FANOUT,
         NEW,
@@ -191,7 +207,7 @@
     ),
     RoleLoad(
         "one change to 100 relays, as the stand-in",
-        lambda a, n: _change_ms("fanout.stand_in", a, CONTROL_RELAYS),
+        lambda load, processes: _change_ms("fanout.stand_in", load, CONTROL_RELAYS),
         IN_FORCE,
         FANOUT,
         NEW,
@@ -202,10 +218,17 @@
 )
 
 DISCOVERY = (
-    RoleLoad("watches, one a process", lambda a, n: t.RELAYS * n, COUNT, FANOUT, NEW, "processes"),
+    RoleLoad(
+        "watches, one a process",
+        lambda load, processes: target.RELAYS * processes,
+        COUNT,
+        FANOUT,
+        NEW,
+        "processes",
+    ),
     RoleLoad(
         "one change to all of them, the stand-in",
-        lambda a, n: _change_ms("fanout.stand_in", a, t.RELAYS * n),
+        lambda load, processes: _change_ms("fanout.stand_in", load, target.RELAYS * processes),
         IN_FORCE,
         FANOUT,
         NEW,
@@ -216,13 +239,41 @@
 )
 
 BACKEND = (
-    RoleLoad("connections", lambda a, n: t.CONNECTIONS / a.a.backends, COUNT, PLACEMENT, PRESENT, "told"),
-    RoleLoad("probes", lambda a, n: a.backend_probes_s(n), A_SECOND, SHARED, MISSING, "upkeep.probes"),
-    RoleLoad("set-ups", lambda a, n: a.store_calls_s() / a.a.backends, A_SECOND, PLACEMENT, PRESENT, "told"),
-    RoleLoad("deliveries", lambda a, n: t.DELIVERIES_S / a.a.backends, A_SECOND, PLACEMENT, PRESENT, "told"),
+    RoleLoad(
+        "connections",
+        lambda load, processes: target.CONNECTIONS / load.assumptions.backends,
+        COUNT,
+        PLACEMENT,
+        PRESENT,
+        "told",
+    ),
+    RoleLoad(
+        "probes",
+        lambda load, processes: load.backend_probes_s(processes),
+        A_SECOND,
+        SHARED,
+        MISSING,
+        "upkeep.probes",
+    ),
+    RoleLoad(
+        "set-ups",
+        lambda load, processes: load.store_calls_s() / load.assumptions.backends,
+        A_SECOND,
+        PLACEMENT,
+        PRESENT,
+        "told",
+    ),
+    RoleLoad(
+        "deliveries",
+        lambda load, processes: target.DELIVERIES_S / load.assumptions.backends,
+        A_SECOND,
+        PLACEMENT,
+        PRESENT,
+        "told",
+    ),
     RoleLoad(
         "backends that the largest topic fills",
-        lambda a, n: a.topic_backends(),
+        lambda load, processes: load.topic_backends(),
         Budget("", float(MAX_CANDIDATES)),
         "a group's order, eight looked at",
         PRESENT,
@@ -233,7 +284,12 @@
 
 SESSION_STORE = (
     RoleLoad(
-        "calls, one a set-up", lambda a, n: a.store_calls_s(), A_SECOND, "retry budgets", PRESENT, "told"
+        "calls, one a set-up",
+        lambda load, processes: load.store_calls_s(),
+        A_SECOND,
+        "retry budgets",
+        PRESENT,
+        "told",
     ),
     RoleLoad("processor time, memory", None, COUNT, OTHERS, UNMEASURED, "-"),
 )
--- a/gannetweir/lab/scale/role_table.py
+++ b/gannetweir/lab/scale/role_table.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from gannetweir.lab.scale.model import Load
+from gannetweir.lab.scale.model import CapacityLoad
 from gannetweir.lab.scale.role_loads import ROLES
 from gannetweir.lab.scale.roles import MACHINE_CORES, Carrier, RoleLoad
 from gannetweir.lab.scale.slopes import FitRefusedError
@@ -31,18 +31,18 @@
         return None if self.value is None or not self.budget else self.value / self.budget
 
 
-def _row(role: str, of: RoleLoad, load: Load, processes: int) -> Row:
+def _row(role: str, of: RoleLoad, load: CapacityLoad, processes: int) -> Row:
     value: float | None = None
     if of.value is not None:
         try:
             value = of.value(load, processes)
         except FitRefusedError:
             value = None
-    most = load.a.cores * load.a.busy if of.budget is MACHINE_CORES else of.budget.most
+    most = load.assumptions.cores * load.assumptions.busy if of.budget is MACHINE_CORES else of.budget.most
     return Row(role, of.what, value, of.budget.unit, most or None, of.mechanism, of.carrier, of.source)
 
 
-def rows(load: Load) -> list[Row]:
+def rows(load: CapacityLoad) -> list[Row]:
     """Every load of every role, under the load's assumptions. Where no number of processes carries a machine,
     the figures are those of one process.
     """
--- a/gannetweir/lab/scale/roles.py
+++ b/gannetweir/lab/scale/roles.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from gannetweir.lab.scale import target as t
-from gannetweir.lab.scale.model import Load
+from gannetweir.lab.scale import target
+from gannetweir.lab.scale.model import CapacityLoad
 
 
 class Carrier(Enum):
@@ -27,11 +27,11 @@
     most: float = 0.0
 
 
-CORE = Budget("ms/s", t.CONTROL_CORE * 1000)
-BYTES = Budget("KB/s", t.CONTROL_BYTES_S / 1000)
-MEMORY = Budget("MB", t.CONTROL_MB)
-LATENCY = Budget("ms", t.DELIVERY_MS)
-IN_FORCE = Budget("ms", t.IN_FORCE_S * 1000)
+CORE = Budget("ms/s", target.CONTROL_CORE * 1000)
+BYTES = Budget("KB/s", target.CONTROL_BYTES_S / 1000)
+MEMORY = Budget("MB", target.CONTROL_MB)
+LATENCY = Budget("ms", target.DELIVERY_MS)
+IN_FORCE = Budget("ms", target.IN_FORCE_S * 1000)
 MACHINE_CORES = Budget("cores")  # the assumptions say how many
 
 
@@ -40,7 +40,7 @@
     """One load of one role, as a formula over the model and the processes of a relay machine."""
 
     what: str
-    value: Callable[[Load, int], float] | None  # None: not measured
+    value: Callable[[CapacityLoad, int], float] | None  # None: not measured
     budget: Budget
     mechanism: str
     carrier: Carrier
--- a/gannetweir/lab/scale/run.py
+++ b/gannetweir/lab/scale/run.py
@@ -15,7 +15,7 @@
 from gannetweir.lab.scale.record import FILE, GROUPS, Record, read_record
 from gannetweir.lab.scale.tables import brief_table
 
-KEPT = Path("docs/measurements/capacity")
+RECORD_FOLDER = Path("docs/measurements/capacity")
 PAGE = Path("docs/CAPACITY.md")
 
 
@@ -45,7 +45,7 @@
     """Measure, unless only the page is wanted, and write record, charts and page. `OSError` if a page is
     wanted and there is no record, `ValueError` for an unknown group.
     """
-    folder = Path(keep) if keep else KEPT
+    folder = Path(keep) if keep else RECORD_FOLDER
     page = folder / PAGE.name if keep else PAGE
     groups = chosen(only)
     record = read_record(folder) if page_only or (folder / FILE).exists() else Record()
--- a/gannetweir/lab/scale/skeleton_host.py
+++ b/gannetweir/lab/scale/skeleton_host.py
@@ -22,21 +22,21 @@
     RestartRelays,
     StartRelays,
 )
-from gannetweir.lab.scale.skeleton_relay import HollowConfig, HollowRelay, KnownList
+from gannetweir.lab.scale.skeleton_relay import KnownList, SkeletonConfig, SkeletonRelay
 from gannetweir.net.runtime import Clock
 from gannetweir.placement.settings import Settings
 
 
-class HollowHost:
+class SkeletonHost:
     """The relays of one process. Each has a connection, an engine, a list and a record of its own; the event
     loop, the settings of a zone and the code are shared.
     """
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self.tasks, self.clock = tasks, Clock()
-        self.relays: dict[int, HollowRelay] = {}
+        self.relays: dict[int, SkeletonRelay] = {}
         self.records: dict[int, RelayRecord] = {}
-        self.told: Configure
+        self.configuration: Configure
         self.settings: list[Settings] = []  # by zone
 
     async def handle(self, message: Message) -> Message:
@@ -61,22 +61,22 @@
         return Done()
 
     def _configure(self, told: Configure) -> None:
-        self.told = told
+        self.configuration = told
         one = parse_settings(told.settings)
         self.settings = [parse_settings({**told.settings, "zone": n}) for n in range(told.zones)] or [one]
 
-    def _start(self, relay: int, known: KnownList | None = None) -> HollowRelay:
+    def _start(self, relay: int, known: KnownList | None = None) -> SkeletonRelay:
         settings = self.settings[relay % len(self.settings)]
-        config = HollowConfig(
+        config = SkeletonConfig(
             settings,
             parse_limits(None, settings),
             seed=relay + 1,
-            servers=tuple(parse_socket_address(server, "server") for server in self.told.servers),
-            epoch_ns=self.told.epoch_ns,
+            servers=tuple(parse_socket_address(server, "server") for server in self.configuration.servers),
+            epoch_ns=self.configuration.epoch_ns,
             known=known,
         )
         record = self.records.setdefault(relay, RelayRecord(relay))
-        made = HollowRelay(config, self.clock, record, DRIVERS[self.told.distribution])
+        made = SkeletonRelay(config, self.clock, record, DRIVERS[self.configuration.distribution])
         self.relays[relay] = made
         self.tasks.start_soon(made.run)
         return made
@@ -91,7 +91,7 @@
 async def run() -> None:
     """Until the parent is gone."""
     async with anyio.create_task_group() as tasks:
-        await answer_calls(HollowHost(tasks).handle)
+        await answer_calls(SkeletonHost(tasks).handle)
         tasks.cancel_scope.cancel()
 
 
--- a/gannetweir/lab/scale/skeleton_relay.py
+++ b/gannetweir/lab/scale/skeleton_relay.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HollowConfig:
+class SkeletonConfig:
     """What one hollow relay is told."""
 
     settings: Settings
@@ -72,15 +72,15 @@
         return data
 
 
-class HollowRelay:
+class SkeletonRelay:
     """One life of a relay, from a start without a list until it is stopped. The record outlives it."""
 
     def __init__(
         self,
-        config: HollowConfig,
+        config: SkeletonConfig,
         clock: Callable[[], int],
         record: RelayRecord,
-        driver: Callable[[HollowRelay], MembershipDriver],
+        driver: Callable[[SkeletonRelay], MembershipDriver],
     ) -> None:
         self.config, self.clock, self.record = config, clock, record
         self.engine = e.Engine(config.settings, config.limits, config.seed, self._started_with(), clock())
--- a/gannetweir/lab/scale/store.py
+++ b/gannetweir/lab/scale/store.py
@@ -37,7 +37,7 @@
         content = Content(Entry(key, body) for key, body in entries.items())
         self.contents[resource], self.numbers[resource] = content, number
         self.logs[resource] = VersionLog(Version(self.epoch, number, content.digest))
-        self._tell()
+        self._notify_watchers()
 
     def put(self, resource: Resource, entries: Mapping[str, bytes | None]) -> Version:
         """One change; the version that it makes."""
@@ -48,14 +48,14 @@
         self.logs[resource].add(Change(version, dict(entries)))
         if resource not in self.staged:
             self.numbers[resource] = version.number
-        self._tell()
+        self._notify_watchers()
         return version
 
     def release(self, resource: Resource, number: int) -> None:
         """See `Store`."""
         self._reachable()
         self.numbers[resource] = max(number, self.numbers[resource])
-        self._tell()
+        self._notify_watchers()
 
     def restore(self, number: int) -> Version:
         """The store is lost and comes back from a copy of that version's membership: another epoch, one more
@@ -65,7 +65,7 @@
         self._begin(self.epoch + 1)
         return self.put(Resource.MEMBERSHIP, old)
 
-    def _tell(self) -> None:
+    def _notify_watchers(self) -> None:
         if self.event is not None:
             self.event.set()
             self.event = None
--- a/gannetweir/lab/scale/tables.py
+++ b/gannetweir/lab/scale/tables.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from gannetweir.lab.scale import target as t
+from gannetweir.lab.scale import target
 from gannetweir.lab.scale.events import events
 from gannetweir.lab.scale.flips import Finding
-from gannetweir.lab.scale.model import Load
+from gannetweir.lab.scale.model import CapacityLoad
 from gannetweir.lab.scale.record import Record
 from gannetweir.lab.scale.role_table import Row
 from gannetweir.lab.scale.seen import SEEN
@@ -119,7 +119,7 @@
     ]
     found = []
     for a in sweep():
-        load = Load(record, a)
+        load = CapacityLoad(record, a)
         sort = load.setups_core() - load.setups_core(False)
         found.append(
             [
@@ -152,8 +152,8 @@
         "held, MB",
     ]
     found = []
-    for entries in t.BACKENDS:
-        load = Load(record, Assumptions(backends=entries))
+    for entries in target.BACKENDS:
+        load = CapacityLoad(record, Assumptions(backends=entries))
         cells = [
             load.list_bytes() / 1e3,
             load.list_s(),
@@ -190,7 +190,7 @@
     columns = ["assumption", "processes", "probes a second of a relay", "probes a second at a backend"]
     found = []
     for a in sweep():
-        load = Load(record, a)
+        load = CapacityLoad(record, a)
         count = load.processes()
         cells = (
             [None, None] if count is None else [count * load.probes_s(count), load.backend_probes_s(count)]
@@ -199,7 +199,7 @@
     return columns, found
 
 
-def event_table(load: Load) -> Table:
+def event_table(load: CapacityLoad) -> Table:
     """Every event under one pair of assumptions."""
     columns = [
         "event",
@@ -218,7 +218,7 @@
             event.setups_each,
             event.setups_s,
             event.store_calls,
-            event.told_kb,
+            event.sent_kb,
             event.in_force_s,
         )
         found.append([event.name, *map(number, cells), event.why])
--- a/gannetweir/lab/scale/true_relay.py
+++ b/gannetweir/lab/scale/true_relay.py
@@ -36,7 +36,7 @@
     }
 
 
-class TrueRelays:
+class WholeRelays:
     """Some processes that watch the fleet's servers, and one that has no list, for the memory of one."""
 
     def __init__(self, settings: dict[str, Any], servers: list[str]) -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,11 +7,10 @@
 import pytest
 
 from gannetweir.lab.__main__ import main
-from gannetweir.lab.scale import fanout, lists, page, run
-from gannetweir.lab.scale import target as t
+from gannetweir.lab.scale import fanout, lists, page, run, target
 from gannetweir.lab.scale.charts import draw
 from gannetweir.lab.scale.flips import CONCLUSIONS, Conclusion, edge, find
-from gannetweir.lab.scale.model import Load, window_entries
+from gannetweir.lab.scale.model import CapacityLoad, window_entries
 from gannetweir.lab.scale.processes import backend
 from gannetweir.lab.scale.record import GROUPS, Record, read_record
 from gannetweir.lab.scale.role_table import rows
@@ -19,7 +18,7 @@
 from gannetweir.lab.scale.target import Assumptions, sweep
 
 ROOT = Path(__file__).parent.parent
-KEPT = ROOT / run.KEPT
+KEPT = ROOT / run.RECORD_FOLDER
 SIZES = (10, 20, 80, 160)
 
 
@@ -113,16 +112,16 @@
 def test_the_sweep_is_whole_and_a_conclusion_flips_where_it_is_computed_to() -> None:
     record = committed()
     names = [a.name for a in sweep()]
-    assert len(set(names)) == len(t.BACKENDS) * len(t.LIVES_S) == 9
-    flips = find(Conclusion("c", lambda load: load.a.backends / 3000), record)
+    assert len(set(names)) == len(target.BACKENDS) * len(target.LIVES_S) == 9
+    flips = find(Conclusion("c", lambda load: load.assumptions.backends / 3000), record)
     assert flips.flips and flips.edge_backends == pytest.approx(3000, abs=1) and flips.edge_life_s is None
     assert list(flips.ratios) == names
-    by_life = find(Conclusion("c", lambda load: 100.0 / load.a.life_s), record)
+    by_life = find(Conclusion("c", lambda load: 100.0 / load.assumptions.life_s), record)
     assert by_life.edge_life_s == pytest.approx(100.0) and by_life.edge_backends is None
-    assert not find(Conclusion("c", lambda load: load.a.backends / 1e6), record).flips
+    assert not find(Conclusion("c", lambda load: load.assumptions.backends / 1e6), record).flips
     whole = find(CONCLUSIONS[0], record)
     assert whole.ratios[Assumptions().name] == pytest.approx(
-        Load(record, Assumptions()).list_bytes() / t.WINDOW_BYTES
+        CapacityLoad(record, Assumptions()).list_bytes() / target.WINDOW_BYTES
     )
 
 
@@ -131,17 +130,17 @@
     assert window_entries(changed(record, list__wire=cost("list.wire", lambda n: 100.0 * n))) == 1200
     quadratic = cost("connection.memory.relay", lambda n: 0.001 * n * n)
     broken = changed(record, connection__memory__relay=quadratic)
-    memory = next(row for row in rows(Load(broken, Assumptions())) if row.source == quadratic.key)
+    memory = next(row for row in rows(CapacityLoad(broken, Assumptions())) if row.source == quadratic.key)
     assert memory.value is None and memory.ratio is None
     written = page.text(broken)
     assert "| resident memory | - |" in written
     assert quadratic.key in written.split("Refused: ")[1].split("What follows")[0]
-    unknown = Conclusion("c", lambda load: quadratic.at(load.a.backends))
+    unknown = Conclusion("c", lambda load: quadratic.at(load.assumptions.backends))
     assert set(find(unknown, record).ratios.values()) == {None}
 
 
 def test_the_fewest_processes_that_carry_a_machine() -> None:
-    load = Load(committed(), Assumptions())
+    load = CapacityLoad(committed(), Assumptions())
     count = load.processes()
     assert count is not None
 
@@ -149,17 +148,17 @@
         own = load.control_core(processes) + load.lines_core(processes)
         return (own + load.setups_core()) / processes
 
-    assert used(count) <= load.a.busy < used(count - 1)
+    assert used(count) <= load.assumptions.busy < used(count - 1)
     unsorted = load.processes(sorted_order=False)
     assert unsorted is not None and unsorted <= count
     lines = cost("line.push.relay", lambda n: 900_000.0 + n)  # a process pays more than it may use
-    assert Load(changed(load.record, line__push__relay=lines), Assumptions()).processes() is None
+    assert CapacityLoad(changed(load.record, line__push__relay=lines), Assumptions()).processes() is None
 
 
 def test_every_source_is_in_the_record() -> None:
     record = committed()
     assert set(record.groups) == set(GROUPS)
-    for row in rows(Load(record, Assumptions())):
+    for row in rows(CapacityLoad(record, Assumptions())):
         for source in row.source.split(", "):
             assert source in record.costs or source.startswith(("told", "processes", "-")), source
 
