--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -45,19 +45,19 @@
 docopt(cli.__doc__, argv=["serve"])
 from gannetweir.net import relay
 mark()
-from gannetweir.config import load
-config = load(dict(os.environ))
+from gannetweir.config import load_config
+config = load_config(dict(os.environ))
 mark()
-from gannetweir.proto.endpoint_watch import PoolWatch, read_known
-known = read_known(config.known, config.settings)
+from gannetweir.proto.endpoint_watch import EndpointWatch, read_cached_membership
+known = read_cached_membership(config.known_endpoints, config.settings)
 mark()
 from gannetweir.core import Engine
 engine = Engine(config.settings, config.limits, config.seed, known, 1)
 mark()
-watch = PoolWatch("127.0.0.1:1", 0, config.settings, config.limits)
+watch = EndpointWatch("127.0.0.1:1", 0, config.settings, config.limits)
 with open(os.environ["ANSWER"], "rb") as file:
-    for news in watch.feed(file.read()):
-        engine.endpoint_update_received(news, 2)
+    for update in watch.feed(file.read()):
+        engine.endpoint_update_received(update, 2)
 mark()
 print(json.dumps([1e3 * (later - before) for before, later in zip([0.0, *marks], marks)]))
 """
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -34,7 +34,7 @@
     "reading a whole list",
     "µs",
     "entries",
-    "PoolWatch.feed in reads of 8,192 bytes, processor time",
+    "EndpointWatch.feed in reads of 8,192 bytes, processor time",
 )
 APPLY = Named(
     "list.apply",
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -21,7 +21,8 @@
         c1/upstream expect hello 1
         c1/upstream send hello 1
         c1 expect hello 1
-        c1 expect nothing""",
+        c1 expect nothing
+        c1/upstream expect nothing""",
     "only d changes in the first line": """
         c1 send OPEN 0a 0b zz=Q,c=plain,g=0c,d=1999,h=12.5,r=1
         c1/upstream expect OPEN 0a 0b zz=Q,c=plain,g=0c,d=500,h=12.5,r=1""",
