--- a/gannetweir/placement/arrival_placement.py
+++ b/gannetweir/placement/arrival_placement.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from gannetweir.placement.context import Choice, Deferral, PlacementContext
+from gannetweir.placement.context import Choice, Deferral, FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
-from gannetweir.placement.fleet_state import FleetState
 from gannetweir.placement.load_model import LoadModel
 from gannetweir.placement.packing import Packing, UniformDraw
 from gannetweir.placement.pending_request import PendingRequest
--- a/gannetweir/placement/attempt_dispatch.py
+++ b/gannetweir/placement/attempt_dispatch.py
@@ -5,9 +5,8 @@
 from gannetweir.placement.actions import FailRequest, RejectRequest, StartAttempt
 from gannetweir.placement.admission import AdmissionThrottle, LoadLimit
 from gannetweir.placement.arrival_placement import ArrivalPlacement
-from gannetweir.placement.context import Choice, Deferral, PlacementContext
+from gannetweir.placement.context import Choice, Deferral, FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
-from gannetweir.placement.fleet_state import FleetState
 from gannetweir.placement.group_placement import GroupPlacement
 from gannetweir.placement.load_model import LoadModel
 from gannetweir.placement.packing import UniformDraw
--- a/gannetweir/placement/balancer.py
+++ b/gannetweir/placement/balancer.py
@@ -6,12 +6,12 @@
 from gannetweir.placement.admission import AdmissionThrottle, LoadLimit
 from gannetweir.placement.arrival_placement import ArrivalPlacement
 from gannetweir.placement.attempt_dispatch import AttemptDispatch
-from gannetweir.placement.connection_metrics import ConnectionMetrics
 from gannetweir.placement.context import (
     POLL_TIMER,
     RETRY_TIMER,
     TICK_INTERVAL_US,
     TICK_TIMER,
+    FleetState,
     PlacementContext,
 )
 from gannetweir.placement.endpoint_polling import EndpointPolling
@@ -28,10 +28,9 @@
     RequestArrived,
     TimerExpired,
 )
-from gannetweir.placement.fleet_state import FleetState
 from gannetweir.placement.group_placement import GroupPlacement
 from gannetweir.placement.load_model import LoadModel
-from gannetweir.placement.load_probing import LoadProbing
+from gannetweir.placement.load_probing import ConnectionMetrics, LoadProbing
 from gannetweir.placement.outlier_ejection import OutlierEjection
 from gannetweir.placement.packing import Packing, UniformDraw
 from gannetweir.placement.probe_results import ProbeResults
--- a/gannetweir/placement/context.py
+++ b/gannetweir/placement/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one balancer share: settings, random numbers, and the actions of the event at hand."""
+"""What the parts of one balancer share: settings, random numbers, actions, and the state of the fleet."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 from gannetweir.placement.actions import Action, SetTimer, WriteLog
 from gannetweir.placement.endpoint_state import EndpointState
-from gannetweir.placement.pending_request import PendingRequest
+from gannetweir.placement.events import EndpointId
+from gannetweir.placement.load_reports import LoadReportTable
+from gannetweir.placement.pending_request import PendingRequest, PendingRequests
+from gannetweir.placement.ready_endpoints import ReadyEndpoints
 from gannetweir.placement.settings import Settings
 
 # The tokens of the timers that a balancer sets.
@@ -75,3 +78,13 @@
             return
         self._last_logged_us[kind] = now_us
         self.actions.append(WriteLog(f"{kind}: {text}"))
+
+
+class FleetState:
+    """What a relay remembers of the fleet and of its own requests; each record has its own writers."""
+
+    def __init__(self) -> None:
+        self.endpoints: dict[EndpointId, EndpointState] = {}  # all ever listed; `EndpointUpdates` writes it
+        self.ready_endpoints = ReadyEndpoints()
+        self.requests = PendingRequests()  # `RequestLifecycle` adds, it and `AttemptDispatch` remove
+        self.reports = LoadReportTable()
--- a/gannetweir/placement/endpoint_updates.py
+++ b/gannetweir/placement/endpoint_updates.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from gannetweir.placement.context import FleetState
 from gannetweir.placement.endpoint_polling import EndpointPolling
 from gannetweir.placement.endpoint_state import EndpointState
 from gannetweir.placement.events import (
@@ -10,7 +11,6 @@
     EndpointStatus,
     UpdateKind,
 )
-from gannetweir.placement.fleet_state import FleetState
 from gannetweir.placement.packing import Packing, UniformDraw
 from gannetweir.placement.slow_start import SlowStart
 
--- a/gannetweir/placement/group_placement.py
+++ b/gannetweir/placement/group_placement.py
@@ -8,12 +8,10 @@
 
 from collections.abc import Callable, Iterator
 from itertools import chain, islice
-from typing import NamedTuple
 
 from gannetweir.placement.admission import LoadLimit
-from gannetweir.placement.context import REPORT_FRESH_US, Choice, Deferral, PlacementContext
+from gannetweir.placement.context import REPORT_FRESH_US, Choice, Deferral, FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
-from gannetweir.placement.fleet_state import FleetState
 from gannetweir.placement.pending_request import PendingRequest
 from gannetweir.placement.slow_start import SlowStart
 
@@ -46,14 +44,22 @@
             self.examined.remove(endpoint)
 
 
-class _Preference(NamedTuple):
+class _Preference:
     """The order in which the endpoints come into question for a group, at one moment."""
 
-    permitted: list[EndpointState]  # may be used though they are warming up
-    in_own_zone: list[EndpointState]  # the first of the own zone in the group's ranking, or none
-    holders: dict[EndpointState, int]  # how many of the group are at each of its endpoints
-    first_ranked: list[EndpointState]  # those that the group belongs to
-    path: Iterator[EndpointState]
+    def __init__(
+        self,
+        permitted: list[EndpointState],
+        in_own_zone: list[EndpointState],
+        holders: dict[EndpointState, int],
+        first_ranked: list[EndpointState],
+        path: Iterator[EndpointState],
+    ) -> None:
+        self.permitted = permitted  # may be used though they are warming up
+        self.in_own_zone = in_own_zone  # the first of the own zone in the group's ranking, or none
+        self.holders = holders  # how many of the group are at each of its endpoints
+        self.first_ranked = first_ranked  # those that the group belongs to
+        self.path = path
 
 
 class GroupPlacement:
--- a/gannetweir/placement/load_model.py
+++ b/gannetweir/placement/load_model.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from gannetweir.placement.context import RETRY_TIMER, TICK_INTERVAL_US, PlacementContext
+from gannetweir.placement.context import RETRY_TIMER, TICK_INTERVAL_US, FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
-from gannetweir.placement.fleet_state import FleetState
 from gannetweir.placement.pending_request import PendingRequest
 
 GROUP_COST = 3.0  # mean connection loads that an endpoint pays for each group of which it has any
--- a/gannetweir/placement/load_probing.py
+++ b/gannetweir/placement/load_probing.py
@@ -1,12 +1,14 @@
-"""Load probes: health checks that read an endpoint's load, also ahead of need."""
+"""Load probes: health checks that read an endpoint's load, ahead of need and where messages are late."""
 
 from __future__ import annotations
 
+import math
+
 from gannetweir.placement.actions import ProbeLoad
 from gannetweir.placement.admission import LoadLimit
-from gannetweir.placement.context import REPORT_FRESH_US, PlacementContext
+from gannetweir.placement.context import REPORT_FRESH_US, FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
-from gannetweir.placement.fleet_state import FleetState
+from gannetweir.placement.events import ConnectionMetric, MetricKind
 
 # How old a probe of an endpoint that holds own connections may be, in `REPORT_FRESH_US`.
 MAX_AGE_WITHOUT_REPORT = 1
@@ -15,6 +17,10 @@
 HIGH_LOAD = 0.7  # of the load limit, from which an endpoint is probed more often
 RELAYS_A_PROBE = 4  # relays that hold connections at an endpoint share its probes: each probes less often
 MAX_SHARING = 4  # times less often, at most: an overload has to be seen in a few seconds
+DEFAULT_LATENCY_OBJECTIVE_US = 1e5  # for a message, where no class of messages states one
+DELAYED_MESSAGE_REPORT_US = 4 * REPORT_FRESH_US  # age up to which a report makes a late message count
+DELAYED_MESSAGE_PROBE_US = 2 * REPORT_FRESH_US  # between two probes that late messages lead to
+MICROSECONDS_A_MILLISECOND = 1000
 
 
 class LoadProbing:
@@ -50,3 +56,36 @@
             relays = min(self._context.settings.relay_count, endpoint.connections / len(endpoint.request_ids))
             age *= int(min(MAX_SHARING, max(1, relays / RELAYS_A_PROBE)))
         return age * REPORT_FRESH_US
+
+
+class ConnectionMetrics:
+    """Takes in the measurements. It has no state of its own."""
+
+    def __init__(
+        self, context: PlacementContext, state: FleetState, load_limit: LoadLimit, probing: LoadProbing
+    ) -> None:
+        self._context = context
+        self._state = state
+        self._load_limit = load_limit
+        self._probing = probing
+
+    def connection_measured(self, event: ConnectionMetric, now_us: int) -> None:
+        """Take in the load of an open connection, or how long a message takes at its endpoint."""
+        endpoint = self._state.endpoints.get(event.endpoint_id)
+        request = self._state.requests.get(event.request_id)
+        if endpoint is None or request is None or not math.isfinite(event.value):
+            return
+        if event.kind == MetricKind.LOAD:
+            request.load_hint = max(0.0, event.value)
+        elif event.kind == MetricKind.MESSAGE_DELAY:
+            delay_us = event.value * MICROSECONDS_A_MILLISECOND
+            objectives_us = self._context.settings.message_latency_objectives_us
+            if delay_us >= min(objectives_us, default=DEFAULT_LATENCY_OBJECTIVE_US):
+                self._message_was_delayed(endpoint, now_us)
+
+    def _message_was_delayed(self, endpoint: EndpointState, now_us: int) -> None:
+        is_within_limit = endpoint.has_report and endpoint.load < self._load_limit.value
+        if is_within_limit and now_us - endpoint.reported_us < DELAYED_MESSAGE_REPORT_US:
+            self._load_limit.note_delayed_message()
+        if self._context.probes_load and now_us - endpoint.probed_us > DELAYED_MESSAGE_PROBE_US:
+            self._probing.probe(endpoint, now_us)
--- a/gannetweir/placement/outlier_ejection.py
+++ b/gannetweir/placement/outlier_ejection.py
@@ -4,9 +4,8 @@
 
 from collections.abc import Callable
 
-from gannetweir.placement.context import PlacementContext
+from gannetweir.placement.context import FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
-from gannetweir.placement.fleet_state import FleetState
 
 MAX_EJECTED_DIVISOR = 3  # at most a third is ejected: many at once have a shared cause (store, overload)
 BASE_EJECTION_US = 500_000  # doubled with each ejection in a row
--- a/gannetweir/placement/packing.py
+++ b/gannetweir/placement/packing.py
@@ -11,9 +11,8 @@
 import math
 from collections.abc import Callable, Container
 
-from gannetweir.placement.context import REPORT_FRESH_US, PlacementContext
+from gannetweir.placement.context import REPORT_FRESH_US, FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
-from gannetweir.placement.fleet_state import FleetState
 from gannetweir.placement.slow_start import SlowStart
 
 MAX_DRAWS = 12  # random numbers for one uniform draw, where most may not be sent to
--- a/gannetweir/placement/probe_results.py
+++ b/gannetweir/placement/probe_results.py
@@ -6,10 +6,9 @@
 
 from gannetweir.placement.actions import MigrateConnection
 from gannetweir.placement.attempt_dispatch import AttemptDispatch
-from gannetweir.placement.context import PlacementContext
+from gannetweir.placement.context import FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
 from gannetweir.placement.events import AttemptStatus, LoadProbeResult
-from gannetweir.placement.fleet_state import FleetState
 from gannetweir.placement.group_placement import GroupPlacement
 from gannetweir.placement.load_model import LoadModel
 from gannetweir.placement.outlier_ejection import OutlierEjection
--- a/gannetweir/placement/rebalancing.py
+++ b/gannetweir/placement/rebalancing.py
@@ -6,9 +6,8 @@
 
 from gannetweir.placement.actions import MigrateConnection
 from gannetweir.placement.admission import LoadLimit
-from gannetweir.placement.context import REPORT_FRESH_US, PlacementContext
+from gannetweir.placement.context import REPORT_FRESH_US, FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
-from gannetweir.placement.fleet_state import FleetState
 from gannetweir.placement.group_placement import OWN_ZONE_LOAD_LIMIT
 from gannetweir.placement.load_model import LoadModel
 from gannetweir.placement.pending_request import PendingRequest
--- a/gannetweir/placement/request_lifecycle.py
+++ b/gannetweir/placement/request_lifecycle.py
@@ -4,7 +4,7 @@
 
 from gannetweir.placement.admission import AdmissionThrottle
 from gannetweir.placement.attempt_dispatch import AttemptDispatch
-from gannetweir.placement.context import PlacementContext
+from gannetweir.placement.context import FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
 from gannetweir.placement.events import (
     NOT_EXECUTED,
@@ -16,7 +16,6 @@
     RequestArrived,
     RequestFlag,
 )
-from gannetweir.placement.fleet_state import FleetState
 from gannetweir.placement.group_placement import GroupPlacement
 from gannetweir.placement.outlier_ejection import OutlierEjection
 from gannetweir.placement.packing import Packing
--- a/gannetweir/placement/slow_start.py
+++ b/gannetweir/placement/slow_start.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from gannetweir.placement.context import TICK_INTERVAL_US, PlacementContext
+from gannetweir.placement.context import TICK_INTERVAL_US, FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
-from gannetweir.placement.fleet_state import FleetState
 
 BUDGET_SHARE = 0.6  # of a warming endpoint's budget: the rest is for chance, probes and heavy connections
 # Ends and time as if seen already: until it has been measured, a connection's life counts as a long one.
