--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A gateway and the events it is given, built without the wire."""
+"""A balancer and the events that it is given, built without the wire."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def settings(**changes: object) -> Settings:
-    """A fleet of one gateway with probes, full reports and repeatable requests, unless told otherwise."""
+    """A fleet of one relay with probes, full reports and repeatable requests, but for the changes."""
     values: dict[str, object] = {
         "classes": [RequestClass("plain", idempotency="repeatable", idempotency_window_us=5 * SECOND)],
         "load_report_fields": ["concurrent", "x0"],
@@ -41,11 +41,11 @@
     return Settings(**values)  # type: ignore[arg-type]
 
 
-def of(actions: Iterable[Action], kind: type[ActionKind]) -> list[ActionKind]:
+def actions_of(actions: Iterable[Action], kind: type[ActionKind]) -> list[ActionKind]:
     return [action for action in actions if isinstance(action, kind)]
 
 
-class Gateway:
+class BalancerDriver:
     """Drives one `Balancer`; `loads` are the reports that its probes are answered with."""
 
     def __init__(
@@ -61,9 +61,9 @@
         self.now = 100 * SECOND
         self.balancer = Balancer(settings(**changes), seed, self.now)
         self.loads: dict[int, tuple[float, float]] = dict.fromkeys(range(servers), (10.0, 0.5))
-        self.silent: set[int] = set()
-        self.sent: list[StartAttempt] = []
-        self.log: list[Action] = []
+        self.silent_endpoints: set[int] = set()
+        self.started_attempts: list[StartAttempt] = []
+        self.all_actions: list[Action] = []
         self.attempts: dict[int, int] = {}
         self.next_id = 1
         entries = [
@@ -78,20 +78,20 @@
             )
             for n in range(servers)
         ]
-        self.listed = dict(enumerate(entries))  # an endpoint keeps its zone and cell when it comes back
-        self.give(EndpointListUpdate(UpdateKind.CACHED, 1, entries))
+        self.entries = dict(enumerate(entries))  # an endpoint keeps its zone and cell when it comes back
+        self.handle(EndpointListUpdate(UpdateKind.CACHED, 1, entries))
 
-    def give(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         """One event, and the answers to the probes it led to."""
         actions = self.balancer.handle(event, self.now)
-        self.log += actions
-        for send in of(actions, StartAttempt):
-            self.sent.append(send)
+        self.all_actions += actions
+        for send in actions_of(actions, StartAttempt):
+            self.started_attempts.append(send)
             self.attempts[send.request_id] = self.attempts.get(send.request_id, -1) + 1
         result = list(actions)
-        for probe in of(actions, ProbeLoad):
-            if probe.endpoint_id not in self.silent:
-                result += self.give(
+        for probe in actions_of(actions, ProbeLoad):
+            if probe.endpoint_id not in self.silent_endpoints:
+                result += self.handle(
                     LoadProbeResult(probe.endpoint_id, AttemptStatus.OK, 1000, self.loads[probe.endpoint_id])
                 )
         return result
@@ -100,25 +100,25 @@
         """A request with two seconds to go."""
         fields.setdefault("time_budget_us", 2 * SECOND)
         rid, self.next_id = self.next_id, self.next_id + 1
-        return self.give(RequestArrived(rid, **fields))
+        return self.handle(RequestArrived(rid, **fields))
 
     def establish(self, send: StartAttempt) -> None:
-        self.give(
+        self.handle(
             ConnectionEstablished(send.request_id, self.attempts[send.request_id], send.endpoint_id, 10_000)
         )
 
     def end(self, send: StartAttempt, status: int, closed: int = 0) -> list[Action]:
         attempt = self.attempts[send.request_id]
-        return self.give(AttemptEnded(send.request_id, attempt, status, closed, send.endpoint_id, 10_000))
+        return self.handle(AttemptEnded(send.request_id, attempt, status, closed, send.endpoint_id, 10_000))
 
-    def mark(self, server: int, state: int, started_us: int = 0) -> list[Action]:
-        entry = replace(self.listed[server], state=state, started_us=started_us)
-        return self.give(EndpointListUpdate(UpdateKind.DELTA, 2, [entry]))
+    def change_status(self, server: int, state: int, started_us: int = 0) -> list[Action]:
+        entry = replace(self.entries[server], state=state, started_us=started_us)
+        return self.handle(EndpointListUpdate(UpdateKind.DELTA, 2, [entry]))
 
-    def pass_time(self, microseconds: int) -> None:
+    def advance(self, microseconds: int) -> None:
         self.now += microseconds
 
-    def aside(self) -> list[EndpointId]:
+    def ejected_endpoints(self) -> list[EndpointId]:
         """The servers that nothing is sent to for now, by what was seen of them."""
         return [
             node.endpoint_id
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -15,7 +15,7 @@
 from gannetweir.placement.actions import StartAttempt
 from gannetweir.placement.events import EndpointEntry, EndpointStatus, TimerExpired
 from gannetweir.proto.endpoint_watch import EndpointWatch, WatchFailed
-from tests.helpers import Gateway, of, settings
+from tests.helpers import BalancerDriver, actions_of, settings
 from tests.scenario import play
 from tests.test_endpoint_watch import HEAD, LAYOUTS, chunk
 
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("step", [100, 8192])
 @pytest.mark.parametrize("layout", LAYOUTS.values(), ids=LAYOUTS.keys())
-def test_a_whole_list_and_its_news(layout: Any, step: int) -> None:
+def test_a_complete_list_and_its_changes(layout: Any, step: int) -> None:
     watch = EndpointWatch("d:1", 0, settings(zone_names=["a"], machine_types=["m1"]), Limits())
     lists = [{"seq": 7, "whole": True, "hosts": hosts()}, {"seq": 8, "whole": False, "hosts": hosts("Gone")}]
     whole, news = told(watch, b"".join(layout(data).encode() + b"\n" for data in lists), step)
@@ -70,7 +70,7 @@
         ({}, 100_000, "line too long"),
     ],
 )
-def test_one_that_is_spoilt_or_past_the_limit_leaves_the_old_list(
+def test_a_malformed_or_too_long_list_leaves_the_old_one(
     spoilt: dict[str, Any], limit: int, reason: str
 ) -> None:
     watch = EndpointWatch(
@@ -98,7 +98,7 @@
     """Processor time of the module's events, one kind at a time, least of three days."""
     least: dict[str, float] = {}
     for day in range(3):
-        g = Gateway(
+        g = BalancerDriver(
             servers,
             seed=1,
             relay_count=COUNT,
@@ -110,21 +110,21 @@
         g.loads = dict.fromkeys(range(servers), (10.0, 0.4))
         spent = dict.fromkeys(("arrival", "tick", "held"), 0.0)
         for n in range(300):
-            g.pass_time(50_000)
+            g.advance(50_000)
             began = time.process_time()
-            sent = of(g.arrive(group=n % 30 + 1), StartAttempt)
+            sent = actions_of(g.arrive(group=n % 30 + 1), StartAttempt)
             spent["arrival"] += time.process_time() - began
             for send in sent:
                 g.establish(send)
             for kind, token in (("tick", 1), ("held", 3)):
                 began = time.process_time()
-                g.give(TimerExpired(token))
+                g.handle(TimerExpired(token))
                 spent[kind] += time.process_time() - began
         least = spent if not day else {kind: min(least[kind], spent[kind]) for kind in spent}
     return least
 
 
-def test_an_event_is_not_dearer_by_the_pool() -> None:
+def test_an_event_costs_no_more_with_more_endpoints() -> None:
     small, large = cost(64), cost(COUNT)
     # 16 times the backends; measured: 2.3 an arrival (an order is sorted once a group), 1.1 a tick or timer
     assert all(large[kind] < 6 * small[kind] for kind in small), (small, large)
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -10,29 +10,29 @@
 from gannetweir.placement.events import AttemptStatus, LoadProbeResult, TimerExpired
 from gannetweir.proto.load_report import parse_load_report
 from gannetweir.proto.upstream_connection import EndpointLine, LoadReported, UpstreamConnection
-from tests.helpers import SECOND, Gateway, of
+from tests.helpers import SECOND, BalancerDriver, actions_of
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_places_exactly_by_the_papers_rule(seed: int) -> None:
     """Equal servers, fresh reports, one gateway: a draw gets ceil(W/n) + 1 - x, or one if not below W/n."""
     rng = random.Random(seed)
-    g = Gateway(5, seed=seed, load_report_fields=["concurrent"])
+    g = BalancerDriver(5, seed=seed, load_report_fields=["concurrent"])
     counts = {n: rng.randrange(0, 12) for n in range(5)}
     g.loads.update({n: (float(c), 0.0) for n, c in counts.items()})
     for n in range(5):  # the table knows every server
-        g.give(LoadProbeResult(n, AttemptStatus.OK, 1000, (float(counts[n]),)))
+        g.handle(LoadProbeResult(n, AttemptStatus.OK, 1000, (float(counts[n]),)))
     g.loads = {n: (float(c), 0.0) for n, c in counts.items()}
     left, target = 0, -1
     g.balancer.packing.target = None  # what was drawn before the table was complete does not count
     for _ in range(60):
-        before = len(g.sent)
+        before = len(g.started_attempts)
         g.loads = {n: (float(c), 0.0) for n, c in counts.items()}
         for node in g.balancer.state.ready_endpoints.all:
             node.recent_placements.clear()  # these reports count what was just placed
         g.arrive()
-        assert len(g.sent) == before + 1
-        chosen = g.sent[-1].endpoint_id
+        assert len(g.started_attempts) == before + 1
+        chosen = g.started_attempts[-1].endpoint_id
         if left == 0:
             mean = sum(counts.values()) / 5
             x = counts[chosen]
@@ -44,7 +44,7 @@
             g.balancer.packing.target = None
             for n in range(5):
                 g.balancer.state.endpoints[n].recent_placements.clear()
-                g.give(LoadProbeResult(n, AttemptStatus.OK, 1000, (float(counts[n]),)))
+                g.handle(LoadProbeResult(n, AttemptStatus.OK, 1000, (float(counts[n]),)))
 
 
 @pytest.mark.parametrize(
@@ -52,7 +52,7 @@
     [(10.0, 10.0, 1), (11.0, 10.0, 1), (9.0, 10.0, 2), (4.0, 10.0, 7), (9.5, 10.0, 1), (9.0, 9.25, 2)],
 )
 def test_fill_at_the_mean_and_with_ceilings(x: float, mean: float, fill: int) -> None:
-    g = Gateway(2, load_report_fields=["concurrent"])
+    g = BalancerDriver(2, load_report_fields=["concurrent"])
     b = g.balancer
     node, other = b.state.endpoints[0], b.state.endpoints[1]
     b.state.reports.record(node, x, 0.0)
@@ -62,7 +62,7 @@
 
 def test_unequal_servers_are_filled_to_equal_load() -> None:
     """Count 10 at a quarter of the mean load has room for far more than the mean count."""
-    g = Gateway(2)
+    g = BalancerDriver(2)
     b = g.balancer
     b.state.reports.record(b.state.endpoints[0], 10.0, 0.2)
     b.state.reports.record(b.state.endpoints[1], 10.0, 0.6)
@@ -71,15 +71,15 @@
 
 
 def test_no_load_near_zero_divides() -> None:
-    g = Gateway(2)
+    g = BalancerDriver(2)
     b = g.balancer
     b.state.reports.record(b.state.endpoints[0], 1.0, 0.0)
     b.state.reports.record(b.state.endpoints[1], 9.0, 0.6)
     assert b.packing.allotment(b.state.endpoints[0]) == 5
 
 
-def test_many_gateways_share_a_fill() -> None:
-    g = Gateway(2, relay_count=20, load_report_fields=["concurrent"])
+def test_many_relays_share_a_fill() -> None:
+    g = BalancerDriver(2, relay_count=20, load_report_fields=["concurrent"])
     b = g.balancer
     b.state.reports.record(b.state.endpoints[0], 0.0, 0.0)
     b.state.reports.record(b.state.endpoints[1], 40.0, 0.0)
@@ -87,30 +87,30 @@
     assert 1.8 < sum(fills) / 200 < 2.5  # 21 over ten gateways a server
 
 
-def test_draw_is_biased_with_many_gateways_or_known_loads_only() -> None:
+def test_the_sample_is_repeated_only_with_many_relays_or_known_loads() -> None:
     """Otherwise an above-average draw gets its one arrival, as the paper has it."""
     share = {}
     for gateways, names in ((1, ["concurrent"]), (40, ["concurrent"]), (1, ["concurrent", "x0"])):
         hits = 0
         for seed in range(120):
-            g = Gateway(4, seed=seed, relay_count=gateways, load_report_fields=names)
+            g = BalancerDriver(4, seed=seed, relay_count=gateways, load_report_fields=names)
             g.loads = {0: (4.0, 0.2), 1: (12.0, 0.6), 2: (12.0, 0.6), 3: (12.0, 0.6)}
             for n in g.loads:
-                g.give(LoadProbeResult(n, AttemptStatus.OK, 1000, g.loads[n]))
+                g.handle(LoadProbeResult(n, AttemptStatus.OK, 1000, g.loads[n]))
             g.balancer.packing.target = None
             g.arrive()
-            hits += g.sent[-1].endpoint_id == 0
+            hits += g.started_attempts[-1].endpoint_id == 0
         share[gateways, len(names)] = hits / 120
     assert 0.1 < share[1, 1] < 0.4
     assert share[40, 1] > 0.45
     assert share[1, 2] > 0.45
 
 
-def test_own_zone_is_looked_at_first_only_where_crossing_costs() -> None:
+def test_the_own_zone_is_sampled_first_only_where_crossing_costs() -> None:
     for fee, low, high in ((0.03, 0.9, 1.0), (0.0, 0.15, 0.4)):
         hits = 0
         for seed in range(100):
-            g = Gateway(
+            g = BalancerDriver(
                 8,
                 seed=seed,
                 places={n: n % 4 for n in range(8)},
@@ -119,63 +119,66 @@
                 zone_names=["a", "b", "c", "d"],
             )
             g.balancer.packing.target = None
-            first = of(g.arrive(), ProbeLoad)[0].endpoint_id
+            first = actions_of(g.arrive(), ProbeLoad)[0].endpoint_id
             hits += first % 4 == 1
         assert low <= hits / 100 <= high
 
 
-def test_a_fresh_answer_is_used_at_once_and_a_stale_one_looked_at_again() -> None:
-    g = Gateway(4)
-    probes = len(of(g.log, ProbeLoad))
+def test_a_recent_report_is_used_at_once_and_a_stale_target_is_probed_again() -> None:
+    g = BalancerDriver(4)
+    probes = len(actions_of(g.all_actions, ProbeLoad))
     first = g.balancer.packing.target
     actions = g.arrive()
-    assert [send.endpoint_id for send in of(actions, StartAttempt)] == [first.endpoint_id]
-    assert not of(actions, SetTimer)  # nothing was held
-    g.pass_time(3 * SECOND)
+    assert [send.endpoint_id for send in actions_of(actions, StartAttempt)] == [first.endpoint_id]
+    assert not actions_of(actions, SetTimer)  # nothing was held
+    g.advance(3 * SECOND)
     target = g.balancer.packing.target
-    g.silent = {0, 1, 2, 3}
+    g.silent_endpoints = {0, 1, 2, 3}
     actions = g.arrive()
-    assert not of(actions, StartAttempt) and of(actions, ProbeLoad)[0].endpoint_id == target.endpoint_id
-    g.silent = set()
-    actions = g.give(LoadProbeResult(target.endpoint_id, AttemptStatus.OK, 1000, (10.0, 0.5)))
-    assert of(actions, StartAttempt)
-    assert len(of(g.log, ProbeLoad)) > probes
-
-
-def test_an_unanswered_look_holds_an_arrival_only_for_part_of_its_aim() -> None:
-    g = Gateway(4)
-    g.silent = {0, 1, 2, 3}
-    g.pass_time(3 * SECOND)
-    timer = of(g.arrive(), SetTimer)[-1]
+    assert (
+        not actions_of(actions, StartAttempt)
+        and actions_of(actions, ProbeLoad)[0].endpoint_id == target.endpoint_id
+    )
+    g.silent_endpoints = set()
+    actions = g.handle(LoadProbeResult(target.endpoint_id, AttemptStatus.OK, 1000, (10.0, 0.5)))
+    assert actions_of(actions, StartAttempt)
+    assert len(actions_of(g.all_actions, ProbeLoad)) > probes
+
+
+def test_an_unanswered_sample_delays_an_arrival_only_for_part_of_its_latency_objective() -> None:
+    g = BalancerDriver(4)
+    g.silent_endpoints = {0, 1, 2, 3}
+    g.advance(3 * SECOND)
+    timer = actions_of(g.arrive(), SetTimer)[-1]
     assert timer.after_us <= 100_000
-    g.pass_time(timer.after_us)
-    assert of(g.give(TimerExpired(timer.token)), StartAttempt)
+    g.advance(timer.after_us)
+    assert actions_of(g.handle(TimerExpired(timer.token)), StartAttempt)
 
 
-def test_answers_without_a_report_do_not_keep_the_draw_going() -> None:
+def test_answers_without_a_report_end_the_round() -> None:
     """In their first second servers answer probes with no report; draws once went on for ever then."""
-    g = Gateway(4, relay_count=40)
-    g.silent = {0, 1, 2, 3}
+    g = BalancerDriver(4, relay_count=40)
+    g.silent_endpoints = {0, 1, 2, 3}
     g.balancer.packing.target = None
-    pending = of(g.arrive(), ProbeLoad)
+    pending = actions_of(g.arrive(), ProbeLoad)
     looks = len(pending)
     while pending and looks < 50:
-        more = g.give(LoadProbeResult(pending.pop().endpoint_id, AttemptStatus.OK, 1000, ()))
-        pending += of(more, ProbeLoad)
-        looks += len(of(more, ProbeLoad))
+        more = g.handle(LoadProbeResult(pending.pop().endpoint_id, AttemptStatus.OK, 1000, ()))
+        pending += actions_of(more, ProbeLoad)
+        looks += len(actions_of(more, ProbeLoad))
     assert looks < 10
-    assert len(g.sent) == 1
+    assert len(g.started_attempts) == 1
 
 
 @pytest.mark.parametrize("bad", [(math.nan, 0.5), (math.inf, 0.5), (3.0, math.nan), (3.0,), ()])
 def test_odd_reports_do_no_harm(bad: tuple[float, ...]) -> None:
-    g = Gateway(3)
-    g.give(LoadProbeResult(0, AttemptStatus.OK, 1000, bad))
-    g.give(LoadProbeResult("nobody", AttemptStatus.OK, 1000, (1.0, 0.1)))
+    g = BalancerDriver(3)
+    g.handle(LoadProbeResult(0, AttemptStatus.OK, 1000, bad))
+    g.handle(LoadProbeResult("nobody", AttemptStatus.OK, 1000, (1.0, 0.1)))
     assert math.isfinite(g.balancer.state.reports.total_connections) and math.isfinite(
         g.balancer.state.reports.total_load
     )
-    assert of(g.arrive(), StartAttempt)
+    assert actions_of(g.arrive(), StartAttempt)
 
 
 @pytest.mark.parametrize("text", ["concurrent=1e300,x0=0.5", "concurrent=3,x0=-1e308", "concurrent=3,x0=nan"])
@@ -193,29 +196,29 @@
 
 
 def test_works_without_probes_or_reports() -> None:
-    g = Gateway(4, load_probes_enabled=False, load_report_source="none")
+    g = BalancerDriver(4, load_probes_enabled=False, load_report_source="none")
     for _ in range(40):
-        assert len(of(g.arrive(), StartAttempt)) == 1
-    counts = [sum(s.endpoint_id == n for s in g.sent) for n in range(4)]
+        assert len(actions_of(g.arrive(), StartAttempt)) == 1
+    counts = [sum(s.endpoint_id == n for s in g.started_attempts) for n in range(4)]
     assert min(counts) >= 5
 
 
-def test_a_held_arrival_goes_to_the_last_draw_that_answered() -> None:
+def test_a_waiting_arrival_goes_to_the_last_reporter() -> None:
     """Unprobed draws found hung servers; the last one that answered is not hung."""
     for seed in range(20):
-        g = Gateway(8, seed=seed)
+        g = BalancerDriver(8, seed=seed)
         last = g.balancer.uniform_draw.last_reporter[0]
-        g.silent = set(range(8))
-        g.pass_time(3 * SECOND)
-        timer = of(g.arrive(), SetTimer)[-1]
-        g.pass_time(timer.after_us)
-        assert [send.endpoint_id for send in of(g.give(TimerExpired(timer.token)), StartAttempt)] == [
-            last.endpoint_id
-        ]
-
-
-def test_a_hold_leaves_half_of_a_short_budget() -> None:
-    g = Gateway(4)
-    g.silent = {0, 1, 2, 3}
-    g.pass_time(3 * SECOND)
-    assert of(g.arrive(time_budget_us=60_000), SetTimer)[-1].after_us <= 30_000
+        g.silent_endpoints = set(range(8))
+        g.advance(3 * SECOND)
+        timer = actions_of(g.arrive(), SetTimer)[-1]
+        g.advance(timer.after_us)
+        assert [
+            send.endpoint_id for send in actions_of(g.handle(TimerExpired(timer.token)), StartAttempt)
+        ] == [last.endpoint_id]
+
+
+def test_a_wait_for_a_report_leaves_half_of_a_short_time_budget() -> None:
+    g = BalancerDriver(4)
+    g.silent_endpoints = {0, 1, 2, 3}
+    g.advance(3 * SECOND)
+    assert actions_of(g.arrive(time_budget_us=60_000), SetTimer)[-1].after_us <= 30_000
