--- a/gannetweir/lab/experiments/budgets.py
+++ b/gannetweir/lab/experiments/budgets.py
@@ -1,17 +1,22 @@
-"""Experiments on the world. Each returns rows for a table and a chart; the same seeds give the same rows."""
+"""Retry budgets measured on a simulated fleet whose backends fail: the same seeds give the same rows."""
 
 from __future__ import annotations
 
 import random
+from collections.abc import Iterable, Sequence
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, replace
 from pathlib import Path
 
+from gannetweir.lab.model.checker import RequestTrace
 from gannetweir.lab.model.plan import SECOND_US, WorldPlan
 from gannetweir.lab.model.world import World
 
-FAILING_FROM_S, FAILING_UNTIL_S, LENGTH_S = 40, 70, 150  # seconds
-STEP_S = 2
+FAILING_FROM_S, FAILING_UNTIL_S, LENGTH_S = 40, 70, 150
+AFTER_S = 30  # after the failing, in which the share of the served is counted
+RECOVERY_WINDOW_S, RECOVERED_SHARE = 5, 0.95  # so many served over so long: the fleet has recovered
+MIN_FAILURE_RATE, MAX_FAILURE_RATE = 0.4, 0.9
+STEP_S = 2  # of the chart
 
 BUDGET_FILE = """gannetweir version=1
 relay {
@@ -23,66 +28,103 @@
 """
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class BudgetOutcome:
-    """What one run of the failing fleet showed."""
-
-    attempts_per_request: float  # attempts for each request that was asked while it failed
-    worst_second: float  # the same of the worst second
-    attempts_per_first_try: float  # attempts for each first try, the clients' own retries included
-    served_while_failing: float  # share of the requests
-    served_after: float  # of those of the 30 s that follow
-    recovered_after_s: float  # from the end of the failing until 95% are served, and stay so
+    """What one run of the failing fleet showed. Shares are of the requests."""
+
+    attempts_per_request: float  # while the backends fail
+    worst_second: float  # the same, in the worst second
+    attempts_per_first_try: float  # while they fail, the clients' own retries included
+    served_while_failing: float
+    served_after: float  # in the time that follows
+    recovered_after_s: float  # from the end of the failing until nearly all are served, and stay so
     violations: int
-    counts: dict[str, int]
-    served_per_s: list[float]  # served a second, in steps of STEP_S
+    counts: dict[str, int]  # the checker's
+    served_per_s: list[float]  # in steps of STEP_S
 
 
-def run_failing_fleet(plan: WorldPlan, operators_file: str) -> BudgetOutcome:
-    """Every backend fails a share of its own, 40 to 90%, for 30 s."""
-    world = World(plan, operators_file)
-    rng = random.Random(f"{plan.seed} faults")
-    shares = {name: rng.uniform(0.4, 0.9) for name in world.backends}
+class RequestTimeline:
+    """The requests of a run by the second, since its start, in which they were sent."""
+
+    def __init__(self, traces: Iterable[RequestTrace], start_us: int) -> None:
+        self._by_second: dict[int, list[RequestTrace]] = {}
+        for trace in traces:
+            second = (trace.sent_us - start_us) // SECOND_US
+            self._by_second.setdefault(second, []).append(trace)
+
+    def between(self, begin_s: int, end_s: int) -> list[RequestTrace]:
+        """Those sent from one second to before another."""
+        return [trace for second in range(begin_s, end_s) for trace in self._by_second.get(second, [])]
+
+    def served_share(self, begin_s: int, end_s: int) -> float:
+        """The share of them that was served; 0 of none."""
+        traces = self.between(begin_s, end_s)
+        return sum("up" in trace.answers for trace in traces) / max(1, len(traces))
+
+    def attempts_per_request(self, begin_s: int, end_s: int) -> float:
+        """The mean number of attempts of each; 0 of none."""
+        traces = self.between(begin_s, end_s)
+        return sum(trace.attempts for trace in traces) / max(1, len(traces))
+
+    def recovered_after_s(self) -> float:
+        """From the end of the failing until nearly all are served over a window, and stay so."""
+        last_window_s = LENGTH_S - RECOVERY_WINDOW_S
+        unserved = [
+            second
+            for second in range(FAILING_UNTIL_S, last_window_s)
+            if self.served_share(second, second + RECOVERY_WINDOW_S) < RECOVERED_SHARE
+        ]
+        return float(unserved[-1] + 1 - FAILING_UNTIL_S) if unserved else 0.0
+
+
+def _schedule_failures(world: World, rng: random.Random) -> None:
+    """Let every backend fail a share of its own for a while."""
+    rates = {name: rng.uniform(MIN_FAILURE_RATE, MAX_FAILURE_RATE) for name in world.backends}
+
+    def begin() -> None:
+        for name, backend in world.backends.items():
+            backend.failure_rate = rates[name]
 
-    def fail(on: bool) -> None:
+    def end() -> None:
         for backend in world.backends.values():
-            backend.failure_rate = shares[backend.name] if on else 0.0
+            backend.failure_rate = 0.0
 
-    world.schedule(FAILING_FROM_S, lambda: fail(True))
-    world.schedule(FAILING_UNTIL_S, lambda: fail(False))
+    world.schedule(FAILING_FROM_S, begin)
+    world.schedule(FAILING_UNTIL_S, end)
+
+
+def _served_per_s(final_answers: Iterable[tuple[int, str]]) -> list[float]:
+    served = [0.0] * (LENGTH_S // STEP_S)
+    for answered_us, answer in final_answers:
+        second = answered_us // SECOND_US
+        if answer == "up" and second < LENGTH_S:
+            served[second // STEP_S] += 1.0 / STEP_S
+    return served
+
+
+def run_failing_fleet(plan: WorldPlan, operators_file: str) -> BudgetOutcome:
+    """Simulate a fleet whose backends fail from 40 to 70 s."""
+    world = World(plan, operators_file)
+    _schedule_failures(world, random.Random(f"{plan.seed} faults"))
     checker = world.run(LENGTH_S)
-    start = world.clock.now_us - world.clock.elapsed_us
-    by_second: dict[int, list[tuple[int, bool, bool]]] = {}
-    for story in checker.traces.values():
-        second = (story.sent_us - start) // SECOND_US
-        by_second.setdefault(second, []).append((story.attempts, story.is_first_try, "up" in story.answers))
-
-    def window(begin: int, end: int) -> list[tuple[int, bool, bool]]:
-        return [one for second in range(begin, end) for one in by_second.get(second, [])]
-
-    def served(begin: int, end: int) -> float:
-        asked = window(begin, end)
-        return sum(up for _, _, up in asked) / max(1, len(asked))
-
-    failing = window(FAILING_FROM_S, FAILING_UNTIL_S)
-    seconds = [by_second.get(s, []) for s in range(FAILING_FROM_S, FAILING_UNTIL_S)]
-    bad = [s for s in range(FAILING_UNTIL_S, LENGTH_S - 5) if served(s, s + 5) < 0.95]
-    back = bad[-1] + 1 if bad else FAILING_UNTIL_S
-    line = [0.0] * (LENGTH_S // STEP_S)
-    for at, answer in world.clients.final_answers:
-        if answer == "up" and at // SECOND_US < LENGTH_S:
-            line[at // SECOND_US // STEP_S] += 1.0 / STEP_S
-    attempts = sum(n for n, _, _ in failing)
+    start_us = world.clock.now_us - world.clock.elapsed_us
+    timeline = RequestTimeline(checker.traces.values(), start_us)
+    while_failing = timeline.between(FAILING_FROM_S, FAILING_UNTIL_S)
+    attempts = sum(trace.attempts for trace in while_failing)
+    first_tries = sum(trace.is_first_try for trace in while_failing)
+    worst_second = max(
+        timeline.attempts_per_request(second, second + 1) for second in range(FAILING_FROM_S, FAILING_UNTIL_S)
+    )
     return BudgetOutcome(
-        attempts / max(1, len(failing)),
-        max(sum(n for n, _, _ in one) / max(1, len(one)) for one in seconds),
-        attempts / max(1, sum(first for _, first, _ in failing)),
-        served(FAILING_FROM_S, FAILING_UNTIL_S),
-        served(FAILING_UNTIL_S, FAILING_UNTIL_S + 30),
-        float(back - FAILING_UNTIL_S),
-        len(checker.violations),
-        dict(checker.counts),
-        line,
+        attempts_per_request=attempts / max(1, len(while_failing)),
+        worst_second=worst_second,
+        attempts_per_first_try=attempts / max(1, first_tries),
+        served_while_failing=timeline.served_share(FAILING_FROM_S, FAILING_UNTIL_S),
+        served_after=timeline.served_share(FAILING_UNTIL_S, FAILING_UNTIL_S + AFTER_S),
+        recovered_after_s=timeline.recovered_after_s(),
+        violations=len(checker.violations),
+        counts=dict(checker.counts),
+        served_per_s=_served_per_s(world.clients.final_answers),
     )
 
 
@@ -99,34 +141,43 @@
 )
 
 
+def _outcome_row(store_calls_per_s: float, file_name: str, runs: Sequence[BudgetOutcome]) -> list[str]:
+    """A table's row: means over the runs, the worst second of any, and all violations."""
+    count = len(runs)
+    recoveries_s = [run.recovered_after_s for run in runs]
+    return [
+        f"{store_calls_per_s:g}",
+        file_name,
+        f"{sum(run.attempts_per_request for run in runs) / count:.2f}",
+        f"{max(run.worst_second for run in runs):.2f}",
+        f"{sum(run.attempts_per_first_try for run in runs) / count:.2f}",
+        f"{sum(run.served_while_failing for run in runs) / count:.2f}",
+        f"{sum(run.served_after for run in runs) / count:.2f}",
+        f"{sum(recoveries_s) / count:.1f} s (most {max(recoveries_s):.0f})",
+        f"{sum(run.violations for run in runs)}",
+    ]
+
+
 def compare_budgets(
     example: Path, seeds: int, backends: int = 300, arrivals_per_s: float = 25.0
 ) -> tuple[list[list[str]], list[tuple[str, list[float]]]]:
-    """With and without budgets, where the session store binds and where it does not. Means over the seeds."""
+    """With and without budgets, where the session store limits and where it does not: a row and a line of a
+    chart each. `OSError` if the example can't be read.
+    """
     files = {"none": "", "budgets of 20%": BUDGET_FILE, "the example": example.read_text()}
     rows: list[list[str]] = []
     lines: list[tuple[str, list[float]]] = []
     base = WorldPlan(backends=backends, arrivals_per_s=arrivals_per_s, groups=400)
-    for store in (2.0 * arrivals_per_s, 20.0 * arrivals_per_s):
+    for store_calls_per_s in (2.0 * arrivals_per_s, 20.0 * arrivals_per_s):
         for name, file in files.items():
-            plans = [replace(base, seed=seed, store_calls_per_s=store) for seed in range(1, seeds + 1)]
+            plans = [
+                replace(base, seed=seed, store_calls_per_s=store_calls_per_s) for seed in range(1, seeds + 1)
+            ]
             with ProcessPoolExecutor() as pool:  # each seed is a world of its own
                 runs = list(pool.map(run_failing_fleet, plans, [file] * seeds))
-            count = len(runs)
-            recoveries_s = [run.recovered_after_s for run in runs]
-            rows.append(
-                [
-                    f"{store:g}",
-                    name,
-                    f"{sum(r.attempts_per_request for r in runs) / count:.2f}",
-                    f"{max(r.worst_second for r in runs):.2f}",
-                    f"{sum(r.attempts_per_first_try for r in runs) / count:.2f}",
-                    f"{sum(r.served_while_failing for r in runs) / count:.2f}",
-                    f"{sum(r.served_after for r in runs) / count:.2f}",
-                    f"{sum(recoveries_s) / count:.1f} s (most {max(recoveries_s):.0f})",
-                    f"{sum(r.violations for r in runs)}",
-                ]
-            )
-            mean = [sum(values) / count for values in zip(*(r.served_per_s for r in runs), strict=True)]
-            lines.append((f"{store:g}/s {name}", mean))
+            rows.append(_outcome_row(store_calls_per_s, name, runs))
+            means = [
+                sum(values) / len(runs) for values in zip(*(run.served_per_s for run in runs), strict=True)
+            ]
+            lines.append((f"{store_calls_per_s:g}/s {name}", means))
     return rows, lines
