--- a/gannetweir/lab/experiments/address_faults.py
+++ b/gannetweir/lab/experiments/address_faults.py
@@ -52,15 +52,15 @@
     )
     async with Emulator(plan) as emulator:
         for node in emulator.backends.values():
-            for text, door in node.listeners.items():
-                if fault := dict(broken).get(door.address.family):
+            for text, listener in node.listeners.items():
+                if fault := dict(broken).get(listener.address.family):
                     node.set_fault(text, fault)
         answers = await emulator.clients.request_many(requests, at_once)
         rules = emulator.violations()
         took = sorted(
             served.duration_s * 1000 for served in emulator.clients.answered if served.answer == "up"
         )
-        attempts = [story.attempts for story in emulator.checker.traces.values()]
+        attempts = [trace.attempts for trace in emulator.checker.traces.values()]
         delivered, written = await emulator.count_first_lines()
         if delivered != written:
             rules.append(f"{delivered} first lines came in, {written} were written")
@@ -114,7 +114,7 @@
     checker = world.checker
     counts = Counter({"days": 1, "broken": len(checker.violations), "asked": len(checker.traces)})
     counts["served"], counts["lines in"] = checker.counts["up"], checker.counts["sent"]
-    counts["most attempts"] = max((story.attempts for story in checker.traces.values()), default=0)
+    counts["most attempts"] = max((trace.attempts for trace in checker.traces.values()), default=0)
     for relay in world.relays:
         counts["path faults"] += relay.engine.counters.counts["address_faults"]
     return counts
--- a/gannetweir/lab/experiments/demo.py
+++ b/gannetweir/lab/experiments/demo.py
@@ -56,7 +56,8 @@
             else "ready"
         )
         ways = " ".join(
-            f"{door.address.family}:{door.fault or door.first_lines}" for door in node.listeners.values()
+            f"{listener.address.family}:{listener.fault or listener.first_lines}"
+            for listener in node.listeners.values()
         )
         held = emulator.clients.open_connections[name]
         table.add_row(name, state, str(held), "#" * min(40, held) + f"  {ways}")
@@ -88,10 +89,10 @@
         async with anyio.create_task_group() as beside:
             if live:
                 beside.start_soon(draw)
-            story = parse_experiment(
+            experiment = parse_experiment(
                 DEMO_EXPERIMENT.format(*(share * seconds * 1000 for share in STEP_SHARES))
             )
-            events = [event for told in story.variants["demo"] for event in scripted_events(told)]
+            events = [event for step in experiment.variants["demo"] for event in scripted_events(step)]
             life_s = MEAN_DURATION_SHARE * seconds  # the last to come stay for several lives after it
             await play(emulator, Script(20.0, seconds, life_s, events), shares.append, say)
             beside.cancel_scope.cancel()
@@ -99,19 +100,20 @@
             for line in said:
                 console.print(line)
         broken = emulator.violations()
-        took = sorted(s.duration_s for s in emulator.clients.answered if s.answer == "up")
+        durations_s = sorted(s.duration_s for s in emulator.clients.answered if s.answer == "up")
         asked = len(emulator.clients.answered)
-        attempts = sum(story.attempts for story in emulator.checker.traces.values())
+        served = len(durations_s)
+        attempts = sum(trace.attempts for trace in emulator.checker.traces.values())
         table = Table(title="what came of it")
         for column in ("", "figure"):
             table.add_column(column)
         for what, figure in (
             ("requests answered", f"{asked}"),
-            ("served", f"{len(took)} ({len(took) / max(1, asked):.1%})"),
+            ("served", f"{served} ({served / max(1, asked):.1%})"),
             (
                 "set-up time, half / 99 of 100",
-                f"{took[len(took) // 2] * 1000:.1f} / {took[len(took) * 99 // 100] * 1000:.1f} ms"
-                if took
+                f"{durations_s[served // 2] * 1000:.1f} / {durations_s[served * 99 // 100] * 1000:.1f} ms"
+                if durations_s
                 else "-",
             ),
             ("attempts a request", f"{attempts / max(1, asked):.3f}"),
--- a/gannetweir/lab/experiments/experiment_run.py
+++ b/gannetweir/lab/experiments/experiment_run.py
@@ -195,17 +195,17 @@
 def scripted_events(step: dict[str, Any]) -> list[ScriptedEvent]:
     """What one `at` line does, and its end."""
 
-    def doors(emulator: Emulator) -> list[tuple[str, str]]:
+    def matching_listeners(emulator: Emulator) -> list[tuple[str, str]]:
         return [
             (name, text)
             for name, node in emulator.backends.items()
             if step.get("node", name) == name
-            for text, door in node.listeners.items()
-            if step.get("family", door.address.family) == door.address.family
+            for text, listener in node.listeners.items()
+            if step.get("family", listener.address.family) == listener.address.family
         ]
 
     async def fault(emulator: Emulator, kind: str) -> None:
-        for name, text in doors(emulator):
+        for name, text in matching_listeners(emulator):
             emulator.backends[name].set_fault(text, kind)
 
     async def slow(emulator: Emulator, times: float) -> None:
@@ -265,10 +265,10 @@
                 await anyio.sleep(1.0)
                 for family in paths:
                     now = sum(
-                        door.first_lines
+                        listener.first_lines
                         for node in emulator.backends.values()
-                        for door in node.listeners.values()
-                        if door.address.family == family
+                        for listener in node.listeners.values()
+                        if listener.address.family == family
                     )
                     paths[family].append(now - last[family])
                     last[family] = now
