--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -119,7 +119,8 @@
     for group in range(1, 60):
         first, second = order(group)[:2]
         after.setdefault(first.endpoint_id, set()).add(second.endpoint_id)
-    assert len(after) == 6 and all(len(seconds) >= 3 for seconds in after.values())
+    assert len(after) == 6
+    assert all(len(seconds) >= 3 for seconds in after.values())
 
 
 def test_examining_a_candidate_does_not_sort_the_endpoints(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -160,7 +161,8 @@
     g.advance(2 * SECOND)
     for group in range(1, 4):
         g.arrive(group=group)
-    assert len(g.balancer.group_placement.searches) == 3 and not g.started_attempts
+    assert len(g.balancer.group_placement.searches) == 3
+    assert not g.started_attempts
     if end == "answer":
         for server in range(6):
             g.handle(LoadProbeResult(server, AttemptStatus.OK, 1000, (10.0, 0.2)))
@@ -170,7 +172,8 @@
     else:
         for rid in range(1, 4):
             g.handle(ClientDisconnected(rid))
-    assert not g.balancer.group_placement.searches and len(g.started_attempts) == (0 if end == "leave" else 3)
+    assert not g.balancer.group_placement.searches
+    assert len(g.started_attempts) == (0 if end == "leave" else 3)
 
 
 def test_set_ups_that_come_together_are_spread_and_wait_a_little() -> None:
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -49,7 +49,8 @@
     watch = EndpointWatch("d:1", 0, settings(zone_names=["a"], machine_types=["m1"]), Limits())
     lists = [{"seq": 7, "whole": True, "hosts": hosts()}, {"seq": 8, "whole": False, "hosts": hosts("Gone")}]
     whole, news = told(watch, b"".join(layout(data).encode() + b"\n" for data in lists), step)
-    assert isinstance(whole, MembershipUpdate) and isinstance(news, MembershipUpdate)
+    assert isinstance(whole, MembershipUpdate)
+    assert isinstance(news, MembershipUpdate)
     assert len({m.entry.endpoint_id for m in whole.endpoints}) == len(news.endpoints) == COUNT
     world = play("", backends=1)
     world.engine.endpoint_update_received(whole, world.now_us)
@@ -80,7 +81,8 @@
     listed[500] |= spoilt
     data = json.dumps({"seq": 7, "whole": True, "hosts": listed}).encode() + b"\n"
     broken = told(watch, data, 8192)[0]
-    assert isinstance(broken, WatchFailed) and reason in broken.reason
+    assert isinstance(broken, WatchFailed)
+    assert reason in broken.reason
     world = play("", backends=1)
     world.engine.endpoint_watch_failed(broken.reason, world.now_us)
     world.play(f"""
@@ -150,7 +152,8 @@
 
     monkeypatch.setattr("gannetweir.membership.endpoint_list.replace", replace)
     pool.apply(MembershipUpdate(2, True, [ListedEndpoint(entry, "127.0.0.1:1") for entry in entries[2:]]), 1)
-    assert copied == ["s0", "s1"] and list(pool.entries) == [entry.endpoint_id for entry in entries]
+    assert copied == ["s0", "s1"]
+    assert list(pool.entries) == [entry.endpoint_id for entry in entries]
     assert [pool.entries[f"s{n}"].state for n in range(3)] == [
         EndpointStatus.REMOVED,
         EndpointStatus.REMOVED,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -20,7 +20,9 @@
 def test_a_drain_is_over_before_the_platform_kills(deadline_ms: int) -> None:
     limits = Limits().with_drain_before_kill(deadline_ms * 1000)
     kill_us = min(deadline_ms * 1000, 3_000_000) + 700_000
-    assert limits.drain_end_us + limits.linger_us <= kill_us - 100_000 and limits.linger_us > 100_000
-    assert limits.drain_migration_us >= 0 and limits.drain_end_us > 300_000
+    assert limits.drain_end_us + limits.linger_us <= kill_us - 100_000
+    assert limits.linger_us > 100_000
+    assert limits.drain_migration_us >= 0
+    assert limits.drain_end_us > 300_000
     if limits.drain_migration_us:  # the last moves are told before the end
         assert limits.drain_grace_us + limits.drain_migration_us < limits.drain_end_us
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -137,10 +137,8 @@
     assert target is not None
     g.silent_endpoints = {0, 1, 2, 3}
     actions = g.arrive()
-    assert (
-        not actions_of(actions, StartAttempt)
-        and actions_of(actions, ProbeLoad)[0].endpoint_id == target.endpoint_id
-    )
+    assert not actions_of(actions, StartAttempt)
+    assert actions_of(actions, ProbeLoad)[0].endpoint_id == target.endpoint_id
     g.silent_endpoints = set()
     actions = g.handle(LoadProbeResult(target.endpoint_id, AttemptStatus.OK, 1000, (10.0, 0.5)))
     assert actions_of(actions, StartAttempt)
@@ -177,18 +175,16 @@
     g = BalancerDriver(3)
     g.handle(LoadProbeResult(0, AttemptStatus.OK, 1000, bad))
     g.handle(LoadProbeResult("nobody", AttemptStatus.OK, 1000, (1.0, 0.1)))
-    assert math.isfinite(g.balancer.state.reports.total_connections) and math.isfinite(
-        g.balancer.state.reports.total_load
-    )
+    assert math.isfinite(g.balancer.state.reports.total_connections)
+    assert math.isfinite(g.balancer.state.reports.total_load)
     assert actions_of(g.arrive(), StartAttempt)
 
 
 @pytest.mark.parametrize("text", ["concurrent=1e300,x0=0.5", "concurrent=3,x0=-1e308", "concurrent=3,x0=nan"])
 def test_an_absurd_report_is_none_and_drowns_no_sum(text: str) -> None:
     names = ["concurrent", "x0"]
-    assert (
-        parse_load_report("concurrent=3,x0=0.5", names) == (3.0, 0.5) and parse_load_report(text, names) == ()
-    )
+    assert parse_load_report("concurrent=3,x0=0.5", names) == (3.0, 0.5)
+    assert parse_load_report(text, names) == ()
     call = UpstreamConnection(b"", names, Limits())
     assert call.feed(b"UP r\r\nLOAD 7\r\nLOAD 1e300\r\n")[1:] == [
         EndpointLine(b"LOAD 7\r\n", False),
--- a/tests/test_refresh.py
+++ b/tests/test_refresh.py
@@ -37,7 +37,8 @@
     g = BalancerDriver(1)
     assert g.balancer.state.endpoints[0].has_report
     resume(g, 0, 77)
-    assert not g.balancer.state.endpoints[0].has_report and g.balancer.state.reports.total_connections == 0.0
+    assert not g.balancer.state.endpoints[0].has_report
+    assert g.balancer.state.reports.total_connections == 0.0
     assert (1, 0) in probed_in(g, 1)
 
 
@@ -128,7 +129,8 @@
     for _ in range(2):
         (send,) = actions_of(actions, StartAttempt)
         actions = g.end(send, AttemptStatus.FULL)
-    assert actions_of(actions, RejectRequest) and not actions_of(actions, ProbeLoad)
+    assert actions_of(actions, RejectRequest)
+    assert not actions_of(actions, ProbeLoad)
 
 
 @pytest.mark.parametrize(("gateways", "count"), [(3, 2), (40, 1)])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -73,11 +73,9 @@
     g = BalancerDriver(4, classes=[ONCE])
     g.arrive()
     actions = g.end(g.started_attempts[-1], status)
-    assert (
-        actions_of(actions, FailRequest)
-        and not actions_of(actions, StartAttempt)
-        and not actions_of(actions, RejectRequest)
-    )
+    assert actions_of(actions, FailRequest)
+    assert not actions_of(actions, StartAttempt)
+    assert not actions_of(actions, RejectRequest)
 
 
 @pytest.mark.parametrize("status", [AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED])
@@ -127,7 +125,8 @@
     g.arrive()
     g.advance(2 * SECOND)
     actions = g.end(g.started_attempts[-1], AttemptStatus.TIMEOUT)
-    assert actions_of(actions, RejectRequest) and not actions_of(actions, StartAttempt)
+    assert actions_of(actions, RejectRequest)
+    assert not actions_of(actions, StartAttempt)
 
 
 def test_attempts_are_counted() -> None:
@@ -325,7 +324,8 @@
     g.arrive()
     while g.started_attempts[-1].request_id in g.balancer.state.requests:
         g.end(g.started_attempts[-1], status)
-    assert not g.ejected_endpoints() and g.balancer.retry_policy.failure_share == 0.0
+    assert not g.ejected_endpoints()
+    assert g.balancer.retry_policy.failure_share == 0.0
     g.arrive()
     first = g.started_attempts[-1]
     g.end(first, status)
@@ -378,7 +378,8 @@
         while g.started_attempts[-1].request_id in g.balancer.state.requests:
             assert g.started_attempts[-1].timeout_us == 2 * SECOND
             g.end(g.started_attempts[-1], AttemptStatus.TIMEOUT)
-    assert refused > 350 and len(g.started_attempts) > before  # a few go on trying
+    assert refused > 350
+    assert len(g.started_attempts) > before  # a few go on
 
 
 @pytest.mark.parametrize(("marked", "most"), [(0, 100), (RequestFlag.CLIENT_RETRY, 60)])
@@ -463,7 +464,8 @@
     g.loads = dict.fromkeys(range(4), (15.0, 0.5))
     assert not actions_of(g.handle(LoadProbeResult(1, AttemptStatus.OK, 900, (15.0, 0.5))), MigrateConnection)
     moved = actions_of(g.handle(LoadProbeResult(1, AttemptStatus.OK, 900, (15.0, 1.8))), MigrateConnection)
-    assert moved and {m.request_id for m in moved} <= set(g.balancer.state.endpoints[1].request_ids)
+    assert moved
+    assert {m.request_id for m in moved} <= set(g.balancer.state.endpoints[1].request_ids)
     assert not actions_of(
         g.handle(LoadProbeResult(1, AttemptStatus.OK, 900, (15.0, 1.8))), MigrateConnection
     )  # paced
@@ -539,24 +541,23 @@
             if isinstance(a, SetTimer):
                 timers.append((g.now + a.after_us, a.token))
             if isinstance(a, StartAttempt):
-                assert (
-                    a.request_id in owed
-                    and a.request_id not in out
-                    and state[number_of(a)] == EndpointStatus.READY
-                )
+                assert a.request_id in owed
+                assert a.request_id not in out
+                assert state[number_of(a)] == EndpointStatus.READY
                 assert a.timeout_us > 0
                 if a.request_id in ran and kind != "repeatable":
                     server, at = ran[a.request_id]
                     # it may take a connect's time to get there
+                    assert kind != "once"
                     assert (
-                        kind != "once"
-                        and g.now + g.balancer.context.settings.connect_timeout_us - at
+                        g.now + g.balancer.context.settings.connect_timeout_us - at
                         < cls.idempotency_window_us
                     )
                     assert kind == "all" or part[server] == part[number_of(a)]
                 out[a.request_id], sent_at[a.request_id] = a, g.now
             if isinstance(a, RejectRequest | FailRequest):
-                assert a.request_id in owed and a.request_id not in out
+                assert a.request_id in owed
+                assert a.request_id not in out
                 if isinstance(a, RejectRequest) and a.request_id in ran:
                     assert kind in ("repeatable", "all")
                 del owed[a.request_id]
@@ -632,10 +633,8 @@
         actions = fault(g, g.started_attempts[-1], status)
         (again,) = actions_of(actions, StartAttempt)
         # the same server by another way, and no longer than a first attempt: the next may be needed as well
-        assert (
-            again.endpoint_id == g.started_attempts[0].endpoint_id
-            and again.timeout_us == g.started_attempts[0].timeout_us == 500_000
-        )
+        assert again.endpoint_id == g.started_attempts[0].endpoint_id
+        assert again.timeout_us == g.started_attempts[0].timeout_us == 500_000
     assert actions_of(
         g.end(g.started_attempts[-1], AttemptStatus.TIMEOUT), RejectRequest
     )  # a fault of its own ends it, with no other server
@@ -646,8 +645,8 @@
     for _ in range(8):
         g.arrive()
         fault(g, g.started_attempts[-1], AttemptStatus.TIMEOUT)
-        assert g.balancer.retry_policy.failure_share == 0.0 and not g.ejected_endpoints()
+        assert g.balancer.retry_policy.failure_share == 0.0
+        assert not g.ejected_endpoints()
         g.establish(g.started_attempts[-1])
-    assert g.balancer.throttle.recent_accepted > 7.9 and not actions_of(
-        g.all_actions, RejectRequest
-    )  # all stand: nothing is throttled
+    assert g.balancer.throttle.recent_accepted > 7.9
+    assert not actions_of(g.all_actions, RejectRequest)  # all were set up: nothing is throttled
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -190,7 +190,8 @@
         3,
         2.5,
     )
-    assert s.classes[0].idempotency == "repeatable" and s.load_report_fields == ["concurrent", "x0"]
+    assert s.classes[0].idempotency == "repeatable"
+    assert s.load_report_fields == ["concurrent", "x0"]
     bare = parse_settings_json(b'{"categories": [{}]}')
     assert (
         bare.load_probes_enabled,
@@ -218,7 +219,9 @@
 )
 def test_a_bad_setting_is_named_in_the_fault(change: dict[str, object], named: str) -> None:
     (count, body), after = answers(create(settings=SETTINGS | change), frame([record(22, "0300 01")]))
-    assert count == 1 and body[0] == wire.FAULT and named.encode() in body
+    assert count == 1
+    assert body[0] == wire.FAULT
+    assert named.encode() in body
     assert after == (0, b"")
 
 
@@ -255,7 +258,9 @@
         cwd=Path(__file__).parent.parent,
     )
     lines = done.stderr.decode().splitlines()
-    assert done.returncode != 0 and len(lines) == 1 and message in lines[0]
+    assert done.returncode != 0
+    assert len(lines) == 1
+    assert message in lines[0]
 
 
 def test_clean_end_of_input() -> None:
@@ -266,7 +271,9 @@
         check=False,
         cwd=Path(__file__).parent.parent,
     )
-    assert done.returncode == 0 and done.stderr == b"" and done.stdout
+    assert done.returncode == 0
+    assert done.stderr == b""
+    assert done.stdout
 
 
 @pytest.mark.parametrize("seed", ["0", "1", "4242"])
@@ -297,5 +304,6 @@
     host.answer(2, 1000, memoryview(data)[16:])
     monkeypatch.setattr(Balancer, "handle", broken)
     reply = host.answer(1, 2000, memoryview(record(22, "0300 01")))
-    assert reply[8] == wire.FAULT and b"index out of range" in reply
+    assert reply[8] == wire.FAULT
+    assert b"index out of range" in reply
     assert "Traceback" in capsys.readouterr().err
