--- a/gannetweir/lab/emulator/emulator.py
+++ b/gannetweir/lab/emulator/emulator.py
@@ -21,8 +21,8 @@
 from gannetweir.lab.emulator.attempts import AttemptOverlaps
 from gannetweir.lab.emulator.backend import EmulatedBackend, EmulatedSessionStore
 from gannetweir.lab.emulator.clients import EmulatedClients
+from gannetweir.lab.emulator.discovery import EmulatedDiscovery
 from gannetweir.lab.emulator.plan import EmulatorPlan
-from gannetweir.lab.emulator.registry import EmulatedDiscovery
 from gannetweir.lab.emulator.relay_process import RelayProcess
 from gannetweir.lab.model.checker import RuleChecker
 
--- a/gannetweir/lab/emulator/relay_process.py
+++ b/gannetweir/lab/emulator/relay_process.py
@@ -15,8 +15,8 @@
 import anyio
 import orjson
 
+from gannetweir.lab.emulator.discovery import EmulatedDiscovery
 from gannetweir.lab.emulator.plan import EmulatorPlan, platform_settings
-from gannetweir.lab.emulator.registry import EmulatedDiscovery
 
 START_S = 15.0  # a relay that does not answer by then has failed
 EXIT_S = 5.0  # after that a relay that was told to end is killed
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -16,7 +16,7 @@
 
 from gannetweir.core import StartLoadProbe
 from gannetweir.lab.emulator.backend import spawn_in
-from gannetweir.lab.emulator.registry import EmulatedDiscovery
+from gannetweir.lab.emulator.discovery import EmulatedDiscovery
 from gannetweir.lab.scale.lists import host, relay_settings
 from gannetweir.lab.scale.measure import Named, Step, Sweep, processor_us, sweep
 from gannetweir.lab.scale.processes import backend
