--- a/gannetweir/lab/emulator/discovery.py
+++ b/gannetweir/lab/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in registry on real sockets: the whole list, and watches that are told of changes and beat."""
+"""An emulated discovery on real sockets: snapshots, and watches with updates and heartbeats."""
 
 from __future__ import annotations
 
@@ -15,9 +15,11 @@
 from gannetweir.net.sockets import accept_connection, set_nonblocking_nodelay
 from gannetweir.net.transport import Transport
 
+MAX_REQUEST_BYTES = 16_384
+
 
 class EmulatedDiscovery:
-    """Holds the list; `change` tells every watch. Answers one call at a time, after a delay."""
+    """Owns the endpoint list; `change` updates every watch. Each call is answered after a delay."""
 
     def __init__(self, delay_s: float = 0.02, heartbeat_s: float = 2.0) -> None:
         self.version, self.hosts = 1, dict[str, dict[str, Any]]()
@@ -30,7 +32,7 @@
         self.history: list[tuple[int, dict[str, Any]]] = []
 
     def change(self, host: str, **fields: Any) -> None:
-        """Put an entry in, or change it, and tell the watches."""
+        """Add an entry or change some of its fields, and update the watches."""
         self.version += 1
         entry = {"host": host, "site": "a", "class": "m", "health": "Ready", "share": 1.0, "born_ms": 0}
         self.hosts[host] = entry | self.hosts.get(host, {}) | fields
@@ -39,7 +41,7 @@
             event.set()
 
     def snapshot(self) -> dict[str, Any]:
-        """The list as a call gives it, and as a relay is started with."""
+        """The list as a call returns it, and as a relay is started with."""
         return {"seq": self.version, "whole": True, "hosts": list(self.hosts.values())}
 
     async def run(self) -> None:
@@ -65,7 +67,7 @@
         data = b""
         while b"\r\n\r\n" not in data:
             more = await caller.read()
-            if not more or len(data) > 16384:
+            if not more or len(data) > MAX_REQUEST_BYTES:
                 return
             data += more
         target = data.split(b" ", 2)[1].decode("ascii", "replace")
