--- a/gannetweir/adapter.py
+++ b/gannetweir/adapter.py
@@ -76,7 +76,7 @@
         try:
             actions = balancer.handle(event, now_us)
         # The guarded edge: the wire has a record for it, which ends the instance.
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the wire has a record for it
             traceback.print_exc()
             reply.add_text(wire.FAULT, instance, f"{kind.wire_name}: {type(error).__name__}: {error}")
             return
--- a/gannetweir/core/placement_dispatcher.py
+++ b/gannetweir/core/placement_dispatcher.py
@@ -53,7 +53,7 @@
         now_us = self.context.now_us
         try:
             actions = self.balancer.handle(event, now_us)
-        except Exception as error:  # one event must not cost every open connection
+        except Exception as error:  # noqa: BLE001 - guarded edge: one event ends no connection
             self._report_fault(event, error)
             return
         if self.trace is not None:
--- a/gannetweir/lab/scale/skeleton_relay.py
+++ b/gannetweir/lab/scale/skeleton_relay.py
@@ -165,7 +165,7 @@
     async def _guard(self, run: Callable[[], Awaitable[Any]]) -> None:
         try:
             await run()
-        except Exception as error:  # as in a true relay: one driver's fault must not end it
+        except Exception as error:  # noqa: BLE001 - guarded edge of a task
             self.record.faults.append(f"{type(error).__name__}: {error}")
 
     async def _timers(self) -> None:
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -124,7 +124,7 @@
             await self._reply(transport, response(HTTPStatus.BAD_REQUEST, str(error).encode()))
         except (OSError, TimeoutError):
             pass
-        except Exception as error:  # guarded edge of a task: a fault ends one connection, not the server
+        except Exception as error:  # noqa: BLE001 - guarded edge of a task
             self.last_error = f"{type(error).__name__}: {error}"
         finally:
             self.connections.discard(transport)
--- a/gannetweir/net/endpoint_watch.py
+++ b/gannetweir/net/endpoint_watch.py
@@ -111,7 +111,7 @@
                 pass
             except (OSError, EndpointListError) as error:
                 reason = str(error)
-            except Exception as error:  # the guarded edge of the task: a fault must not end all watching
+            except Exception as error:  # noqa: BLE001 - guarded edge of a task
                 self.context.engine.counters.add("driver_faults")
                 reason = f"the watch's driver failed: {type(error).__name__}: {error}"
         if self.replaced_scope is scope:  # the end that was to come
--- a/gannetweir/net/runtime.py
+++ b/gannetweir/net/runtime.py
@@ -144,7 +144,7 @@
         """
         try:
             yield
-        except Exception as error:  # the guarded edge of every task: one fault ends one task
+        except Exception as error:  # noqa: BLE001 - guarded edge of a task
             self.engine.counters.add("driver_faults")
             self.log("a driver failed", reason=f"{type(error).__name__}: {error}")
 
