--- /dev/null
+++ b/gannetweir/lab/soak/fault_injector.py
@@ -0,0 +1,205 @@
+"""Carries out the faults of a plan on a fleet, and undoes each after its time."""
+
+from __future__ import annotations
+
+import random
+import signal
+
+import anyio
+
+from gannetweir.lab.soak.evidence import BROKEN_CONNECTIONS, relay_name
+from gannetweir.lab.soak.fleet import FRONT_NOTICE_S, SoakFleet
+from gannetweir.lab.soak.plan import Fault, FaultKind, SoakPlan
+from gannetweir.lab.soak.records import FaultSpan, OverrideCall, RecordFile, now_us
+from gannetweir.lab.soak.relays import START_TIMEOUT_S, RelayProcess
+from gannetweir.lab.soak.shim import Call
+
+DRAIN_NOTICE_S = 0.6  # from a drain's announcement until its backend refuses requests
+DRAIN_S = 2.5  # from then on, until its process ends
+AFTER_DRAIN_S = 0.5  # until a new process takes its place
+BAD_FILE_S = 0.2  # for which half a configuration stays in place
+SIGNALS = 10  # of one burst
+OVERRIDE_RETRY_S = 0.05
+DISTURBED_AT_MOST = 3  # one of so many backends has a fault of its own at a time
+NETWORK_FAULTS = {
+    FaultKind.NETWORK_DELAY: "late",
+    FaultKind.NETWORK_SILENT: "silent",
+    FaultKind.NETWORK_PIECES: "pieces",
+    FaultKind.NETWORK_RESETS: "reset",
+}  # what a proxy is commanded
+BACKEND_FAULTS = {
+    FaultKind.BACKEND_HANGS: "hang",
+    FaultKind.BACKEND_SLOW: "slow",
+    FaultKind.BACKEND_RESETS: "reset",
+    FaultKind.BACKEND_ERRORS: "error",
+}  # what a backend is commanded
+RESTARTS_OF_BACKENDS = FaultKind.BACKEND_DRAINS, FaultKind.BACKEND_CRASHES
+
+
+class FaultInjector:
+    """Draws from its own random numbers what a plan leaves open."""
+
+    def __init__(self, plan: SoakPlan, fleet: SoakFleet, records: RecordFile) -> None:
+        self.plan, self.fleet, self.records = plan, fleet, records
+        self.rng = random.Random(f"soak {plan.seed}")
+        self.disturbed: set[str] = set()  # backends with a fault of their own
+
+    async def inject(self, fault: Fault) -> None:
+        """One fault, from its time to its end."""
+        await anyio.sleep(fault.at_s)
+        began_us = now_us()
+        target = await self._inject_and_undo(fault)
+        if target:
+            self.records.write(FaultSpan(fault.kind, target, began_us, now_us()))
+
+    async def _inject_and_undo(self, fault: Fault) -> str:
+        """Whom it struck; empty if it could not be done now."""
+        kind = fault.kind
+        if kind in BACKEND_FAULTS or kind in NETWORK_FAULTS or kind in RESTARTS_OF_BACKENDS:
+            return await self._inject_at_backend(fault)
+        if kind.startswith("discovery") or kind is FaultKind.DISCOVERY_INDENTED:
+            await self._inject_at_discovery(fault)
+            return "discovery"
+        relay = self.fleet.relays[fault.target]
+        if relay.is_restarting or relay.process is None:
+            return ""
+        await self._inject_at_relay(relay, fault)
+        return relay_name(relay.number)
+
+    async def _inject_at_backend(self, fault: Fault) -> str:
+        backends = self.fleet.backends
+        free = sorted(set(backends) - self.disturbed)
+        if DISTURBED_AT_MOST * len(self.disturbed) >= len(backends) or not free:
+            return ""
+        name = free[fault.target % len(free)]
+        self.disturbed.add(name)
+        try:
+            await self._disturb_backend(name, fault)
+        finally:
+            self.disturbed.discard(name)
+        return name
+
+    async def _disturb_backend(self, name: str, fault: Fault) -> None:
+        if fault.kind is FaultKind.BACKEND_DRAINS:
+            await self._drain_backend(name)
+        elif fault.kind is FaultKind.BACKEND_CRASHES:
+            await self.fleet.restart_backend(name, fault.duration_s, signal.SIGKILL)
+        elif fault.kind in NETWORK_FAULTS:
+            self.fleet.command_proxies(backend=name, fault=NETWORK_FAULTS[fault.kind])
+            await anyio.sleep(fault.duration_s)
+            self.fleet.command_proxies(backend=name, fault="")
+        else:
+            self.fleet.backends[name].send_command(fault=BACKEND_FAULTS[fault.kind])
+            await anyio.sleep(fault.duration_s)
+            self.fleet.backends[name].send_command(fault="")
+
+    async def _drain_backend(self, name: str) -> None:
+        self.fleet.change_membership(name, health="Terminating")
+        await anyio.sleep(DRAIN_NOTICE_S)
+        self.fleet.backends[name].send_command(draining=True)
+        await anyio.sleep(DRAIN_S)
+        await self.fleet.restart_backend(name, AFTER_DRAIN_S, signal.SIGTERM)
+
+    async def _inject_at_discovery(self, fault: Fault) -> None:
+        commands: dict[FaultKind, tuple[dict[str, object], dict[str, object]]] = {
+            FaultKind.DISCOVERY_DOWN: ({"down": True}, {"down": False}),
+            FaultKind.DISCOVERY_SILENT: ({"silent": True}, {"silent": False}),
+            FaultKind.DISCOVERY_SLOW: ({"delay_s": 0.8}, {"delay_s": 0.0}),
+            FaultKind.DISCOVERY_INDENTED: ({"indented": True}, {"indented": False}),
+        }
+        begin, end = commands[fault.kind]
+        self.fleet.command_discovery(**begin)
+        await anyio.sleep(fault.duration_s)
+        self.fleet.command_discovery(**end)
+
+    async def _inject_at_relay(self, relay: RelayProcess, fault: Fault) -> None:
+        match fault.kind:
+            case FaultKind.SYSTEM_CALLS | FaultKind.DISK:
+                await self._fail_calls(relay, fault)
+            case FaultKind.WALL_CLOCK:
+                relay.shim.step_wall_clock(fault.step_s)
+            case FaultKind.PAUSE:
+                relay.signal(signal.SIGSTOP)
+                await anyio.sleep(fault.duration_s)
+                relay.signal(signal.SIGCONT)
+            case FaultKind.IDLE_CLIENTS:
+                await self._fill_descriptors(relay, fault)
+            case FaultKind.OPERATOR_OVERRIDE:
+                await self._override_backend(relay, fault)
+            case FaultKind.TERM | FaultKind.UPGRADE if relay.listener is not None:
+                await self._upgrade_relay(relay)
+            case FaultKind.TERM | FaultKind.UPGRADE | FaultKind.KILL:
+                await self._restart_relay(relay, fault.kind)
+            case _:
+                await self._send_signals(relay, fault.kind)
+
+    async def _fail_calls(self, relay: RelayProcess, fault: Fault) -> None:
+        began_us = now_us()
+        for call, rate in fault.rates:
+            relay.shim.fail(call, rate)
+        await anyio.sleep(fault.duration_s)
+        for call, _ in fault.rates:
+            relay.shim.fail(call, 0)
+        if Call.BROKEN in dict(fault.rates):
+            name = relay_name(relay.number)
+            self.records.write(FaultSpan(BROKEN_CONNECTIONS, name, began_us, now_us()))
+
+    async def _fill_descriptors(self, relay: RelayProcess, fault: Fault) -> None:
+        self.rng.choice(self.fleet.clients).send_command(crowd=self.plan.sockets, port=relay.port)
+        await anyio.sleep(fault.duration_s)
+        for client in self.fleet.clients:
+            client.send_command(leave=True)
+
+    async def _override_backend(self, relay: RelayProcess, fault: Fault) -> None:
+        """Take a backend offline, and back. A call that is not answered `ok` is not relied on."""
+        name = f"b{fault.backend}"
+        if not (await relay.call_admin(f"OFFLINE {name}")).startswith("ok"):
+            return
+        self.records.write(OverrideCall(relay.number, name, True, now_us()))
+        await anyio.sleep(fault.duration_s)
+        self.records.write(OverrideCall(relay.number, name, False, now_us()))
+        with anyio.move_on_after(START_TIMEOUT_S):
+            while not (await relay.call_admin(f"ONLINE {name}")).startswith("ok"):
+                await anyio.sleep(OVERRIDE_RETRY_S)
+
+    async def _upgrade_relay(self, relay: RelayProcess) -> None:
+        relay.is_restarting = True
+        try:
+            await relay.upgrade(self.fleet.cached_membership())
+        finally:
+            relay.is_restarting = False
+
+    async def _restart_relay(self, relay: RelayProcess, kind: FaultKind) -> None:
+        """End a relay as a planned restart does, or kill it, and start it again."""
+        relay.is_restarting = True
+        try:
+            if kind is FaultKind.KILL:
+                relay.lifetime.asked_to_end_us = now_us()
+                relay.kill("kill")
+                await self._withdraw_after_notice(relay)
+            else:
+                async with anyio.create_task_group() as both:
+                    both.start_soon(relay.terminate)
+                    await self._withdraw_after_notice(relay)
+            relay.start(self.fleet.cached_membership())
+            await self.fleet.admit_clients(relay)
+        finally:
+            relay.is_restarting = False
+
+    async def _withdraw_after_notice(self, relay: RelayProcess) -> None:
+        await anyio.sleep(self.rng.uniform(*FRONT_NOTICE_S))
+        self.fleet.withdraw_clients(relay)
+
+    async def _send_signals(self, relay: RelayProcess, kind: FaultKind) -> None:
+        if kind is FaultKind.BAD_FILE:
+            complete = relay.config_path.read_bytes()
+            relay.config_path.write_bytes(complete[: len(complete) // 2])
+            relay.signal(signal.SIGHUP)
+            await anyio.sleep(BAD_FILE_S)
+        if kind is FaultKind.RELOAD:
+            relay.discovery_index = 1 - relay.discovery_index
+        relay.write_config(self.fleet.cached_membership())
+        relay.signal(signal.SIGHUP)
+        if kind is FaultKind.SIGNALS:
+            for number in self.rng.choices((signal.SIGUSR1, signal.SIGHUP), k=SIGNALS):
+                relay.signal(number)
--- /dev/null
+++ b/gannetweir/lab/soak/fleet.py
@@ -0,0 +1,196 @@
+"""The processes of one soak: relays, and the stand-ins for all that they speak to."""
+
+from __future__ import annotations
+
+import signal
+import time
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import Any
+
+import anyio
+import anyio.abc
+import anyio.to_thread
+
+from gannetweir.lab.soak.evidence import relay_name
+from gannetweir.lab.soak.plan import SLOW_START_FROM, SLOW_START_US, SoakPlan, cell_of, proxy_name
+from gannetweir.lab.soak.records import BackendStart, RecordFile, now_us
+from gannetweir.lab.soak.relays import RelayProcess
+from gannetweir.lab.soak.shim import Call, Shim, build
+from gannetweir.lab.soak.stand_in_process import StandInProcess
+
+SLOW_START_STEPS = 8  # in which a backend that has started comes to its capacity
+DEATH_TO_DISCOVERY_S = 0.3  # from the end of a backend's process until discovery knows of it
+FRONT_NOTICE_S = 0.2, 0.4  # how long new clients still come to a relay that was asked to end
+POLL_INTERVAL_S = 0.02
+LAST_WORDS_S = 0.5  # from the end of the relays to that of the stand-ins
+
+
+class SoakFleet:
+    """Starts, restarts and ends the processes. `start` comes first; `end_all` ends every one of them."""
+
+    def __init__(
+        self, plan: SoakPlan, folder: Path, relay_command: Callable[[int], list[str]], records: RecordFile
+    ) -> None:
+        self.plan, self.folder, self.relay_command, self.records = plan, folder, relay_command, records
+        self.backends: dict[str, StandInProcess] = {}
+        self.proxies: list[StandInProcess] = []
+        self.clients: list[StandInProcess] = []
+        self.relays: list[RelayProcess] = []
+        self.discovery: StandInProcess | None = None
+        self.membership: dict[str, dict[str, Any]] = {}  # as discovery knows it
+        self.membership_version = 1
+        self.tasks: anyio.abc.TaskGroup
+
+    async def start(self, tasks: anyio.abc.TaskGroup) -> None:
+        """Start everything; returns once the first relay is ready."""
+        self.tasks = tasks
+        discovery_ports = await self._start_backends_and_discovery()
+        library = build(self.folder)
+        for number in range(self.plan.relays):
+            shim = Shim(library, self.folder / f"shim{number}", self.plan.seed * 1000 + number + 1)
+            ports, command = discovery_ports[number], self.relay_command(number)
+            relay = RelayProcess(number, self.plan, self.folder, shim, ports, self.records, command)
+            self.relays.append(relay)
+        for relay in self.relays:
+            relay.start(self.cached_membership())
+        await self._start_clients()
+        for relay in self.relays:
+            tasks.start_soon(self.admit_clients, relay)
+        while not any(relay.lifetime.ready_us for relay in self.relays):
+            await anyio.sleep(POLL_INTERVAL_S)
+
+    async def _start_backends_and_discovery(self) -> list[list[int]]:
+        """Start the backends, the proxies before them, and discovery. Its ports, for each relay."""
+        names = [f"b{number}" for number in range(self.plan.backends)]
+        ports = {name: await self._start_backend(name) for name in names}
+        for number in range(self.plan.proxies):
+            targets = [f"{name}={ports[name]}" for name in names[number :: self.plan.proxies]]
+            proxy = StandInProcess("proxy", proxy_name(number), str(self.folder), *targets)
+            self.proxies.append(proxy)
+        self.discovery = StandInProcess("discovery", str(self.folder), str(self.plan.relays))
+        proxy_ports: dict[str, int] = {}
+        for proxy in self.proxies:
+            proxy_ports |= (await proxy.wait_started())["ports"]
+        discovery_ports: list[list[int]] = (await self.discovery.wait_started())["ports"]
+        for name in names:
+            self.change_membership(name, dial=f"127.0.0.1:{proxy_ports[name]}", block=cell_of(name))
+        return discovery_ports
+
+    async def _start_clients(self) -> None:
+        plan = self.plan
+        rate = plan.requests_per_s / plan.client_processes
+        for number in range(plan.client_processes):
+            settings = plan.seed, rate, plan.connection_s, plan.deadline_factor
+            client = StandInProcess("clients", f"clients{number}", str(self.folder), *map(str, settings))
+            self.clients.append(client)
+            await client.wait_started()
+
+    async def _start_backend(self, name: str) -> int:
+        process = StandInProcess("backend", name, str(self.folder), str(self.plan.capacity))
+        self.backends[name] = process
+        return int((await process.wait_started())["port"])
+
+    def change_membership(self, name: str, **fields: object) -> None:
+        """Let discovery learn something of a backend."""
+        self.membership_version += 1
+        blank = {"site": "a", "class": "m", "health": "Ready", "share": 1.0, "born_ms": 0}
+        self.membership[name] = blank | self.membership.get(name, {}) | fields | {"host": name}
+        self.command_discovery(**self.membership[name])
+
+    def cached_membership(self) -> dict[str, Any]:
+        """The endpoint list as a relay is started with it."""
+        listed = [host for host in self.membership.values() if host["health"] != "Gone"]
+        return {"seq": self.membership_version, "whole": True, "hosts": listed}
+
+    def command_discovery(self, **values: object) -> None:
+        """Send a command to discovery."""
+        assert self.discovery is not None
+        self.discovery.send_command(**values)
+
+    def command_proxies(self, **values: object) -> None:
+        """Send a command to all proxies; the one of the backend heeds it."""
+        for proxy in self.proxies:
+            proxy.send_command(**values)
+
+    async def admit_clients(self, relay: RelayProcess) -> None:
+        """Let the front send clients to a relay, once it is ready."""
+        if await relay.wait_ready():
+            for client in self.clients:
+                client.send_command(admit=relay.number, port=relay.port)
+        else:
+            relay.kill("no start")
+
+    def withdraw_clients(self, relay: RelayProcess) -> None:
+        """Let the front send no more clients to a relay."""
+        for client in self.clients:
+            client.send_command(withdraw=relay.number)
+
+    async def restart_backend(self, name: str, after_s: float, number: signal.Signals) -> None:
+        """Its process ends, discovery learns of that, and a new one starts that has to warm up."""
+        process = self.backends[name]
+        process.process.send_signal(number)
+        await anyio.to_thread.run_sync(process.process.wait)
+        await anyio.sleep(DEATH_TO_DISCOVERY_S)
+        self.change_membership(name, health="Gone")
+        await anyio.sleep(after_s)
+        port = await self._start_backend(name)
+        self.backends[name].send_command(warmth=SLOW_START_FROM)
+        self.command_proxies(backend=name, port=port, fault="")
+        self.records.write(BackendStart(name, now_us(), self.plan.overload_per_s))
+        self.change_membership(name, health="Ready", born_ms=time.time_ns() // 1_000_000)
+        self.tasks.start_soon(self._end_slow_start, name, self.backends[name])
+
+    async def _end_slow_start(self, name: str, process: StandInProcess) -> None:
+        for step in range(1, SLOW_START_STEPS + 1):
+            await anyio.sleep(SLOW_START_US / 1e6 / SLOW_START_STEPS)
+            if self.backends.get(name) is process:
+                capacity_factor = SLOW_START_FROM + (1.0 - SLOW_START_FROM) * step / SLOW_START_STEPS
+                process.send_command(warmth=capacity_factor)
+
+    def named_processes(self) -> Iterator[tuple[str, int]]:
+        """Name and id of every process whose waits for a processor the judge allows for."""
+        for relay in self.relays:
+            for process in (relay.process, relay.replaced):
+                if process is not None:
+                    yield relay_name(relay.number), process.pid
+        for name, backend in self.backends.items():
+            yield name, backend.process.pid
+        for number, proxy in enumerate(self.proxies):
+            yield proxy_name(number), proxy.process.pid
+
+    async def finish(self) -> None:
+        """Ask all relays to end while clients still come, as at a release. Nobody takes over a shared
+        listener here, so its clients go elsewhere first.
+        """
+        for relay in self.relays:
+            if relay.listener is not None:
+                self.withdraw_clients(relay)
+        await anyio.sleep(FRONT_NOTICE_S[1])
+        async with anyio.create_task_group() as ends:
+            for relay in self.relays:
+                relay.shim.fail(Call.ACCEPT, self.plan.accepts_fail if relay.number % 2 else 0)
+                if relay.process is not None:
+                    ends.start_soon(relay.terminate)
+            await anyio.sleep(FRONT_NOTICE_S[0])
+            for client in self.clients:
+                client.send_command(stop=True)
+        await anyio.sleep(LAST_WORDS_S)
+
+    def end_all(self) -> None:
+        """End every process, whatever state it is in."""
+        for relay in self.relays:
+            relay.kill("soak")
+            relay.stop_reading()
+        for process in [*self.clients, *self.proxies, *self.backends.values()]:
+            process.end()
+        if self.discovery is not None:
+            self.discovery.end()
+
+    def logs(self) -> dict[int, list[str]]:
+        """The lines that each relay wrote to its standard error."""
+        found = {}
+        for relay in self.relays:
+            text = relay.log_path.read_text(errors="replace") if relay.log_path.exists() else ""
+            found[relay.number] = text.splitlines()
+        return found
--- /dev/null
+++ b/gannetweir/lab/soak/stand_in_process.py
@@ -0,0 +1,49 @@
+"""A stand-in process of a soak, from the side that starts it."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from contextlib import suppress
+from typing import Any
+
+import anyio.to_thread
+import orjson
+
+END_TIMEOUT_S = 5.0  # for its last records
+
+
+class StandInProcess:
+    """A stand-in process that takes commands on standard input."""
+
+    def __init__(self, module: str, *arguments: str) -> None:
+        command = [sys.executable, "-m", f"gannetweir.lab.soak.{module}", *arguments]
+        self.process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+
+    async def wait_started(self) -> dict[str, Any]:
+        """What it reports once it runs."""
+        assert self.process.stdout is not None
+        line = await anyio.to_thread.run_sync(self.process.stdout.readline)
+        return dict(orjson.loads(line))
+
+    def send_command(self, **values: object) -> None:
+        """Send one command; nothing if it has died."""
+        assert self.process.stdin is not None
+        with suppress(OSError):
+            self.process.stdin.write(orjson.dumps(values) + b"\n")
+            self.process.stdin.flush()
+
+    def end(self) -> None:
+        """Close its input, at whose end it writes its last records, and wait for its exit."""
+        assert self.process.stdin is not None
+        with suppress(OSError):
+            self.process.stdin.close()
+        try:
+            self.process.wait(END_TIMEOUT_S)
+        except subprocess.TimeoutExpired:
+            self.kill()
+
+    def kill(self) -> None:
+        """End it now."""
+        self.process.kill()
+        self.process.wait()
--- a/tests/test_reproductions.py
+++ b/tests/test_reproductions.py
@@ -80,7 +80,7 @@
     """None may be refused by a relay that had a processor; where only others were, the run can't tell."""
 
     async def fail(soak: Soak) -> None:
-        relay_shim = soak.relays[0].shim
+        relay_shim = soak.fleet.relays[0].shim
         relay_shim.fail(call, 300)
         await anyio.sleep(3.0)
         assert relay_shim.failed(call) > 50
@@ -113,16 +113,16 @@
 
     async def start_anew(soak: Soak) -> None:
         killed_us = now_us()
-        await soak.restart_backend("b0", 0.0, signal.SIGKILL)
+        await soak.fleet.restart_backend("b0", 0.0, signal.SIGKILL)
         # else the ends of its clients' connections would be put down to the relay
         soak.records.write(FaultSpan(FaultKind.BACKEND_CRASHES, "b0", killed_us, now_us()))
-        (relay,) = soak.relays
+        (relay,) = soak.fleet.relays
         relay.is_restarting = True
         relay.lifetime.asked_to_end_us = 1
         relay.kill("kill")
         relay.shim.step_wall_clock(offset_s)
-        relay.start(soak.cached_membership())
-        await soak.admit_clients(relay)
+        relay.start(soak.fleet.cached_membership())
+        await soak.fleet.admit_clients(relay)
         relay.is_restarting = False
 
     play(tmp_path, start_anew, seconds=3.0)
