--- a/gannetweir/lab/soak/plan.py
+++ b/gannetweir/lab/soak/plan.py
@@ -1,11 +1,10 @@
-"""What a soak is made of, and the faults that its seed draws: each with a time, a target and a length."""
+"""What a soak is made of, and the faults that its seed draws: each with a time, a target and a duration."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Any
 
 from gannetweir.lab.soak.shim import Call
 
@@ -16,9 +15,9 @@
 
     name: str
     deadline_ms: int
-    idempotency: str
-    idempotency_scope: str
-    weight: float
+    idempotency: str  # repeatable, by_key, once
+    idempotency_scope: str  # for by_key: all, cell
+    weight: float  # of its requests among all
 
 
 CLASSES = (
@@ -27,11 +26,19 @@
     RequestClassPlan("cell", 1200, "by_key", "cell", 0.2),
     RequestClassPlan("once", 1000, "once", "all", 0.2),
 )
-IDEMPOTENCY_WINDOW_US = 3_000_000
-SLOW_START_FROM, SLOW_START_US, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_US = 0.12, 8_000_000, 4.0, 1_500_000
-DRAIN_GRACE_US = 500_000
-CELLS = 3
+IDEMPOTENCY_WINDOW_US = 3_000_000  # in which a backend recognises a key
+SLOW_START_FROM = 0.12  # of its capacity, that a backend has at its start
+SLOW_START_US = 8_000_000  # until it has all of it
+OVERLOAD_MULTIPLE = 4.0  # of its capacity in new requests, at which a backend would break down
+OVERLOAD_WINDOW_US = 1_500_000  # over which they are counted
+DRAIN_GRACE_US = 500_000  # from the news of a drain until nothing new begins at the backend
+CELLS = 3  # over which the backends are spread in turn
+LISTENER_SHARES = 3  # one relay of so many shares its listener
+LISTENER_REMAINDER = 1  # that its number leaves
 MAX_ATTEMPTS = 4
+IMPATIENT_SEEDS = 4  # one seed of so many, the last, has clients with short deadlines
+FIRST_FAULT_S = 0.5
+LAST_FAULT_S = 1.0  # before the end
 # Clients wait so long beyond the deadline. An answer that is half a second late is a lost one; the rest is
 # for the time in which a busy machine gives its relay no processor.
 ANSWER_WAIT_S = 10.0
@@ -53,7 +60,7 @@
     BACKEND_SLOW = "slow"
     BACKEND_RESETS = "reset"
     BACKEND_ERRORS = "error"
-    BACKEND_DRAINS = "drain"  # a backend leaves, and one that is cold takes its place
+    BACKEND_DRAINS = "drain"  # a backend drains, and one that has to warm up takes its place
     BACKEND_CRASHES = "crash"  # a backend is killed and started anew
     NETWORK_DELAY = "late"  # what a relay sends to a backend arrives late
     NETWORK_SILENT = "silent"  # a backend's network passes nothing
@@ -84,27 +91,19 @@
         FaultKind.UPGRADE,
     }
 )
-OF_DISCOVERY = frozenset(
-    {
-        FaultKind.DISCOVERY_DOWN,
-        FaultKind.DISCOVERY_SILENT,
-        FaultKind.DISCOVERY_SLOW,
-        FaultKind.DISCOVERY_INDENTED,
-    }
-)
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One of them. `rates`: of a thousand calls, how many fail."""
+    """One fault. `target` is the number of a relay, or a place among the backends that are free of faults."""
 
     kind: FaultKind
     at_s: float
     duration_s: float
     target: int
-    backend: int = 0  # that the operators take out
-    rates: tuple[tuple[Call, int], ...] = ()
-    step_s: float = 0.0
+    backend: int = 0  # that the operators take offline
+    rates: tuple[tuple[Call, int], ...] = ()  # of a thousand calls, how many fail
+    step_s: float = 0.0  # of the wall clock
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,26 +121,27 @@
     capacity: float = 120.0  # connections of one backend
     sockets: int = 220
     overlap: int = 3  # faults that begin together
-    accepts_fail: int = 350  # of a thousand, at every other relay as all are told to end
+    accepts_fail: int = 350  # of a thousand, at every other relay as all are asked to end
 
     @property
     def deadline_factor(self) -> float:
-        """How long clients wait, as a multiple of what their class says."""
-        return 0.3 if self.seed % 4 == 3 else 1.0
+        """Deadlines, as a multiple of what their class says."""
+        return 0.3 if self.seed % IMPATIENT_SEEDS == IMPATIENT_SEEDS - 1 else 1.0
 
     @property
     def termination_grace_s(self) -> float:
         """SIGKILL follows SIGTERM no sooner: the longest deadline, 3 s at most, and 0.7 s."""
-        return min(3.0, self.deadline_factor * max(effect.deadline_ms for effect in CLASSES) / 1000) + 0.7
+        longest_s = self.deadline_factor * max(request_class.deadline_ms for request_class in CLASSES) / 1000
+        return min(3.0, longest_s) + 0.7
 
     @property
     def is_membership_pushed(self) -> bool:
-        """Is the list pushed, rather than asked for?"""
+        """Whether the endpoint list is watched, rather than polled."""
         return self.seed % 2 == 1
 
     @property
     def overload_per_s(self) -> float:
-        """First lines a second that tip a warm backend."""
+        """New requests a second that overload a backend at its full capacity."""
         return OVERLOAD_MULTIPLE * self.capacity / self.connection_s
 
 
@@ -151,57 +151,66 @@
 
 
 def proxy_name(number: int) -> str:
-    """Of the proxy before every backend whose number leaves this remainder, divided by the plan's proxies."""
+    """Name the proxy that stands before every backend whose number leaves this remainder."""
     return f"proxy{number}"
 
 
 def shares_listener(number: int) -> bool:
-    """Does the platform hold this relay's listener, so that a second process can take over?"""
-    return number % 3 == 1
+    """Say whether the platform holds this relay's listener, so that a second process can take over."""
+    return number % LISTENER_SHARES == LISTENER_REMAINDER
 
 
 def draw_faults(plan: SoakPlan, kinds: tuple[FaultKind, ...] = tuple(FaultKind)) -> list[Fault]:
     """The faults of a seed, in the order of their times. Some begin together, so that they overlap."""
     rng = random.Random(f"troubles {plan.seed}")
-    found: list[Fault] = []
-    at = 0.5
-    while at < plan.seconds - 1.0:
+    faults: list[Fault] = []
+    at_s = FIRST_FAULT_S
+    while at_s < plan.seconds - LAST_FAULT_S:
         for kind in rng.choices(kinds, k=rng.randint(2, plan.overlap)):
-            found.append(_draw_fault(kind, at + rng.uniform(0.0, 0.4), plan, rng))
-        at += rng.uniform(1.0, 2.5)
-    return sorted(found, key=lambda fault: fault.at_s)
+            faults.append(_draw_fault(kind, at_s + rng.uniform(0.0, 0.4), plan, rng))
+        at_s += rng.uniform(1.0, 2.5)
+    return sorted(faults, key=lambda fault: fault.at_s)
 
 
 def _draw_fault(kind: FaultKind, at_s: float, plan: SoakPlan, rng: random.Random) -> Fault:
-    length = rng.uniform(0.5, 3.0)
+    duration_s = rng.uniform(0.5, 3.0)
     target = rng.randrange(plan.relays if kind in RELAY_FAULTS else plan.backends)
     if kind is FaultKind.PAUSE:
-        length = rng.uniform(0.05, 0.15)
-    rates: tuple[tuple[Call, int], ...] = ()
-    if kind is FaultKind.SYSTEM_CALLS:
-        calls = rng.sample([call for call in Call if call is not Call.DISK], 3)
-        rates = tuple((call, 20 if call is Call.BROKEN else rng.choice((50, 150, 350))) for call in calls)
-    elif kind is FaultKind.DISK:
-        rates = ((Call.DISK, rng.choice((300, 1000))),)
-    step = rng.choice((-3600.0, -5.0, 5.0, 3600.0))
-    return Fault(kind, at_s, length, target, rng.randrange(plan.backends), rates, step)
-
-
-def relay_settings(plan: SoakPlan) -> dict[str, Any]:
-    """What the platform tells each relay."""
+        duration_s = rng.uniform(0.05, 0.15)
+    rates = _draw_rates(kind, rng)
+    step_s = rng.choice((-3600.0, -5.0, 5.0, 3600.0))
+    return Fault(kind, at_s, duration_s, target, rng.randrange(plan.backends), rates, step_s)
+
+
+def _draw_rates(kind: FaultKind, rng: random.Random) -> tuple[tuple[Call, int], ...]:
+    """Which calls fail, and how many of a thousand; none for a fault of another kind."""
+    if kind is FaultKind.DISK:
+        return ((Call.DISK, rng.choice((300, 1000))),)
+    if kind is not FaultKind.SYSTEM_CALLS:
+        return ()
+    rates = []
+    for call in rng.sample([call for call in Call if call is not Call.DISK], 3):
+        rate = 20 if call is Call.BROKEN else rng.choice((50, 150, 350))
+        rates.append((call, rate))
+    return tuple(rates)
+
+
+def _class_settings(plan: SoakPlan, request_class: RequestClassPlan) -> dict[str, object]:
+    return {
+        "name": request_class.name,
+        "aim-us": 300_000,
+        "hard-limit-us": int(plan.deadline_factor * request_class.deadline_ms * 1000),
+        "idempotency": request_class.idempotency,
+        "dedup-scope": request_class.idempotency_scope,
+        "window-us": IDEMPOTENCY_WINDOW_US,
+        "importance": 1.0,
+    }
+
+
+def relay_settings(plan: SoakPlan) -> dict[str, object]:
+    """Build the settings that the platform gives each relay, by the keys of the operators' page."""
     return {
-        "categories": [
-            {
-                "name": effect.name,
-                "aim-us": 300_000,
-                "hard-limit-us": int(plan.deadline_factor * effect.deadline_ms * 1000),
-                "idempotency": effect.idempotency,
-                "dedup-scope": effect.idempotency_scope,
-                "window-us": IDEMPOTENCY_WINDOW_US,
-                "importance": 1.0,
-            }
-            for effect in CLASSES
-        ],
+        "categories": [_class_settings(plan, request_class) for request_class in CLASSES],
         "fleet-size": plan.relays,
         "zone": 0,
         "zones": ["a"],
