--- a/gannetweir/lab/soak/backend.py
+++ b/gannetweir/lab/soak/backend.py
@@ -9,9 +9,9 @@
 import anyio
 import anyio.abc
 
-from gannetweir.lab.soak import standin
+from gannetweir.lab.soak import stand_in
 from gannetweir.lab.soak.records import BackendObservation, RecordFile, now_us
-from gannetweir.lab.soak.standin import Connection, ConnectionEndedError
+from gannetweir.lab.soak.stand_in import Connection, ConnectionEndedError
 
 SETUP_S = 0.002, 0.006
 SLOW_S = 0.4
@@ -108,12 +108,12 @@
     """Run until standard input ends."""
 
     async def run(records: RecordFile, tasks: anyio.abc.TaskGroup) -> None:
-        backend, sock = Backend(name, float(capacity), records), standin.listener()
-        standin.report_started(port=sock.getsockname()[1])
-        tasks.start_soon(standin.serve, sock, backend.handle)
-        await standin.serve_commands(backend.handle_command)
+        backend, sock = Backend(name, float(capacity), records), stand_in.listener()
+        stand_in.report_started(port=sock.getsockname()[1])
+        tasks.start_soon(stand_in.serve, sock, backend.handle)
+        await stand_in.serve_commands(backend.handle_command)
 
-    standin.run_process(name, folder, run)
+    stand_in.run_process(name, folder, run)
 
 
 if __name__ == "__main__":
--- a/gannetweir/lab/soak/clients.py
+++ b/gannetweir/lab/soak/clients.py
@@ -12,10 +12,10 @@
 import anyio
 import anyio.abc
 
-from gannetweir.lab.soak import standin
+from gannetweir.lab.soak import stand_in
 from gannetweir.lab.soak.plan import ANSWER_WAIT_S, CLASSES
 from gannetweir.lab.soak.records import ClientObservation, RecordFile, now_us
-from gannetweir.lab.soak.standin import Connection, ConnectionEndedError
+from gannetweir.lab.soak.stand_in import Connection, ConnectionEndedError
 
 LINE_INTERVAL_S = 0.5
 NONSENSE = (b"\xff\xfe\r\n", b"OPEN x\r\n", b"x" * 5000, b"PING", b"OPEN 1 2 c=none,d=1\r\n")
@@ -54,7 +54,7 @@
     async def _open_idle_connections(self, port: int, count: int) -> None:
         for _ in range(count):
             try:
-                self.idle.append(await standin.connect(port, 0.5))
+                self.idle.append(await stand_in.connect(port, 0.5))
             except (OSError, TimeoutError):
                 return
 
@@ -72,7 +72,7 @@
             return
         relay = self.rng.choice(sorted(self.ports))
         try:
-            connection = await standin.connect(self.ports[relay], 1.0)
+            connection = await stand_in.connect(self.ports[relay], 1.0)
         except (OSError, TimeoutError):
             return
         try:
@@ -178,11 +178,11 @@
 
     async def run(records: RecordFile, tasks: anyio.abc.TaskGroup) -> None:
         clients = Clients(name, int(seed), float(per_s), float(life_s), float(patience), records)
-        standin.report_started(ready=True)
+        stand_in.report_started(ready=True)
         tasks.start_soon(clients.run, tasks)
-        await standin.serve_commands(clients.handle_command)
+        await stand_in.serve_commands(clients.handle_command)
 
-    standin.run_process(name, folder, run)
+    stand_in.run_process(name, folder, run)
 
 
 if __name__ == "__main__":
--- a/gannetweir/lab/soak/discovery.py
+++ b/gannetweir/lab/soak/discovery.py
@@ -13,9 +13,9 @@
 import anyio.abc
 import orjson
 
-from gannetweir.lab.soak import standin
+from gannetweir.lab.soak import stand_in
 from gannetweir.lab.soak.records import MembershipChange, RecordFile, WatchEventSent, now_us
-from gannetweir.lab.soak.standin import Connection
+from gannetweir.lab.soak.stand_in import Connection
 
 HEARTBEAT_INTERVAL_S = 2.0
 ADDRESSES = 2  # of discovery, for each relay
@@ -125,14 +125,14 @@
     async def run(records: RecordFile, tasks: anyio.abc.TaskGroup) -> None:
         discovery, ports = Discovery(records), []
         for relay in range(int(relays)):
-            socks = [standin.listener() for _ in range(ADDRESSES)]
+            socks = [stand_in.listener() for _ in range(ADDRESSES)]
             ports.append([sock.getsockname()[1] for sock in socks])
             for sock in socks:
-                tasks.start_soon(standin.serve, sock, partial(discovery.handle, relay))
-        standin.report_started(ports=ports)
-        await standin.serve_commands(discovery.handle_command)
+                tasks.start_soon(stand_in.serve, sock, partial(discovery.handle, relay))
+        stand_in.report_started(ports=ports)
+        await stand_in.serve_commands(discovery.handle_command)
 
-    standin.run_process("discovery", folder, run)
+    stand_in.run_process("discovery", folder, run)
 
 
 if __name__ == "__main__":
--- a/gannetweir/lab/soak/proxy.py
+++ b/gannetweir/lab/soak/proxy.py
@@ -16,9 +16,9 @@
 import anyio.abc
 from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
 
-from gannetweir.lab.soak import standin
+from gannetweir.lab.soak import stand_in
 from gannetweir.lab.soak.records import AttemptObservation, RecordFile, now_us
-from gannetweir.lab.soak.standin import Connection, ConnectionEndedError
+from gannetweir.lab.soak.stand_in import Connection, ConnectionEndedError
 
 FAULTS = ("", "late", "silent", "pieces", "reset")
 FORWARD_DELAY_S = 0.3, 1.0
@@ -47,7 +47,7 @@
     async def handle(self, backend: str, near: Connection) -> None:
         """Join a relay's connection to the backend."""
         try:
-            far = await standin.connect(self.ports[backend])
+            far = await stand_in.connect(self.ports[backend])
         except (OSError, TimeoutError):
             near.close(reset=True)
             return
@@ -156,13 +156,13 @@
         for text in backends:
             backend, _, port = text.partition("=")
             proxy.ports[backend] = int(port)
-            sock = standin.listener()
+            sock = stand_in.listener()
             told[backend] = sock.getsockname()[1]
-            tasks.start_soon(standin.serve, sock, partial(proxy.handle, backend))
-        standin.report_started(ports=told)
-        await standin.serve_commands(proxy.handle_command)
+            tasks.start_soon(stand_in.serve, sock, partial(proxy.handle, backend))
+        stand_in.report_started(ports=told)
+        await stand_in.serve_commands(proxy.handle_command)
 
-    standin.run_process(name, folder, run)
+    stand_in.run_process(name, folder, run)
 
 
 if __name__ == "__main__":
--- a/gannetweir/lab/soak/relays.py
+++ b/gannetweir/lab/soak/relays.py
@@ -14,12 +14,12 @@
 import anyio
 import orjson
 
-from gannetweir.lab.soak import standin
+from gannetweir.lab.soak import stand_in
 from gannetweir.lab.soak.plan import SoakPlan, relay_settings, shares_listener
 from gannetweir.lab.soak.records import ProcessLifetime, RecordFile, WatchEventSent, now_us
 from gannetweir.lab.soak.run_queue import waited_us
 from gannetweir.lab.soak.shim import Shim
-from gannetweir.lab.soak.standin import ConnectionEndedError
+from gannetweir.lab.soak.stand_in import ConnectionEndedError
 
 START_TIMEOUT_S = 30.0  # a relay that is not ready by then has failed to start
 _PORT_NUMBERS = itertools.count()
@@ -43,7 +43,7 @@
         self.discovery_ports, self.records, self.command = discovery, records, command
         self.listener: socket.socket | None = None
         if shares_listener(number):
-            self.listener = standin.listener(_free_port())  # never one that the kernel chooses
+            self.listener = stand_in.listener(_free_port())  # never one that the kernel chooses
             self.port = int(self.listener.getsockname()[1])
         else:
             self.port = _free_port()
@@ -132,7 +132,7 @@
 
     async def _answers_ping(self) -> bool:
         try:
-            connection = await standin.connect(self.port, 0.5)
+            connection = await stand_in.connect(self.port, 0.5)
         except (OSError, TimeoutError):
             return False
         try:
@@ -148,7 +148,7 @@
         """What the operators' door answers; empty if it does not."""
         try:
             with anyio.fail_after(1.0):
-                connection = await standin.connect(self.admin_ports[0], 0.5)
+                connection = await stand_in.connect(self.admin_ports[0], 0.5)
                 try:
                     await connection.write(f"{line}\r\n".encode())
                     return (await connection.read_line()).decode().strip()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -17,7 +17,7 @@
 import anyio
 import pytest
 
-from gannetweir.lab.soak import shim, standin
+from gannetweir.lab.soak import shim, stand_in
 from gannetweir.lab.soak.findings import SoakRule, Verdict
 from gannetweir.lab.soak.judge import judge
 from gannetweir.lab.soak.plan import Fault, FaultKind, SoakPlan, draw_faults
@@ -293,8 +293,8 @@
 
 def test_a_stand_in_knows_when_data_came_however_late_it_reads() -> None:
     clock_grain_us = 4_000  # of the kernel's own times
-    with standin.listener() as listening, socket.create_connection(listening.getsockname()) as sender:
-        reader = standin.Connection(listening.accept()[0])
+    with stand_in.listener() as listening, socket.create_connection(listening.getsockname()) as sender:
+        reader = stand_in.Connection(listening.accept()[0])
         before_us = now_us()
         sender.send(b"OPEN")
         select.select([reader.sock], [], [])
@@ -306,11 +306,11 @@
 
 def test_a_stand_in_knows_that_a_full_listener_has_not_taken_its_line() -> None:
     with socket.create_server(("127.0.0.1", 0), backlog=1) as listening:
-        heard = [standin.Connection(socket.create_connection(listening.getsockname())) for _ in range(2)]
+        heard = [stand_in.Connection(socket.create_connection(listening.getsockname())) for _ in range(2)]
         one_too_many = socket.socket()
         one_too_many.setblocking(False)
         one_too_many.connect_ex(listening.getsockname())
-        unheard = standin.Connection(one_too_many)
+        unheard = stand_in.Connection(one_too_many)
         for connection in heard:
             connection.sock.send(b"OPEN")
         wait_until(lambda: not any(connection.is_unheard() for connection in heard))
