--- a/gannetweir/lab/soak/backend.py
+++ b/gannetweir/lab/soak/backend.py
@@ -1,4 +1,7 @@
-"""A stand-in backend process: python -m gannetweir.lab.soak.backend NAME FOLDER CAPACITY"""
+"""A stand-in backend process.
+
+Run as: python -m gannetweir.lab.soak.backend NAME FOLDER CAPACITY
+"""
 
 from __future__ import annotations
 
@@ -16,6 +19,8 @@
 SETUP_S = 0.002, 0.006
 SLOW_S = 0.4
 DRAIN_MOVES_S = 1.5
+ERROR_PROBABILITY = 0.5  # of a request, while that fault is on
+RESET_PROBABILITY = 0.05  # of a connection, each tenth of a second while that fault is on
 
 
 class Backend:
@@ -25,15 +30,15 @@
         self.name, self.capacity, self.records = name, capacity, records
         self.rng = random.Random(name)
         self.fault = ""  # hang: says nothing; slow; reset: breaks what has begun; error: ERR to every other
-        self.draining = False
+        self.is_draining = False
         self.capacity_factor = 1.0
         self.established: dict[Connection, None] = {}
-        self.served = 0
+        self.served_count = 0
 
     async def handle_command(self, command: dict[str, Any]) -> None:
-        """Switch a fault, the drain, or how warm it is."""
+        """Switch a fault, the drain, or what it has of its capacity while it warms up."""
         self.fault = command.get("fault", self.fault)
-        self.draining = command.get("draining", self.draining)
+        self.is_draining = command.get("draining", self.is_draining)
         self.capacity_factor = command.get("warmth", self.capacity_factor)
 
     async def handle(self, connection: Connection) -> None:
@@ -46,61 +51,62 @@
             while self.fault == "hang":
                 await anyio.sleep(0.05)
             if line.startswith(b"STATS"):
-                held = len(self.established)
-                load = held / (self.capacity * self.capacity_factor)
-                await connection.write(b"PONG tps=1,concurrent=%d,x0=%.4f\r\n" % (held, load))
+                established_count = len(self.established)
+                load = established_count / (self.capacity * self.capacity_factor)
+                await connection.write(b"PONG tps=1,concurrent=%d,x0=%.4f\r\n" % (established_count, load))
             else:
                 await connection.write(b"PONG\r\n" if line.startswith(b"PING") else b"SYNTAX\r\n")
 
     async def _serve_request(self, connection: Connection, line: bytes) -> None:
-        saw = BackendObservation(line.split(b" ")[1].decode(), self.name, now_us())
+        observation = BackendObservation(line.split(b" ")[1].decode(), self.name, now_us())
         try:
-            await self._answer(connection, saw)
+            await self._answer(connection, observation)
         except ConnectionEndedError:
             pass
         finally:
             self.established.pop(connection, None)
-            self.records.write(saw)
+            self.records.write(observation)
 
-    async def _answer(self, connection: Connection, saw: BackendObservation) -> None:
+    async def _answer(self, connection: Connection, observation: BackendObservation) -> None:
         await anyio.sleep(SLOW_S if self.fault == "slow" else self.rng.uniform(*SETUP_S))
         if self.fault == "hang":
             await self._discard_while_hanging(connection)
         if self.fault == "reset":
-            saw.ended_us = now_us()
+            observation.ended_us = now_us()
             connection.close(reset=True)
             return
-        if self.draining or len(self.established) >= 1.6 * self.capacity:
-            saw.answer = "BUSY"
-        elif self.fault == "error" and self.rng.random() < 0.5:
-            saw.answer = "ERR"
-        if saw.answer:
-            saw.ended_us = now_us()
-            await connection.write(saw.answer.encode() + b"\r\n")
+        if self.is_draining or len(self.established) >= 1.6 * self.capacity:
+            observation.answer = "BUSY"
+        elif self.fault == "error" and self.rng.random() < ERROR_PROBABILITY:
+            observation.answer = "ERR"
+        if observation.answer:
+            observation.ended_us = now_us()
+            await connection.write(observation.answer.encode() + b"\r\n")
             return
-        self.served += 1
-        saw.answer, saw.receipt = "UP", f"{self.name}.{self.served}.{saw.request}"
+        self.served_count += 1
+        observation.answer = "UP"
+        observation.receipt = f"{self.name}.{self.served_count}.{observation.request}"
         self.established[connection] = None
-        await connection.write(f"UP {saw.receipt}\r\n".encode())
-        await self._echo_lines(connection, saw)
+        await connection.write(f"UP {observation.receipt}\r\n".encode())
+        await self._echo_lines(connection, observation)
 
     async def _discard_while_hanging(self, connection: Connection) -> None:
         while self.fault == "hang":
             with anyio.move_on_after(0.1):
                 await connection.read()
 
-    async def _echo_lines(self, connection: Connection, saw: BackendObservation) -> None:
-        while not saw.ended_us:
+    async def _echo_lines(self, connection: Connection, observation: BackendObservation) -> None:
+        while not observation.ended_us:
             with anyio.move_on_after(0.1):
                 line = await connection.read_line()
                 while self.fault == "hang":
                     await anyio.sleep(0.05)
                 await connection.write(line)
-            if self.fault == "reset" and self.rng.random() < 0.05:
-                saw.ended_us = now_us()
+            if self.fault == "reset" and self.rng.random() < RESET_PROBABILITY:
+                observation.ended_us = now_us()
                 connection.close(reset=True)
-            elif self.draining and self.rng.random() < 0.1 / DRAIN_MOVES_S:
-                saw.ended_us = now_us()
+            elif self.is_draining and self.rng.random() < 0.1 / DRAIN_MOVES_S:
+                observation.ended_us = now_us()
                 await connection.write(b"MOVE\r\n")
 
 
--- a/gannetweir/lab/soak/clients.py
+++ b/gannetweir/lab/soak/clients.py
@@ -1,4 +1,6 @@
-"""Clients behind a front: python -m gannetweir.lab.soak.clients NAME FOLDER SEED RATE LIFE_S PATIENCE
+"""Clients behind a front.
+
+Run as: python -m gannetweir.lab.soak.clients NAME FOLDER SEED RATE CONNECTION_S DEADLINE_FACTOR
 
 Requests come at times drawn ahead (open loop). Some clients write slowly, leave early, or speak nonsense.
 """
@@ -17,7 +19,15 @@
 from gannetweir.lab.soak.records import ClientObservation, RecordFile, now_us
 from gannetweir.lab.soak.stand_in import Connection, ConnectionEndedError
 
-LINE_INTERVAL_S = 0.5
+LINE_INTERVAL_S = 0.5  # between two lines of an established connection
+MOST_RETRIES = 2  # of a client that was rejected, moved or reset
+RETRY_DELAYS_S = 0.0, 0.1, 0.3
+NONSENSE_PROBABILITY = 0.03  # of a client that speaks no protocol
+SLOW_PROBABILITY = 0.1  # of a client that writes its first line in pieces
+SLOW_PIECE_BYTES, SLOW_PIECE_S = 20, 0.004
+LEAVE_PROBABILITY = 0.08  # of a client that does not wait for its answer
+RESET_WITHOUT_ANSWER_PROBABILITY = 0.5  # that a client that gives up breaks the connection
+RESET_PROBABILITY = 0.2  # that one that was served does
 NONSENSE = (b"\xff\xfe\r\n", b"OPEN x\r\n", b"x" * 5000, b"PING", b"OPEN 1 2 c=none,d=1\r\n")
 
 
@@ -25,36 +35,44 @@
     """Draws requests, and the front's choice of a relay for each."""
 
     def __init__(
-        self, name: str, seed: int, per_s: float, life_s: float, patience: float, records: RecordFile
+        self,
+        name: str,
+        seed: int,
+        requests_per_s: float,
+        connection_s: float,
+        deadline_factor: float,
+        records: RecordFile,
     ) -> None:
-        self.name, self.per_s, self.connection_s, self.records = name, per_s, life_s, records
-        self.deadline_factor = patience
+        self.name, self.records = name, records
+        self.requests_per_s = requests_per_s
+        self.connection_s = connection_s  # the mean time for which an established connection is used
+        self.deadline_factor = deadline_factor
         self.rng = random.Random(f"{seed} {name}")
-        self.ports: dict[int, int] = {}  # relays that the front sends to
-        self.idle: list[Connection] = []
-        self.count = 0
-        self.stopped = False
+        self.relay_ports: dict[int, int] = {}  # relays that the front sends to
+        self.idle_connections: list[Connection] = []
+        self.request_count = 0
+        self.is_stopped = False
         self.tasks: anyio.abc.TaskGroup
 
     async def handle_command(self, command: dict[str, Any]) -> None:
         """Admit or withdraw a relay, open idle connections to one, or begin no more requests."""
         if "admit" in command:
-            self.ports[command["admit"]] = command["port"]
+            self.relay_ports[command["admit"]] = command["port"]
         elif "withdraw" in command:
-            self.ports.pop(command["withdraw"], None)
+            self.relay_ports.pop(command["withdraw"], None)
         elif "crowd" in command:
             await self._open_idle_connections(command["port"], command["crowd"])
         elif "leave" in command:
-            for connection in self.idle:
+            for connection in self.idle_connections:
                 connection.close()
-            self.idle.clear()
+            self.idle_connections.clear()
         elif "stop" in command:
-            self.stopped = True
+            self.is_stopped = True
 
     async def _open_idle_connections(self, port: int, count: int) -> None:
         for _ in range(count):
             try:
-                self.idle.append(await stand_in.connect(port, 0.5))
+                self.idle_connections.append(await stand_in.connect(port, 0.5))
             except (OSError, TimeoutError):
                 return
 
@@ -62,122 +80,131 @@
         """Open-loop arrivals until told to stop."""
         self.tasks = tasks
         due = anyio.current_time()
-        while not self.stopped:
-            due += self.rng.expovariate(self.per_s)
+        while not self.is_stopped:
+            due += self.rng.expovariate(self.requests_per_s)
             await anyio.sleep_until(due)
             tasks.start_soon(self._run_client, 0)
 
-    async def _run_client(self, tries: int) -> None:
-        if not self.ports:
+    async def _run_client(self, earlier_attempts: int) -> None:
+        if not self.relay_ports:
             return
-        relay = self.rng.choice(sorted(self.ports))
+        relay = self.rng.choice(sorted(self.relay_ports))
         try:
-            connection = await stand_in.connect(self.ports[relay], 1.0)
+            connection = await stand_in.connect(self.relay_ports[relay], 1.0)
         except (OSError, TimeoutError):
             return
         try:
-            if self.rng.random() < 0.03:
+            if self.rng.random() < NONSENSE_PROBABILITY:
                 await connection.write(self.rng.choice(NONSENSE))
                 with anyio.move_on_after(3.0):
                     while True:
                         await connection.read()
             else:
-                await self._request(connection, relay, tries)
+                await self._request(connection, relay, earlier_attempts)
         except ConnectionEndedError:
             pass
         finally:
             connection.close()
 
-    async def _request(self, connection: Connection, relay: int, tries: int) -> None:
-        effect = self.rng.choices(CLASSES, [c.weight for c in CLASSES])[0]
-        self.count += 1
-        ident = f"{self.rng.getrandbits(32):08x}{self.count:08x}"
+    async def _request(self, connection: Connection, relay: int, earlier_attempts: int) -> None:
+        request_class = self.rng.choices(CLASSES, [c.weight for c in CLASSES])[0]
+        self.request_count += 1
+        request_id = f"{self.rng.getrandbits(32):08x}{self.request_count:08x}"
         group = self.rng.randrange(1, 40) * 0x9E3779B97F4A7C15 & (1 << 64) - 1
-        mark = ",r=1" if tries else ""
-        wait_ms = int(self.deadline_factor * effect.deadline_ms)
+        retry_field = ",r=1" if earlier_attempts else ""
+        deadline_ms = int(self.deadline_factor * request_class.deadline_ms)
         key = self.rng.getrandbits(64)
-        line = f"OPEN {ident} {key:x} c={effect.name},d={wait_ms},g={group:x}{mark}"
-        saw = ClientObservation(ident, relay, effect.name, line)
+        line = f"OPEN {request_id} {key:x} c={request_class.name},d={deadline_ms},g={group:x}{retry_field}"
+        observation = ClientObservation(request_id, relay, request_class.name, line)
         try:
-            await self._await_answer(connection, saw, wait_ms)
+            await self._await_answer(connection, observation, deadline_ms)
         except ConnectionEndedError as end:
-            saw.end, saw.ended_us = ("reset" if end.reset else "eof"), now_us()
+            observation.end, observation.ended_us = ("reset" if end.reset else "eof"), now_us()
         finally:
-            if not (saw.answer or saw.end or saw.left_us):
-                saw.gave_up_us, saw.unheard = now_us(), saw.unheard or connection.is_unheard()
-            if saw.sent_us:
-                self.records.write(saw)
-        if tries < 2 and (saw.moved or saw.answer in ("BUSY", "ERR") or saw.end == "reset"):
-            await anyio.sleep(self.rng.choice((0.0, 0.1, 0.3)))
-            self.tasks.start_soon(self._run_client, tries + 1)
-
-    async def _await_answer(self, connection: Connection, saw: ClientObservation, wait_ms: int) -> None:
-        raw = saw.line.encode() + b"\r\n"
-        if self.rng.random() < 0.1:  # one that writes slowly
-            for at in range(0, len(raw), 20):
-                await connection.write(raw[at : at + 20])
-                await anyio.sleep(0.004)
+            if not (observation.answer or observation.end or observation.left_us):
+                observation.gave_up_us = now_us()
+                observation.unheard = observation.unheard or connection.is_unheard()
+            if observation.sent_us:
+                self.records.write(observation)
+        comes_again = observation.moved or observation.answer in ("BUSY", "ERR") or observation.end == "reset"
+        if comes_again and earlier_attempts < MOST_RETRIES:
+            await anyio.sleep(self.rng.choice(RETRY_DELAYS_S))
+            self.tasks.start_soon(self._run_client, earlier_attempts + 1)
+
+    async def _await_answer(
+        self, connection: Connection, observation: ClientObservation, deadline_ms: int
+    ) -> None:
+        first_line = observation.line.encode() + b"\r\n"
+        if self.rng.random() < SLOW_PROBABILITY:
+            for start in range(0, len(first_line), SLOW_PIECE_BYTES):
+                await connection.write(first_line[start : start + SLOW_PIECE_BYTES])
+                await anyio.sleep(SLOW_PIECE_S)
         else:
-            await connection.write(raw)
-        saw.sent_us = now_us()
-        saw.deadline_us = saw.sent_us + wait_ms * 1000
-        patience = wait_ms / 1000 + ANSWER_WAIT_S
-        if leaves := self.rng.random() < 0.08:
-            patience = self.rng.choice((0.0, 0.003, 0.02, self.rng.uniform(0, wait_ms / 1000)))
-        with anyio.move_on_after(patience):
+            await connection.write(first_line)
+        observation.sent_us = now_us()
+        observation.deadline_us = observation.sent_us + deadline_ms * 1000
+        wait_s = deadline_ms / 1000 + ANSWER_WAIT_S
+        if leaves_early := self.rng.random() < LEAVE_PROBABILITY:
+            wait_s = self.rng.choice((0.0, 0.003, 0.02, self.rng.uniform(0, deadline_ms / 1000)))
+        with anyio.move_on_after(wait_s):
             words = (await connection.read_line()).decode("latin1").split()
-            saw.answer, saw.answered_us = (words or ["?"])[0], now_us()
-            saw.receipt = words[1] if saw.answer == "UP" and len(words) > 1 else ""
-        if not saw.answer:
-            saw.unheard = connection.is_unheard()
-            connection.close(reset=self.rng.random() < 0.5)
-            saw.left_us = now_us() if leaves else 0  # after it: the relay can't have known before
+            observation.answer, observation.answered_us = (words or ["?"])[0], now_us()
+            observation.receipt = words[1] if observation.answer == "UP" and len(words) > 1 else ""
+        if not observation.answer:
+            observation.unheard = connection.is_unheard()
+            connection.close(reset=self.rng.random() < RESET_WITHOUT_ANSWER_PROBABILITY)
+            if leaves_early:
+                observation.left_us = now_us()  # after the close: the relay can't have known before
             return
-        if saw.answer == "UP":
-            await self._exchange_lines(connection, saw)
+        if observation.answer == "UP":
+            await self._exchange_lines(connection, observation)
         else:
             with anyio.move_on_after(2.0):  # until the relay ends it
                 await connection.read()
 
-    async def _exchange_lines(self, connection: Connection, saw: ClientObservation) -> None:
-        leave_at = anyio.current_time() + self.rng.expovariate(1 / self.connection_s)
+    async def _exchange_lines(self, connection: Connection, observation: ClientObservation) -> None:
+        ends_at_s = anyio.current_time() + self.rng.expovariate(1 / self.connection_s)
         count = 0
-        while anyio.current_time() < leave_at and not saw.moved:
+        while anyio.current_time() < ends_at_s and not observation.moved:
             count += 1
-            text = b"tick %d\r\n" % count
-            asked = now_us()
-            await connection.write(text)
-            back = await connection.read_line()
-            took = now_us() - asked
-            if back.strip() == b"MOVE":
-                saw.moved = True
+            line = b"tick %d\r\n" % count
+            written_us = now_us()
+            await connection.write(line)
+            echo = await connection.read_line()
+            delay_us = now_us() - written_us
+            if echo.strip() == b"MOVE":
+                observation.moved = True
                 continue
-            if took > saw.echo_us:
-                saw.echo_us, saw.echo_at_us = took, asked
-            saw.echo_wrong |= back != text
-            saw.moved = await self._wait_for_move(
-                connection, min(leave_at, anyio.current_time() + LINE_INTERVAL_S)
+            if delay_us > observation.echo_us:
+                observation.echo_us, observation.echo_at_us = delay_us, written_us
+            observation.echo_wrong |= echo != line
+            observation.moved = await self._wait_for_move(
+                connection, min(ends_at_s, anyio.current_time() + LINE_INTERVAL_S)
             )
-        if saw.moved:
+        if observation.moved:
             with anyio.move_on_after(2.0):
                 await connection.read()
             return
-        connection.close(reset=self.rng.random() < 0.2)
-        saw.left_us = now_us()
+        connection.close(reset=self.rng.random() < RESET_PROBABILITY)
+        observation.left_us = now_us()
 
     @staticmethod
-    async def _wait_for_move(connection: Connection, until: float) -> bool:
-        """Rest until then; was it told to move?"""
-        with anyio.CancelScope(deadline=until):
+    async def _wait_for_move(connection: Connection, until_s: float) -> bool:
+        """Rest until then; say whether MOVE came."""
+        with anyio.CancelScope(deadline=until_s):
             return (await connection.read_line()).strip() == b"MOVE"
         return False
 
 
-def main(name: str, folder: str, seed: str, per_s: str, life_s: str, patience: str) -> None:
+def main(
+    name: str, folder: str, seed: str, requests_per_s: str, connection_s: str, deadline_factor: str
+) -> None:
     """Run until standard input ends."""
 
     async def run(records: RecordFile, tasks: anyio.abc.TaskGroup) -> None:
-        clients = Clients(name, int(seed), float(per_s), float(life_s), float(patience), records)
+        clients = Clients(
+            name, int(seed), float(requests_per_s), float(connection_s), float(deadline_factor), records
+        )
         stand_in.report_started(ready=True)
         tasks.start_soon(clients.run, tasks)
         await stand_in.serve_commands(clients.handle_command)
--- a/gannetweir/lab/soak/discovery.py
+++ b/gannetweir/lab/soak/discovery.py
@@ -1,4 +1,6 @@
-"""A stand-in discovery with a port for each relay: python -m gannetweir.lab.soak.discovery FOLDER RELAYS
+"""A stand-in discovery with ports for each relay.
+
+Run as: python -m gannetweir.lab.soak.discovery FOLDER RELAYS
 
 A relay's two ports are its old and its new address of discovery. All that is written to it is recorded.
 """
@@ -22,15 +24,15 @@
 
 
 class Discovery:
-    """The list, its changes, and the faults: down, silent, slow, indented."""
+    """The endpoint list, its changes, and the faults: down, silent, slow, indented."""
 
     def __init__(self, records: RecordFile) -> None:
         self.records = records
         self.version = 1
-        self.hosts: dict[str, dict[str, Any]] = {}
+        self.entries: dict[str, dict[str, Any]] = {}
         self.history: list[tuple[int, dict[str, Any]]] = []
         self.changed = anyio.Event()
-        self.down = self.indented = False
+        self.is_down = self.is_indented = False
         self.silent_since = 0  # watches that were open then say nothing; 0: none is silent
         self.delay_s = 0.0
 
@@ -38,7 +40,8 @@
         """Change an entry, or switch a fault."""
         if "host" in command:
             self._change_entry(command)
-        self.down, self.indented = command.get("down", self.down), command.get("indented", self.indented)
+        self.is_down = command.get("down", self.is_down)
+        self.is_indented = command.get("indented", self.is_indented)
         self.delay_s = command.get("delay_s", self.delay_s)
         if "silent" in command:
             self.silent_since = now_us() if command["silent"] else 0
@@ -54,8 +57,8 @@
             "born_ms": 0,
             "block": 0,
         }
-        entry = blank | self.hosts.get(command["host"], {}) | command
-        self.hosts[command["host"]] = entry
+        entry = blank | self.entries.get(command["host"], {}) | command
+        self.entries[command["host"]] = entry
         self.history.append((self.version, entry))
         self.records.write(MembershipChange(entry["host"], entry["health"], entry["born_ms"], now_us()))
 
@@ -64,7 +67,7 @@
         self.changed = anyio.Event()
 
     def _listed_entries(self) -> list[dict[str, Any]]:
-        return [entry for entry in self.hosts.values() if entry["health"] != "Gone"]
+        return [entry for entry in self.entries.values() if entry["health"] != "Gone"]
 
     async def handle(self, relay: int, connection: Connection) -> None:
         """One call of a relay's."""
@@ -72,7 +75,7 @@
         while (await connection.read_line()).strip():
             pass
         await anyio.sleep(self.delay_s)
-        if self.down:
+        if self.is_down:
             await connection.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
         elif "follow=1" in target:
             await self._serve_watch(relay, connection, int(target.rpartition("since=")[2] or 0))
@@ -84,35 +87,38 @@
     async def _serve_watch(self, relay: int, connection: Connection, since: int) -> None:
         opened = now_us()
         await connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        told, first = self.version, True
+        sent_version, is_first = self.version, True
         changes = [entry for version, entry in self.history if version > since]
-        whole = not 0 < since <= told
-        entries = self._listed_entries() if whole else changes
+        is_complete = not 0 < since <= sent_version
+        entries = self._listed_entries() if is_complete else changes
         while True:
-            if first or entries:
-                await self._write_chunk(connection, self._encode(told, whole and first, entries))
+            if is_first or entries:
+                body = self._encode(sent_version, is_complete and is_first, entries)
+                await self._write_chunk(connection, body)
                 self._record_sent(relay, entries)
             else:
                 await self._write_chunk(connection, b"")
-            first = False
+            is_first = False
             with anyio.move_on_after(HEARTBEAT_INTERVAL_S):
                 await self.changed.wait()
             while self.silent_since > opened:
                 await anyio.sleep(0.05)
-            if self.down:
+            if self.is_down:
                 connection.close(reset=True)
                 return
-            entries = [entry for version, entry in self.history if version > told]
-            told = self.version
+            entries = [entry for version, entry in self.history if version > sent_version]
+            sent_version = self.version
 
-    def _encode(self, version: int, whole: bool, entries: list[dict[str, Any]]) -> bytes:
-        option = orjson.OPT_INDENT_2 if self.indented else 0
-        return orjson.dumps({"seq": version, "whole": whole, "hosts": entries}, option=option)
+    def _encode(self, version: int, is_complete: bool, entries: list[dict[str, Any]]) -> bytes:
+        option = orjson.OPT_INDENT_2 if self.is_indented else 0
+        return orjson.dumps({"seq": version, "whole": is_complete, "hosts": entries}, option=option)
 
     def _record_sent(self, relay: int, entries: list[dict[str, Any]]) -> None:
-        at = now_us()
+        sent_us = now_us()
         for entry in entries:
-            self.records.write(WatchEventSent(relay, entry["host"], entry["health"], entry["born_ms"], at))
+            self.records.write(
+                WatchEventSent(relay, entry["host"], entry["health"], entry["born_ms"], sent_us)
+            )
 
     @staticmethod
     async def _write_chunk(connection: Connection, body: bytes) -> None:
--- a/gannetweir/lab/soak/proxy.py
+++ b/gannetweir/lab/soak/proxy.py
@@ -1,4 +1,6 @@
-"""The proxy between relays and backends: python -m gannetweir.lab.soak.proxy NAME FOLDER BACKEND=PORT ...
+"""The proxy between relays and backends.
+
+Run as: python -m gannetweir.lab.soak.proxy NAME FOLDER BACKEND=PORT ...
 
 It sees every attempt as the network does, where it comes from the relay, and disturbs what passes.
 """
@@ -44,18 +46,18 @@
         """What is wrong with the way to a backend now."""
         return self.faults.get(backend, "")
 
-    async def handle(self, backend: str, near: Connection) -> None:
+    async def handle(self, backend: str, relay_side: Connection) -> None:
         """Join a relay's connection to the backend."""
         try:
-            far = await stand_in.connect(self.ports[backend])
+            backend_side = await stand_in.connect(self.ports[backend])
         except (OSError, TimeoutError):
-            near.close(reset=True)
+            relay_side.close(reset=True)
             return
-        link = ProxiedConnection(self, backend, near, far)
+        connection = ProxiedConnection(self, backend, relay_side, backend_side)
         try:
-            await link.run()
+            await connection.run()
         finally:
-            far.close()
+            backend_side.close()
 
 
 class ProxiedConnection:
@@ -63,12 +65,13 @@
     at once, whatever is wrong with the way: its times are the network's, not the fault's.
     """
 
-    def __init__(self, proxy: Proxy, backend: str, near: Connection, far: Connection) -> None:
-        self.proxy, self.backend, self.relay_side, self.backend_side = proxy, backend, near, far
+    def __init__(self, proxy: Proxy, backend: str, relay_side: Connection, backend_side: Connection) -> None:
+        self.proxy, self.backend = proxy, backend
+        self.relay_side, self.backend_side = relay_side, backend_side
         self.attempt: AttemptObservation | None = None
         self.first_line_bytes = b""
-        late = proxy.fault(backend) == "late"
-        self.forward_at = anyio.current_time() + (proxy.rng.uniform(*FORWARD_DELAY_S) if late else 0.0)
+        is_delayed = proxy.fault(backend) == "late"
+        self.forward_at = anyio.current_time() + (proxy.rng.uniform(*FORWARD_DELAY_S) if is_delayed else 0.0)
 
     async def run(self) -> None:
         """Until both sides have ended, or one was broken."""
@@ -121,8 +124,8 @@
         if self.proxy.fault(self.backend) != "pieces":
             await sink.write(data)
             return
-        for at in range(0, len(data), PIECE_BYTES):
-            await sink.write(data[at : at + PIECE_BYTES])
+        for start in range(0, len(data), PIECE_BYTES):
+            await sink.write(data[start : start + PIECE_BYTES])
             await anyio.sleep(0.001)
 
     async def _disturb(self) -> None:
--- a/gannetweir/lab/soak/relays.py
+++ b/gannetweir/lab/soak/relays.py
@@ -22,6 +22,7 @@
 from gannetweir.lab.soak.stand_in import ConnectionEndedError
 
 START_TIMEOUT_S = 30.0  # a relay that is not ready by then has failed to start
+UNREAD_STDERR = 4  # the last relay of so many has a standard error that nobody reads
 _PORT_NUMBERS = itertools.count()
 FIRST_PORT, PORTS, BLOCKS = 18_000, 100, 140  # below those that Linux gives to outgoing connections
 
@@ -66,7 +67,7 @@
         """The file that the platform wrote for it."""
         return self.folder / f"relay{self.number}.json"
 
-    def write_config(self, known: dict[str, Any]) -> None:
+    def write_config(self, membership: dict[str, Any]) -> None:
         """Put a whole configuration in place."""
         data = {
             "name": f"n{self.number}",
@@ -75,14 +76,14 @@
             "discovery": f"127.0.0.1:{self.discovery_ports[self.discovery_index]}",
             "seed": f"{self.plan.seed + self.number:x}",
             "limits": {"sockets": self.plan.sockets, "memory_mb": 96},
-            "known": known,
+            "known": membership,
             "settings": relay_settings(self.plan),
         }
         self.config_path.write_bytes(orjson.dumps(data))
 
-    def start(self, known: dict[str, Any]) -> None:
+    def start(self, membership: dict[str, Any]) -> None:
         """Start a process; `ready` waits for it."""
-        self.write_config(known)
+        self.write_config(membership)
         env = {
             "PATH": os.environ.get("PATH", ""),
             "PYTHONPATH": os.environ.get("PYTHONPATH", ""),
@@ -96,7 +97,7 @@
             env["RELAY_INHERITED_FD"] = str(inherited[0])
         with self.log_path.open("ab") as log:
             error: Any = log
-            if self.number % 4 == 3:  # nobody reads its standard error
+            if self.number % UNREAD_STDERR == UNREAD_STDERR - 1:
                 self.stop_reading()
                 self.unread_stderr, error = os.pipe()
             self.process = subprocess.Popen(
@@ -110,7 +111,7 @@
             if isinstance(error, int):
                 os.close(error)
         self.lifetime = ProcessLifetime(self.number, now_us())
-        for host in known["hosts"]:  # what a process is started with counts as told
+        for host in membership["hosts"]:  # what a process is started with counts as told
             state = host["host"], host["health"], host["born_ms"]
             self.records.write(WatchEventSent(self.number, *state, self.lifetime.started_us))
 
@@ -157,25 +158,25 @@
         except (OSError, ConnectionEndedError, TimeoutError):
             return ""
 
-    async def upgrade(self, known: dict[str, Any]) -> None:
+    async def upgrade(self, membership: dict[str, Any]) -> None:
         """A second process takes over the listener; the first is told to end once the second is in health."""
-        old, life = self.process, self.lifetime
-        assert old is not None
+        replaced, lifetime = self.process, self.lifetime
+        assert replaced is not None
         self.admin_ports.reverse()
-        self.replaced = old
-        self.start(known)
+        self.replaced = replaced
+        self.start(membership)
         with anyio.move_on_after(START_TIMEOUT_S):
             while not (await self.call_admin("HEALTH")).startswith("ok"):
                 await anyio.sleep(0.02)
             self.lifetime.ready_us = now_us()
-        life.asked_to_end_us = now_us()
-        old.send_signal(signal.SIGTERM)
-        await self._wait_for_end(old)
-        life.how = "term" if old.poll() is not None else "late"
-        old.kill()
-        life.code, self.replaced = old.wait(), None
-        life.ended_us = now_us()
-        self.records.write(life)
+        lifetime.asked_to_end_us = now_us()
+        replaced.send_signal(signal.SIGTERM)
+        await self._wait_for_end(replaced)
+        lifetime.how = "term" if replaced.poll() is not None else "late"
+        replaced.kill()
+        lifetime.code, self.replaced = replaced.wait(), None
+        lifetime.ended_us = now_us()
+        self.records.write(lifetime)
 
     def signal(self, number: signal.Signals) -> None:
         """Send one, if it lives."""
@@ -193,10 +194,10 @@
 
     async def _wait_for_end(self, process: subprocess.Popen[bytes]) -> None:
         """Until its exit, or its time is over. Time in which it had no processor is not counted."""
-        asked_us, waited_before_us = now_us(), waited_us(process.pid)
+        requested_us, waited_before_us = now_us(), waited_us(process.pid)
         while process.poll() is None:
             not_counted_us = waited_us(process.pid) - waited_before_us
-            if now_us() - asked_us - not_counted_us > self.plan.termination_grace_s * 1e6:
+            if now_us() - requested_us - not_counted_us > self.plan.termination_grace_s * 1e6:
                 return
             await anyio.sleep(0.01)
 
@@ -218,12 +219,17 @@
         if self.process.poll() is not None and not self.lifetime.asked_to_end_us:
             self.kill("crash" if self.lifetime.ready_us else "no start")
             return
+        processes = [process for process in (self.process, self.replaced) if process is not None]
         try:
-            both = [process for process in (self.process, self.replaced) if process is not None]
-            held = sum(len(os.listdir(f"/proc/{process.pid}/fd")) for process in both)
+            descriptor_count = sum(_count_descriptors(process.pid) for process in processes)
         except OSError:
             return
-        self.lifetime.descriptors = max(self.lifetime.descriptors, held)
+        self.lifetime.descriptors = max(self.lifetime.descriptors, descriptor_count)
+
+
+def _count_descriptors(pid: int) -> int:
+    """Count the open descriptors of a process. Raises `OSError` if it has ended."""
+    return len(list(Path(f"/proc/{pid}/fd").iterdir()))
 
 
 def _free_port() -> int:
--- a/gannetweir/lab/soak/shim.py
+++ b/gannetweir/lab/soak/shim.py
@@ -56,7 +56,7 @@
     def __init__(self, library: Path, control: Path, seed: int) -> None:
         control.write_bytes(bytes(_SIZE))
         with control.open("r+b") as file:
-            self.memory = mmap.mmap(file.fileno(), _SIZE)
+            self.control = mmap.mmap(file.fileno(), _SIZE)
         self.environment = {
             "LD_PRELOAD": str(library),
             "GANNETWEIR_SHIM": str(control),
@@ -65,13 +65,13 @@
 
     def fail(self, call: Call, per_mille: int) -> None:
         """So many of a thousand such calls fail from now on."""
-        _RATE.pack_into(self.memory, _OFFSET.size + call * _RATE.size, per_mille)
+        _RATE.pack_into(self.control, _OFFSET.size + call * _RATE.size, per_mille)
 
     def failed(self, call: Call) -> int:
         """How many have failed so far."""
-        at = _OFFSET.size + (len(Call) + call) * _RATE.size
-        return int(_RATE.unpack_from(self.memory, at)[0])
+        offset = _OFFSET.size + (len(Call) + call) * _RATE.size
+        return int(_RATE.unpack_from(self.control, offset)[0])
 
     def step_wall_clock(self, seconds: float) -> None:
         """The wall clock is off by so much from now on; the monotonic one runs on."""
-        _OFFSET.pack_into(self.memory, 0, int(seconds * 1e9))
+        _OFFSET.pack_into(self.control, 0, int(seconds * 1e9))
--- a/gannetweir/lab/soak/stand_in.py
+++ b/gannetweir/lab/soak/stand_in.py
@@ -124,16 +124,20 @@
     return sock
 
 
+def _raise_if_failed(sock: socket.socket) -> None:
+    if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+        raise OSError(code, os.strerror(code))
+
+
 async def connect(port: int, within_s: float = 2.0) -> Connection:
-    """A connection to a port on loopback. Raises `OSError`."""
+    """A connection to a port on loopback. Raises `OSError`, and `TimeoutError` after `within_s`."""
     sock = socket.socket()
     sock.setblocking(False)
     try:
         with anyio.fail_after(within_s):
             if sock.connect_ex(("127.0.0.1", port)):
                 await anyio.wait_writable(sock)
-                if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                    raise OSError(code, os.strerror(code))
+                _raise_if_failed(sock)
     except BaseException:
         sock.close()
         raise
@@ -143,7 +147,7 @@
 async def serve(sock: socket.socket, handle: Callable[[Connection], Awaitable[None]]) -> None:
     """Accept until cancelled, a task for each connection; its end is closed here."""
 
-    async def one(connection: Connection) -> None:
+    async def handle_and_close(connection: Connection) -> None:
         try:
             await handle(connection)
         except ConnectionEndedError:
@@ -162,7 +166,7 @@
                 except OSError:
                     await anyio.sleep(0.001)
                     continue
-                tasks.start_soon(one, Connection(accepted))
+                tasks.start_soon(handle_and_close, Connection(accepted))
     finally:
         sock.close()
 
@@ -187,11 +191,11 @@
 async def record_loop_delays(name: str, records: RecordFile) -> None:
     """Write down when this process was held up."""
     while True:
-        before = now_us()
+        started_us = now_us()
         await anyio.sleep(LOOP_INTERVAL_S)
-        late = now_us() - before - int(LOOP_INTERVAL_S * 1e6)
-        if late > LOOP_DELAY_THRESHOLD_US:
-            records.write(LoopDelay(name, now_us(), late))
+        delay_us = now_us() - started_us - int(LOOP_INTERVAL_S * 1e6)
+        if delay_us > LOOP_DELAY_THRESHOLD_US:
+            records.write(LoopDelay(name, now_us(), delay_us))
 
 
 def run_process(
@@ -209,6 +213,6 @@
     anyio.run(run)
 
 
-def report_started(**values: Any) -> None:
+def report_started(**values: object) -> None:
     """Tell the soak something, once, on standard output (the ports)."""
     print(orjson.dumps(values).decode(), flush=True)
