--- a/gannetweir/lab/soak/attempt_rules.py
+++ b/gannetweir/lab/soak/attempt_rules.py
@@ -82,7 +82,7 @@
     earlier: AttemptObservation,
     later: AttemptObservation,
 ) -> bool:
-    """Say whether the second attempt may follow the first one, which was written whole."""
+    """Say whether the second attempt may follow the first one, which was written completely."""
     if request_class.idempotency == "repeatable":
         return True
     at_backend = evidence.backend_observations[earlier.request, earlier.backend]
--- a/gannetweir/lab/soak/clients.py
+++ b/gannetweir/lab/soak/clients.py
@@ -2,7 +2,7 @@
 
 Run as: python -m gannetweir.lab.soak.clients NAME FOLDER SEED RATE CONNECTION_S DEADLINE_FACTOR
 
-Requests come at times drawn ahead (open loop). Some clients write slowly, leave early, or speak nonsense.
+Requests come at times drawn ahead (open loop). Some clients write slowly, leave early, or send nonsense.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
                 return
 
     async def run(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Open-loop arrivals until told to stop."""
+        """Begin requests in an open loop, until the command to stop."""
         self.tasks = tasks
         due = anyio.current_time()
         while not self.is_stopped:
--- a/gannetweir/lab/soak/judge.py
+++ b/gannetweir/lab/soak/judge.py
@@ -1,4 +1,4 @@
-"""The judge of a soak: all rules, held against what the stand-ins saw; a relay's insides are not known."""
+"""The judge of a soak: all rules, applied to what the stand-ins saw; a relay's insides are not known."""
 
 from __future__ import annotations
 
--- a/gannetweir/lab/soak/proxy.py
+++ b/gannetweir/lab/soak/proxy.py
@@ -155,14 +155,14 @@
     """Run until standard input ends."""
 
     async def run(records: RecordFile, tasks: anyio.abc.TaskGroup) -> None:
-        proxy, told = Proxy(name, records), {}
+        proxy, listening_ports = Proxy(name, records), {}
         for text in backends:
             backend, _, port = text.partition("=")
             proxy.ports[backend] = int(port)
             sock = stand_in.listener()
-            told[backend] = sock.getsockname()[1]
+            listening_ports[backend] = sock.getsockname()[1]
             tasks.start_soon(stand_in.serve, sock, partial(proxy.handle, backend))
-        stand_in.report_started(ports=told)
+        stand_in.report_started(ports=listening_ports)
         await stand_in.serve_commands(proxy.handle_command)
 
     stand_in.run_process(name, folder, run)
--- a/gannetweir/lab/soak/records.py
+++ b/gannetweir/lab/soak/records.py
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class BackendStart:
-    """A backend's process has started, cold. `warm_per_s`: first lines a second that tip it when warm."""
+    """A backend has started. `warm_per_s`: new requests a second that overload it once it has warmed up."""
 
     backend: str
     at_us: int
@@ -98,7 +98,7 @@
 
 @dataclass(slots=True)
 class LoopDelay:
-    """A stand-in's loop was held up: what it saw until then may have come earlier."""
+    """A stand-in's loop was delayed: what it saw until then may have come earlier."""
 
     process: str
     at_us: int
--- a/gannetweir/lab/soak/relays.py
+++ b/gannetweir/lab/soak/relays.py
@@ -49,8 +49,8 @@
         else:
             self.port = _free_port()
         self.admin_ports = [_free_port(), _free_port()]  # for operators; the process that runs has the first
-        self.replaced: subprocess.Popen[bytes] | None = None  # during an upgrade, the one that leaves
-        self.discovery_index = 0  # which of discovery's it is told
+        self.replaced: subprocess.Popen[bytes] | None = None  # during an upgrade, the one that drains
+        self.discovery_index = 0  # which of discovery's addresses it is configured with
         self.process: subprocess.Popen[bytes] | None = None
         self.lifetime = ProcessLifetime(number, 0)
         self.is_restarting = False  # it is being ended and started
@@ -68,7 +68,7 @@
         return self.folder / f"relay{self.number}.json"
 
     def write_config(self, membership: dict[str, Any]) -> None:
-        """Put a whole configuration in place."""
+        """Put a complete configuration in place."""
         data = {
             "name": f"n{self.number}",
             "listen": f"127.0.0.1:{self.port}",
@@ -111,7 +111,7 @@
             if isinstance(error, int):
                 os.close(error)
         self.lifetime = ProcessLifetime(self.number, now_us())
-        for host in membership["hosts"]:  # what a process is started with counts as told
+        for host in membership["hosts"]:  # a process has been notified of what it is started with
             state = host["host"], host["health"], host["born_ms"]
             self.records.write(WatchEventSent(self.number, *state, self.lifetime.started_us))
 
@@ -146,7 +146,7 @@
             connection.close()
 
     async def call_admin(self, line: str) -> str:
-        """What the operators' door answers; empty if it does not."""
+        """Return what the admin listener answers; empty if it does not."""
         try:
             with anyio.fail_after(1.0):
                 connection = await stand_in.connect(self.admin_ports[0], 0.5)
@@ -159,7 +159,7 @@
             return ""
 
     async def upgrade(self, membership: dict[str, Any]) -> None:
-        """A second process takes over the listener; the first is told to end once the second is in health."""
+        """A second process takes over the listener; the first is asked to end once the second is healthy."""
         replaced, lifetime = self.process, self.lifetime
         assert replaced is not None
         self.admin_ports.reverse()
--- a/gannetweir/lab/soak/request_rules.py
+++ b/gannetweir/lab/soak/request_rules.py
@@ -33,7 +33,7 @@
 
 
 def _lost(evidence: Evidence, client: ClientObservation) -> str:
-    """How the answer was lost; empty if it was not, or if that can't be told."""
+    """How the answer was lost; empty if it was not, or if that can't be judged."""
     until_us = _waited_until_us(client)
     slack_us = evidence.observation_slack_us(client.sent_us, until_us)
     wait_us = evidence.relay_wait_us(client.relay, client.sent_us, until_us)
--- a/gannetweir/lab/soak/shim.c
+++ b/gannetweir/lab/soak/shim.c
@@ -36,7 +36,7 @@
 static uint64_t state;
 
 __attribute__((constructor)) static void start(void) {
-    prctl(PR_SET_PDEATHSIG, SIGKILL); /* a soak that is killed leaves no relay behind */
+    prctl(PR_SET_PDEATHSIG, SIGKILL); /* a soak that is killed has no relay survive it */
     const char *path = getenv("GANNETWEIR_SHIM"), *seed = getenv("GANNETWEIR_SHIM_SEED");
     int (*real_open)(const char *, int, ...) = dlsym(RTLD_NEXT, "open");
     int fd = path ? real_open(path, O_RDWR | O_CLOEXEC) : -1;
--- a/gannetweir/lab/soak/stand_in.py
+++ b/gannetweir/lab/soak/stand_in.py
@@ -189,7 +189,7 @@
 
 
 async def record_loop_delays(name: str, records: RecordFile) -> None:
-    """Write down when this process was held up."""
+    """Write down when the loop of this process was delayed."""
     while True:
         started_us = now_us()
         await anyio.sleep(LOOP_INTERVAL_S)
--- a/tests/test_reproductions.py
+++ b/tests/test_reproductions.py
@@ -104,11 +104,11 @@
 
 
 @pytest.mark.parametrize("offset_s", [HOUR_S, -HOUR_S])
-def test_a_cold_backend_stays_cold_though_the_wall_clock_is_off_at_the_start(
+def test_a_slow_start_lasts_though_the_wall_clock_is_off_at_the_start(
     offset_s: float, tmp_path: Path
 ) -> None:
     """A backend starts, then the relay, with its clock off. Hardly any of 140 requests in its first second
-    goes to the cold one: a sixth would, were it taken for warm.
+    goes to the one in its slow start: a sixth would without one.
     """
 
     async def start_anew(soak: Soak) -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -259,7 +259,7 @@
     assert not judge(ALLOWED[case], PLAN, {}).findings
 
 
-def test_a_seed_draws_the_same_troubles_again_and_they_overlap() -> None:
+def test_a_seed_draws_the_same_faults_again_and_they_overlap() -> None:
     plan = SoakPlan(seed=5)
     faults = draw_faults(plan)
     assert faults == draw_faults(plan) != draw_faults(SoakPlan(seed=6))
@@ -370,7 +370,7 @@
     assert not verdict.rules_broken_by(broken_rules.index(None)), verdict.findings
 
 
-def test_a_fleet_that_takes_cold_backends_for_warm_is_found_by_a_soak(tmp_path: Path) -> None:
+def test_a_fleet_that_overloads_a_backend_in_its_slow_start_is_found_by_a_soak(tmp_path: Path) -> None:
     plan = SoakPlan(
         seed=2, seconds=5, relays=3, backends=6, requests_per_s=150, client_processes=2, accepts_fail=0
     )
