--- a/gannetweir/lab/soak/fleet.py
+++ b/gannetweir/lab/soak/fleet.py
@@ -12,6 +12,7 @@
 import anyio.abc
 import anyio.to_thread
 
+from gannetweir.lab.soak import stand_in
 from gannetweir.lab.soak.evidence import relay_name
 from gannetweir.lab.soak.plan import SLOW_START_FROM, SLOW_START_US, SoakPlan, cell_of, proxy_name
 from gannetweir.lab.soak.records import BackendStart, RecordFile, now_us
@@ -23,6 +24,7 @@
 DEATH_TO_DISCOVERY_S = 0.3  # from the end of a backend's process until discovery knows of it
 FRONT_NOTICE_S = 0.2, 0.4  # how long new clients still come to a relay that was asked to end
 POLL_INTERVAL_S = 0.02
+QUEUE_WAIT_S = 5.0  # for clients to be accepted, where a relay has no processor
 LAST_WORDS_S = 0.5  # from the end of the relays to that of the stand-ins
 
 
@@ -167,6 +169,7 @@
             if relay.listener is not None:
                 self.withdraw_clients(relay)
         await anyio.sleep(FRONT_NOTICE_S[1])
+        await self._wait_for_shared_listeners()
         async with anyio.create_task_group() as ends:
             for relay in self.relays:
                 relay.shim.fail(Call.ACCEPT, self.plan.accepts_fail if relay.number % 2 else 0)
@@ -177,6 +180,15 @@
                 client.send_command(stop=True)
         await anyio.sleep(LAST_WORDS_S)
 
+    async def _wait_for_shared_listeners(self) -> None:
+        """Wait until the relays have accepted who waits at a shared listener. It outlives its relay: clients
+        that a busy machine has left in its queue would wait there for a successor, and none comes.
+        """
+        listeners = [relay.listener for relay in self.relays if relay.process and relay.listener]
+        with anyio.move_on_after(QUEUE_WAIT_S):
+            while any(stand_in.accept_queue_length(listener) for listener in listeners):
+                await anyio.sleep(POLL_INTERVAL_S)
+
     def end_all(self) -> None:
         """End every process, whatever state it is in."""
         for relay in self.relays:
