--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,6 +1,7 @@
 """Fits that are checked and refused, the model over them, and a page that agrees with its record."""
 
 import asyncio
+from collections.abc import Callable
 from dataclasses import replace
 from pathlib import Path
 
@@ -22,9 +23,14 @@
 SIZES = (10, 20, 80, 160)
 
 
-def cost(key: str, value: object, check: float = 0.0, sizes: tuple[int, ...] = SIZES) -> Cost:
+def cost(
+    key: str, value: float | Callable[[int], float], check: float = 0.0, sizes: tuple[int, ...] = SIZES
+) -> Cost:
     """Three rounds of a function of the size; a check of 0 is as the function says."""
-    of = value if callable(value) else lambda _: value
+
+    def of(size: int) -> float:
+        return value(size) if callable(value) else value
+
     samples = [Sample(size, [of(size)] * 3) for size in sizes]
     return Cost(key, key, "µs", "entries", samples, Sample(400, [check or of(400)] * 3))
 
@@ -41,7 +47,7 @@
 
 def test_a_line_is_found_and_predicts() -> None:
     line = fit([(size, 7.0 + 0.5 * size) for size in SIZES])
-    assert (line.fixed, line.per_unit) == (pytest.approx(7.0), pytest.approx(0.5))
+    assert (line.fixed, line.per_unit) == pytest.approx((7.0, 0.5))
     assert fit([(0, 0.0), (1, 2.0), (2, 1.0)]).per_unit == pytest.approx(
         0.5
     )  # least squares, no line through all
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -22,12 +22,15 @@
 from gannetweir.lab.model.checker import RuleChecker
 from gannetweir.limits import Limits
 from gannetweir.net.dialer import AddressRaceDriver
+from gannetweir.net.ports import Evictable
 from gannetweir.net.transport import DescriptorCount, Spawn
 
 FAMILIES = ("unix", "ipv6", "ipv4")
 KINDS = ("refuse", "hole", "stall", "reset", "slow")
-ALONE = [((kind,), where) for kind in KINDS for where in FAMILIES if (kind, where) != ("hole", "unix")]
-PAIRS = [(pair, "") for pair in combinations(KINDS, 2)]
+ALONE: list[tuple[tuple[str, ...], str]] = [
+    ((kind,), where) for kind in KINDS for where in FAMILIES if (kind, where) != ("hole", "unix")
+]
+PAIRS: list[tuple[tuple[str, ...], str]] = [(pair, "") for pair in combinations(KINDS, 2)]
 
 
 def paths_of(emulator: Emulator, family: str) -> list[tuple[str, str]]:
@@ -139,7 +142,7 @@
                 node.set_fault(text, "hole")
 
             class Host:
-                limits, address_races, room = Limits(), dict[AddressRaceDriver, None](), True
+                limits, address_races, room = Limits(), dict[Evictable, None](), True
 
                 def clock(self) -> int:
                     return int(anyio.current_time() * 1e6)
@@ -149,7 +152,7 @@
 
                 @property
                 def spawn(self) -> Spawn:
-                    return lambda run: tasks.start_soon(run)
+                    return spawn_in(tasks)
 
             host = Host()
             dialer = AddressRaceDriver(host, paths, "a", paths.new_race("a", host.clock()), ledger)
@@ -189,7 +192,7 @@
     """What a dialer needs of the relay, with a clock that moves only when told."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
-        self.limits, self.address_races, self.now_us = Limits(), dict[AddressRaceDriver, None](), 1
+        self.limits, self.address_races, self.now_us = Limits(), dict[Evictable, None](), 1
         self.spawn: Spawn = spawn_in(tasks)
 
     def clock(self) -> int:
--- a/tests/test_skeleton_control.py
+++ b/tests/test_skeleton_control.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+from collections import Counter
 from pathlib import Path
 from typing import Any
 
@@ -158,7 +159,7 @@
     ]
     before, after = ServedTotals(0), ServedTotals(0)
     after.sent.update({"c00": 6000, "c01": 2000})
-    after.by_second = {"c00": type(after.sent)({0: 1000, 1: 5000, 9: 90_000})}  # type: ignore[call-overload]
+    after.by_second = {"c00": Counter({0: 1000, 1: 5000, 9: 90_000})}
     found = server_load(samples, before, after, (0, 2 * second))
     assert (found.cpu_most, found.mb_most) == (0.5, 40.0)
     assert (found.kb_s, found.kb_most) == (2.0, 5.0)  # the second 9 is another phase's
--- a/tests/test_skeleton_fleet.py
+++ b/tests/test_skeleton_fleet.py
@@ -39,6 +39,7 @@
     encode,
 )
 from gannetweir.limits import Limits
+from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.proto.endpoint_watch import EndpointWatch, Heartbeat
 from tests.helpers import settings
 
@@ -197,10 +198,12 @@
     watch = EndpointWatch("d", 0, settings(), Limits())
     told, whole = membership.since(0)
     (news,) = watch.feed(HEAD + told)
+    assert isinstance(news, MembershipUpdate)
     assert whole and news.complete and news.version == 4 and len(news.endpoints) == 3
     assert watch.feed(HEARTBEAT) == [Heartbeat()]
     told, whole = membership.since(2)
     (news,) = EndpointWatch("d", 2, settings(), Limits()).feed(HEAD + told)
+    assert isinstance(news, MembershipUpdate)
     assert not whole and news.version == 4 and len(news.endpoints) == 2
     assert not membership.since(4)[1]  # nothing has changed
     fresh = Membership()
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -2,12 +2,14 @@
 
 import random
 from dataclasses import replace
+from functools import partial
 
 import pytest
 
 from gannetweir.config.operators_file import OperatorsFileError, parse_routing_rules
 from gannetweir.lab.experiments.address_faults import simulate_day
 from gannetweir.lab.experiments.budgets import BUDGET_FILE, run_failing_fleet
+from gannetweir.lab.model.backends import SimulatedBackend
 from gannetweir.lab.model.checker import RuleChecker
 from gannetweir.lab.model.plan import SECOND_US, Traffic, WorldPlan
 from gannetweir.lab.model.world import World
@@ -65,6 +67,11 @@
 )
 
 
+def reload_all(world: World, file: str) -> None:
+    for relay in world.relays:
+        relay.reload(file)
+
+
 def hurt(world: World, rng: random.Random) -> None:
     """Draw faults for a day of 30 s: failing, refusing, silent, slow, draining and vanishing backends, a slow
     store, reloads in the middle.
@@ -79,14 +86,14 @@
             world.schedule(end, lambda: setattr(world.store, "slowdown", 1.0))
         elif fault == "reload":
             file = rng.choice([TWO_TIMINGS, BUDGET_FILE, HEAD + "default {\n attempts 1\n}\n"])
-            world.schedule(begin, lambda file=file: [relay.reload(file) for relay in world.relays])
+            world.schedule(begin, partial(reload_all, world, file))
         elif fault in ("is_draining", "is_removed"):
 
-            def leave(backend=backend, fault=fault) -> None:  # type: ignore[no-untyped-def]
+            def leave(backend: SimulatedBackend = backend, fault: str = fault) -> None:
                 setattr(backend, fault, True)
                 world.announce([backend], rng.uniform(0, 2 * SECOND_US))
 
-            def back(backend=backend, fault=fault) -> None:  # type: ignore[no-untyped-def]
+            def back(backend: SimulatedBackend = backend, fault: str = fault) -> None:
                 setattr(backend, fault, False)
                 backend.started_us = world.clock.now_us
                 world.announce([backend], rng.uniform(0, 2 * SECOND_US))
@@ -96,8 +103,8 @@
         else:
             on = {"failure_rate": rng.uniform(0.4, 0.9), "slowdown": 40.0}.get(fault, True)
             off = {"failure_rate": 0.0, "slowdown": 1.0}.get(fault, False)
-            world.schedule(begin, lambda b=backend, f=fault, v=on: setattr(b, f, v))
-            world.schedule(end, lambda b=backend, f=fault, v=off: setattr(b, f, v))
+            world.schedule(begin, partial(setattr, backend, fault, on))
+            world.schedule(end, partial(setattr, backend, fault, off))
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -145,8 +152,8 @@
     )
     for backend in world.backends.values():
         paths, unix = backend.address_faults, next(a for a in backend.address_faults if a.startswith("unix:"))
-        world.schedule(5, lambda p=paths, a=unix: p.__setitem__(a, "stall"))
-        world.schedule(10, lambda p=paths, a=unix: p.__setitem__(a, ""))
+        world.schedule(5, partial(paths.__setitem__, unix, "stall"))
+        world.schedule(10, partial(paths.__setitem__, unix, ""))
     checker = world.run(20)
     assert not checker.violations
     engines = [relay.engine for relay in world.relays]
@@ -202,10 +209,10 @@
     plan = replace(SMALL, arrivals_per_s=20.0, traffic=tuple(replace(t, retries=0) for t in SMALL.traffic))
     world = World(plan, TWO_TIMINGS)
     for backend in world.backends.values():
-        world.schedule(4, lambda b=backend: setattr(b, "is_silent", True))
-        world.schedule(12, lambda b=backend: setattr(b, "is_silent", False))
+        world.schedule(4, partial(setattr, backend, "is_silent", True))
+        world.schedule(12, partial(setattr, backend, "is_silent", False))
     shorter = TWO_TIMINGS.replace('"600ms"', '"200ms"').replace('"300ms"', '"100ms"')
-    world.schedule(8, lambda: [relay.reload(shorter) for relay in world.relays])
+    world.schedule(8, partial(reload_all, world, shorter))
     checker = world.run(20)
     assert not checker.violations
     told = plan.settings()
@@ -219,9 +226,9 @@
         rules = parse_routing_rules(file, told, Limits())
         relay = World(replace(plan, arrivals_per_s=0.001), file).relays[0]
         for number, cls in enumerate(plan.classes):
-            timed = relay.settings.classes[
-                relay.engine.route_admission.class_index_for(RequestArrived(0, number))
-            ]  # type: ignore[union-attr]
+            admission = relay.engine.route_admission
+            assert admission is not None
+            timed = relay.settings.classes[admission.class_index_for(RequestArrived(0, number))]
             sum_us = worst_case_schedule(timed, told, Limits()).total_us
             assert worst(cls.name, begin, end) <= sum_us, (cls.name, rules)
     assert worst("rider-area", 3, 8) > worst("zone-view", 3, 8) > worst("zone-view", 8, 12)
