--- a/tests/test_reproductions.py
+++ b/tests/test_reproductions.py
@@ -70,7 +70,7 @@
 
 def was_undisturbed(evidence: Evidence, client: ClientObservation) -> bool:
     """Whether the machine gave relay, proxy and backends their turns in a request's time and in the second
-    before, when a queue may grow: by the kernel's count of waits, and by the stand-ins' measure of their loops.
+    before, when a queue may grow: by the kernel's count of waits, and by the stand-ins' own measure of loops.
     """
     from_us, until_us = client.sent_us - 1_000_000, client.answered_us
     processes = relay_name(0), proxy_name(0)
