--- a/gannetweir/routing/platform_checks.py
+++ b/gannetweir/routing/platform_checks.py
@@ -76,7 +76,7 @@
         deadline = format_ms(request_class.deadline_us)
         allowed = f"at most {deadline}, after which {request_class.name} gives up"
         yield Mistake(route.line_of("give-up"), f"{where}: give-up", found, allowed)
-    if _retries_harm(route, request_class):
+    if _retries_non_idempotent_class(route, request_class):
         found = "may-have-run, though a repeat of this class may do harm (once)"
         allowed = "never-ran, or a route of its own"
         yield Mistake(route.line_of("retry-on"), f"{where}: retry-on", found, allowed)
@@ -87,10 +87,10 @@
     if overlap is not None:
         yield overlap
         return
-    plan = worst_case_schedule(routed, settings, limits)
-    if plan.slack_us < 0:
-        allowed = _fitting_values(routed, settings, limits)
-        yield Mistake(route.line_of("attempts"), where, _excess(plan, routed), allowed)
+    schedule = worst_case_schedule(routed, settings, limits)
+    if schedule.slack_us < 0:
+        allowed = _describe_fitting_values(routed, settings, limits)
+        yield Mistake(route.line_of("attempts"), where, _describe_overrun(schedule, routed), allowed)
 
 
 def _hedge_reason(settings: Settings) -> str:
@@ -99,7 +99,7 @@
     return "the platform's limits.may-duplicate is false"
 
 
-def _retries_harm(route: Route, request_class: RequestClass) -> bool:
+def _retries_non_idempotent_class(route: Route, request_class: RequestClass) -> bool:
     return (
         route.retry_on is RetryOn.MAY_HAVE_RUN
         and request_class.idempotency == Idempotency.ONCE
@@ -125,15 +125,15 @@
     return Mistake(line, f"{where}: wait", found, f"every {longest} or more")
 
 
-def _excess(plan: Schedule, routed: RequestClass) -> str:
-    total = format_ms(plan.total_us)
-    excess = format_ms(-plan.slack_us)
-    give_up = format_ms(plan.request_timeout_us)
+def _describe_overrun(schedule: Schedule, routed: RequestClass) -> str:
+    total = format_ms(schedule.total_us)
+    excess = format_ms(-schedule.slack_us)
+    give_up = format_ms(schedule.request_timeout_us)
     worst_case = f"the worst case of {routed.max_attempts} attempts takes {total}"
     return f"{worst_case}, {excess} more than the give-up time {give_up}"
 
 
-def _fitting_values(routed: RequestClass, settings: Settings, limits: Limits) -> str:
+def _describe_fitting_values(routed: RequestClass, settings: Settings, limits: Limits) -> str:
     max_attempts = largest_max_attempts(routed, settings, limits)
     attempt_timeout_us = largest_attempt_timeout_us(routed, settings, limits)
     if attempt_timeout_us > _US_PER_MS:
--- a/gannetweir/routing/schedule.py
+++ b/gannetweir/routing/schedule.py
@@ -15,9 +15,9 @@
 from gannetweir.limits import Limits
 from gannetweir.placement.settings import RequestClass, Settings
 
-OBJECTIVES_PER_PLACEMENT = 3  # the module holds a request for a third of the latency objective
-MIN_PLACEMENTS_PER_TIMEOUT = 2  # and for half the request's time-out, where that is less
-MIN_MARGINS_PER_TIMEOUT = 4  # the margin of the answer is a quarter of a short time-out
+PLACEMENT_OBJECTIVE_DIVISOR = 3  # the module holds a request for a third of the latency objective
+PLACEMENT_TIMEOUT_DIVISOR = 2  # and for half the request's time-out, where that is less
+ANSWER_MARGIN_DIVISOR = 4  # the margin of the answer is a quarter of a short time-out
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,13 +58,13 @@
 
 def answer_margin_us(timeout_us: int, limits: Limits) -> int:
     """Return how long before the client gives up the final answer leaves."""
-    return min(limits.answer_margin_us, timeout_us // MIN_MARGINS_PER_TIMEOUT)
+    return min(limits.answer_margin_us, timeout_us // ANSWER_MARGIN_DIVISOR)
 
 
 def max_placement_us(request_class: RequestClass, timeout_us: int) -> int:
     """Return how long the module may hold a request for a load probe, over all its attempts together."""
-    share_of_objective_us = int(request_class.latency_objective_us / OBJECTIVES_PER_PLACEMENT)
-    return min(share_of_objective_us, timeout_us // MIN_PLACEMENTS_PER_TIMEOUT)
+    share_of_objective_us = int(request_class.latency_objective_us / PLACEMENT_OBJECTIVE_DIVISOR)
+    return min(share_of_objective_us, timeout_us // PLACEMENT_TIMEOUT_DIVISOR)
 
 
 def worst_case_schedule(request_class: RequestClass, settings: Settings, limits: Limits) -> Schedule:
@@ -91,7 +91,7 @@
         changed = replace(request_class, attempt_timeout_us=attempt_timeout_us)
         return worst_case_schedule(changed, settings, limits).slack_us >= 0
 
-    return _largest(request_class.attempt_timeout_us, fits)
+    return _largest_fitting(request_class.attempt_timeout_us, fits)
 
 
 def largest_max_attempts(request_class: RequestClass, settings: Settings, limits: Limits) -> int:
@@ -101,7 +101,7 @@
         changed = replace(request_class, max_attempts=max_attempts)
         return worst_case_schedule(changed, settings, limits).slack_us >= 0
 
-    return _largest(request_class.max_attempts, fits)
+    return _largest_fitting(request_class.max_attempts, fits)
 
 
 class _Timeline:
@@ -131,7 +131,7 @@
             timeline.add(f"wait {number}", backoff_us)
 
 
-def _largest(max_value: int, fits: Callable[[int], bool]) -> int:
+def _largest_fitting(max_value: int, fits: Callable[[int], bool]) -> int:
     """Return the largest value under `max_value` that fits, or 0: the sum grows with the value."""
     low = 0  # fits, or is 0
     high = max_value  # does not fit
