--- a/gannetweir/addresses/address_selector.py
+++ b/gannetweir/addresses/address_selector.py
@@ -60,7 +60,7 @@
 
     def selects_address(self, endpoint_name: str) -> bool:
         """Whether the address is selected here; not where the one that discovery lists is the only one."""
-        return self._table.has_choice(endpoint_name)
+        return self._table.differs_from_listed(endpoint_name)
 
     def ordered_addresses(
         self, endpoint_name: str, now_us: int, for_probe: bool = False, excluded: Collection[Address] = ()
@@ -198,17 +198,17 @@
 
 def _move_slow_back(states: list[AddressState]) -> None:
     """Move those behind that are much slower than the quickest; the order stays otherwise."""
-    quickest_connect_us = min(
+    fastest_connect_us = min(
         (state.connect_time_us for state in states if state.connect_time_us), default=0.0
     )
-    quickest_response_us = min(
+    fastest_response_us = min(
         (state.response_time_us for state in states if state.response_time_us), default=0.0
     )
     max_connect_us = max(
-        MUCH_SLOWER_RATIO * quickest_connect_us, quickest_connect_us + CONNECT_TIME_TOLERANCE_US
+        MUCH_SLOWER_RATIO * fastest_connect_us, fastest_connect_us + CONNECT_TIME_TOLERANCE_US
     )
     max_response_us = max(
-        MUCH_SLOWER_RATIO * quickest_response_us, quickest_response_us + RESPONSE_TIME_TOLERANCE_US
+        MUCH_SLOWER_RATIO * fastest_response_us, fastest_response_us + RESPONSE_TIME_TOLERANCE_US
     )
     states.sort(
         key=lambda state: (state.response_time_us > max_response_us, state.connect_time_us > max_connect_us)
--- a/gannetweir/addresses/address_table.py
+++ b/gannetweir/addresses/address_table.py
@@ -25,7 +25,7 @@
         self._rules = rules
         self._endpoint_by_address: dict[Address, str] = {}
         self._listed: dict[str, ListedAddresses] = {}
-        self._has_choice: dict[str, bool] = {}
+        self._differs_from_listed: dict[str, bool] = {}
 
     def apply_rules(self, rules: AddressRules) -> None:
         """Assign all addresses anew. The state of an address that its endpoint keeps stays."""
@@ -47,11 +47,11 @@
         """Drop an endpoint and what is known of its addresses."""
         self._release(endpoint_name)
         self._listed.pop(endpoint_name, None)
-        self._has_choice.pop(endpoint_name, None)
+        self._differs_from_listed.pop(endpoint_name, None)
 
-    def has_choice(self, endpoint_name: str) -> bool:
+    def differs_from_listed(self, endpoint_name: str) -> bool:
         """Whether an endpoint has anything but the one address that discovery lists."""
-        return self._has_choice.get(endpoint_name, False)
+        return self._differs_from_listed.get(endpoint_name, False)
 
     def states_of(self, endpoint_name: str) -> dict[Address, AddressState]:
         """Return the states of an endpoint's addresses, in the order stated; empty for one not known."""
@@ -70,7 +70,7 @@
         self.states_by_endpoint[endpoint_name] = {
             address: previous.get(address) or AddressState(address) for address in assigned
         }
-        self._has_choice[endpoint_name] = [str(address) for address in assigned] != [listed.address]
+        self._differs_from_listed[endpoint_name] = [str(address) for address in assigned] != [listed.address]
 
     def _release(self, endpoint_name: str) -> dict[Address, AddressState]:
         states = self.states_by_endpoint.pop(endpoint_name, {})
--- a/gannetweir/addresses/rules.py
+++ b/gannetweir/addresses/rules.py
@@ -12,7 +12,7 @@
 HOST_PLACEHOLDER = "{host}"  # in an address of a pattern: the endpoint's own name
 ATTEMPTS_PER_CONNECT_TIMEOUT = 2  # at least so many addresses get their chance within it
 _MAX_SHOWN_CHARACTERS = 120
-_SAMPLE_NAME = "x"  # an address of a pattern is checked with it where no endpoint is known
+_SAMPLE_ENDPOINT_NAME = "x"  # an address of a pattern is checked with it where no endpoint is known
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,7 +101,7 @@
     names = [rule.name]
     if rule.is_pattern:
         names = [name for name in endpoint_names if fnmatchcase(name, rule.name)]
-    for name in names or [_SAMPLE_NAME]:
+    for name in names or [_SAMPLE_ENDPOINT_NAME]:
         try:
             address = parse_address(literal.replace(HOST_PLACEHOLDER, name))
         except AddressError as error:
