--- a/gannetweir/observability/counters.py
+++ b/gannetweir/observability/counters.py
@@ -35,6 +35,6 @@
             name = f"{name}.{OUTCOME_NAMES.get(status, status)}"
         self.counts[name] += 1
 
-    def to_json(self, **figures: int) -> str:
-        """One line of JSON: the counts so far, and figures of this moment, in the order of their names."""
-        return orjson.dumps({**self.counts, **figures}, option=orjson.OPT_SORT_KEYS).decode()
+    def to_json(self, **gauges: int) -> str:
+        """One line of JSON: the counts so far, and gauges of this moment, in the order of their names."""
+        return orjson.dumps({**self.counts, **gauges}, option=orjson.OPT_SORT_KEYS).decode()
--- a/gannetweir/observability/logs.py
+++ b/gannetweir/observability/logs.py
@@ -13,16 +13,16 @@
 
 PLAIN, JSON = "plain", "json"
 FORMS = PLAIN, JSON
-MAX_CHARACTERS = 400  # of a text or a value: some of them come from peers
+MAX_VALUE_CHARACTERS = 400  # of a text or a value: some of them come from peers
 
 
 def _printable(value: object) -> object:
     """The value, or its text without what could forge a line or control the terminal of who reads it."""
     if isinstance(value, bool | int | float) or value is None:
         return value
-    text = str(value)[:MAX_CHARACTERS].encode("ascii", "backslashreplace").decode()
+    text = str(value)[:MAX_VALUE_CHARACTERS].encode("ascii", "backslashreplace").decode()
     printable = "".join(character if " " <= character <= "~" else " " for character in text)
-    return printable[:MAX_CHARACTERS]
+    return printable[:MAX_VALUE_CHARACTERS]
 
 
 class Log:
--- a/gannetweir/observability/trace.py
+++ b/gannetweir/observability/trace.py
@@ -41,8 +41,8 @@
         """Record one event and its actions. A timer that led to nothing but the next timer is left out."""
         if isinstance(event, TimerExpired) and all(isinstance(action, SetTimer) for action in actions):
             return
-        outcome = [[type(action).__name__, action] for action in actions if not isinstance(action, SetTimer)]
-        self._write({"t": now_us, "n": self._relay, "on": type(event).__name__, "is": event, "do": outcome})
+        decided = [[type(action).__name__, action] for action in actions if not isinstance(action, SetTimer)]
+        self._write({"t": now_us, "n": self._relay, "on": type(event).__name__, "is": event, "do": decided})
 
     def record_request(self, event: RequestEvent) -> None:
         """Record one step of a request."""
