--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -37,7 +37,7 @@
 MS, SECOND = 1000, 1_000_000
 V4, V6, UNIX = "10.1.0.18:8080", "[fd00::18]:8080", "unix:/run/a.sock"
 
-GOOD = {
+VALID_LITERALS = {
     V4: V4,
     V6: V6,
     UNIX: UNIX,
@@ -48,7 +48,7 @@
     "unix://run//./a.sock": UNIX,
     f"unix:/{'x' * 106}": f"unix:/{'x' * 106}",
 }
-BAD = [
+INVALID_LITERALS = [
     "",
     ":",
     "host:80",
@@ -89,13 +89,13 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "shown"), GOOD.items())
+@pytest.mark.parametrize(("text", "shown"), VALID_LITERALS.items())
 def test_a_literal_is_parsed_to_its_shortest_form(text: str, shown: str) -> None:
     assert str(parse_address(text)) == shown
     assert parse_address(str(parse_address(text))) == parse_address(text)
 
 
-@pytest.mark.parametrize("text", BAD)
+@pytest.mark.parametrize("text", INVALID_LITERALS)
 def test_a_malformed_literal_is_rejected_with_what_is_allowed(text: str) -> None:
     with pytest.raises(AddressError, match=r"\w{3}"):
         parse_address(text)
@@ -103,7 +103,7 @@
 
 HEAD = "gannetweir version=1\n"
 END = "\ndefault {\n}\n"
-WRONG = {
+INVALID_SECTIONS = {
     "a name for a host": ('server "a" {\n address "push.example:80"\n}', 2, ["push.example", "no DNS"]),
     "an address of two servers": (
         f'server "a" {{\n address "{V4}"\n}}\nserver "b" {{\n address "{V4}"\n}}',
@@ -132,7 +132,7 @@
 }
 
 
-@pytest.mark.parametrize(("body", "line", "words"), WRONG.values(), ids=WRONG.keys())
+@pytest.mark.parametrize(("body", "line", "words"), INVALID_SECTIONS.values(), ids=INVALID_SECTIONS.keys())
 def test_a_wrong_address_section_is_rejected_with_its_line(body: str, line: int, words: list[str]) -> None:
     from tests.test_operators_file import LIMITS, SETTINGS
 
@@ -172,7 +172,7 @@
     assert shown(selector)[:3] == [more[0], UNIX, V6]
 
 
-def test_an_address_that_connects_much_slower_goes_behind() -> None:
+def test_an_address_that_connects_much_slower_comes_last() -> None:
     selector = selector_of(V4, V6)
     for _ in range(8):
         selector.record_connected("a", parse_address(V6), 2 * MS)
@@ -183,12 +183,12 @@
     assert shown(selector) == [V4, V6]
 
 
-def test_an_address_that_responds_much_slower_goes_behind() -> None:
+def test_an_address_that_responds_much_slower_comes_last() -> None:
     selector = selector_of(V4, V6, UNIX)
     for n in range(4):
-        for text, took in ((UNIX, 151 * MS), (V6, 2 * MS), (V4, MS)):
+        for text, response_time_us in ((UNIX, 151 * MS), (V6, 2 * MS), (V4, MS)):
             selector.record_connected("a", parse_address(text), MS)
-            selector.record_response("a", parse_address(text), SECOND + n, took)
+            selector.record_response("a", parse_address(text), SECOND + n, response_time_us)
     assert shown(selector) == [V6, V4, UNIX]  # 2 ms are as good as 1
     for n in range(12):
         selector.record_response("a", parse_address(UNIX), 2 * SECOND + n, MS)
@@ -216,14 +216,14 @@
     assert sorted(shown(selector, SECOND)) == sorted([V4, V6])
 
 
-def test_load_probes_go_round_the_healthy_addresses() -> None:
+def test_load_probes_rotate_over_the_healthy_addresses() -> None:
     selector = selector_of(V4, V6, UNIX)
-    seen = []
+    probed = []
     for n in range(6):
         first = selector.ordered_addresses("a", SECOND + n, for_probe=True)[0]
         selector.record_response("a", first, SECOND + n)
-        seen.append(str(first))
-    assert sorted(seen[:3]) == sorted(seen[3:]) == sorted([V4, V6, UNIX])
+        probed.append(str(first))
+    assert sorted(probed[:3]) == sorted(probed[3:]) == sorted([V4, V6, UNIX])
 
 
 def test_an_address_is_at_fault_for_silence_only_while_another_may_be_alive() -> None:
@@ -361,7 +361,7 @@
     assert ConnectionRace([], []).start(0) == [RaceLost()]
 
 
-def test_cancelled_attempts_have_their_turn_again_after_the_oldest_fails() -> None:
+def test_cancelled_attempts_are_tried_again_after_the_oldest_fails() -> None:
     a, b, c = addresses(3)
     race = ConnectionRace([a, b, c], [30, 30, 30])
     race.start(0)
@@ -454,7 +454,7 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("anyio_backend", ["asyncio"])
-async def test_a_unix_socket_without_rights_is_a_failed_connect(tmp_path: Path) -> None:
+async def test_a_unix_socket_without_permission_is_a_failed_connect(tmp_path: Path) -> None:
     closed, other = socket.socket(socket.AF_UNIX), socket.create_server(("127.0.0.1", 0))
     closed.bind(str(tmp_path / "a.sock"))
     closed.listen()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -24,7 +24,7 @@
     }
 
 
-def test_lines_over_the_rate_of_a_second_are_dropped_and_counted() -> None:
+def test_lines_over_the_rate_limit_are_dropped_and_counted() -> None:
     file = io.StringIO()
     now_s = [5.0]
     dropped: list[int] = []
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("form", ["plain", "json"])
-def test_text_of_a_peer_can_forge_no_line(form: str) -> None:
+def test_text_from_a_peer_can_not_forge_a_line(form: str) -> None:
     file = io.StringIO()
     Log("n3", 9, form, file)("malformed", reason="x\nn3: all is well \x1b[2J \u00e9" + "y" * 5000)
     (line,) = file.getvalue().splitlines()
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -78,30 +78,30 @@
     digits = [a + b + c + "2" for a in "012" for b in "012" for c in "012"]
     groups = [0] + [int(d + "0" * 12, 16) for d in digits]
     keys = [int(d + "0" * 12, 16) for d in digits]
-    admitted: set[int] = set()
+    reached: set[int] = set()
     table = RouteTable(routes, NAMES)
     for class_index in range(2):
         for flags in (0, 2, 16, 18):
-            all_of = (
+            all_requests = (
                 RequestArrived(0, class_index, key=k, group=g, flags=flags) for g in groups for k in keys
             )
-            admitted |= {table.find_route(request) for request in all_of}
+            reached |= {table.find_route(request) for request in all_requests}
     found = route_reachability(routes, NAMES, True, True)
-    assert set(found.shadowed_by) == set(range(len(routes))) - admitted
-    assert set().union(*found.reachable_by_class.values()) == admitted
+    assert set(found.shadowed_by) == set(range(len(routes))) - reached
+    assert set().union(*found.reachable_by_class.values()) == reached
     assert all(-1 <= other < number for number, other in found.shadowed_by.items())
 
 
 def test_prefixes_of_every_digit_together_cover_a_longer_prefix() -> None:
-    sixteen = [Route(d, RouteMatch(group_prefixes=(d,))) for d in "0123456789abcdef"]
-    late, plain = (
-        Route("late", RouteMatch(group_prefixes=("5c",))),
+    group_routes = [Route(d, RouteMatch(group_prefixes=(d,))) for d in "0123456789abcdef"]
+    longer, plain = (
+        Route("longer", RouteMatch(group_prefixes=("5c",))),
         Route("plain", RouteMatch(classes=("a",))),
     )
-    assert set(route_reachability([*sixteen, late, plain], NAMES, True, True).shadowed_by) == {16}
-    keys = [Route(d, RouteMatch(key_prefixes=(d,))) for d in "0123456789abcdef"]
-    assert set(route_reachability([*keys, plain], NAMES, True, True).shadowed_by) == {16}
-    assert set(route_reachability([*keys[1:], plain], NAMES, True, True).shadowed_by) == set()
+    assert set(route_reachability([*group_routes, longer, plain], NAMES, True, True).shadowed_by) == {16}
+    key_routes = [Route(d, RouteMatch(key_prefixes=(d,))) for d in "0123456789abcdef"]
+    assert set(route_reachability([*key_routes, plain], NAMES, True, True).shadowed_by) == {16}
+    assert set(route_reachability([*key_routes[1:], plain], NAMES, True, True).shadowed_by) == set()
     assert set(
         route_reachability(
             [Route("g", RouteMatch(group_prefixes=("5",))), plain], NAMES, False, True
@@ -183,15 +183,15 @@
     for at in retry_after_us:  # together, 24 of 25 would be over again
         assert not limit.exceeded_limit(at)
         limit.acquire(at)
-    far = [
+    without_slot_us = [
         limit.retry_after_us(0, rng.random()) for _ in range(200)
     ]  # no set-up is left within the longest Retry-After
-    assert min(far) >= 700_000
-    assert max(far) <= 1_500_000
-    assert len(set(far)) > 150
+    assert min(without_slot_us) >= 700_000
+    assert max(without_slot_us) <= 1_500_000
+    assert len(set(without_slot_us)) > 150
 
 
-def test_a_released_connection_makes_room_for_another() -> None:
+def test_after_a_release_the_limit_admits_another_connection() -> None:
     limit = ConnectionLimiter(ConnectionLimitRule(max_open=2), SECOND)
     limit.acquire(0)
     limit.acquire_resumed()
@@ -291,16 +291,16 @@
         Route("one", RouteMatch(classes=("a",)), limits=ConnectionLimitRule(max_setups_per_endpoint=2)),
         Route("default"),
     )
-    tight, loose = (
+    limited, unlimited = (
         RequestClass("a", route="one", max_setups_per_endpoint=2),
         RequestClass("b", route="default"),
     )
-    assert not admission.admit_attempt(admission.permits["default"], loose, "s", 0, 0)
-    assert not admission.admit_attempt(admission.permits["one"], tight, "s", 0, 0)
-    assert admission.admit_attempt(admission.permits["one"], tight, "s", 0, 0) == "setups-at-backend"
-    assert not admission.admit_attempt(admission.permits["one"], tight, "t", 0, 0)
+    assert not admission.admit_attempt(admission.permits["default"], unlimited, "s", 0, 0)
+    assert not admission.admit_attempt(admission.permits["one"], limited, "s", 0, 0)
+    assert admission.admit_attempt(admission.permits["one"], limited, "s", 0, 0) == "setups-at-backend"
+    assert not admission.admit_attempt(admission.permits["one"], limited, "t", 0, 0)
     admission.setup_finished("s")
-    assert not admission.admit_attempt(admission.permits["one"], tight, "s", 0, 0)
+    assert not admission.admit_attempt(admission.permits["one"], limited, "s", 0, 0)
     for _ in range(9):
         admission.setup_finished("s")
     assert admission.setups_by_endpoint == {"t": 1}
--- a/tests/test_standard_error.py
+++ b/tests/test_standard_error.py
@@ -19,7 +19,7 @@
 COUNTER_LINES = 150  # several times what fits into the pipe
 
 
-def test_a_relay_serves_and_exits_though_nobody_reads_its_standard_error(tmp_path: Path) -> None:
+def test_a_relay_serves_and_exits_while_its_standard_error_is_not_read(tmp_path: Path) -> None:
     port = RelayHarness.free_port()
     config = {
         "name": "n0",
@@ -52,13 +52,13 @@
 
 def answer_of(port: int, line: bytes, within_s: float) -> bytes:
     """What a relay answers to a line; until it listens, the connect is retried."""
-    give_up = time.monotonic() + within_s
+    deadline_s = time.monotonic() + within_s
     while True:
         try:
             with socket.create_connection(("127.0.0.1", port), 1.0) as sock:
-                sock.settimeout(max(0.1, give_up - time.monotonic()))
+                sock.settimeout(max(0.1, deadline_s - time.monotonic()))
                 sock.sendall(line)
                 return sock.recv(100)
         except ConnectionError:
-            assert time.monotonic() < give_up
+            assert time.monotonic() < deadline_s
             time.sleep(0.02)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -21,7 +21,7 @@
     return Engine(relay_settings, Limits(), 1, KNOWN_ENDPOINTS, 0, options)
 
 
-def test_every_event_with_its_actions_is_a_line_but_for_timers_without_actions() -> None:
+def test_each_event_with_its_actions_is_a_line_except_timers_without_actions() -> None:
     file = io.StringIO()
     engine = traced_engine(file)
     for second in range(1, 6):
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("file", [BrokenPipe(), io.StringIO()], ids=["broken pipe", "no JSON form"])
-def test_what_can_not_be_written_ends_the_trace_and_nothing_else(file: io.StringIO) -> None:
+def test_a_line_that_can_not_be_written_ends_the_trace_and_not_the_relay(file: io.StringIO) -> None:
     engine = traced_engine(file)
     assert engine.dispatcher.trace is not None
     engine.dispatcher.trace(0, ClientDisconnected(1 << 70), [])  # JSON has no form for it
