--- a/benchmarks/against.py
+++ b/benchmarks/against.py
@@ -25,13 +25,13 @@
     with tempfile.TemporaryDirectory() as name:
         port = free_port()
         config = write_platform_config(Path(name), port, listener.getsockname()[1])
-        found = []
+        figure_pairs = []
         for n in range(pairs):
             sides = [ROOT, other] if n % 2 else [other, ROOT]  # who goes first takes turns
             figures = {root: measure(config, port, None, placements, root) for root in sides}
-            found.append((figures[ROOT], figures[other]))
+            figure_pairs.append((figures[ROOT], figures[other]))
     listener.close()
-    report(found, placements, ("this", "other"))
+    report(figure_pairs, placements, ("this", "other"))
 
 
 if __name__ == "__main__":
--- a/benchmarks/routes_cost.py
+++ b/benchmarks/routes_cost.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-TICK = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 START_TIMEOUT_S = 20
 POLL_S = 0.002  # a start takes a hundred times as long
 CALL_TIMEOUT_S = 5
@@ -35,12 +35,12 @@
 
 def run_backend(listener: socket.socket) -> None:
     """Answer every first line with UP, every load probe with a report, until the client closes."""
-    report = b"PONG tps=1,concurrent=9000,x0=0.2\r\n"  # so many that one more makes no difference
+    load_report = b"PONG tps=1,concurrent=9000,x0=0.2\r\n"  # so many that one more makes no difference
 
     def serve(sock: socket.socket) -> None:
         with sock, sock.makefile("rwb") as file:
             for line in file:
-                file.write(report if line.startswith(b"STATS") else b"UP r1\r\n")
+                file.write(load_report if line.startswith(b"STATS") else b"UP r1\r\n")
                 file.flush()
 
     while True:
@@ -112,7 +112,7 @@
 def cpu_seconds(pid: int) -> float:
     """Return the CPU time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def resident_mb(pid: int) -> float:
@@ -162,12 +162,12 @@
         raise SystemExit(f"placement {number} was not served")
 
 
-def report(found: list[tuple[Figures, Figures]], placements: int, sides: tuple[str, str]) -> None:
+def report(figure_pairs: list[tuple[Figures, Figures]], placements: int, sides: tuple[str, str]) -> None:
     """Print the medians of both sides of all pairs, and the median of the ratios within pairs."""
-    print(f"{len(found)} pairs, {placements} placements each\n")
+    print(f"{len(figure_pairs)} pairs, {placements} placements each\n")
     print(f"| figure | {sides[0]} | {sides[1]} | ratio |\n| --- | --- | --- | --- |")
     for n, figure in enumerate(FIGURES):
-        one, other = ([pair[side][n] for pair in found] for side in (0, 1))
+        one, other = ([pair[side][n] for pair in figure_pairs] for side in (0, 1))
         ratio = statistics.median(a / b for a, b in zip(one, other, strict=True))
         print(f"| {figure} | {statistics.median(one):.1f} | {statistics.median(other):.1f} | {ratio:.3f} |")
 
@@ -182,11 +182,13 @@
         folder, port = Path(name), free_port()
         config = write_platform_config(folder, port, listener.getsockname()[1])
         file = write_operators_file(folder, ROUTES)
-        found = []
+        figure_pairs = []
         for _ in range(pairs):
-            found.append((measure(config, port, file, placements), measure(config, port, None, placements)))
+            figure_pairs.append(
+                (measure(config, port, file, placements), measure(config, port, None, placements))
+            )
     listener.close()
-    report(found, placements, (f"{ROUTES} routes", "none"))
+    report(figure_pairs, placements, (f"{ROUTES} routes", "none"))
 
 
 if __name__ == "__main__":
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -25,7 +25,7 @@
 from routes_cost import ROOT, free_port
 
 SIZES = 64, 1024, 4096  # backends on the list
-WHOLE = (
+TOTAL_NAMES = (
     "sum of the parts",
     "first PONG, wall",
     "first PONG, processor",
@@ -34,8 +34,15 @@
 )
 READY_S = 10.0  # in which nine in ten restarted relays have to be ready
 NS_PER_MS = 1e6
-PARTS = "interpreter", "imports", "configuration", "known list", "engine and module", "first watch answer"
-PART_CODE = """
+PHASE_NAMES = (
+    "interpreter",
+    "imports",
+    "configuration",
+    "known list",
+    "engine and module",
+    "first watch answer",
+)
+PHASES_CODE = """
 import json, os, time
 marks = [time.process_time()]
 def mark():
@@ -125,17 +132,17 @@
         threading.Thread(target=serve, args=(sock,), daemon=True).start()
 
 
-def parts(env: dict[str, str]) -> list[float]:
+def measure_phases(env: dict[str, str]) -> list[float]:
     """Processor milliseconds of each part."""
     done = subprocess.run(
-        [sys.executable, "-c", PART_CODE], cwd=ROOT, env=env, check=True, capture_output=True, text=True
+        [sys.executable, "-c", PHASES_CODE], cwd=ROOT, env=env, check=True, capture_output=True, text=True
     )
     return [float(ms) for ms in json.loads(done.stdout)]
 
 
-def whole(env: dict[str, str], port: int) -> tuple[float, float]:
+def measure_start(env: dict[str, str], port: int) -> tuple[float, float]:
     """Wall and processor milliseconds from a relay's start to its first PONG."""
-    begun = time.monotonic()
+    begin_s = time.monotonic()
     relay = subprocess.Popen(
         [sys.executable, "-m", "gannetweir", "serve"], cwd=ROOT, env=env, stderr=subprocess.DEVNULL
     )
@@ -148,9 +155,9 @@
                         break
             except ConnectionError:
                 time.sleep(0.002)
-        wall = 1e3 * (time.monotonic() - begun)
+        wall_ms = 1e3 * (time.monotonic() - begin_s)
         spent_ns = Path(f"/proc/{relay.pid}/schedstat").read_text().split()[0]
-        return wall, int(spent_ns) / NS_PER_MS
+        return wall_ms, int(spent_ns) / NS_PER_MS
     finally:
         relay.send_signal(signal.SIGTERM)
         relay.wait()
@@ -173,15 +180,24 @@
         compiled = env | {"PYTHONPYCACHEPREFIX": str(folder / "compiled")}
         compiled.pop("PYTHONDONTWRITEBYTECODE", None)
         sources = env | {"PYTHONPYCACHEPREFIX": str(folder / "none"), "PYTHONDONTWRITEBYTECODE": "1"}
-        whole(compiled, port)  # compiles what it imports
-        parts(compiled)
-        taken = []
+        measure_start(compiled, port)  # compiles what it imports
+        measure_phases(compiled)
+        samples = []
         for _ in range(runs):
-            each = parts(compiled)
-            wall, processor = whole(compiled, port)
-            bare = whole(sources, port)[1]
-            taken.append([*each, sum(each), wall, processor, processor / 10.0 / READY_S, bare])
-    return [statistics.median(column) for column in zip(*taken, strict=True)]
+            phases_ms = measure_phases(compiled)
+            wall_ms, processor_ms = measure_start(compiled, port)
+            uncompiled_ms = measure_start(sources, port)[1]
+            samples.append(
+                [
+                    *phases_ms,
+                    sum(phases_ms),
+                    wall_ms,
+                    processor_ms,
+                    processor_ms / 10.0 / READY_S,
+                    uncompiled_ms,
+                ]
+            )
+    return [statistics.median(column) for column in zip(*samples, strict=True)]
 
 
 def main() -> None:
@@ -190,7 +206,7 @@
     sizes = given or SIZES
     with tempfile.TemporaryDirectory() as folder:
         columns = [measure(size, runs, Path(folder)) for size in sizes]
-    names = *PARTS, *WHOLE
+    names = *PHASE_NAMES, *TOTAL_NAMES
     print("| ms |", " | ".join(f"{size:,} backends" for size in sizes), "|")
     print("| --- |" + " --- |" * len(sizes))
     for name, row in zip(names, zip(*columns, strict=True), strict=True):
