--- a/gannetweir/routing/__init__.py
+++ b/gannetweir/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing by operators' rules: schedules, retry budgets and limits. Decides without I/O or clock."""
+"""Routing by operators' rules: routes, schedules, retry budgets and limits. No I/O, no clock."""
--- a/gannetweir/routing/connection_limiter.py
+++ b/gannetweir/routing/connection_limiter.py
@@ -1,25 +1,24 @@
-"""The concurrency limit and the rate limit of a route, and the Retry-After of those who are over.
+"""The concurrency limit and the rate limit of a route, and the Retry-After of requests over a limit.
 
-What is over a limit is rejected at once, with a Retry-After of its own: the set-ups that the rate limit will
-admit are given out one after another, so that those who come again do not come together and do not find it
-full again.
+A request over a limit is rejected at once. Each rejected request gets a different future set-up slot of the
+rate limit as its Retry-After, so that clients do not retry together and exceed the limit again.
 """
 
 from __future__ import annotations
 
 from gannetweir.routing.rules import ConnectionLimitRule
 
-MIN_RETRY_AFTER_US = 50_000  # a client that comes sooner is most likely rejected again
-FALLBACK_MIN_RATIO = (
-    0.5  # of the longest Retry-After, where no admission can be foretold: spreads the clients
-)
+MIN_RETRY_AFTER_US = 50_000  # a client that retries sooner is most likely rejected again
+# Where no set-up slot is free within the longest Retry-After, a random Retry-After spreads the clients. This
+# fraction of the longest Retry-After is its lower bound.
+FALLBACK_MIN_RATIO = 0.5
 
 
 class ConnectionLimiter:
     """The state behind one `ConnectionLimitRule`. Owns its counts; the caller passes the time in.
 
-    The rate limit is a token bucket in the form of GCRA: the moment at which the bucket is full says all.
-    `max_retry_after_us` is the longest Retry-After that clients take.
+    The rate limit is a token bucket in the form of GCRA: its only state is the time at which the bucket is
+    full again. `max_retry_after_us` is the longest Retry-After that clients accept.
     """
 
     def __init__(self, rule: ConnectionLimitRule, max_retry_after_us: int) -> None:
@@ -27,10 +26,10 @@
         self.max_retry_after_us = max_retry_after_us
         self.open_connections = 0
         self._bucket_full_us = 0.0
-        self._next_slot_us = 0.0  # the first moment that no rejected client was given
+        self._next_slot_us = 0.0  # the first set-up slot that no rejected client was given
 
     def exceeded_limit(self, now_us: int) -> str:
-        """Return the operators' word for the limit that one more would exceed, or an empty text."""
+        """Return the operators' name for the limit that another connection would exceed, or an empty text."""
         if self.rule.max_open and self.open_connections >= self.rule.max_open:
             return "open"
         if self.rule.max_setups_per_s:
@@ -50,11 +49,11 @@
         self.open_connections += 1
 
     def release(self) -> None:
-        """Count a connection that has ended."""
+        """Stop counting a connection that has ended."""
         self.open_connections = max(0, self.open_connections - 1)
 
     def retry_after_us(self, now_us: int, draw: float) -> int:
-        """Return when one that is over a limit is to come again. `draw` is a random number from 0 to 1."""
+        """Return the Retry-After of a request over a limit. `draw` is a random number from 0 to 1."""
         max_us = max(1, self.max_retry_after_us)
         if self.rule.max_setups_per_s:
             earliest_us = now_us + min(MIN_RETRY_AFTER_US, max_us)
@@ -65,7 +64,7 @@
         return max(1, int(max_us * (FALLBACK_MIN_RATIO + (1.0 - FALLBACK_MIN_RATIO) * draw)))
 
     def apply_rule(self, rule: ConnectionLimitRule, max_retry_after_us: int) -> None:
-        """Replace the rule; the connections that are open go on counting."""
+        """Replace the rule; open connections stay counted."""
         self.rule = rule
         self.max_retry_after_us = max_retry_after_us
 
--- a/gannetweir/routing/platform_checks.py
+++ b/gannetweir/routing/platform_checks.py
@@ -1,7 +1,6 @@
-"""The part of the check of an operators' file that needs the platform's settings.
+"""The checks of an operators' file that need the platform's settings.
 
-The hard case is a plan that fits one class and not the next: each route is checked with each class that some
-request of takes it.
+A plan may fit one class and not another: each route is checked with each class whose requests can take it.
 """
 
 from __future__ import annotations
@@ -32,7 +31,7 @@
 
 
 def check_with_settings(rules: RoutingRules, settings: Settings, limits: Limits) -> Iterator[Mistake]:
-    """Return the mistakes of the rules together with the settings, in the order of the routes."""
+    """Return the mistakes of the rules under the settings: route by route, then the unreachable routes."""
     classes = platform_classes(settings)
     class_names = [request_class.name for request_class in classes]
     reachability = route_reachability(
@@ -41,7 +40,7 @@
     for number, route in enumerate(rules.routes):
         yield from _bound_mistakes(route, settings, class_names)
         for request_class in classes:
-            # a plan for what other routes take is never carried out
+            # the plan for a class is never carried out if other routes take all requests of the class
             if number in reachability.reachable_by_class[request_class.name]:
                 yield from _class_mistakes(route, request_class, settings, limits)
     yield from _unreachable_mistakes(rules, settings, class_names, reachability)
@@ -81,7 +80,8 @@
         allowed = "never-ran, or a route of its own"
         yield Mistake(route.line_of("retry-on"), f"{where}: retry-on", found, allowed)
     if route.max_attempts > min(MAX_ATTEMPTS, settings.max_attempts):
-        return  # reported already; a sum over them would report it again
+        # The number of attempts is reported already; the worst case would report it a second time.
+        return
     routed = routed_class(request_class, route, settings)
     overlap = _overlap_mistake(route, routed, settings, where)
     if overlap is not None:
@@ -108,7 +108,7 @@
 
 
 def _overlap_mistake(route: Route, routed: RequestClass, settings: Settings, where: str) -> Mistake | None:
-    """Return the mistake of a cadence that could let two attempts overlap; None where it can't."""
+    """Return the mistake of a cadence (`wait "every"`) with which two attempts could overlap, or None."""
     if not routed.backoff_from_attempt_start:
         return None
     line = route.line_of("wait")
@@ -137,7 +137,7 @@
     max_attempts = largest_max_attempts(routed, settings, limits)
     attempt_timeout_us = largest_attempt_timeout_us(routed, settings, limits)
     if attempt_timeout_us > _US_PER_MS:
-        # a value that is copied into the file has to fit as it is printed
+        # whole milliseconds, rounded down: the printed value must fit when it is copied into the file
         attempt_timeout_us -= attempt_timeout_us % _US_PER_MS
     fitting: list[str] = []
     if attempt_timeout_us > 0:
@@ -153,7 +153,7 @@
     for number, shadowing in sorted(reachability.shadowed_by.items()):
         route = rules.routes[number]
         if set(route.match.classes) - set(class_names):
-            continue  # a class that is not known has been reported already
+            continue  # the unknown class is reported already
         if shadowing != NO_REQUESTS:
             reason = f"what it matches is taken before, by route {rules.routes[shadowing].name}"
         elif not settings.groups_enabled and route.match.group_prefixes:
--- a/gannetweir/routing/reachability.py
+++ b/gannetweir/routing/reachability.py
@@ -1,6 +1,7 @@
-"""Which routes some request can take, and who takes the requests of the others before them.
+"""Which routes are reachable, and which earlier route shadows each of the others.
 
-Exact, also where only several routes cover another one together. Used by the check of a file, not by serving.
+The result is exact, also where only several routes together cover another one. The check of an operators'
+file uses this module; serving does not.
 """
 
 from __future__ import annotations
@@ -12,17 +13,19 @@
 from gannetweir.routing.route_table import PrefixPair, matching_routes, prefix_pairs
 from gannetweir.routing.rules import HEX_DIGITS, Route
 
-NO_REQUESTS = -1  # in `shadowed_by`
-_NO_GROUP = "0" * HEX_DIGITS  # how a request without a group reads: no prefix of a group's may take it
+NO_REQUESTS = -1  # in `shadowed_by`, for a route that no possible request matches
+# The group of a request without a group. No group prefix matches such a request, so a prefix with all these
+# digits matches no request at all.
+_NO_GROUP = "0" * HEX_DIGITS
 _DIGITS = "0123456789abcdef"
 
 
 @dataclass(frozen=True, slots=True)
 class RouteReachability:
-    """Which routes some request of a class takes, and for each other route who takes its requests before it.
+    """The routes that requests of each class can reach, and for each other route one that shadows it.
 
-    `NO_REQUESTS` in `shadowed_by`: there are none to take: no such class, no groups here, or no marks of
-    clients' retries.
+    `shadowed_by` is `NO_REQUESTS` for a route that no possible request matches: its classes are unknown, the
+    platform has no groups, or clients do not mark retries.
     """
 
     reachable_by_class: Mapping[str, frozenset[int]]
@@ -32,10 +35,10 @@
 def route_reachability(
     routes: Sequence[Route], classes: Sequence[str], groups_enabled: bool, clients_mark_retries: bool
 ) -> RouteReachability:
-    """Find the routes that no request can take."""
+    """Return which routes requests of the given classes can reach, and what shadows the others."""
     reachable_by_class: dict[str, set[int]] = {class_name: set() for class_name in classes}
     shadowed_by = dict.fromkeys(range(len(routes)), NO_REQUESTS)
-    reachable_by_routes: dict[tuple[int, ...], set[int]] = {}  # most routes take every kind of request
+    reachable_by_routes: dict[tuple[int, ...], set[int]] = {}  # a memo: most kinds have the same routes
     retry_marks = (False, True) if clients_mark_retries else (False,)
     for class_name, returning, retry in product(classes, (False, True), retry_marks):
         matching = matching_routes(routes, class_name, returning, retry)
@@ -52,7 +55,10 @@
 def _reachable_routes(
     routes: Sequence[Route], matching: Sequence[int], groups_enabled: bool, shadowed_by: dict[int, int]
 ) -> set[int]:
-    """Return the routes that are not covered by those before them; note in `shadowed_by` who covers one."""
+    """Return the routes that earlier routes do not cover.
+
+    Records in `shadowed_by` the first earlier route that overlaps each covered one.
+    """
     reachable: set[int] = set()
     earlier: list[tuple[PrefixPair, int]] = []
     for number in matching:
@@ -72,7 +78,7 @@
 
 
 def _overlapping(pair: PrefixPair, others: list[tuple[PrefixPair, int]]) -> list[tuple[PrefixPair, int]]:
-    # as `_overlap`, written out: it runs for each pair of routes of a file
+    # `_overlap` is inlined here for speed: this code runs for each pair of routes of a file
     group, key = pair
     return [
         (other, number)
@@ -87,11 +93,11 @@
 
 
 def _is_covered(pair: PrefixPair, others: list[PrefixPair]) -> bool:
-    """Whether the others together leave nothing of a pair.
+    """Whether the other pairs together cover all of a pair.
 
-    One that overlaps it but does not hold it splits it, a digit at a time; a piece that nothing overlaps ends
-    the search: the work is bounded by the pairs given. A group's prefix never takes a request without a
-    group, so it can't cover a pair that names none.
+    Where another pair overlaps the pair without containing it, the pair is split by the next digit. A piece
+    that nothing overlaps ends the search, so the work is bounded by the pairs given. A group prefix never
+    matches a request without a group, so it can't cover a pair without a group prefix.
     """
     group, key = pair
     overlapping = [other for other in others if _overlap(pair, other) and (group or not other[0])]
--- a/gannetweir/routing/retry_budget.py
+++ b/gannetweir/routing/retry_budget.py
@@ -1,14 +1,15 @@
-"""A retry budget: retries are a share of the recent first attempts, so they cannot feed on failure.
+"""A retry budget: retries are limited to a share of the recent first attempts.
 
-A count of attempts bounds one request; when most of a fleet fails, it multiplies the load by that count just
-then. A share of recent traffic does not grow with the failures.
+A maximum number of attempts bounds a single request, but multiplies the load by that number when most of a
+fleet fails. A share of recent traffic does not grow with the failures, so retries can't amplify an overload.
 """
 
 from __future__ import annotations
 
 from gannetweir.routing.rules import RetryBudgetRule
 
-WINDOW_PARTS = 10  # counts leave the window a tenth at a time: constant memory, an error of a tenth
+# Counts leave the window a tenth at a time: memory is constant, and the error is at most a tenth.
+WINDOW_PARTS = 10
 
 
 class RetryBudget:
@@ -18,10 +19,10 @@
         self.rule = rule
         self._first_attempts = [0] * WINDOW_PARTS
         self._retries = [0] * WINDOW_PARTS
-        self._current_part = 0  # number of the current part since the clock's start
+        self._current_part = 0  # number of the current part, counted from the clock's zero
 
     def record_first_attempt(self, now_us: int) -> None:
-        """Count a first attempt: it earns its share of retries."""
+        """Count a first attempt, which earns `retry_ratio` of a retry."""
         self._first_attempts[self._advance_window(now_us)] += 1
 
     def record_retry(self, now_us: int) -> None:
@@ -29,16 +30,16 @@
         self._retries[self._advance_window(now_us)] += 1
 
     def remaining_retries(self, now_us: int) -> float:
-        """Return how many retries may start now; under 1 none may."""
+        """Return how many retries may start now; no retry may start if the number is under 1."""
         self._advance_window(now_us)
         earned = self.rule.retry_ratio * sum(self._first_attempts)
         return max(float(self.rule.min_retries), earned) - sum(self._retries)
 
     def with_rule(self, rule: RetryBudgetRule) -> RetryBudget:
-        """Return the budget under another rule: this one, or a new one where the window differs.
+        """Return the budget under another rule: this one, or a new one if the length of the window differs.
 
-        With another window the parts mean something else. The counts start in its current part, or a reload
-        in a rush would allow a whole window's retries again.
+        The parts of a new window have another length, so all counts move to its current part. Without them, a
+        reload during an overload would allow a full window's retries again.
         """
         if rule.window_us == self.rule.window_us:
             self.rule = rule
@@ -53,7 +54,7 @@
     def _advance_window(self, now_us: int) -> int:
         """Drop the parts that have left the window; return the index of the current one."""
         part = now_us * WINDOW_PARTS // self.rule.window_us
-        if part > self._current_part:  # a clock that steps back stays in the part where it was
+        if part > self._current_part:  # a clock that steps back stays in the current part
             last_expired = min(part, self._current_part + WINDOW_PARTS)
             for expired in range(self._current_part + 1, last_expired + 1):
                 self._first_attempts[expired % WINDOW_PARTS] = 0
--- a/gannetweir/routing/route_admission.py
+++ b/gannetweir/routing/route_admission.py
@@ -1,7 +1,7 @@
-"""What an operators' file does to a running relay.
+"""Applies the routing rules of an operators' file to requests and attempts.
 
-Decides which class a request is, whether it may begin, and whether it may be retried. Knows no clock and
-draws no random numbers; the engine passes both in and carries the decision out.
+Decides a request's class as its route treats it, whether the request may begin, and whether it may be
+retried. Reads no clock and draws no random numbers: the engine passes both in and carries the decision out.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Why a request may not begin, and when to come again."""
+    """Why a request is rejected, and when the client may retry."""
 
     reason: str
     retry_after_us: int
@@ -32,7 +32,10 @@
 
 @dataclass(slots=True, eq=False)
 class AdmissionPermit:
-    """What one route has in use. Its requests keep it over a reload: what they release is then this one's."""
+    """The limiter and the retry budget of one route, or of the relay.
+
+    A request keeps its permit over a reload, so that the request is released where it was counted.
+    """
 
     route_name: str
     limiter: ConnectionLimiter
@@ -40,12 +43,12 @@
 
 
 def platform_classes(settings: Settings) -> list[RequestClass]:
-    """Return the classes as the platform states them, without those that were derived for routes."""
+    """Return the classes that the platform states, without those derived for routes."""
     return [request_class for request_class in settings.classes if not request_class.route]
 
 
 def with_routed_classes(settings: Settings, rules: RoutingRules | None) -> Settings:
-    """Return settings with every class once as stated and once more for each route, in that order."""
+    """Return the settings with all classes as stated, followed by all classes as each route treats them."""
     stated = platform_classes(settings)
     routes = rules.routes if rules is not None else ()
     derived = [routed_class(request_class, route, settings) for route in routes for request_class in stated]
@@ -53,19 +56,19 @@
 
 
 class RouteAdmission:
-    """The routes, retry budgets and limits of one relay. Owns all that is counted for them.
+    """The routes, retry budgets and limits of one relay. Owns their counts.
 
-    `settings` are `with_routed_classes` of the same rules.
+    `settings` must be the result of `with_routed_classes` for the same rules.
     """
 
     def __init__(self, rules: RoutingRules, settings: Settings) -> None:
         self.permits: dict[str, AdmissionPermit] = {}
         self.relay_permit = AdmissionPermit("relay", ConnectionLimiter(ConnectionLimitRule(), 1), None)
-        self.setups_by_endpoint: dict[EndpointId, int] = {}  # set-ups under way, of all routes
+        self.setups_by_endpoint: dict[EndpointId, int] = {}  # set-ups in progress, of all routes
         self.apply(rules, settings)
 
     def apply(self, rules: RoutingRules, settings: Settings) -> None:
-        """Decide by these rules from now on. What routes of the same names have in use goes on counting."""
+        """Apply these rules from now on. A route that keeps its name keeps its counts."""
         class_names = [request_class.name for request_class in platform_classes(settings)]
         max_retry_after_us = int(settings.max_retry_after_us)
         previous_permits = self.permits
@@ -85,9 +88,9 @@
         _apply_rules(self.relay_permit, rules.limits, rules.retry_budget, max_retry_after_us)
 
     def max_attempts_for(self, request_class: RequestClass, platform_max_attempts: int) -> int:
-        """Return how many attempts a request may have in all.
+        """Return the maximum number of attempts of a request.
 
-        Its own plan decides, but never more than what now holds for its route and class.
+        The request's own plan decides, limited by what is now in force for its route and class.
         """
         planned = request_class.max_attempts or platform_max_attempts
         key = request_class.route, request_class.name
@@ -95,7 +98,7 @@
         return min(planned, in_force, platform_max_attempts)
 
     def class_index_for(self, request: RequestArrived) -> int:
-        """Return the number of a request's class as its route treats it."""
+        """Return the index, in the settings, of a request's class as its route treats it."""
         route_number = self.route_table.find_route(request)
         return self._platform_class_count * (1 + route_number) + request.class_index
 
@@ -106,9 +109,10 @@
     def admit(
         self, permit: AdmissionPermit, earns_retries: bool, now_us: int, draw: float
     ) -> Rejection | None:
-        """Admit one more request and count it, or return why not. `draw` is a random number from 0 to 1.
+        """Admit and count one more request, or return why it is rejected.
 
-        `earns_retries` is false for what the client marks as its retry: or retries would pay for retries.
+        `earns_retries` is false for a request that its client marks as a retry: retries must not earn further
+        retries. `draw` is a random number from 0 to 1.
         """
         for limited in (permit, self.relay_permit):
             if limit := limited.limiter.exceeded_limit(now_us):
@@ -126,7 +130,7 @@
         self.relay_permit.limiter.acquire_resumed()
 
     def release(self, permit: AdmissionPermit) -> None:
-        """Count a request that is over."""
+        """Stop counting a request that has ended."""
         permit.limiter.release()
         self.relay_permit.limiter.release()
 
@@ -138,9 +142,10 @@
         attempt_index: int,
         now_us: int,
     ) -> str:
-        """Admit an attempt and count it, or return the operators' word for what forbids it.
+        """Admit and count an attempt, or return the operators' name for the limit that forbids it.
 
-        The text is empty if it may start. `attempt_index` is 0 for a first attempt, which no budget limits.
+        The result is an empty text if the attempt may start. `attempt_index` is 0 for a first attempt, which
+        no retry budget limits.
         """
         max_setups = request_class.max_setups_per_endpoint
         if max_setups and self.setups_by_endpoint.get(endpoint_id, 0) >= max_setups:
@@ -151,7 +156,7 @@
         return ""
 
     def setup_finished(self, endpoint_id: EndpointId) -> None:
-        """Count an attempt whose set-up is over: it is established, or it has ended."""
+        """Stop counting the set-up of an attempt that is established or has ended."""
         setups = self.setups_by_endpoint.get(endpoint_id, 0) - 1
         if setups > 0:
             self.setups_by_endpoint[endpoint_id] = setups
@@ -159,13 +164,13 @@
             self.setups_by_endpoint.pop(endpoint_id, None)
 
     def current_figures(self) -> dict[str, int]:
-        """Return how many connections each route has open, by the names of the counters."""
+        """Return the number of open connections of each route, by counter name."""
         return {
             f"open.{permit.route_name}": permit.limiter.open_connections for permit in self.permits.values()
         }
 
     def _spend_retry(self, permit: AdmissionPermit, now_us: int) -> bool:
-        """Count a retry in the budgets of its route and of the relay, if both have one left."""
+        """Count a retry in the budgets of route and relay; return false if either budget is spent."""
         budgets = [
             budget for budget in (permit.retry_budget, self.relay_permit.retry_budget) if budget is not None
         ]
@@ -186,7 +191,7 @@
     budget_rule: RetryBudgetRule | None,
     max_retry_after_us: int,
 ) -> None:
-    """Replace the rules of a permit; what it has counted stays."""
+    """Replace the rules of a permit; its counts stay."""
     permit.limiter.apply_rule(limits, max_retry_after_us)
     if budget_rule is None:
         permit.retry_budget = None
--- a/gannetweir/routing/route_checks.py
+++ b/gannetweir/routing/route_checks.py
@@ -1,7 +1,7 @@
-"""The check of an operators' file against the platform's settings: all that is wrong with both together.
+"""The check of an operators' file for consistency, and against the platform's settings.
 
-Knows no syntax: the reader has dealt with types and units. Without settings (None) only what the file states
-by itself is checked. Each mistake names the line, what was found and what is allowed.
+Syntax, types and units have been checked by the parser. Without settings (None), the file is checked only for
+its own consistency. Each mistake names the line, what was found and what is allowed.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 )
 from gannetweir.routing.units import format_ms
 
-MAX_ROUTES = 1000  # the check of who is reached looks at each pair of routes
-MAX_BUDGET_WINDOW_US = 600_000_000  # what was earned ten minutes ago says nothing of now
-MIN_BUDGET_WINDOW_US = 100_000  # a shorter one sees too few requests to have a share of them
+MAX_ROUTES = 1000  # the check for unreachable routes compares each pair of routes
+MAX_BUDGET_WINDOW_US = 600_000_000  # requests of ten minutes ago say nothing about the present load
+MIN_BUDGET_WINDOW_US = 100_000  # a shorter window has too few requests to take a share of
 
 
 def check_routing_rules(
@@ -57,7 +57,7 @@
 
 
 def _route_mistakes(route: Route) -> Iterator[Mistake]:
-    """Return what can be said of a route without the settings."""
+    """Return the mistakes of a route that can be found without the settings."""
     where = route.title
     if route.max_attempts > MAX_ATTEMPTS:
         line = route.line_of("attempts")
--- a/gannetweir/routing/route_table.py
+++ b/gannetweir/routing/route_table.py
@@ -1,7 +1,7 @@
-"""Which route a request takes: the first in the file's order that fits, found without looking at each.
+"""Finds the route of a request, the first in the file's order that matches, without testing each route.
 
 A route is a box in five dimensions: class, whether the client returns, whether it retries, group and key, the
-last two as ranges that a prefix names. The table is made once; a look-up costs one dictionary access for each
+last two as ranges given by prefixes. The table is built once; a look-up costs one dictionary access for each
 pair of prefix lengths in use, however many routes there are.
 """
 
@@ -14,16 +14,17 @@
 from gannetweir.placement.events import RequestArrived, RequestFlag
 from gannetweir.routing.rules import HEX_DIGITS, Route, RouteMatch
 
-PrefixPair = tuple[str, str]  # a group's and a key's prefix
-RequestKind = tuple[int, bool, bool]  # number of the class, client returning, client's retry
+PrefixPair = tuple[str, str]  # the prefix of a group, and the prefix of a key
+RequestKind = tuple[int, bool, bool]  # class index, whether the client returns, whether it retries
 _DIGIT_BITS = 4
 _ID_BITS = _DIGIT_BITS * HEX_DIGITS
 
 
 class PrefixIndex(NamedTuple):
-    """The routes that take one kind of request, by what they name of its group and key.
+    """The routes that match one kind of request, by their group and key prefixes.
 
-    A key of `first_route` is the digits of the group's and of the key's prefix, then both as numbers.
+    `first_route` maps the lengths of the group and key prefix in digits, followed by both prefixes as
+    numbers, to the number of the first route with these prefixes.
     """
 
     prefix_lengths: list[tuple[int, int]]
@@ -31,12 +32,12 @@
 
 
 class RouteTable:
-    """The routes of a file over the platform's classes, which are numbered as in its settings. Immutable."""
+    """The routes of a file for the platform's classes, which are indexed as in its settings. Immutable."""
 
     def __init__(self, routes: Sequence[Route], classes: Sequence[str]) -> None:
         self.routes = tuple(routes)
         self._index_by_kind: dict[RequestKind, PrefixIndex] = {}
-        index_by_routes: dict[tuple[int, ...], PrefixIndex] = {}  # most kinds have the same routes
+        index_by_routes: dict[tuple[int, ...], PrefixIndex] = {}  # a memo: most kinds match the same routes
         for class_index, returning, retry in product(range(len(classes)), (False, True), (False, True)):
             matching = matching_routes(routes, classes[class_index], returning, retry)
             if matching not in index_by_routes:
@@ -44,14 +45,14 @@
             self._index_by_kind[class_index, returning, retry] = index_by_routes[matching]
 
     def find_route(self, request: RequestArrived) -> int:
-        """Return the number of the route that a request takes. There is always one: the default takes all."""
+        """Return the number of the route of a request. There always is one: the default matches all."""
         returning = request.flags & RequestFlag.RETURNED > 0
         retry = request.flags & RequestFlag.CLIENT_RETRY > 0
         prefix_lengths, first_route = self._index_by_kind[request.class_index, returning, retry]
         found = len(self.routes) - 1
         for group_digits, key_digits in prefix_lengths:
             if group_digits and not request.group:
-                continue  # a group's prefix never takes a request without a group
+                continue  # a group prefix never matches a request without a group
             group_prefix = request.group >> (_ID_BITS - _DIGIT_BITS * group_digits)
             key_prefix = request.key >> (_ID_BITS - _DIGIT_BITS * key_digits)
             found = min(found, first_route.get((group_digits, key_digits, group_prefix, key_prefix), found))
@@ -61,7 +62,7 @@
 def matching_routes(
     routes: Sequence[Route], class_name: str, returning: bool, retry: bool
 ) -> tuple[int, ...]:
-    """Return the numbers of the routes that take requests of this kind, whatever group and key they name."""
+    """Return the numbers of the routes that match this kind of request, leaving group and key aside."""
     return tuple(
         number
         for number, route in enumerate(routes)
@@ -70,7 +71,7 @@
 
 
 def prefix_pairs(match: RouteMatch) -> Iterator[PrefixPair]:
-    """Return the pairs of prefixes that a route names; an empty prefix takes all."""
+    """Return the pairs of group and key prefixes of a route; an empty prefix matches all."""
     return product(match.group_prefixes or ("",), match.key_prefixes or ("",))
 
 
--- a/gannetweir/routing/rules.py
+++ b/gannetweir/routing/rules.py
@@ -1,7 +1,7 @@
-"""What an operators' file states about routing, as values: routes, and what holds for each.
+"""The routing rules of an operators' file as values: routes, retry budgets and limits.
 
-Times are microseconds. A value that the file does not state is 0, None or empty: there the platform's
-settings and the decision module's own plan hold.
+Times are microseconds. A value that the file does not state is 0, None or empty: the platform's settings and
+the placement module's own plan apply instead.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from gannetweir.placement.settings import RequestClass, Settings
 
-MAX_ATTEMPTS = 6  # of one request, whatever the settings allow: a rule of the service
-HEX_DIGITS = 16  # of a group or a key
+MAX_ATTEMPTS = 6  # the service allows no more for a request, whatever the settings state
+HEX_DIGITS = 16  # a group or a key has 64 bits
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetRule:
-    """Retries are at most `retry_ratio` of the first attempts of the last `window_us`.
+    """Retries are at most `retry_ratio` of the first attempts in the last `window_us`.
 
-    `min_retries` of a window are allowed in any case.
+    `min_retries` per window are allowed in any case.
     """
 
     retry_ratio: float
@@ -30,24 +30,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimitRule:
-    """How many connections may be open, and how many may be set up; 0 is no limit."""
+    """How many connections may be open, and how many may be set up; 0 means no limit."""
 
-    max_open: int = 0  # being set up or established
+    max_open: int = 0  # connections being set up or established
     max_setups_per_s: float = 0.0
     setup_burst: int = 0  # set-ups that may begin at one moment
-    max_setups_per_endpoint: int = 0  # under way at one endpoint
+    max_setups_per_endpoint: int = 0  # set-ups in progress at one endpoint
 
 
 class BackoffKind(Enum):
-    """How the waits before retries follow one another; the values are the operators' words."""
+    """How the backoff grows from retry to retry; the values are the operators' words."""
 
     FIXED = "fixed"
     EXPONENTIAL = "exponential"
-    EVERY = "every"  # fixed, and counted from the start of the attempt before
+    EVERY = "every"  # fixed, and counted from the start of the previous attempt
 
 
 class RetryOn(Enum):
-    """After which attempts a retry may follow; the values are the operators' words."""
+    """Which failed attempts may be retried; the values are the operators' words."""
 
     NEVER_RAN = "never-ran"
     MAY_HAVE_RUN = "may-have-run"
@@ -60,7 +60,7 @@
     kind: BackoffKind
     initial_us: int
     max_us: int = 0
-    full_jitter: bool = False  # anything from 0 to the wait
+    full_jitter: bool = False  # each wait is random, between 0 and the computed one
 
     def backoffs_us(self, max_attempts: int) -> tuple[int, ...]:
         """Return the longest wait before the second attempt, the third, and so on."""
@@ -73,18 +73,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteMatch:
-    """What a route takes; an empty part takes all. Prefixes are lower-case hex digits."""
+    """The requests that a route takes; an empty part matches all. Prefixes are lower-case hex digits."""
 
     classes: tuple[str, ...] = ()
     group_prefixes: tuple[str, ...] = ()
     key_prefixes: tuple[str, ...] = ()
-    client_returning: bool | None = None  # the client's connection was broken or migrated
-    client_retry: bool | None = None  # the client marks this as its retry
+    client_returning: bool | None = None  # whether the client's connection was broken or migrated before
+    client_retry: bool | None = None  # whether the client marks the request as its retry
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route as the file states it."""
+    """A route with the values that the file states."""
 
     name: str
     match: RouteMatch = RouteMatch()
@@ -94,26 +94,25 @@
     max_attempts: int = 0
     backoff: BackoffRule | None = None
     retry_on: RetryOn | None = None
-    hedge_after_us: int = 0  # after so long a hedged request is asked for; always refused
+    hedge_after_us: int = 0  # delay of a hedged request; the check rejects any value
     retry_budget: RetryBudgetRule | None = None
     limits: ConnectionLimitRule = ConnectionLimitRule()
-    lines: Mapping[str, int] = field(
-        default_factory=dict, compare=False
-    )  # by the operators' word for a value
+    # The line of each value in the file, by the operators' word for the value; the route's own under "".
+    lines: Mapping[str, int] = field(default_factory=dict, compare=False)
 
     @property
     def title(self) -> str:
-        """How a message names it."""
+        """The route's name in messages."""
         return self.name if self.name == "default" else f"route {self.name}"
 
     def line_of(self, part: str) -> int:
-        """Return the line of a value, or else of the route."""
+        """Return the line of a value, or the route's line if the value is not stated."""
         return self.lines.get(part, self.lines.get("", 0))
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingRules:
-    """A whole file: the routes in their order, the default last, and what holds for all of them together."""
+    """The routes of a file in order, the default last, and the rules for all routes together."""
 
     routes: tuple[Route, ...]
     retry_budget: RetryBudgetRule | None = None
@@ -122,7 +121,7 @@
 
 
 def routed_class(request_class: RequestClass, route: Route, settings: Settings) -> RequestClass:
-    """Return a class of the platform's as one route treats it."""
+    """Return a class of the platform with the timing, retries and limits of a route."""
     max_attempts = min(route.max_attempts or settings.max_attempts, settings.max_attempts)
     backoff = route.backoff
     return replace(
--- a/gannetweir/routing/schedule.py
+++ b/gannetweir/routing/schedule.py
@@ -1,10 +1,10 @@
 """The worst case of a request, step by step, and the largest values that would fit.
 
-The worst case is: the module waits for a load probe as long as it may, then each attempt takes all of its
-connect time-out to be written and all of its own time-out without an answer, each backoff is as long as it
-can be, and the margin for the final answer is kept. The engine ends an attempt after at most connect and
-attempt time-out, and the module holds a request for at most a third of its class's latency objective: nothing
-can take longer than this sum.
+In the worst case the placement module waits for load probes as long as it may. Then each attempt takes its
+full connect timeout until its line is written and its full attempt timeout without an answer, each backoff
+has its maximum length, and the margin for the final answer is kept. No request takes longer than this sum:
+the engine ends an attempt after at most connect and attempt timeout, and the module holds a request for at
+most a third of its class's latency objective.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from gannetweir.placement.settings import RequestClass, Settings
 
 PLACEMENT_OBJECTIVE_DIVISOR = 3  # the module holds a request for a third of the latency objective
-PLACEMENT_TIMEOUT_DIVISOR = 2  # and for half the request's time-out, where that is less
-ANSWER_MARGIN_DIVISOR = 4  # the margin of the answer is a quarter of a short time-out
+PLACEMENT_TIMEOUT_DIVISOR = 2  # the module holds a request for at most half of its timeout
+ANSWER_MARGIN_DIVISOR = 4  # the margin for the final answer is a quarter of a short timeout
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One stretch of the worst case, in microseconds from the first line's last byte."""
+    """A step of the worst case. Its times are in microseconds from the last byte of the first line."""
 
     name: str
     start_us: int
@@ -33,7 +33,7 @@
 class Schedule:
     """The worst case of a class on a route.
 
-    `has_fixed_timeouts` is false where the module divides the time left by itself: the plan then always fits.
+    `has_fixed_timeouts` is false if the module divides the remaining time; the schedule then always fits.
     """
 
     steps: tuple[Step, ...]
@@ -42,27 +42,27 @@
 
     @property
     def total_us(self) -> int:
-        """The last moment of the final answer, its margin included."""
+        """The latest end of the request, with the margin for the final answer."""
         return self.steps[-1].end_us
 
     @property
     def slack_us(self) -> int:
-        """What is left of the request's time-out; under 0 the plan does not fit."""
+        """What is left of the request's timeout; negative if the schedule does not fit."""
         return self.request_timeout_us - self.total_us
 
 
 def request_timeout_us(request_class: RequestClass) -> int:
-    """Return how long the relay tries: as the route states it, or else until the class's deadline."""
+    """Return how long the relay tries to place a request: the route's value, or else the class's deadline."""
     return int(request_class.request_timeout_us or request_class.deadline_us)
 
 
 def answer_margin_us(timeout_us: int, limits: Limits) -> int:
-    """Return how long before the client gives up the final answer leaves."""
+    """Return how long before the client's timeout the final answer is sent."""
     return min(limits.answer_margin_us, timeout_us // ANSWER_MARGIN_DIVISOR)
 
 
 def max_placement_us(request_class: RequestClass, timeout_us: int) -> int:
-    """Return how long the module may hold a request for a load probe, over all its attempts together."""
+    """Return how long the module may hold a request for load probes, over all attempts together."""
     share_of_objective_us = int(request_class.latency_objective_us / PLACEMENT_OBJECTIVE_DIVISOR)
     return min(share_of_objective_us, timeout_us // PLACEMENT_TIMEOUT_DIVISOR)
 
@@ -77,7 +77,8 @@
     if has_fixed_timeouts:
         _add_attempts(timeline, request_class, settings)
     else:
-        # time-outs from the objective, doubled, the last to the end: the module never plans past its deadline
+        # The module derives the first timeout from the latency objective, doubles it for each attempt and
+        # gives the last attempt all that is left. It never plans past the deadline.
         max_attempts = request_class.max_attempts or settings.max_attempts
         timeline.add(f"up to {max_attempts} attempts", max(1, timeout_us - margin_us - timeline.end_us))
     timeline.add("answer", margin_us)
@@ -85,7 +86,7 @@
 
 
 def largest_attempt_timeout_us(request_class: RequestClass, settings: Settings, limits: Limits) -> int:
-    """Return the largest time-out per attempt with which the schedule fits, all else as it is; 0 if none."""
+    """Return the largest attempt timeout with which the schedule fits, all else unchanged; 0 if none."""
 
     def fits(attempt_timeout_us: int) -> bool:
         changed = replace(request_class, attempt_timeout_us=attempt_timeout_us)
@@ -95,7 +96,7 @@
 
 
 def largest_max_attempts(request_class: RequestClass, settings: Settings, limits: Limits) -> int:
-    """Return the largest number of attempts with which the schedule fits, all else as it is; 0 if none."""
+    """Return the largest number of attempts with which the schedule fits, all else unchanged; 0 if none."""
 
     def fits(max_attempts: int) -> bool:
         changed = replace(request_class, max_attempts=max_attempts)
@@ -105,7 +106,7 @@
 
 
 class _Timeline:
-    """Steps that follow one another without a gap; a step without a length is left out."""
+    """Consecutive steps without gaps; a step without a length is left out."""
 
     def __init__(self) -> None:
         self.steps: list[Step] = []
@@ -132,7 +133,10 @@
 
 
 def _largest_fitting(max_value: int, fits: Callable[[int], bool]) -> int:
-    """Return the largest value under `max_value` that fits, or 0: the sum grows with the value."""
+    """Return the largest value under `max_value` that fits, or 0.
+
+    The search is binary: the length of the schedule grows with the value.
+    """
     low = 0  # fits, or is 0
     high = max_value  # does not fit
     while high - low > 1:
--- a/gannetweir/routing/units.py
+++ b/gannetweir/routing/units.py
@@ -1,8 +1,8 @@
-"""How times are written for people."""
+"""Durations as text for operators."""
 
 from __future__ import annotations
 
 
 def format_ms(duration_us: float) -> str:
-    """Return microseconds as milliseconds with their unit, as `250ms`."""
+    """Return a duration in milliseconds with its unit, such as `250ms`."""
     return f"{duration_us / 1000:g}ms"
