--- a/gannetweir/addresses/__init__.py
+++ b/gannetweir/addresses/__init__.py
@@ -1,1 +1,1 @@
-"""Which addresses an endpoint has, in what order they are tried, and how each has fared. No I/O, no clock."""
+"""The addresses of endpoints: their order, their health, and the connection race. No I/O, no clock."""
--- a/gannetweir/addresses/address.py
+++ b/gannetweir/addresses/address.py
@@ -1,4 +1,4 @@
-"""Addresses as literals: IPv4, IPv6 in brackets, Unix sockets. There is no DNS: a host is a number.
+"""Address literals: IPv4, IPv6 in brackets, and Unix sockets. There is no DNS: a host is a number.
 
 Forms: `10.1.0.18:8080`, `[fd00::18]:8080`, `[fe80::18%eth0]:8080`, `unix:/run/push/a.sock`.
 """
@@ -14,22 +14,22 @@
 IPV4, IPV6, UNIX = "ipv4", "ipv6", "unix"
 FAMILIES = (UNIX, IPV6, IPV4)
 MAX_PORT = 65535
-MAX_SOCKET_PATH_BYTES = 107  # `sun_path` holds 108 with its end
+MAX_SOCKET_PATH_BYTES = 107  # Linux's sun_path has 108 bytes, the last of them NUL
 _BROADCAST = "255.255.255.255"
 _SCOPE = re.compile(r"[A-Za-z0-9_.:-]{1,15}")
 _PORT = re.compile(r"[1-9][0-9]{0,4}")
 
 
 class AddressError(GannetweirError, ValueError):
-    """A literal is no address; the message says what is allowed in its place."""
+    """A literal is not a valid address. The message says what is allowed; the caller adds what was found."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """One place to connect to. Equal ones lead to the same socket."""
+    """An address to connect to. Equal addresses lead to the same socket."""
 
     family: str
-    host: str  # a number in its shortest form, or a path
+    host: str  # an IP address in its shortest form, or the path of a Unix socket
     port: int = 0
     scope: str = ""  # the interface of a link-local address
 
@@ -41,7 +41,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that a literal means. Raises `AddressError`."""
+    """Return the address that a literal denotes. Raises `AddressError`."""
     if text.startswith("unix:"):
         return _parse_unix(text.removeprefix("unix:"))
     host, colon, port = text.rpartition(":")
--- a/gannetweir/addresses/address_selector.py
+++ b/gannetweir/addresses/address_selector.py
@@ -1,10 +1,10 @@
-"""In which order the addresses of an endpoint are tried, how soon the next one, and whose fault a failure is.
+"""Orders the addresses of an endpoint, and attributes failures to an address or to the endpoint.
 
-The order begins as RFC 8305 (Happy Eyeballs) and RFC 6724 have it: families by preference, interleaved. What
-is known of the addresses goes before it: unhealthy ones come last, and among healthy ones a much quicker one
-first. An unhealthy address is tried again after a backoff that grows up to a bound, by one probe or
-connection, the next address close behind. Load probes go round the healthy addresses, so that the state of
-each is fresh.
+The order starts from RFC 8305 (Happy Eyeballs) and RFC 6724: families by preference, interleaved. The history
+of the addresses takes precedence: unhealthy addresses come last, and healthy ones that are much slower than
+the fastest come behind the others. An unhealthy address is tried again after a bounded, growing backoff, by a
+single load probe or connection, and the next address follows after a short delay. Load probes rotate over the
+healthy addresses, so that the state of each stays fresh.
 """
 
 from __future__ import annotations
@@ -18,19 +18,21 @@
 from gannetweir.addresses.connection_race import ConnectionRace
 from gannetweir.addresses.rules import AddressRules
 
-MUCH_SLOWER_RATIO = 4.0  # of one address to another, before it goes behind it against the preference
-CONNECT_TIME_TOLERANCE_US = 5_000  # a difference under this is noise
-RESPONSE_TIME_TOLERANCE_US = 30_000  # the same for responses, which take longer and vary more
-MIN_ATTEMPT_DELAY_BOUND_US = 1_000  # however many addresses share the connect time-out
-MAX_ATTEMPT_DELAY_US = 250_000  # RFC 8305, section 5, recommends so much without a history
-DELAY_PER_CONNECT_TIME = 2  # RFC 8305, section 5: the delay follows the usual time of a connect
-LOST_RACE_MARGIN = 0.95  # of the delay: timers end a little early
-MIN_BACKOFF_JITTER = 0.75  # of the backoff: relays that saw one failure do not return together
-_RNG_SALT = 0x5EA1  # draws of their own: the engine's stay as they are where a relay selects addresses
+# An address that takes this many times as long as the fastest goes behind it, against the family preference.
+MUCH_SLOWER_RATIO = 4.0
+CONNECT_TIME_TOLERANCE_US = 5_000  # a smaller difference is noise
+RESPONSE_TIME_TOLERANCE_US = 30_000  # responses take longer than connects and vary more
+MIN_ATTEMPT_DELAY_BOUND_US = 1_000  # holds even if many addresses share the connect timeout
+MAX_ATTEMPT_DELAY_US = 250_000  # RFC 8305, section 5, recommends this delay without a history
+DELAY_PER_CONNECT_TIME = 2  # RFC 8305, section 5: the delay follows the usual connect time
+LOST_RACE_MARGIN = 0.95  # timers expire slightly early, so this fraction of the delay counts as all of it
+# Lower bound of the random factor on each backoff: relays that saw the same failure do not retry together.
+MIN_BACKOFF_JITTER = 0.75
+_RNG_SALT = 0x5EA1  # a separate random sequence: selecting addresses must not change the engine's draws
 
 
 class AddressSelector:
-    """The order of all addresses of one relay's endpoints. Changes their states by what is recorded."""
+    """Selects the addresses of one relay's endpoints, by the results that the caller records."""
 
     def __init__(self, rules: AddressRules, seed: int, connect_timeout_us: int) -> None:
         self.rules = rules
@@ -41,38 +43,38 @@
 
     @property
     def states_by_endpoint(self) -> Mapping[str, Mapping[Address, AddressState]]:
-        """The states of all addresses, by the endpoint's name."""
+        """The states of all addresses, by endpoint name."""
         return self._table.states_by_endpoint
 
     def apply_rules(self, rules: AddressRules, connect_timeout_us: int) -> None:
-        """Select by other rules from now on. The state of an address that its endpoint keeps stays."""
+        """Select by other rules from now on. An address that stays with its endpoint keeps its state."""
         self.rules = rules
         self.connect_timeout_us = connect_timeout_us
         self._table.apply_rules(rules)
 
     def update_endpoint(self, endpoint_name: str, address: str, more_addresses: Sequence[str] = ()) -> None:
-        """Take what discovery lists of an endpoint."""
+        """Update an endpoint with the addresses that discovery lists."""
         self._table.update_endpoint(endpoint_name, address, more_addresses)
 
     def remove_endpoint(self, endpoint_name: str) -> None:
-        """Drop an endpoint that has left the list."""
+        """Remove an endpoint that has left the endpoint list."""
         self._table.remove_endpoint(endpoint_name)
 
     def selects_address(self, endpoint_name: str) -> bool:
-        """Whether the address is selected here; not where the one that discovery lists is the only one."""
+        """Whether the selector picks the address; false if there is only the one that discovery lists."""
         return self._table.differs_from_listed(endpoint_name)
 
     def ordered_addresses(
         self, endpoint_name: str, now_us: int, for_probe: bool = False, excluded: Collection[Address] = ()
     ) -> list[Address]:
-        """Return the addresses of an endpoint, the first to be tried first.
+        """Return the addresses of an endpoint in the order in which to try them.
 
-        An unhealthy one whose backoff is over goes first, and not for others while it is tried: its backoff
-        starts again.
+        An unhealthy address whose backoff is over comes first. Its backoff restarts, so that no other caller
+        tries the address at the same time.
         """
         states = self._states_without(endpoint_name, excluded)
         healthy = self._interleave_families([state for state in states if not state.is_unhealthy])
-        if for_probe:  # each in its turn
+        if for_probe:  # the address that answered least recently first
             healthy.sort(key=lambda state: state.last_success_us)
         else:
             _move_slow_back(healthy)
@@ -88,9 +90,9 @@
         return [state.address for state in ordered]
 
     def preferred_address(self, endpoint_name: str, excluded: Collection[Address] = ()) -> Address | None:
-        """Return the address that would go first if nothing were known of any; None where there is none.
+        """Return the address that would come first without any history; None if there is no address.
 
-        It is the first of the preferred family, as listed, or else the first of all.
+        That is the first listed address of the most preferred family, or else the first of all addresses.
         """
         addresses = [state.address for state in self._states_without(endpoint_name, excluded)]
         for family in self.rules.family_preference:
@@ -102,14 +104,14 @@
     def new_race(
         self, endpoint_name: str, now_us: int, for_probe: bool = False, excluded: Collection[Address] = ()
     ) -> ConnectionRace:
-        """Return the connects of one connection or load probe, to be started by the caller."""
+        """Return the race for one connection or load probe, to be started by the caller."""
         order = self.ordered_addresses(endpoint_name, now_us, for_probe, excluded)
         if not order:
             return ConnectionRace([], [])
         if not for_probe and order[0] != self.preferred_address(endpoint_name, excluded):
             self.preferred_bypassed += 1
         states = self._table.states_of(endpoint_name)
-        # all of them get their chance within the connect time-out
+        # every address must be tried within the connect timeout
         max_delay_us = max(MIN_ATTEMPT_DELAY_BOUND_US, self.connect_timeout_us // (len(order) + 1))
         delays_us = [min(max_delay_us, self._attempt_delay_us(states[address])) for address in order]
         if states[order[0]].is_unhealthy:
@@ -117,19 +119,23 @@
         return ConnectionRace(order, delays_us)
 
     def record_connected(self, endpoint_name: str, address: Address, connect_time_us: int) -> None:
-        """Take the time of a connect. The address stays unhealthy, if it is: the endpoint may be silent."""
+        """Record the duration of a connect.
+
+        An unhealthy address stays unhealthy: the endpoint may accept connections and never answer.
+        """
         if (state := self._state_of(endpoint_name, address)) is not None:
             state.record_connected(connect_time_us)
 
     def record_connect_failure(self, endpoint_name: str, address: Address, now_us: int) -> None:
-        """Count a connect that was refused, could not be made, or broke before the line was sent."""
+        """Record a connect that was refused, could not be made, or broke before the line was sent."""
         if (state := self._state_of(endpoint_name, address)) is not None:
             self._record_failure(state, now_us)
 
     def record_lost_race(self, endpoint_name: str, address: Address, waited_us: int, now_us: int) -> None:
-        """Judge a connect that began earlier and was not up when another won.
+        """Record a connect that began before the winner's and was not established when the winner's was.
 
-        That is a failure where it had much longer than it ever takes, or than the one that won was given.
+        The lost race counts as a failure if the connect took longer than the attempt delay and much longer
+        than the address usually takes.
         """
         state = self._state_of(endpoint_name, address)
         if state is None:
@@ -141,27 +147,27 @@
     def record_response(
         self, endpoint_name: str, address: Address, now_us: int, response_time_us: int = 0
     ) -> None:
-        """Make an address healthy: the endpoint has answered on it.
+        """Mark an address as healthy: the endpoint has answered on it.
 
-        `response_time_us` is a load probe's time, which tells addresses apart that connect alike; set-ups
-        depend on too much else.
+        `response_time_us` is the response time of a load probe, or 0 for any other answer. It distinguishes
+        addresses with similar connect times; the duration of a set-up depends on too much else.
         """
         if (state := self._state_of(endpoint_name, address)) is not None:
             state.record_response(now_us, response_time_us)
 
     def record_no_response(self, endpoint_name: str, address: Address, now_us: int) -> bool:
-        """Judge an attempt whose line was sent and not answered; return whether it is the address's fault.
+        """Record an attempt whose line was sent and not answered; return whether the address is at fault.
 
-        Otherwise it is the endpoint's. It is the address's where another one is healthy: the endpoint has
-        answered there lately, or was not asked. Should that one fail as well, none is left that is healthy,
-        and the failure is the endpoint's.
+        The address is at fault if another address of the endpoint is healthy and the endpoint answered on it
+        recently or was never asked on it. Otherwise the endpoint is at fault. If the other address fails as
+        well, no healthy address is left, and the endpoint is at fault for that failure.
         """
         state = self._state_of(endpoint_name, address)
         if state is None:
             return False
         others = [other for other in self._table.states_of(endpoint_name).values() if other is not state]
         is_fault_of_address = any(other.may_be_alive(now_us) for other in others)
-        if others:  # the failure of an only address says nothing of the address
+        if others:  # the failure of a sole address says nothing about the address
             self._record_failure(state, now_us)
         return is_fault_of_address
 
@@ -173,7 +179,7 @@
         return [state for state in states if state.address not in excluded]
 
     def _interleave_families(self, states: list[AddressState]) -> list[AddressState]:
-        """Return families in turn, by preference: the next is of another family than what just failed."""
+        """Return the states with families alternating: after a failure, another family is tried next."""
         preference = self.rules.family_preference
         families = [[state for state in states if state.address.family == family] for family in preference]
         families.append([state for state in states if state.address.family not in preference])
@@ -183,7 +189,7 @@
         return interleaved
 
     def _attempt_delay_us(self, state: AddressState) -> int:
-        """Return RFC 8305's Connection Attempt Delay: how long until the next address is tried beside."""
+        """Return RFC 8305's Connection Attempt Delay: how long until the next address is tried as well."""
         usual_us = int(DELAY_PER_CONNECT_TIME * state.connect_time_us)
         return max(self.rules.connection_attempt_delay_us, min(MAX_ATTEMPT_DELAY_US, usual_us))
 
@@ -197,7 +203,7 @@
 
 
 def _move_slow_back(states: list[AddressState]) -> None:
-    """Move those behind that are much slower than the quickest; the order stays otherwise."""
+    """Move addresses that are much slower than the fastest to the end; keep the order otherwise."""
     fastest_connect_us = min(
         (state.connect_time_us for state in states if state.connect_time_us), default=0.0
     )
--- a/gannetweir/addresses/address_state.py
+++ b/gannetweir/addresses/address_state.py
@@ -1,4 +1,4 @@
-"""How one address of an endpoint has fared: its speed, its failures, and the backoff after them."""
+"""The state of one address of an endpoint: its speed, its failures, and its backoff."""
 
 from __future__ import annotations
 
@@ -6,34 +6,35 @@
 
 from gannetweir.addresses.address import Address
 
-INITIAL_BACKOFF_US = 250_000  # doubled for each consecutive failure, the first one included
-MAX_CONSECUTIVE_FAILURES = 8  # that are counted: bounds the backoff to 64 s, whatever the rules state
-RECENT_SUCCESS_US = 10_000_000  # an answer so recent says that the endpoint is alive
-SMOOTHING_WEIGHT = 0.25  # of a new sample in an average of times
+INITIAL_BACKOFF_US = 250_000  # doubled for each consecutive failure, including the first
+# Further failures are not counted. This bounds the backoff to 64 s, whatever the rules state.
+MAX_CONSECUTIVE_FAILURES = 8
+RECENT_SUCCESS_US = 10_000_000  # an answer this recent shows that the endpoint is alive
+SMOOTHING_WEIGHT = 0.25  # the weight of a new sample in an exponential moving average
 
 
 @dataclass(slots=True)
 class AddressState:
-    """What is known of one address of one endpoint. Owned by the `AddressTable`; the selector changes it."""
+    """The state of one address of one endpoint. Owned by the `AddressTable`; the selector updates it."""
 
     address: Address
-    connect_time_us: float = 0.0  # smoothed; 0: never connected
-    response_time_us: float = 0.0  # of load probes, smoothed; 0: never probed
+    connect_time_us: float = 0.0  # smoothed; 0 if never connected
+    response_time_us: float = 0.0  # smoothed response time of load probes; 0 if never probed
     consecutive_failures: int = 0
-    backoff_until_us: int = 0  # not to be tried before, except where every address is unhealthy
-    last_success_us: int = 0  # when the endpoint last answered on it
+    backoff_until_us: int = 0  # not tried before this time unless every address is unhealthy
+    last_success_us: int = 0  # time of the endpoint's last answer on the address
 
     @property
     def is_unhealthy(self) -> bool:
-        """Whether it failed and the endpoint has not answered on it since."""
+        """Whether the address has failed and the endpoint has not answered on it since."""
         return self.consecutive_failures > 0
 
     def is_retry_due(self, now_us: int) -> bool:
-        """Whether it is unhealthy and its backoff is over."""
+        """Whether the address is unhealthy and its backoff is over."""
         return self.is_unhealthy and now_us >= self.backoff_until_us
 
     def may_be_alive(self, now_us: int) -> bool:
-        """Whether it is healthy, and the endpoint has answered on it recently or was never asked on it."""
+        """Whether the address is healthy, and the endpoint answered on it recently or was never asked."""
         is_recent = now_us - self.last_success_us <= RECENT_SUCCESS_US
         return not self.is_unhealthy and (not self.last_success_us or is_recent)
 
@@ -42,11 +43,11 @@
         self.consecutive_failures = min(self.consecutive_failures + 1, MAX_CONSECUTIVE_FAILURES)
 
     def record_connected(self, connect_time_us: int) -> None:
-        """Take the time of a connect into the average."""
+        """Add the duration of a connect to the average."""
         self.connect_time_us = _smoothed(self.connect_time_us, connect_time_us)
 
     def record_response(self, now_us: int, response_time_us: int) -> None:
-        """Make it healthy; `response_time_us` is a load probe's time, or 0 for any other answer."""
+        """Mark the address as healthy. `response_time_us` is a load probe's, or 0 for any other answer."""
         self.consecutive_failures = 0
         self.backoff_until_us = 0
         self.last_success_us = now_us
@@ -54,7 +55,7 @@
             self.response_time_us = _smoothed(self.response_time_us, response_time_us)
 
     def backoff_us(self, max_backoff_us: int) -> int:
-        """Return the wait before it is tried again, without jitter."""
+        """Return the backoff before the next try of the address, without jitter."""
         failures = min(self.consecutive_failures, MAX_CONSECUTIVE_FAILURES)
         return min(INITIAL_BACKOFF_US << failures, max_backoff_us)
 
--- a/gannetweir/addresses/address_table.py
+++ b/gannetweir/addresses/address_table.py
@@ -1,4 +1,4 @@
-"""Which addresses each endpoint has: by the operators' rules, and by what discovery lists."""
+"""The addresses of each endpoint, by the operators' rules and by the endpoint list of discovery."""
 
 from __future__ import annotations
 
@@ -28,40 +28,40 @@
         self._differs_from_listed: dict[str, bool] = {}
 
     def apply_rules(self, rules: AddressRules) -> None:
-        """Assign all addresses anew. The state of an address that its endpoint keeps stays."""
+        """Reassign all addresses by other rules. An address that stays with its endpoint keeps its state."""
         previous = self.states_by_endpoint
         self._rules = rules
         self.states_by_endpoint = {}
-        self._endpoint_by_address = {}  # the address of one endpoint may be another's from now on
+        self._endpoint_by_address = {}  # the rules may move an address to another endpoint
         for endpoint_name, listed in self._listed.items():
             self._assign(endpoint_name, listed, previous.get(endpoint_name, {}))
 
     def update_endpoint(self, endpoint_name: str, address: str, more_addresses: Sequence[str] = ()) -> None:
-        """Take what discovery lists of an endpoint; nothing changes where it lists the same again."""
+        """Update an endpoint with the addresses that discovery lists; does nothing if they are unchanged."""
         listed = ListedAddresses(address, tuple(more_addresses))
         if self._listed.get(endpoint_name) != listed:
             self._listed[endpoint_name] = listed
             self._assign(endpoint_name, listed, self._release(endpoint_name))
 
     def remove_endpoint(self, endpoint_name: str) -> None:
-        """Drop an endpoint and what is known of its addresses."""
+        """Remove an endpoint and the states of its addresses."""
         self._release(endpoint_name)
         self._listed.pop(endpoint_name, None)
         self._differs_from_listed.pop(endpoint_name, None)
 
     def differs_from_listed(self, endpoint_name: str) -> bool:
-        """Whether an endpoint has anything but the one address that discovery lists."""
+        """Whether an endpoint's addresses are other than just the one that discovery lists."""
         return self._differs_from_listed.get(endpoint_name, False)
 
     def states_of(self, endpoint_name: str) -> dict[Address, AddressState]:
-        """Return the states of an endpoint's addresses, in the order stated; empty for one not known."""
+        """Return the states of an endpoint's addresses in the order stated; empty for an unknown endpoint."""
         return self.states_by_endpoint.get(endpoint_name, {})
 
     def _assign(
         self, endpoint_name: str, listed: ListedAddresses, previous: Mapping[Address, AddressState]
     ) -> None:
         addresses = self._rules.addresses_of(endpoint_name, listed.address, listed.more_addresses)
-        # what another endpoint has already is not this one's: its lines would go to the wrong one
+        # an address of another endpoint is left out: its lines would reach the wrong endpoint
         assigned = [
             address
             for address in addresses
--- a/gannetweir/addresses/connection_race.py
+++ b/gannetweir/addresses/connection_race.py
@@ -1,8 +1,8 @@
-"""The connects of one connection: a state machine without sockets. Source: RFC 8305, section 5.
+"""The race between the connects of one connection, as a state machine without sockets (RFC 8305, section 5).
 
-States: connecting (attempts are in progress), won (one is up, all others are closed), lost (none is left).
-Whatever comes after the end changes nothing but that it is closed, so exactly one connection ever carries the
-line.
+States: connecting (attempts are in progress), won (one is established, all others are closed), lost (no
+address is left). After the end, events change nothing, and a connection that is established late is closed:
+at most one connection ever carries the line.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 from gannetweir.addresses.address import Address
 
-WAS_CONNECTED = -1  # in `CloseConnection`, instead of a wait
+WAS_CONNECTED = -1  # the `waited_us` of an established connection in `CloseConnection`
 
 
 @dataclass(frozen=True, slots=True)
 class StartConnect:
-    """Begin a connect."""
+    """Start a connect."""
 
     address: Address
 
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """End a connect or a connection at once.
+    """Close a connection, or cancel its connect, at once.
 
-    `waited_us` is how long it had not come up; `WAS_CONNECTED` if it had.
+    `waited_us` is how long the connect has been in progress; `WAS_CONNECTED` if it has succeeded.
     """
 
     address: Address
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Call `timer_expired` after so long, unless something else has come first."""
+    """Call `timer_expired` after this time, unless another event comes first."""
 
     after_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class RaceWon:
-    """The line goes to this address, and to no other."""
+    """The race is won: the line goes to this address and to no other."""
 
     address: Address
     connect_time_us: int
@@ -51,52 +51,52 @@
 
 @dataclass(frozen=True, slots=True)
 class RaceLost:
-    """No address could be connected: one outcome for all of them."""
+    """The race is lost: no address could be connected. One outcome covers all addresses."""
 
 
 RaceAction = StartConnect | CloseConnection | SetTimer | RaceWon | RaceLost
 
 
 class PlannedAttempt(NamedTuple):
-    """An address that is not tried yet, and how long after its start the next one may begin beside it."""
+    """An address not yet tried, and the delay from its start until the next address is tried as well."""
 
     address: Address
     delay_us: int
 
 
 class ConnectionRace:
-    """Fed what became of each connect; returns what to do next. `started_us` has the attempts in progress."""
+    """Takes the result of each connect and returns what to do next. `started_us` has those in progress."""
 
     def __init__(self, order: Sequence[Address], delays_us: Sequence[int]) -> None:
-        self.started_us: dict[Address, int] = {}  # the oldest first
+        self.started_us: dict[Address, int] = {}  # start time of each connect in progress, oldest first
         self._remaining = [PlannedAttempt(*planned) for planned in zip(order, delays_us, strict=True)]
-        self._next_attempt_us = 0  # when the next one begins at the latest; 0: not by the timer
+        self._next_attempt_us = 0  # latest start of the next attempt; 0 if no timer is set
         self._winner: Address | None = None
         self._is_finished = False
 
     def start(self, now_us: int) -> list[RaceAction]:
-        """Begin the first connect."""
+        """Start the first connect."""
         return self._start_next_attempt(now_us)
 
     def attempt_started(self, address: Address, now_us: int) -> None:
-        """The connect is being made only now: what it waited for its turn here is not the address's time."""
+        """Set the start of a connect that had to wait in this process: the address did not cause the wait."""
         if address in self.started_us:
             self.started_us[address] = now_us
 
     def timer_expired(self, now_us: int) -> list[RaceAction]:
-        """The time of a `SetTimer` is over."""
+        """Start the next connect if the time of the last `SetTimer` is over."""
         if self._is_finished or not self._next_attempt_us or now_us < self._next_attempt_us:
             return []
         return self._start_next_attempt(now_us)
 
     def attempt_failed(self, address: Address, now_us: int) -> list[RaceAction]:
-        """A connect was refused or broke: the next one begins at once."""
+        """Start the next connect at once, after one was refused or broke."""
         if self._is_finished or self.started_us.pop(address, None) is None:
             return []
         return self._start_next_attempt(now_us)
 
     def attempt_connected(self, address: Address, now_us: int) -> list[RaceAction]:
-        """A connect is up: it wins if it is the first."""
+        """Let the first established connection win; close any later one."""
         started_us = self.started_us.pop(address, None)
         if self._is_finished or started_us is None:
             return [CloseConnection(address, WAS_CONNECTED)] if address != self._winner else []
@@ -104,9 +104,9 @@
         return [*self._finish(now_us), RaceWon(address, now_us - started_us)]
 
     def cancel_all_but_oldest(self) -> list[RaceAction]:
-        """Give descriptors back: only the oldest attempt goes on, and no other begins beside it.
+        """Release descriptors: cancel all connects but the oldest, and start no other beside the oldest.
 
-        Should the oldest fail, the others have their turn again.
+        If the oldest fails, the cancelled addresses are tried again.
         """
         if self._is_finished or len(self.started_us) <= 1:
             return []
@@ -118,7 +118,7 @@
         return [CloseConnection(address, 0) for address in cancelled]
 
     def cancel(self, now_us: int) -> list[RaceAction]:
-        """The race is given up from outside."""
+        """End the race without a winner, because the caller no longer needs the connection."""
         return [] if self._is_finished else self._finish(now_us)
 
     def _start_next_attempt(self, now_us: int) -> list[RaceAction]:
@@ -137,7 +137,7 @@
         return [StartConnect(address), SetTimer(delay_us)]
 
     def _finish(self, now_us: int) -> list[RaceAction]:
-        """End the race; return what closes the attempts in progress."""
+        """End the race; return the actions that close the connects in progress."""
         self._is_finished = True
         closing: list[RaceAction] = [
             CloseConnection(address, now_us - started_us) for address, started_us in self.started_us.items()
--- a/gannetweir/addresses/rules.py
+++ b/gannetweir/addresses/rules.py
@@ -1,4 +1,4 @@
-"""What an operators' file states about endpoints' addresses, and the check of it."""
+"""The rules of an operators' file for endpoints' addresses, and the check of these rules."""
 
 from __future__ import annotations
 
@@ -9,47 +9,47 @@
 from gannetweir.addresses.address import FAMILIES, Address, AddressError, parse_address
 from gannetweir.mistakes import Mistake
 
-HOST_PLACEHOLDER = "{host}"  # in an address of a pattern: the endpoint's own name
-ATTEMPTS_PER_CONNECT_TIMEOUT = 2  # at least so many addresses get their chance within it
+HOST_PLACEHOLDER = "{host}"  # replaced by the endpoint's name in a rule's address
+ATTEMPTS_PER_CONNECT_TIMEOUT = 2  # at least so many addresses are tried within the connect timeout
 _MAX_SHOWN_CHARACTERS = 120
-_SAMPLE_ENDPOINT_NAME = "x"  # an address of a pattern is checked with it where no endpoint is known
+_SAMPLE_ENDPOINT_NAME = "x"  # used to check the addresses of a pattern that no known endpoint matches
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointRule:
-    """The addresses of an endpoint, or of all whose names fit a pattern with `*` or `?`."""
+    """The addresses of an endpoint, or of all endpoints whose names match a pattern with `*` or `?`."""
 
     name: str
     addresses: tuple[str, ...]
-    includes_listed_addresses: bool = True  # what discovery lists comes behind them
+    includes_listed_addresses: bool = True  # appends the addresses that discovery lists
     line: int = 0
 
     @property
     def is_pattern(self) -> bool:
-        """Whether it means more than one endpoint."""
+        """Whether the rule may cover more than one endpoint."""
         return any(sign in self.name for sign in "*?[")
 
     def covers(self, endpoint_name: str) -> bool:
-        """Whether it states the addresses of this endpoint."""
+        """Whether the rule states the addresses of this endpoint."""
         return self.name == endpoint_name or fnmatchcase(endpoint_name, self.name)
 
 
 @dataclass(frozen=True, slots=True)
 class AddressRules:
-    """How endpoints with several addresses are connected to."""
+    """How the relay connects to endpoints with several addresses."""
 
     endpoint_rules: tuple[EndpointRule, ...] = ()
     family_preference: tuple[str, ...] = FAMILIES
-    # before the next address is tried beside the last, at least; more where connects are slow
+    # The minimum delay before the next address is tried as well; the delay is longer if connects are slow.
     connection_attempt_delay_us: int = 30_000
-    max_backoff_us: int = 4_000_000  # an unhealthy address is tried again at least so often
+    max_backoff_us: int = 4_000_000  # the longest backoff of an unhealthy address
 
     def addresses_of(
         self, endpoint_name: str, address: str = "", more_addresses: Sequence[str] = ()
     ) -> tuple[Address, ...]:
-        """Return all addresses of an endpoint, in the order stated, each once; `address` is listed last.
+        """Return all addresses of an endpoint in the order stated, each once; the listed `address` is last.
 
-        What can't be read is left out: one bad literal in a list must not cost the others.
+        Invalid literals are left out: one bad literal in a list must not cost the endpoint the others.
         """
         rule = next((rule for rule in self.endpoint_rules if rule.covers(endpoint_name)), None)
         literals: list[str] = []
@@ -69,7 +69,7 @@
 def check_address_rules(
     rules: AddressRules, endpoint_names: Sequence[str] = (), connect_timeout_us: int = 0
 ) -> Iterator[Mistake]:
-    """Return all mistakes; `endpoint_names` are the endpoints known so far, on which patterns are tried."""
+    """Return all mistakes. Patterns are checked with `endpoint_names`, the endpoints known so far."""
     owners: dict[Address, str] = {}
     names: set[str] = set()
     for rule in rules.endpoint_rules:
@@ -92,7 +92,7 @@
 def _literal_mistakes(
     rule: EndpointRule, literal: str, owners: dict[Address, str], endpoint_names: Sequence[str]
 ) -> Iterator[Mistake]:
-    """Return the mistake of one address of a rule, if any; note in `owners` whose address it is."""
+    """Return the mistake of one address of a rule, if any; record the address's endpoint in `owners`."""
     where = f"server {rule.name}"
     if rule.is_pattern and HOST_PLACEHOLDER not in literal:
         found = f"{literal!r} for every server that fits"
