--- a/gannetweir/observability/__init__.py
+++ b/gannetweir/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Log lines, counters, the trace of decisions, and standard error that never blocks."""
+"""Log lines, counters, the trace of placement, and non-blocking standard error."""
--- a/gannetweir/observability/counters.py
+++ b/gannetweir/observability/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what the relay has received, sent and answered, for the people on call."""
+"""Counters of what the relay has received, sent and answered, for operators."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 
 class Counters:
-    """Counts since the start of the process. A name is `NAME`, or `NAME.OUTCOME` where outcomes differ.
+    """Counts since the start of the process, by NAME, or by NAME.OUTCOME if each outcome has its own counter.
 
-    Every part of the relay may add to them; nothing is ever reset.
+    Every part of the relay may add to the counters; they are never reset.
     """
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str, status: int = 0) -> None:
-        """Count one; with a status, under the name and that outcome."""
+        """Add one to a counter, or with a status to the counter of that outcome."""
         if status:
             name = f"{name}.{OUTCOME_NAMES.get(status, status)}"
         self.counts[name] += 1
 
     def to_json(self, **gauges: int) -> str:
-        """One line of JSON: the counts so far, and gauges of this moment, in the order of their names."""
+        """Return one line of JSON: all counters and the current values in `gauges`, sorted by name."""
         return orjson.dumps({**self.counts, **gauges}, option=orjson.OPT_SORT_KEYS).decode()
--- a/gannetweir/observability/logs.py
+++ b/gannetweir/observability/logs.py
@@ -1,4 +1,4 @@
-"""Log lines on `structlog`: plain text or JSON, with fields; limited in rate, with dropped lines counted."""
+"""Log lines with fields, as plain text or JSON, written with `structlog` and limited in rate."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 PLAIN, JSON = "plain", "json"
 FORMS = PLAIN, JSON
-MAX_VALUE_CHARACTERS = 400  # of a text or a value: some of them come from peers
+MAX_VALUE_CHARACTERS = 400  # longer texts and values are cut: some of them come from peers
 
 
 def _printable(value: object) -> object:
-    """The value, or its text without what could forge a line or control the terminal of who reads it."""
+    """Return the value, or its text without characters that could forge a line or control a terminal."""
     if isinstance(value, bool | int | float) or value is None:
         return value
     text = str(value)[:MAX_VALUE_CHARACTERS].encode("ascii", "backslashreplace").decode()
@@ -26,9 +26,9 @@
 
 
 class Log:
-    """Writes lines to standard error. Call it with a text, and with the fields that the line is about.
+    """Writes lines to standard error. Call the log with the text of an event and the fields of the line.
 
-    Owns the count of the lines of this second and of those dropped since the last line that was written.
+    Owns the number of lines left in the current second, and the number dropped since the last line written.
     """
 
     def __init__(
@@ -40,8 +40,9 @@
         clock: Callable[[], float] = time.monotonic,
         on_drop: Callable[[], None] = lambda: None,
     ) -> None:
-        """`relay`: its name, which stands in every line. `form`: one of `FORMS`. `on_drop` is called for each
-        line that is dropped.
+        """Write lines for the relay of this name, in one of `FORMS`, to `file` or standard error.
+
+        `on_drop` is called for each line that is dropped.
         """
         self.relay = relay
         self._lines_per_s = lines_per_s
@@ -63,25 +64,26 @@
         return [self._limit_rate, self._sanitize, time_stamper, self._render_json]
 
     def __call__(self, text: str, **fields: object) -> None:
-        """Write one line. The field `cls` is written as `class`, which can't be a name here. Raises nothing:
-        a line that can't be written is dropped and counted.
+        """Write one line. Raises nothing: a line that can't be written is dropped and counted.
+
+        The field `cls` is written as `class`, which is a keyword in Python.
         """
         if "cls" in fields:
             fields["class"] = fields.pop("cls")
         try:
             self._logger.info(text, **fields)
-        except OSError:  # its reader has gone, or the disk is full: that must not end the relay
+        except OSError:  # a closed reader or a full disk must not end the relay
             self._dropped_count += 1
             self._on_drop()
 
     def _limit_rate(self, _logger: object, _method: str, event: EventDict) -> EventDict:
-        """Drop what is over the rate: a rush of lines must not slow the relay down, nor fill the disk."""
+        """Drop lines over the rate: a burst of lines must not slow the relay down or fill the disk."""
         second = int(self._clock())
         if second != self._current_second:
             self._current_second = second
             self._remaining_lines = self._lines_per_s
             if self._dropped_count:
-                event["dropped"] = self._dropped_count  # between this line and the one before it
+                event["dropped"] = self._dropped_count  # lines dropped since the previous line
                 self._dropped_count = 0
         self._remaining_lines -= 1
         if self._remaining_lines < 0:
@@ -92,7 +94,7 @@
 
     @staticmethod
     def _sanitize(_logger: object, _method: str, event: EventDict) -> EventDict:
-        """Leave out empty fields, and make the others safe to print."""
+        """Leave out empty fields, and make the other fields safe to print."""
         return {key: _printable(value) for key, value in event.items() if value != ""}
 
     def _render_plain(self, _logger: object, _method: str, event: EventDict) -> str:
--- a/gannetweir/observability/standard_error.py
+++ b/gannetweir/observability/standard_error.py
@@ -1,8 +1,8 @@
-"""Standard error that never blocks the process: what its reader does not read in time is dropped.
+"""Standard error that never blocks the process: lines that the reader does not read in time are dropped.
 
-A pipe whose reader has stopped reading fills up. A plain write to it would then wait without end, and with it
-every client. So a pipe is opened anew for this process, which makes it non-blocking for this process alone.
-Whatever else standard error may be (a file, a terminal, a socket) is polled before each write.
+A pipe fills up when its reader stops reading. A blocking write would then hold up the process, and with it
+every client. A pipe is therefore reopened in non-blocking mode, which affects this process alone. Any other
+kind of file (a regular file, a terminal, a socket) is polled before each write.
 """
 
 from __future__ import annotations
@@ -14,35 +14,35 @@
 import sys
 from typing import Protocol, TextIO
 
-ATOMIC_WRITE_BYTES = (
-    4096  # Linux's PIPE_BUF: a write of at most so much to a pipe is done whole or not at all
-)
+ATOMIC_WRITE_BYTES = 4096  # Linux's PIPE_BUF: a write of at most this size to a pipe is atomic
 
 
 class LineWriter(Protocol):
-    """What a log or a trace needs of the file that it writes lines to."""
+    """The interface of a file to which a log or a trace writes its lines."""
 
     def write(self, text: str) -> object:
-        """Write text; `OSError` if it can't be written."""
+        """Write text. Raises `OSError` if the text can't be written."""
 
     def flush(self) -> object:
-        """Write what is buffered."""
+        """Write buffered text."""
 
 
 class StandardError:
-    """Writes to a descriptor at once, or raises `OSError`. Owns nothing: the descriptor is the process's."""
+    """Writes to a descriptor at once, or raises `OSError`. Does not own the descriptor."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = _reopen_non_blocking(descriptor)
-        self._is_line_incomplete = False  # the last line was written in part
+        self._is_line_incomplete = False  # the last line was written only in part
 
     def write(self, text: str) -> int:
-        """Write text, complete lines as a rule, without waiting. Raises `OSError` if it was not written."""
+        """Write text, usually complete lines, without waiting. Raises `OSError` if it can't be written."""
         return self.write_bytes(text.encode())
 
     def write_bytes(self, data: bytes, timeout_ms: int = 0) -> int:
-        """Write bytes, and wait up to `timeout_ms` before each write until it is possible. A line that was
-        written in part is ended first. Raises `OSError`: `BlockingIOError` if nobody reads.
+        """Write bytes; wait up to `timeout_ms` before each write until the descriptor is writable.
+
+        A line that was written in part is ended first. Raises `OSError`, in particular `BlockingIOError` if
+        the reader does not read in time.
         """
         if self._is_line_incomplete:
             data = b"\n" + data
@@ -58,7 +58,7 @@
     def _write_chunk(self, chunk: bytes, timeout_ms: int) -> None:
         while chunk:
             if not self._is_writable(timeout_ms):
-                raise BlockingIOError(errno.EAGAIN, "nobody reads standard error")
+                raise BlockingIOError(errno.EAGAIN, f"standard error not writable within {timeout_ms} ms")
             written_bytes = os.write(self._descriptor, chunk)
             chunk = chunk[written_bytes:]
 
@@ -72,7 +72,7 @@
 
 
 def _reopen_non_blocking(descriptor: int) -> int:
-    """Another descriptor of the same pipe, which never blocks; for any other kind the descriptor itself."""
+    """Return a non-blocking descriptor of the same pipe; the descriptor itself if it is no pipe."""
     if not stat.S_ISFIFO(os.fstat(descriptor).st_mode):
         return descriptor
     try:
@@ -82,7 +82,7 @@
 
 
 def standard_error() -> LineWriter | TextIO:
-    """The standard error of this process; or what the program that embeds the relay has replaced it by."""
+    """Return the standard error of this process, or its replacement by a program that embeds the relay."""
     if sys.stderr is not sys.__stderr__ or sys.stderr is None:
         return sys.stderr
     try:
--- a/gannetweir/observability/trace.py
+++ b/gannetweir/observability/trace.py
@@ -1,8 +1,8 @@
-"""The trace of placement: what the balancer was given and what it decided, one JSON line an event.
+"""The trace of placement: the events that the balancer received and its actions, one JSON line per event.
 
-Off unless `serve --trace` asks for it; nothing is decided here. The first line describes the relay. The keys
-of the others: `t` the time in microseconds, `n` the relay, `on` the event's type, `is` the event, `do` the
-actions. A step of a request has the fields of `RequestEvent` in place of these, after `n`.
+`serve --trace` turns the trace on; it only records. The first line describes the relay. The keys of the other
+lines are `t`, the time in microseconds; `n`, the relay; `on`, the type of the event; `is`, the event; and
+`do`, the actions. The line of a step of a request has `n` and the fields of `RequestEvent` instead.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from gannetweir.placement.events import Event, TimerExpired
 from gannetweir.placement.settings import Settings
 
-WRITE_TIMEOUT_MS = 20  # the relay stands still for as long; a reader that takes longer ends the trace
+WRITE_TIMEOUT_MS = 20  # a write blocks the relay for so long at most; a slower reader ends the trace
 
 
 class Trace:
-    """Writes each line to `file` at once. What can't be written ends the trace, not the relay."""
+    """Writes each line to `file` at once. A line that can't be written ends the trace, not the relay."""
 
     def __init__(self, relay: str, settings: Settings, file: LineWriter) -> None:
         self.is_enabled = True
@@ -38,7 +38,7 @@
         )
 
     def __call__(self, now_us: int, event: Event, actions: Sequence[Action]) -> None:
-        """Record one event and its actions. A timer that led to nothing but the next timer is left out."""
+        """Record one event and its actions. A timer event that only sets the next timer is left out."""
         if isinstance(event, TimerExpired) and all(isinstance(action, SetTimer) for action in actions):
             return
         decided = [[type(action).__name__, action] for action in actions if not isinstance(action, SetTimer)]
@@ -58,5 +58,5 @@
             else:
                 self._file.write(text.decode())
                 self._file.flush()
-        except (OSError, TypeError):  # a full disk, a reader that has gone; a value that JSON has no form for
+        except (OSError, TypeError):  # a full disk, a closed reader, or a value that JSON can't represent
             self.is_enabled = False
