--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses, the order in which they are tried, their health, and the race between them."""
+"""Addresses: literals, rules, the order in which they are tried, their health, and the connection race."""
 
 import contextlib
 import os
@@ -104,29 +104,33 @@
 HEAD = "gannetweir version=1\n"
 END = "\ndefault {\n}\n"
 INVALID_SECTIONS = {
-    "a name for a host": ('server "a" {\n address "push.example:80"\n}', 2, ["push.example", "no DNS"]),
+    "a host name": ('server "a" {\n address "push.example:80"\n}', 2, ["push.example", "no DNS"]),
     "an address of two servers": (
         f'server "a" {{\n address "{V4}"\n}}\nserver "b" {{\n address "{V4}"\n}}',
         5,
         ["a's already"],
     ),
-    "the same one in other words": (
+    "an address of two servers in two notations": (
         'server "a" {\n address "[fd00::18]:1"\n}\nserver "b" {\n address "[fd00:0::18]:1"\n}',
         5,
         ["already"],
     ),
-    "one address for a pattern": (f'server "s-*" {{\n address "{V4}"\n}}', 2, ["{host}", "every server"]),
-    "a pattern that gives two the same": (
+    "an address without a placeholder for a pattern": (
+        f'server "s-*" {{\n address "{V4}"\n}}',
+        2,
+        ["{host}", "every server"],
+    ),
+    "a pattern with the address of another server": (
         'server "a" {\n address "unix:/run/a.sock"\n}\nserver "*" {\n address "unix:/run/{host}.sock"\n}',
         5,
         ["unix:/run/a.sock", "already"],
     ),
     "two servers of one name": ('server "a" {\n}\nserver "a" {\n}', 4, ["second server"]),
     "no address at all": ('server "a" {\n dial #false\n}', 2, ["no address"]),
-    "an unknown word": ('server "a" {\n adress "x"\n}', 3, ["unknown", "address, dial"]),
+    "an unknown node": ('server "a" {\n adress "x"\n}', 3, ["unknown", "address, dial"]),
     "an unknown family": ('reach {\n prefer "ipv5"\n}', 3, ["ipv5", "unix"]),
     "a family twice": ('reach {\n prefer "unix" "unix"\n}', 3, ["same value twice"]),
-    "a fallback over the connect time-out": ('reach {\n fallback "200ms"\n}', 0, ["200ms", "125ms"]),
+    "a fallback over half the connect timeout": ('reach {\n fallback "200ms"\n}', 0, ["200ms", "125ms"]),
     "a server without a name": ("server {\n}", 2, ["#null"]),
     "a socket path too long": (f'server "a" {{\n address "unix:/{"x" * 110}"\n}}', 2, ["107 bytes"]),
 }
@@ -166,7 +170,7 @@
 def test_families_are_interleaved_by_preference() -> None:
     more = "10.1.0.19:8080", "[fd00::19]:8080"
     selector = selector_of(V4, more[0], V6, more[1], UNIX)
-    # what discovery lists as `dial` is the last of its family
+    # the `dial` address of discovery is the last of its family
     assert shown(selector) == [UNIX, V6, more[0], more[1], V4]
     selector = selector_of(V4, more[0], V6, more[1], UNIX, family_preference=("ipv4", "unix"))
     assert shown(selector)[:3] == [more[0], UNIX, V6]
@@ -177,7 +181,7 @@
     for _ in range(8):
         selector.record_connected("a", parse_address(V6), 2 * MS)
         selector.record_connected("a", parse_address(V4), MS)
-    assert shown(selector) == [V6, V4]  # no more than twice as slow: the preference holds
+    assert shown(selector) == [V6, V4]  # only twice as slow: the preference applies
     for _ in range(20):
         selector.record_connected("a", parse_address(V6), 60 * MS)
     assert shown(selector) == [V4, V6]
@@ -189,7 +193,7 @@
         for text, response_time_us in ((UNIX, 151 * MS), (V6, 2 * MS), (V4, MS)):
             selector.record_connected("a", parse_address(text), MS)
             selector.record_response("a", parse_address(text), SECOND + n, response_time_us)
-    assert shown(selector) == [V6, V4, UNIX]  # 2 ms are as good as 1
+    assert shown(selector) == [V6, V4, UNIX]  # a difference of 1 ms is within the tolerance
     for n in range(12):
         selector.record_response("a", parse_address(UNIX), 2 * SECOND + n, MS)
     assert shown(selector) == [UNIX, V6, V4]
@@ -200,11 +204,12 @@
     selector.record_connect_failure("a", parse_address(UNIX), now)
     assert shown(selector, now) == [V6, V4, UNIX]
     later = now + 600 * MS
-    assert shown(selector, later) == [UNIX, V6, V4]  # due: this one tries it
-    assert shown(selector, later) == [V6, V4, UNIX]  # and no other at the same time
+    assert shown(selector, later) == [UNIX, V6, V4]  # the backoff is over: this caller retries the address
+    assert shown(selector, later) == [V6, V4, UNIX]  # no other caller retries at the same time
     for n in range(20):
         selector.record_connect_failure("a", parse_address(UNIX), later + n)
-    assert shown(selector, later + 4 * SECOND + MS)[0] == UNIX  # within the bound, however often it failed
+    # the backoff is bounded, however often the address failed
+    assert shown(selector, later + 4 * SECOND + MS)[0] == UNIX
     selector.record_response("a", parse_address(UNIX), later + 5 * SECOND)
     assert shown(selector, later + 5 * SECOND) == [UNIX, V6, V4]
 
@@ -233,9 +238,8 @@
     assert not selector.record_no_response("a", parse_address(V4), 3 * SECOND)
     selector = selector_of(V4, V6)
     selector.record_response("a", parse_address(V4), SECOND)
-    assert not selector.record_no_response(
-        "a", parse_address(V6), 60 * SECOND
-    )  # what was long ago says nothing
+    # an answer of long ago does not show that the endpoint is alive
+    assert not selector.record_no_response("a", parse_address(V6), 60 * SECOND)
     assert not selector_of(V4).record_no_response("a", parse_address(V4), SECOND)
     assert not selector_of(V4).record_no_response("b", parse_address(V4), SECOND)
 
@@ -259,7 +263,7 @@
         AddressRules((EndpointRule("a", (UNIX,), includes_listed_addresses=False),)), 250 * MS
     )
     assert shown(selector) == [UNIX]
-    selector.record_connect_failure("a", parse_address(V4), SECOND)  # an event of a removed one
+    selector.record_connect_failure("a", parse_address(V4), SECOND)  # a late event of a removed address
     selector.record_response("a", parse_address(V4), SECOND)
     selector.remove_endpoint("a")
     assert shown(selector) == []
@@ -291,9 +295,8 @@
     selector.apply_rules(rules_for(V6, V4), 250 * MS)
     assert shown(selector) == [V6, UNIX]
     assert [str(a) for a in selector.ordered_addresses("b", 0)] == [V4]
-    assert selector.states_by_endpoint["a"][
-        parse_address(UNIX)
-    ].is_unhealthy  # what it keeps is known as it was
+    # the address that stays keeps its state
+    assert selector.states_by_endpoint["a"][parse_address(UNIX)].is_unhealthy
 
 
 def test_a_single_address_of_the_file_replaces_the_listed_one() -> None:
@@ -305,13 +308,16 @@
     assert selector.selects_address("a")
     assert not selector.selects_address("b")
     assert not selector.selects_address("c")
-    selector.update_endpoint("c", V6)  # another endpoint's: none is left
+    selector.update_endpoint("c", V6)  # the address belongs to another endpoint: none is left for this one
     assert selector.selects_address("c")
     assert selector.new_race("c", 0).start(0) == [RaceLost()]
 
 
 def test_a_delta_updates_the_addresses_of_its_endpoints_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A delta comes for every change of a list of hundreds; a snapshot also ends what it lacks."""
+    """Each change of a list of hundreds sends a delta, which must update only the endpoints it names.
+
+    A snapshot also removes the endpoints that it lacks.
+    """
     listed = [
         ListedEndpoint(EndpointEntry(f"s{n}"), f"10.0.{n}.1:80", (f"unix:/run/{n}",)) for n in range(200)
     ]
@@ -345,7 +351,7 @@
     assert race.attempt_failed(b, 40) == [StartConnect(c)]
     assert race.timer_expired(60) == []
     assert race.attempt_connected(c, 50) == [CloseConnection(a, 50), RaceWon(c, 10)]
-    assert race.attempt_connected(a, 51) == [CloseConnection(a, -1)]  # up after another has won
+    assert race.attempt_connected(a, 51) == [CloseConnection(a, -1)]  # established after another has won
     assert race.attempt_failed(a, 52) == []
     assert race.cancel(53) == []
     assert race.timer_expired(99) == []
@@ -375,7 +381,7 @@
 
 
 class RecordedRace:
-    """A race and what became of its attempts."""
+    """A race, with a record of its attempts and of its end."""
 
     def __init__(self, order: list[Address], delays_us: list[int]) -> None:
         self.race = ConnectionRace(order, delays_us)
@@ -421,8 +427,8 @@
 @profile(max_examples=500, deadline=None, derandomize=True)
 @given(st.integers(0, 5), st.integers(0, 10_000))
 def test_in_any_order_of_events_at_most_one_wins_and_all_others_are_closed(count: int, seed: int) -> None:
-    """Every order of connects, failures, timers, cancellations and late events: at most one is ever won, each
-    that began is either the winner, failed by itself, or closed, and a race ends once.
+    """Random orders of connects, failures, timers, cancellations and late events: a race ends at most once,
+    and each attempt that was started has won, failed, or been closed.
     """
     rng, order = random.Random(seed), addresses(count)
     recorded, now_us = RecordedRace(order, [rng.choice([0, 10, 50]) for _ in order]), 0
@@ -441,7 +447,7 @@
 
 @contextlib.contextmanager
 def without_privileges() -> Iterator[None]:
-    """A superuser may open any socket: so be nobody for a while."""
+    """Run as an unprivileged user if the tests run as root, because root may open any socket."""
     root = os.geteuid() == 0
     if root:
         os.seteuid(65534)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: their two forms, their fields, and what is dropped of a rush."""
+"""Log lines: their two forms, their fields, the rate limit, and text from peers."""
 
 import io
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""What an operators' file does to requests, in the scenario language."""
+"""How the routes of an operators' file limit and time requests, in the scenario language."""
 
 import pytest
 
@@ -28,7 +28,7 @@
         c1/upstream expect OPEN 0a 0b c=plain,d=300
         relay expect count attempts.timeout 1""",
     ),
-    "a connect that times out never ran; the attempt's time-out counts from the line": (
+    "a connect that times out never ran; the attempt's timeout starts when the line is written": (
         default(PLAN),
         OPEN
         + """
@@ -65,7 +65,7 @@
         c1/upstream expect nothing
         c1 expect nothing""",
     ),
-    "a cadence counts from the start of the attempt before": (
+    "a cadence counts from the start of the previous attempt": (
         default(PLAN + '\nwait "every" first="450ms"'),
         OPEN
         + """
@@ -78,7 +78,7 @@
         time wait 1
         c1/upstream expect OPEN*""",
     ),
-    "a backend that drains in the backoff gets nothing after it": (
+    "a backend that is taken offline during the backoff gets no retry": (
         default(PLAN + '\nwait "fixed" first="200ms"'),
         OPEN
         + """
@@ -93,7 +93,7 @@
         c1 expect end
         c1 expect nothing""",
     ),
-    "a backoff for which no time is left fails at once, not at the deadline": (
+    "if no time is left for the backoff, the request fails at once, not at the deadline": (
         default('give-up "800ms"\nattempts 2\nattempt "100ms"\nconnect "20ms"\nwait "fixed" first="300ms"'),
         """
         c1 send OPEN 0a 0b c=plain,d=250
@@ -102,7 +102,7 @@
         c1 expect BUSY*
         c1 expect end""",
     ),
-    "the route's give-up time ends it before the client's": (
+    "the route's give-up time ends a request before the client's deadline": (
         default('give-up "400ms"\nattempts 1\nattempt "180ms"\nconnect "10ms"'),
         OPEN
         + """
@@ -111,7 +111,7 @@
         time wait 180
         c1 expect BUSY*""",
     ),
-    "no retry past the budget, and the answer comes at once": (
+    "a request over the retry budget is answered at once without a retry": (
         default(PLAN + '\nretry-budget share="1%" window="10s" floor=1'),
         OPEN
         + """
@@ -133,7 +133,7 @@
         c3/upstream send BUSY
         c3/upstream expect OPEN*""",
     ),
-    "what may have run is not retried where the route says so, and is rejected": (
+    "a request that may have run is rejected, not retried, if the route retries only never-ran": (
         default(PLAN + '\nretry-on "never-ran"'),
         OPEN
         + """
@@ -144,7 +144,7 @@
         c1 expect BUSY*
         c1 expect end""",
     ),
-    "over the open connections: rejected at once, and free again after an end": (
+    "a request over the open connections is rejected at once; an ended one frees its permit": (
         default("limits open=1"),
         OPEN
         + """
@@ -161,7 +161,7 @@
         c3/upstream send ERR
         c3/upstream send ERR""",
     ),
-    "over the set-ups a second": (
+    "a request over the set-ups per second is rejected": (
         default("limits setups-per-second=2 burst=1"),
         OPEN
         + """
@@ -172,7 +172,7 @@
         c3 send OPEN 0e 0f c=plain,d=2000
         c3/upstream expect OPEN*""",
     ),
-    "set-ups at a backend: the third goes nowhere while both have one": (
+    "a request is rejected while both backends are at their limit of set-ups": (
         default("limits setups-at-backend=1"),
         OPEN
         + """
@@ -205,7 +205,7 @@
         c2 send OPEN 0c 0d c=plain,d=2000,g=5c0e6e1a2b3d4c59
         c2/upstream expect *,d=300,g=*""",
     ),
-    "a reload during attempts: the plan stays, a lower maximum binds, what is open still counts": (
+    "a reload during an attempt keeps its plan, applies a lower maximum, and still counts open connections": (
         default(PLAN + "\nlimits open=2")
         | {"less": HEAD + 'default {\nattempts 1\nattempt "200ms"\nlimits open=1\n}\n'},
         OPEN
@@ -225,7 +225,7 @@
         c3 send OPEN 0e 0f c=plain,d=2000
         c3/upstream expect *d=200""",
     ),
-    "a reload that removes a route leaves its requests complete": (
+    "a reload that removes a route does not disturb its requests": (
         default('attempt "300ms"\nattempts 2', 'route "back" {\nmatch {\nagain #true\n}\nlimits open=1\n}')
         | {"less": HEAD + "default {\nlimits open=1\n}\n"},
         """
@@ -241,7 +241,7 @@
         c1 close
         c1/upstream expect end""",
     ),
-    "what resumes is counted, not rejected": (
+    "a resumed connection is counted and not rejected": (
         default("limits open=1"),
         """
         c1 send OPEN 0a 0b c=plain,at=b1
@@ -261,7 +261,7 @@
     world = play(script, 2, files)
     admission = world.engine.route_admission
     assert admission is not None
-    # what is counted is what is there: nothing is lost, nothing is released twice
+    # the counts match the requests: no permit is lost or released twice
     assert admission.relay_permit.limiter.open_connections == sum(
         request.admission_permit is not None for request in world.engine.requests.values()
     )
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""The deciders behind an operators' file: routes, retry budgets, limits, and the admission that uses them."""
+"""The routing rules of an operators' file: routes, retry budgets, limits, and admission."""
 
 import random
 from itertools import pairwise
@@ -27,7 +27,7 @@
 
 
 def matches(match: RouteMatch, request: RequestArrived) -> bool:
-    """Return whether a route takes a request, written as plainly as can be."""
+    """Return whether a route matches a request: a direct reference implementation."""
     returning, retry = request.flags & RequestFlag.RETURNED > 0, request.flags & RequestFlag.CLIENT_RETRY > 0
     group, key = f"{request.group:016x}", f"{request.key:016x}"
     return (
@@ -71,10 +71,10 @@
 
 @pytest.mark.parametrize("seed", range(60))
 def test_exactly_the_routes_that_no_request_takes_are_unreachable(seed: int) -> None:
-    """Against every request that prefixes of up to three binary digits distinguish."""
+    """Compare with all requests that prefixes of up to three binary digits distinguish."""
     rng = random.Random(1000 + seed)
     routes = [Route(str(n), random_match(rng)) for n in range(rng.randint(1, 9))] + [Route("default")]
-    # digits other than 0 and 1 stand for all that no prefix names; 0000 in a group is no group
+    # The digit 2 represents all digits that no prefix contains. The group 0 means no group.
     digits = [a + b + c + "2" for a in "012" for b in "012" for c in "012"]
     groups = [0] + [int(d + "0" * 12, 16) for d in digits]
     keys = [int(d + "0" * 12, 16) for d in digits]
@@ -119,13 +119,13 @@
         budget.record_retry(SECOND)
     assert budget.remaining_retries(SECOND) == 0
     assert budget.remaining_retries(9 * SECOND) == 0  # still in the window
-    assert budget.remaining_retries(12 * SECOND) == 3  # all of it is past
+    assert budget.remaining_retries(12 * SECOND) == 3  # the window has passed
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_window_has_more_retries_than_its_ratio(seed: int) -> None:
-    """Whatever comes when: retries of one window never exceed the ratio of the first attempts of one window
-    and a tenth (parts expire at once), or the minimum.
+    """Random sequences: the retries in one window exceed neither the rule's minimum nor, where that is more,
+    the ratio of the first attempts in a window longer by a tenth (counts expire a tenth at a time).
     """
     rng = random.Random(seed)
     rule = RetryBudgetRule(rng.choice([0.05, 0.2, 0.5]), rng.choice([1, 10]) * SECOND, rng.choice([1, 5]))
@@ -179,13 +179,12 @@
     retry_after_us = sorted(limit.retry_after_us(0, rng.random()) for _ in range(25))
     assert retry_after_us[0] >= 50_000
     assert retry_after_us[-1] <= 1_500_000 + 50_000
-    assert all(b - a == 50_000 for a, b in pairwise(retry_after_us))  # a place for each
-    for at in retry_after_us:  # together, 24 of 25 would be over again
+    assert all(b - a == 50_000 for a, b in pairwise(retry_after_us))  # a separate set-up slot for each client
+    for at in retry_after_us:  # if all retried together, 24 of 25 would exceed the limit again
         assert not limit.exceeded_limit(at)
         limit.acquire(at)
-    without_slot_us = [
-        limit.retry_after_us(0, rng.random()) for _ in range(200)
-    ]  # no set-up is left within the longest Retry-After
+    # no set-up slot is left within the longest Retry-After
+    without_slot_us = [limit.retry_after_us(0, rng.random()) for _ in range(200)]
     assert min(without_slot_us) >= 700_000
     assert max(without_slot_us) <= 1_500_000
     assert len(set(without_slot_us)) > 150
@@ -281,9 +280,8 @@
     assert not admission.admit_attempt(admission.permits["one"], request_class, "s", 1, 0)
     assert not admission.admit_attempt(admission.permits["default"], request_class, "s", 1, 0)
     assert admission.admit_attempt(admission.permits["one"], request_class, "s", 1, 0) == "retry-budget"
-    assert not admission.admit_attempt(
-        admission.permits["one"], request_class, "s", 0, 0
-    )  # no budget limits a first attempt
+    # no retry budget limits a first attempt
+    assert not admission.admit_attempt(admission.permits["one"], request_class, "s", 0, 0)
 
 
 def test_setups_at_an_endpoint_are_counted_over_all_routes() -> None:
@@ -327,8 +325,8 @@
     assert rejection.reason == "open of route r"
     rules = RoutingRules((Route("default"),))
     admission.apply(rules, with_routed_classes(SETTINGS, rules))
-    assert admission.max_attempts_for(plan, 4) == 4  # its route is removed: its own plan holds
-    admission.release(old)  # a removed route's requests release all the same
+    assert admission.max_attempts_for(plan, 4) == 4  # the route is removed: the request's own plan applies
+    admission.release(old)  # requests of a removed route still release their permit
     assert admission.relay_permit.limiter.open_connections == 0
 
 
--- a/tests/test_standard_error.py
+++ b/tests/test_standard_error.py
@@ -1,4 +1,4 @@
-"""Standard error that nobody reads blocks nothing: neither requests nor signals nor the exit."""
+"""A standard error whose reader does not read must not block requests, signals or the exit."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.relay_harness import RelayHarness
 
 SMALLEST_PIPE_BYTES = 4096
-COUNTER_LINES = 150  # several times what fits into the pipe
+COUNTER_LINES = 150  # several times the capacity of the pipe
 
 
 def test_a_relay_serves_and_exits_while_its_standard_error_is_not_read(tmp_path: Path) -> None:
@@ -39,7 +39,7 @@
         assert answer_of(port, b"PING\r\n", 10.0) == b"PONG\r\n"
         for _ in range(COUNTER_LINES):
             process.send_signal(signal.SIGUSR1)
-            time.sleep(0.002)  # signals of one kind are merged while they wait
+            time.sleep(0.002)  # pending signals of one kind are merged
         assert answer_of(port, b"PING\r\n", 2.0) == b"PONG\r\n"
         assert answer_of(port, b"OPEN 0a 0b c=plain,d=200\r\n", 2.0).startswith(b"BUSY")
         process.send_signal(signal.SIGTERM)
@@ -51,7 +51,7 @@
 
 
 def answer_of(port: int, line: bytes, within_s: float) -> bytes:
-    """What a relay answers to a line; until it listens, the connect is retried."""
+    """Return a relay's answer to a line; retry the connect until the relay listens."""
     deadline_s = time.monotonic() + within_s
     while True:
         try:
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -46,7 +46,7 @@
 def test_a_line_that_can_not_be_written_ends_the_trace_and_not_the_relay(file: io.StringIO) -> None:
     engine = traced_engine(file)
     assert engine.dispatcher.trace is not None
-    engine.dispatcher.trace(0, ClientDisconnected(1 << 70), [])  # JSON has no form for it
+    engine.dispatcher.trace(0, ClientDisconnected(1 << 70), [])  # the id is too large for JSON
     length = len(file.getvalue())
     for second in range(1, 6):
         engine.advance(second * SECOND)
