--- a/benchmarks/against.py
+++ b/benchmarks/against.py
@@ -1,8 +1,8 @@
-"""This checkout beside another one, in one run: what a start and a placement with one address cost.
+"""Compares this checkout with another in one run: the cost of a start and of a placement with one address.
 
     python benchmarks/against.py OTHER_CHECKOUT [PAIRS] [PLACEMENTS]
 
-As routes_cost.py, without an operators' file on either side.
+Measures the same figures as routes_cost.py, without an operators' file on either side.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
         config = write_platform_config(Path(name), port, listener.getsockname()[1])
         figure_pairs = []
         for n in range(pairs):
-            sides = [ROOT, other] if n % 2 else [other, ROOT]  # who goes first takes turns
+            sides = [ROOT, other] if n % 2 else [other, ROOT]  # the sides alternate in going first
             figures = {root: measure(config, port, None, placements, root) for root in sides}
             figure_pairs.append((figures[ROOT], figures[other]))
     listener.close()
--- a/benchmarks/routes_cost.py
+++ b/benchmarks/routes_cost.py
@@ -1,10 +1,11 @@
-"""What an operators' file costs: a relay with 200 routes beside one with none, in one run.
+"""Measures the cost of an operators' file: a relay with 200 routes against one without, in one run.
 
     python benchmarks/routes_cost.py [PAIRS] [PLACEMENTS]
 
-Relays are started in turn, pair by pair, each against a backend that answers `UP` at once. Measured of each:
-the time from its start until it answers PONG, its resident memory then, and its CPU time per placement (a
-client opens, is served and closes). Printed are medians, and the median of the ratios within pairs. Loopback.
+Both relays of a pair are started one after the other on loopback, with a backend that answers `UP` at once.
+The figures of a relay are the time from its start until it answers PONG, its resident memory at that time,
+and its CPU time per placement (a client opens a connection, is served and closes). The output has the
+medians, and the median of the ratios within pairs.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 ROOT = Path(__file__).parent.parent
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 START_TIMEOUT_S = 20
-POLL_S = 0.002  # a start takes a hundred times as long
+POLL_S = 0.002  # a start takes about a hundred times as long
 CALL_TIMEOUT_S = 5
 ROUTES = 200
 DEFAULT_PAIRS, DEFAULT_PLACEMENTS = 7, 3000
@@ -34,8 +35,9 @@
 
 
 def run_backend(listener: socket.socket) -> None:
-    """Answer every first line with UP, every load probe with a report, until the client closes."""
-    load_report = b"PONG tps=1,concurrent=9000,x0=0.2\r\n"  # so many that one more makes no difference
+    """Answer each first line with UP and each load probe with a load report, until the client closes."""
+    # with so many concurrent requests, one more does not change the placement
+    load_report = b"PONG tps=1,concurrent=9000,x0=0.2\r\n"
 
     def serve(sock: socket.socket) -> None:
         with sock, sock.makefile("rwb") as file:
@@ -52,7 +54,7 @@
 
 
 def free_port() -> int:
-    """Return a port on which nobody listens now."""
+    """Return a port that no process is listening on."""
     with socket.create_server(("127.0.0.1", 0)) as probe:
         return int(probe.getsockname()[1])
 
@@ -87,7 +89,7 @@
 
 
 def write_operators_file(folder: Path, count: int) -> Path:
-    """Write an operators' file with so many routes; return its path."""
+    """Write an operators' file with `count` routes; return its path."""
     parts = ["gannetweir version=1"]
     for n in range(count - 1):
         parts.append(
@@ -103,14 +105,14 @@
 
 
 def ask(port: int, line: bytes) -> bytes:
-    """Send a line on a connection of its own; return the first bytes of the answer."""
+    """Send a line on a new connection; return the first bytes of the answer."""
     with socket.create_connection(("127.0.0.1", port), timeout=CALL_TIMEOUT_S) as sock:
         sock.sendall(line)
         return sock.recv(100)
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the CPU time that a process has used."""
+    """Return the CPU time that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
@@ -124,7 +126,7 @@
 def measure(config: Path, port: int, operators: Path | None, placements: int, root: Path = ROOT) -> Figures:
     """Start the relay of the tree at `root`, let it serve placements, and return its figures.
 
-    Exits where it does not start or does not serve. The relay is killed in any case.
+    Exits if the relay does not start or does not serve. Kills the relay in any case.
     """
     env = {"RELAY_CONFIG": str(config), "PATH": os.environ.get("PATH", ""), "PYTHONPATH": str(root)}
     command = [sys.executable, "-m", "gannetweir", "serve"]
@@ -145,25 +147,25 @@
 
 
 def wait_until_ready(relay: subprocess.Popen[bytes], port: int, deadline_s: float) -> None:
-    """Return once the relay answers PONG; exit when it has ended or the deadline has passed."""
+    """Return once the relay answers PONG; exit if the relay has ended or the deadline has passed."""
     while True:
         with contextlib.suppress(OSError):
             if ask(port, b"PING\r\n").startswith(b"PONG"):
                 return
         if time.monotonic() > deadline_s or relay.poll() is not None:
-            raise SystemExit("the relay did not start")
+            raise SystemExit(f"the relay ended, or did not answer PONG within {START_TIMEOUT_S} s")
         time.sleep(POLL_S)
 
 
 def place(port: int, number: int) -> None:
-    """Open a connection of one of 256 groups, and close it once it is served."""
+    """Open a connection for one of 256 groups, and close it once the relay has answered UP."""
     line = f"OPEN {number:x} {number:x} c=zone-view,d=2000,g={(number % 256) << 48 | 1:x}\r\n"
     if not ask(port, line.encode()).startswith(b"UP"):
         raise SystemExit(f"placement {number} was not served")
 
 
 def report(figure_pairs: list[tuple[Figures, Figures]], placements: int, sides: tuple[str, str]) -> None:
-    """Print the medians of both sides of all pairs, and the median of the ratios within pairs."""
+    """Print the medians of both sides over all pairs, and the median of the ratios within pairs."""
     print(f"{len(figure_pairs)} pairs, {placements} placements each\n")
     print(f"| figure | {sides[0]} | {sides[1]} | ratio |\n| --- | --- | --- | --- |")
     for n, figure in enumerate(FIGURES):
@@ -173,7 +175,7 @@
 
 
 def main() -> None:
-    """Measure pairs and print them."""
+    """Measure all pairs and print the report."""
     arguments = [int(argument) for argument in sys.argv[1:]]
     pairs, placements = [*arguments, *(DEFAULT_PAIRS, DEFAULT_PLACEMENTS)[len(arguments) :]]
     listener = socket.create_server(("127.0.0.1", 0), backlog=256)
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -1,11 +1,11 @@
-"""What the start of a relay costs, part by part, at lists of several sizes.
+"""Measures the cost of a relay's start by phase, with endpoint lists of several sizes.
 
     python benchmarks/startup.py [RUNS [BACKENDS ...]]
 
-The parts are taken in a process of their own, in the order in which `serve` does them: processor time.
-Beside them the whole: a real relay on loopback, from its start to the first PONG, wall and processor time
-with its compiled files at hand, and once more without. Its discovery answers the first watch with the same
-list. Printed are medians over the runs, and the least share of a core with which that time fits ten seconds.
+A separate process runs the phases in the order of `serve` and reports the processor time of each. A real
+relay on loopback is measured as well, from its start to the first PONG: wall and processor time with cached
+bytecode, and processor time without. Its discovery answers the first watch with the same list. The output has
+medians over the runs, and the least share of a core with which the processor time fits into ten seconds.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 from routes_cost import ROOT, free_port
 
-SIZES = 64, 1024, 4096  # backends on the list
+SIZES = 64, 1024, 4096  # backends on the endpoint list
 TOTAL_NAMES = (
     "sum of the parts",
     "first PONG, wall",
@@ -32,7 +32,7 @@
     "least share of a core, %",
     "first PONG, nothing compiled, processor",
 )
-READY_S = 10.0  # in which nine in ten restarted relays have to be ready
+READY_S = 10.0  # nine in ten restarted relays have to be ready within this time
 NS_PER_MS = 1e6
 PHASE_NAMES = (
     "interpreter",
@@ -71,7 +71,7 @@
 
 
 def backends(size: int) -> list[dict[str, object]]:
-    """A list of discovery's in three zones and three kinds; nobody answers there."""
+    """Return a list of backends in three zones and of three kinds; none of them answers."""
     return [
         {
             "host": f"s-{n:08x}",
@@ -88,13 +88,13 @@
 
 
 def watch_answer(size: int) -> bytes:
-    """The whole list as the first line of an open watch."""
+    """Return discovery's answer to a watch: the complete list as its first line."""
     line = json.dumps({"seq": 2, "whole": True, "hosts": backends(size)}).encode() + b"\n"
     return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
 
 
 def configuration(size: int, listen: int, discovery: int) -> dict[str, object]:
-    """What the platform writes: two classes, probes, groups, and the list that was known last."""
+    """Return the platform's file: two classes, probes, groups, and the endpoint list known last."""
     classes = [{"name": name, "hard-limit-us": 2_000_000, "aim-us": 500_000} for name in ("plain", "urgent")]
     settings = {
         "categories": classes,
@@ -115,7 +115,7 @@
 
 
 def answer_watches(listener: socket.socket, answer: bytes) -> None:
-    """Answer every watch with the list, and keep it open until the relay ends it."""
+    """Answer every watch with the list, and keep the watch open until the relay ends it."""
 
     def serve(sock: socket.socket) -> None:
         with sock:
@@ -133,7 +133,7 @@
 
 
 def measure_phases(env: dict[str, str]) -> list[float]:
-    """Processor milliseconds of each part."""
+    """Return the processor time of each phase in milliseconds."""
     done = subprocess.run(
         [sys.executable, "-c", PHASES_CODE], cwd=ROOT, env=env, check=True, capture_output=True, text=True
     )
@@ -141,7 +141,7 @@
 
 
 def measure_start(env: dict[str, str], port: int) -> tuple[float, float]:
-    """Wall and processor milliseconds from a relay's start to its first PONG."""
+    """Return the wall and processor time from a relay's start to its first PONG, in milliseconds."""
     begin_s = time.monotonic()
     relay = subprocess.Popen(
         [sys.executable, "-m", "gannetweir", "serve"], cwd=ROOT, env=env, stderr=subprocess.DEVNULL
@@ -164,7 +164,7 @@
 
 
 def measure(size: int, runs: int, folder: Path) -> list[float]:
-    """Medians: the parts, their sum, wall and processor time to the first PONG, the least share of a core."""
+    """Return the medians over the runs, in the order of `PHASE_NAMES` and `TOTAL_NAMES`."""
     with socket.create_server(("127.0.0.1", 0)) as discovery:
         port, answer = free_port(), watch_answer(size)
         config = configuration(size, port, discovery.getsockname()[1])
@@ -180,7 +180,7 @@
         compiled = env | {"PYTHONPYCACHEPREFIX": str(folder / "compiled")}
         compiled.pop("PYTHONDONTWRITEBYTECODE", None)
         sources = env | {"PYTHONPYCACHEPREFIX": str(folder / "none"), "PYTHONDONTWRITEBYTECODE": "1"}
-        measure_start(compiled, port)  # compiles what it imports
+        measure_start(compiled, port)  # writes the bytecode of the imported modules
         measure_phases(compiled)
         samples = []
         for _ in range(runs):
@@ -201,7 +201,7 @@
 
 
 def main() -> None:
-    """Print the table, as Markdown."""
+    """Print the medians as a Markdown table."""
     runs, *given = map(int, sys.argv[1:] or ["7"])
     sizes = given or SIZES
     with tempfile.TemporaryDirectory() as folder:
