--- a/gannetweir/routing/connection_limiter.py
+++ b/gannetweir/routing/connection_limiter.py
@@ -1,7 +1,7 @@
 """The concurrency limit and the rate limit of a route, and the Retry-After of requests over a limit.
 
-A request over a limit is rejected at once. Each rejected request gets a different future set-up slot of the
-rate limit as its Retry-After, so that clients do not retry together and exceed the limit again.
+A request over a limit is rejected at once. With a rate limit, each rejected request gets a set-up slot of its
+own as Retry-After, so that clients do not retry together and exceed the limit again.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 from gannetweir.routing.rules import ConnectionLimitRule
 
 MIN_RETRY_AFTER_US = 50_000  # a client that retries sooner is most likely rejected again
-# Where no set-up slot is free within the longest Retry-After, a random Retry-After spreads the clients. This
-# fraction of the longest Retry-After is its lower bound.
+# Where no admission within the longest Retry-After can be predicted, a random Retry-After spreads the
+# clients. This fraction of the longest Retry-After is its lower bound.
 FALLBACK_MIN_RATIO = 0.5
 
 
--- a/gannetweir/routing/retry_budget.py
+++ b/gannetweir/routing/retry_budget.py
@@ -38,8 +38,8 @@
     def with_rule(self, rule: RetryBudgetRule) -> RetryBudget:
         """Return the budget under another rule: this one, or a new one if the length of the window differs.
 
-        The parts of a new window have another length, so all counts move to its current part. Without them, a
-        reload during an overload would allow a full window's retries again.
+        The parts of a new window have another length, so all counts move to its current part. If the counts
+        were dropped, each reload during an overload would allow a full window's retries again.
         """
         if rule.window_us == self.rule.window_us:
             self.rule = rule
