--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""The deciders behind an operators' file: routes, retry budgets, limits, and the admission that uses them."""
+"""The routing rules of an operators' file: routes, retry budgets, limits, and admission."""
 
 import random
 from itertools import pairwise
@@ -27,7 +27,7 @@
 
 
 def matches(match: RouteMatch, request: RequestArrived) -> bool:
-    """Return whether a route takes a request, written as plainly as can be."""
+    """Return whether a route matches a request: a direct reference implementation."""
     returning, retry = request.flags & RequestFlag.RETURNED > 0, request.flags & RequestFlag.CLIENT_RETRY > 0
     group, key = f"{request.group:016x}", f"{request.key:016x}"
     return (
@@ -71,37 +71,37 @@
 
 @pytest.mark.parametrize("seed", range(60))
 def test_exactly_the_routes_that_no_request_takes_are_unreachable(seed: int) -> None:
-    """Against every request that prefixes of up to three binary digits distinguish."""
+    """Compare with all requests that prefixes of up to three binary digits distinguish."""
     rng = random.Random(1000 + seed)
     routes = [Route(str(n), random_match(rng)) for n in range(rng.randint(1, 9))] + [Route("default")]
-    # digits other than 0 and 1 stand for all that no prefix names; 0000 in a group is no group
+    # The digit 2 represents all digits that no prefix contains. The group 0 means no group.
     digits = [a + b + c + "2" for a in "012" for b in "012" for c in "012"]
     groups = [0] + [int(d + "0" * 12, 16) for d in digits]
     keys = [int(d + "0" * 12, 16) for d in digits]
-    admitted: set[int] = set()
+    reached: set[int] = set()
     table = RouteTable(routes, NAMES)
     for class_index in range(2):
         for flags in (0, 2, 16, 18):
-            all_of = (
+            all_requests = (
                 RequestArrived(0, class_index, key=k, group=g, flags=flags) for g in groups for k in keys
             )
-            admitted |= {table.find_route(request) for request in all_of}
+            reached |= {table.find_route(request) for request in all_requests}
     found = route_reachability(routes, NAMES, True, True)
-    assert set(found.shadowed_by) == set(range(len(routes))) - admitted
-    assert set().union(*found.reachable_by_class.values()) == admitted
+    assert set(found.shadowed_by) == set(range(len(routes))) - reached
+    assert set().union(*found.reachable_by_class.values()) == reached
     assert all(-1 <= other < number for number, other in found.shadowed_by.items())
 
 
 def test_prefixes_of_every_digit_together_cover_a_longer_prefix() -> None:
-    sixteen = [Route(d, RouteMatch(group_prefixes=(d,))) for d in "0123456789abcdef"]
-    late, plain = (
-        Route("late", RouteMatch(group_prefixes=("5c",))),
+    group_routes = [Route(d, RouteMatch(group_prefixes=(d,))) for d in "0123456789abcdef"]
+    longer, plain = (
+        Route("longer", RouteMatch(group_prefixes=("5c",))),
         Route("plain", RouteMatch(classes=("a",))),
     )
-    assert set(route_reachability([*sixteen, late, plain], NAMES, True, True).shadowed_by) == {16}
-    keys = [Route(d, RouteMatch(key_prefixes=(d,))) for d in "0123456789abcdef"]
-    assert set(route_reachability([*keys, plain], NAMES, True, True).shadowed_by) == {16}
-    assert set(route_reachability([*keys[1:], plain], NAMES, True, True).shadowed_by) == set()
+    assert set(route_reachability([*group_routes, longer, plain], NAMES, True, True).shadowed_by) == {16}
+    key_routes = [Route(d, RouteMatch(key_prefixes=(d,))) for d in "0123456789abcdef"]
+    assert set(route_reachability([*key_routes, plain], NAMES, True, True).shadowed_by) == {16}
+    assert set(route_reachability([*key_routes[1:], plain], NAMES, True, True).shadowed_by) == set()
     assert set(
         route_reachability(
             [Route("g", RouteMatch(group_prefixes=("5",))), plain], NAMES, False, True
@@ -119,13 +119,13 @@
         budget.record_retry(SECOND)
     assert budget.remaining_retries(SECOND) == 0
     assert budget.remaining_retries(9 * SECOND) == 0  # still in the window
-    assert budget.remaining_retries(12 * SECOND) == 3  # all of it is past
+    assert budget.remaining_retries(12 * SECOND) == 3  # the window has passed
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_window_has_more_retries_than_its_ratio(seed: int) -> None:
-    """Whatever comes when: retries of one window never exceed the ratio of the first attempts of one window
-    and a tenth (parts expire at once), or the minimum.
+    """Random sequences: the retries in one window exceed neither the rule's minimum nor, where that is more,
+    the ratio of the first attempts in a window longer by a tenth (counts expire a tenth at a time).
     """
     rng = random.Random(seed)
     rule = RetryBudgetRule(rng.choice([0.05, 0.2, 0.5]), rng.choice([1, 10]) * SECOND, rng.choice([1, 5]))
@@ -179,19 +179,18 @@
     retry_after_us = sorted(limit.retry_after_us(0, rng.random()) for _ in range(25))
     assert retry_after_us[0] >= 50_000
     assert retry_after_us[-1] <= 1_500_000 + 50_000
-    assert all(b - a == 50_000 for a, b in pairwise(retry_after_us))  # a place for each
-    for at in retry_after_us:  # together, 24 of 25 would be over again
+    assert all(b - a == 50_000 for a, b in pairwise(retry_after_us))  # a separate set-up slot for each client
+    for at in retry_after_us:  # if all retried together, 24 of 25 would exceed the limit again
         assert not limit.exceeded_limit(at)
         limit.acquire(at)
-    far = [
-        limit.retry_after_us(0, rng.random()) for _ in range(200)
-    ]  # no set-up is left within the longest Retry-After
-    assert min(far) >= 700_000
-    assert max(far) <= 1_500_000
-    assert len(set(far)) > 150
+    # no set-up slot is left within the longest Retry-After
+    without_slot_us = [limit.retry_after_us(0, rng.random()) for _ in range(200)]
+    assert min(without_slot_us) >= 700_000
+    assert max(without_slot_us) <= 1_500_000
+    assert len(set(without_slot_us)) > 150
 
 
-def test_a_released_connection_makes_room_for_another() -> None:
+def test_after_a_release_the_limit_admits_another_connection() -> None:
     limit = ConnectionLimiter(ConnectionLimitRule(max_open=2), SECOND)
     limit.acquire(0)
     limit.acquire_resumed()
@@ -281,9 +280,8 @@
     assert not admission.admit_attempt(admission.permits["one"], request_class, "s", 1, 0)
     assert not admission.admit_attempt(admission.permits["default"], request_class, "s", 1, 0)
     assert admission.admit_attempt(admission.permits["one"], request_class, "s", 1, 0) == "retry-budget"
-    assert not admission.admit_attempt(
-        admission.permits["one"], request_class, "s", 0, 0
-    )  # no budget limits a first attempt
+    # no retry budget limits a first attempt
+    assert not admission.admit_attempt(admission.permits["one"], request_class, "s", 0, 0)
 
 
 def test_setups_at_an_endpoint_are_counted_over_all_routes() -> None:
@@ -291,16 +289,16 @@
         Route("one", RouteMatch(classes=("a",)), limits=ConnectionLimitRule(max_setups_per_endpoint=2)),
         Route("default"),
     )
-    tight, loose = (
+    limited, unlimited = (
         RequestClass("a", route="one", max_setups_per_endpoint=2),
         RequestClass("b", route="default"),
     )
-    assert not admission.admit_attempt(admission.permits["default"], loose, "s", 0, 0)
-    assert not admission.admit_attempt(admission.permits["one"], tight, "s", 0, 0)
-    assert admission.admit_attempt(admission.permits["one"], tight, "s", 0, 0) == "setups-at-backend"
-    assert not admission.admit_attempt(admission.permits["one"], tight, "t", 0, 0)
+    assert not admission.admit_attempt(admission.permits["default"], unlimited, "s", 0, 0)
+    assert not admission.admit_attempt(admission.permits["one"], limited, "s", 0, 0)
+    assert admission.admit_attempt(admission.permits["one"], limited, "s", 0, 0) == "setups-at-backend"
+    assert not admission.admit_attempt(admission.permits["one"], limited, "t", 0, 0)
     admission.setup_finished("s")
-    assert not admission.admit_attempt(admission.permits["one"], tight, "s", 0, 0)
+    assert not admission.admit_attempt(admission.permits["one"], limited, "s", 0, 0)
     for _ in range(9):
         admission.setup_finished("s")
     assert admission.setups_by_endpoint == {"t": 1}
@@ -327,8 +325,8 @@
     assert rejection.reason == "open of route r"
     rules = RoutingRules((Route("default"),))
     admission.apply(rules, with_routed_classes(SETTINGS, rules))
-    assert admission.max_attempts_for(plan, 4) == 4  # its route is removed: its own plan holds
-    admission.release(old)  # a removed route's requests release all the same
+    assert admission.max_attempts_for(plan, 4) == 4  # the route is removed: the request's own plan applies
+    admission.release(old)  # requests of a removed route still release their permit
     assert admission.relay_permit.limiter.open_connections == 0
 
 
