--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -11,7 +11,7 @@
     probes answer | hang  load probes are answered at once, as at the start, or never
     balancer raise | ignore  the balancer fails on each event, or answers none
     settings reload N CLASS:IDEMPOTENCY,...  a new file: at most N attempts, these classes
-    routes reload NAME  another operators' file; `play` is given them by name
+    routes reload NAME  another operators' file; `run_script` is given them by name
     operators offline | online ID  an operators' override, at whichever process
     relay term          SIGTERM; `term replaced` where another process takes the clients
     relay expect exit   the drain is over; `relay expect log P`; `relay expect count NAME N`
@@ -93,7 +93,7 @@
         self.unread.append("reset" if reset else "end")
 
 
-class World:
+class EngineScenario:
     """The relay's machines, with lists in place of sockets."""
 
     def __init__(
@@ -134,7 +134,7 @@
     def peer(self, name: str) -> PeerView:
         return self.peers.setdefault(name, PeerView())
 
-    def play(self, script: str) -> None:
+    def run_script(self, script: str) -> None:
         for step in filter(None, map(str.strip, script.splitlines())):
             who, verb, *rest = step.split(" ", 2)
             words = rest[0] if rest else ""
@@ -371,16 +371,16 @@
         self.peer(who + "/upstream").write(line)
 
 
-def play(
+def run_script(
     script: str,
     backends: int = 2,
     files: Mapping[str, str] | None = None,
     pushed: bool = False,
     **limits: int,
-) -> World:
+) -> EngineScenario:
     """Play one scenario from the start; `files` are operators' files, the one named `start` among them. A
     `pushed` list is watched unasked.
     """
-    world = World(backends, files, pushed, **limits)
-    world.play(script)
-    return world
+    scenario = EngineScenario(backends, files, pushed, **limits)
+    scenario.run_script(script)
+    return scenario
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -20,7 +20,7 @@
     RequestFlag,
     TimerExpired,
 )
-from tests.scenario import play
+from tests.scenario import run_script
 
 SETTINGS: dict[str, Any] = {
     "fleet-size": 3,
@@ -178,9 +178,9 @@
 
 
 def test_timers_go_on_after_faults_of_the_balancer(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = play("", backends=1)
+    scenario = run_script("", backends=1)
     handled_at_us: list[int] = []
-    handle = world.engine.balancer.handle
+    handle = scenario.engine.balancer.handle
 
     def faulty(event: Event, now: int) -> list[Action]:
         if isinstance(event, TimerExpired):
@@ -189,7 +189,7 @@
                 raise ZeroDivisionError
         return handle(event, now)
 
-    monkeypatch.setattr(world.engine.balancer, "handle", faulty)
-    world.play("time wait 10000")
+    monkeypatch.setattr(scenario.engine.balancer, "handle", faulty)
+    scenario.run_script("time wait 10000")
     assert len(handled_at_us) > 8
-    assert world.engine.counters.counts["placement_faults"] == 3
+    assert scenario.engine.counters.counts["placement_faults"] == 3
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,7 +36,7 @@
     run_scenario,
     unchanged_update_chunk,
 )
-from tests.scenario import play
+from tests.scenario import run_script
 
 UPDATE = '{"seq":42,"whole":%s,"hosts":[%s]}'
 HOST_LINE = '{"host":"b%d","dial":"127.0.0.1:%d","health":"%s","born_ms":%d}'
@@ -55,17 +55,17 @@
 
 @pytest.mark.parametrize("update", UNAVAILABLE.values(), ids=UNAVAILABLE.keys())
 def test_an_unwritten_attempt_is_closed_at_an_endpoint_that(update: str) -> None:
-    world = play(
+    scenario = run_script(
         OPEN_REQUEST + f"discovery send {update}\nc1/upstream expect end\nc1/upstream expect OPEN*",
         backends=1,
     )
-    assert world.upstreams["c1"][0].address == "127.0.0.1:3"
-    world.play("c1/upstream send UP r1\nc1 expect UP r1\nrelay expect count attempts_started 2")
+    assert scenario.upstreams["c1"][0].address == "127.0.0.1:3"
+    scenario.run_script("c1/upstream send UP r1\nc1 expect UP r1\nrelay expect count attempts_started 2")
 
 
 @pytest.mark.parametrize("update", UNAVAILABLE.values(), ids=UNAVAILABLE.keys())
 def test_a_written_attempt_stays_at_an_endpoint_that(update: str) -> None:
-    play(
+    run_script(
         OPEN_REQUEST + f"c1/upstream written\ndiscovery send {update}\nc1/upstream expect nothing\n"
         "c1/upstream send UP r1\nc1 expect UP r1\nrelay expect count attempts_started 1",
         backends=1,
@@ -73,16 +73,16 @@
 
 
 def test_a_draining_endpoint_is_not_probed() -> None:
-    world = play(f"discovery send {UNAVAILABLE['drains']}", backends=1)
+    scenario = run_script(f"discovery send {UNAVAILABLE['drains']}", backends=1)
     for endpoint_id in ("b1", "b3"):
-        world.engine.placement_actions.carry_out(ProbeLoad(endpoint_id))
-    probes = [command for command in world.engine.commands if isinstance(command, StartLoadProbe)]
+        scenario.engine.placement_actions.carry_out(ProbeLoad(endpoint_id))
+    probes = [command for command in scenario.engine.commands if isinstance(command, StartLoadProbe)]
     assert [probe.endpoint_id for probe in probes] == ["b3"]
 
 
 @pytest.mark.parametrize("update", UNAVAILABLE.values(), ids=UNAVAILABLE.keys())
 def test_a_connection_is_resumed_at_an_endpoint_that(update: str) -> None:
-    play(
+    run_script(
         f"c1 send OPEN 0a 0b c=plain,d=2000,at=b1\nc1/upstream expect OPEN*\ndiscovery send {update}\n"
         "c1/upstream expect nothing\nc1/upstream send UP r1\nc1 expect UP r1",
         backends=1,
@@ -103,7 +103,7 @@
     ],
 )
 def test_the_exit_rejects_only_what_may_be_retried(idempotency: str, before: str, answer: str) -> None:
-    play(
+    run_script(
         f"settings reload 3 plain:{idempotency}"
         + OPEN_REQUEST
         + before
@@ -132,7 +132,7 @@
     ],
 )
 def test_an_older_snapshot_does_not_undo_a_drain(before: str, listed: str, stays_unavailable: bool) -> None:
-    play(
+    run_script(
         f"""
         discovery send {UPDATE % ("false", before + "," + READY_B3)}
         discovery close
@@ -146,7 +146,7 @@
 
 
 def test_nothing_is_admitted_after_the_exit_however_short_the_deadlines_are() -> None:
-    play(
+    run_script(
         """
         relay term
         time wait 300
@@ -164,7 +164,7 @@
 
 
 def test_a_pushed_list_is_watched_from_the_start_and_again_at_once() -> None:
-    play(
+    run_script(
         f"""
         discovery expect watch 41
         discovery send {UNAVAILABLE["drains"]}
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -31,7 +31,7 @@
     listening_socket,
     run_scenario,
 )
-from tests.scenario import CLASSES, play
+from tests.scenario import CLASSES, run_script
 
 CHANGE_IN_FORCE_US = 6 * SECOND  # from when discovery had a change and could be reached
 HEARTBEAT_US = 2 * SECOND
@@ -253,19 +253,21 @@
 )
 def test_a_drain_stays_in_force_after(next_steps: str, pushed: bool) -> None:
     script = "\n".join(f"c{number} send OPEN {number}a 0b c=plain,d=2000" for number in range(1, 6))
-    world = play(f"{DRAIN_B1}\n{next_steps}\n{script}", pushed=pushed)
-    assert {command.endpoint_id for command, _ in world.upstreams.values()} == {"b2"}
-    assert len(world.upstreams) == 5
+    scenario = run_script(f"{DRAIN_B1}\n{next_steps}\n{script}", pushed=pushed)
+    assert {command.endpoint_id for command, _ in scenario.upstreams.values()} == {"b2"}
+    assert len(scenario.upstreams) == 5
 
 
 def test_a_list_that_a_reload_makes_polled_is_polled() -> None:
     """The reload comes between two calls of a pushed list's watch: nobody else would open it again."""
-    world = play(
+    scenario = run_script(
         "discovery expect watch 41\ndiscovery close\ntime wait 0\ndiscovery expect watch 41\ndiscovery close",
         pushed=True,
     )
-    world.engine.reload(replace(world.settings, polls_endpoint_list=True), world.limits, world.now_us)
-    world.play("discovery expect nothing\ntime wait 450\ndiscovery expect watch 41")
+    scenario.engine.reload(
+        replace(scenario.settings, polls_endpoint_list=True), scenario.limits, scenario.now_us
+    )
+    scenario.run_script("discovery expect nothing\ntime wait 450\ndiscovery expect watch 41")
 
 
 def chunk_of(version: int, whole: bool, health: str) -> str:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -12,7 +12,7 @@
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.events import EndpointEntry, EndpointStatus
 from gannetweir.placement.settings import RequestClass
-from tests.scenario import World
+from tests.scenario import EngineScenario
 
 DEADLINE_US = 2_000_000
 IDEMPOTENT = RequestClass("plain", idempotency="repeatable")
@@ -113,10 +113,10 @@
 ]
 
 
-@pytest.mark.parametrize(("rule", "play"), VIOLATIONS)
-def test_a_violation_is_counted(rule: InvariantRule, play: Steps) -> None:
+@pytest.mark.parametrize(("rule", "steps"), VIOLATIONS)
+def test_a_violation_is_counted(rule: InvariantRule, steps: Steps) -> None:
     guarded = GuardedRequest()
-    play(guarded)
+    steps(guarded)
     assert [violation.rule for violation in guarded.violations] == [rule]
     assert guarded.guard.violations == 1
 
@@ -160,32 +160,32 @@
 ]
 
 
-@pytest.mark.parametrize("play", ALLOWED)
-def test_allowed_steps_are_no_violation(play: Steps) -> None:
+@pytest.mark.parametrize("steps", ALLOWED)
+def test_allowed_steps_are_no_violation(steps: Steps) -> None:
     guarded = GuardedRequest()
-    play(guarded)
+    steps(guarded)
     assert not guarded.violations
     assert guarded.guard.violations == 0
 
 
 def test_a_violation_is_logged_with_the_steps_of_its_request_and_counted() -> None:
-    world = World()
-    world.play("c1 send OPEN 0a 0b c=plain,d=2000\ntime wait 1")
-    world.engine.guard.attempt_write_started(1, 0, "b1", world.now_us, 3)
-    world.engine.guard.attempt_write_started(1, 1, "b2", world.now_us, 3)
-    lines = [command for command in world.engine.commands if isinstance(command, WriteLogLine)]
+    scenario = EngineScenario()
+    scenario.run_script("c1 send OPEN 0a 0b c=plain,d=2000\ntime wait 1")
+    scenario.engine.guard.attempt_write_started(1, 0, "b1", scenario.now_us, 3)
+    scenario.engine.guard.attempt_write_started(1, 1, "b2", scenario.now_us, 3)
+    lines = [command for command in scenario.engine.commands if isinstance(command, WriteLogLine)]
     line = next(line for line in lines if line.text == "invariant violated")
     assert line.fields["rule"] == InvariantRule.OVERLAP
     assert line.fields["id"] == "0a"
     assert "opened:plain" in str(line.fields["history"])
     assert "attempt@b" in str(line.fields["history"])
-    assert world.engine.counters.counts["violations.overlap"] == 1
-    assert world.engine.current_figures()["violations"] == 1
+    assert scenario.engine.counters.counts["violations.overlap"] == 1
+    assert scenario.engine.current_figures()["violations"] == 1
 
 
 def test_rejections_retries_migrations_and_ends_are_counted_by_reason() -> None:
-    world = World(backends=2)
-    world.play(
+    scenario = EngineScenario(backends=2)
+    scenario.run_script(
         """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*
@@ -205,6 +205,6 @@
         c3 expect BUSY*
         """
     )
-    counts = world.engine.counters.counts
+    counts = scenario.engine.counters.counts
     reasons = ("retried.after_full", "closed.client_ended", "migrated.drain", "rejected.relay_closing")
     assert [counts[reason] for reason in reasons] == [1, 1, 1, 1], counts
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -16,7 +16,7 @@
 from gannetweir.placement.events import EndpointEntry, EndpointStatus, TimerExpired
 from gannetweir.proto.endpoint_watch import EndpointWatch, WatchFailed
 from tests.helpers import BalancerDriver, actions_of, settings
-from tests.scenario import play
+from tests.scenario import run_script
 from tests.test_endpoint_watch import HEAD, LAYOUTS, chunk
 
 COUNT = 1024
@@ -52,15 +52,18 @@
     assert isinstance(whole, MembershipUpdate)
     assert isinstance(news, MembershipUpdate)
     assert len({m.entry.endpoint_id for m in whole.endpoints}) == len(news.endpoints) == COUNT
-    world = play("", backends=1)
-    world.engine.endpoint_update_received(whole, world.now_us)
-    assert sum(map(world.engine.endpoint_list.accepts_requests, world.engine.endpoint_list.entries)) == COUNT
-    world.play(
+    scenario = run_script("", backends=1)
+    scenario.engine.endpoint_update_received(whole, scenario.now_us)
+    assert (
+        sum(map(scenario.engine.endpoint_list.accepts_requests, scenario.engine.endpoint_list.entries))
+        == COUNT
+    )
+    scenario.run_script(
         "c1 send OPEN 0a 0b c=plain,d=2000\nc1/upstream expect OPEN*\nc1/upstream send UP r1\nc1 expect UP r1"
     )
-    world.engine.endpoint_update_received(news, world.now_us)
-    assert not world.engine.endpoint_list.has_ready_endpoint()
-    world.play("c1 send still here\nc1/upstream expect still here")
+    scenario.engine.endpoint_update_received(news, scenario.now_us)
+    assert not scenario.engine.endpoint_list.has_ready_endpoint()
+    scenario.run_script("c1 send still here\nc1/upstream expect still here")
 
 
 @pytest.mark.parametrize(
@@ -83,9 +86,9 @@
     broken = told(watch, data, 8192)[0]
     assert isinstance(broken, WatchFailed)
     assert reason in broken.reason
-    world = play("", backends=1)
-    world.engine.endpoint_watch_failed(broken.reason, world.now_us)
-    world.play(f"""
+    scenario = run_script("", backends=1)
+    scenario.engine.endpoint_watch_failed(broken.reason, scenario.now_us)
+    scenario.run_script(f"""
         time wait 0
         relay expect log endpoint watch: *{reason}*
         c1 send OPEN 0a 0b c=plain,d=2000
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from tests.scenario import World, play
+from tests.scenario import EngineScenario, run_script
 from tests.test_scenarios import HOST
 
 UPDATE = "discovery send " + '{"seq":%d,"whole":%s,"hosts":[' + HOST % ("b1", 1, "%s") + "]}\n"
 
 
-def ports_connected_to(world: World) -> set[str]:
-    return {order.address.partition(":")[2] for order, _ in world.upstreams.values()}
+def ports_connected_to(scenario: EngineScenario) -> set[str]:
+    return {order.address.partition(":")[2] for order, _ in scenario.upstreams.values()}
 
 
 OFFLINE_SCRIPTS = {
@@ -80,8 +80,8 @@
 @pytest.mark.parametrize("script", OFFLINE_SCRIPTS.values(), ids=OFFLINE_SCRIPTS.keys())
 def test_nothing_new_is_sent_to_an_offline_endpoint(script: str) -> None:
     # the seed of the scenario settles which endpoint is drawn
-    drawn = int(play("c1 send OPEN 0a 0b c=plain,d=2000").upstreams["c1"][0].address[-1])
-    play(script.format(there=f"b{drawn}", other=f"b{3 - drawn}"))
+    drawn = int(run_script("c1 send OPEN 0a 0b c=plain,d=2000").upstreams["c1"][0].address[-1])
+    run_script(script.format(there=f"b{drawn}", other=f"b{3 - drawn}"))
 
 
 @pytest.mark.parametrize(
@@ -94,30 +94,32 @@
     ids=["no update", "reported as ready", "reported as draining, then as ready"],
 )
 def test_no_update_of_discovery_brings_an_offline_endpoint_back(updates: str) -> None:
-    world = play("operators offline b1\n" + updates)
+    scenario = run_script("operators offline b1\n" + updates)
     for n in range(8):
-        world.play(f"c{n} send OPEN 0{n} 0b c=plain,d=2000\nc{n}/upstream send UP r\ntime wait 1500")
-    assert ports_connected_to(world) == {"2"}
+        scenario.run_script(f"c{n} send OPEN 0{n} 0b c=plain,d=2000\nc{n}/upstream send UP r\ntime wait 1500")
+    assert ports_connected_to(scenario) == {"2"}
 
 
 @pytest.mark.parametrize(
     "update", ["", UPDATE % (42, "false", "Ready")], ids=["no update", "reported with its old start"]
 )
 def test_an_endpoint_back_online_starts_slowly_whatever_discovery_reports(update: str) -> None:
-    world = play("operators offline b1")
-    balancer = world.engine.balancer
+    scenario = run_script("operators offline b1")
+    balancer = scenario.engine.balancer
     balancer.state.endpoints["b1"].ejection_count = 4
-    balancer.state.endpoints["b1"].ejected_until_us = world.now_us + 10**9
-    world.play("time wait 2000\noperators offline b1\noperators online b1\n" + update)
+    balancer.state.endpoints["b1"].ejected_until_us = scenario.now_us + 10**9
+    scenario.run_script("time wait 2000\noperators offline b1\noperators online b1\n" + update)
     endpoint = balancer.state.endpoints["b1"]
     assert endpoint in balancer.slow_start.warming_up
     assert endpoint.ejection_count == 0
     assert endpoint.ejected_until_us == 0
     back_online_us = endpoint.started_us
-    world.play("time wait 1000\noperators online b1")  # a second call must not restart the slow start
+    scenario.run_script(
+        "time wait 1000\noperators online b1"
+    )  # a second call must not restart the slow start
     assert endpoint.started_us == back_online_us
 
 
 def test_an_endpoint_removed_while_it_was_offline_stays_removed() -> None:
-    world = play("operators offline b1\n" + UPDATE % (42, "false", "Gone") + "operators online b1")
-    assert [endpoint.endpoint_id for endpoint in world.engine.balancer.state.ready_endpoints.all] == ["b2"]
+    scenario = run_script("operators offline b1\n" + UPDATE % (42, "false", "Gone") + "operators online b1")
+    assert [endpoint.endpoint_id for endpoint in scenario.engine.balancer.state.ready_endpoints.all] == ["b2"]
--- a/tests/test_replaced_process.py
+++ b/tests/test_replaced_process.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.scenario import play
+from tests.scenario import run_script
 from tests.test_scenarios import ESTABLISHED
 
 DRAIN_SCRIPTS = {
@@ -32,4 +32,4 @@
 
 @pytest.mark.parametrize("script", DRAIN_SCRIPTS.values(), ids=DRAIN_SCRIPTS.keys())
 def test_a_replaced_process_migrates_at_once_what_it_has_admitted(script: str) -> None:
-    play(script)
+    run_script(script)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.scenario import play
+from tests.scenario import run_script
 
 HEAD = "gannetweir version=1\n"
 
@@ -258,12 +258,12 @@
 
 @pytest.mark.parametrize(("files", "script"), CASES.values(), ids=CASES.keys())
 def test_a_route_limits_and_times_its_requests(files: dict[str, str], script: str) -> None:
-    world = play(script, 2, files)
-    admission = world.engine.route_admission
+    scenario = run_script(script, 2, files)
+    admission = scenario.engine.route_admission
     assert admission is not None
     # what is counted is what is there: nothing is lost, nothing is released twice
     assert admission.relay_permit.limiter.open_connections == sum(
-        request.admission_permit is not None for request in world.engine.requests.values()
+        request.admission_permit is not None for request in scenario.engine.requests.values()
     )
-    setups = sum(request.counts_as_setup for request in world.engine.requests.values())
+    setups = sum(request.counts_as_setup for request in scenario.engine.requests.values())
     assert sum(admission.setups_by_endpoint.values()) == setups
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.scenario import play
+from tests.scenario import run_script
 
 ESTABLISHED = """
 c1 send OPEN 0a 0b c=plain,d=2000
@@ -355,15 +355,15 @@
 
 @pytest.mark.parametrize("script", cases(FORWARDING, FAILURES, RESUMPTION, DRAINING))
 def test_with_two_endpoints(script: str) -> None:
-    play(script)
+    run_script(script)
 
 
 def test_a_relay_is_ready_once_an_endpoint_is() -> None:
-    play(MEMBERSHIP["ready with a listed endpoint, not without"], backends=0)
+    run_script(MEMBERSHIP["ready with a listed endpoint, not without"], backends=0)
 
 
 def test_the_watch_backs_off() -> None:
-    play(MEMBERSHIP["a watch is opened, and again after it ended, with a growing backoff"])
+    run_script(MEMBERSHIP["a watch is opened, and again after it ended, with a growing backoff"])
 
 
 @pytest.mark.parametrize(
@@ -394,14 +394,14 @@
     ],
 )
 def test_a_malformed_first_line_fails_and_reaches_no_endpoint(raw: str) -> None:
-    world = play(f"c1 raw {raw}")
-    assert world.peers["c1"].unread[-1] == "ERR"
-    assert not world.peer("c1/upstream").unread
-    assert not world.engine.requests
+    scenario = run_script(f"c1 raw {raw}")
+    assert scenario.peers["c1"].unread[-1] == "ERR"
+    assert not scenario.peer("c1/upstream").unread
+    assert not scenario.engine.requests
 
 
 def test_a_request_over_the_limit_is_rejected_at_once() -> None:
-    play(
+    run_script(
         "c1 send OPEN 0a 0b c=plain,d=2000\nc2 send OPEN 0c 0d c=plain,d=2000\nc2 expect BUSY*\n"
         "c1/upstream send UP r1\nc1 expect UP r1",
         sockets=28,
@@ -411,27 +411,29 @@
 @pytest.mark.parametrize("ready_endpoint", ["b2", "b1"])
 def test_a_draining_endpoint_gets_no_requests(ready_endpoint: str) -> None:
     update = B1_DRAINS.replace("b1", "b2" if ready_endpoint == "b1" else "b1")
-    world = play(f"discovery send {update}")
+    scenario = run_script(f"discovery send {update}")
     for number in range(8):
         client = f"c{number}"
-        world.play(
+        scenario.run_script(
             f"{client} send OPEN 0{number} 0b c=plain,d=2000\n{client}/upstream expect OPEN*\n"
             f"{client}/upstream send UP r"
         )
-        world.play("time wait 1500")
-    addresses = {command.address for command, _ in world.upstreams.values()}
+        scenario.run_script("time wait 1500")
+    addresses = {command.address for command, _ in scenario.upstreams.values()}
     assert addresses == {f"127.0.0.1:{ready_endpoint[1]}"}
 
 
 def test_a_changed_address_is_used_from_the_next_attempt_on() -> None:
     moved = '{"seq":42,"whole":false,"hosts":[' + HOST % ("b1", 77, "Ready") + "]}"
-    world = play(f"discovery send {moved}\nc1 send OPEN 0a 0b c=plain,d=2000,at=b1")
-    assert world.upstreams["c1"][0].address == "127.0.0.1:77"
+    scenario = run_script(f"discovery send {moved}\nc1 send OPEN 0a 0b c=plain,d=2000,at=b1")
+    assert scenario.upstreams["c1"][0].address == "127.0.0.1:77"
 
 
 def test_an_endpoint_missing_from_a_snapshot_gets_no_requests() -> None:
-    world = play(f"discovery send {ONLY_B3}\nc1 send OPEN 0a 0b c=plain,d=2000\nc1/upstream expect OPEN*")
-    assert world.upstreams["c1"][0].address == "127.0.0.1:3"
+    scenario = run_script(
+        f"discovery send {ONLY_B3}\nc1 send OPEN 0a 0b c=plain,d=2000\nc1/upstream expect OPEN*"
+    )
+    assert scenario.upstreams["c1"][0].address == "127.0.0.1:3"
 
 
 RELOADS = {
@@ -468,4 +470,4 @@
 
 @pytest.mark.parametrize("script", RELOADS.values(), ids=RELOADS.keys())
 def test_a_reload_of_classes_and_attempts(script: str) -> None:
-    play(script)
+    run_script(script)
