--- a/gannetweir/core/context.py
+++ b/gannetweir/core/context.py
@@ -43,7 +43,7 @@
     address_rules: AddressRules | None = None  # the operators' choice between an endpoint's addresses
     placement_trace: PlacementTrace | None = None  # called with every event for the balancer and its actions
     request_trace: Callable[[RequestEvent], None] | None = None  # called with every step of a request
-    wall_clock_ahead_us: int | None = None  # ahead of the engine's clock; None: there is none to compare with
+    wall_clock_offset_us: int | None = None  # wall clock minus the engine's clock; None: no wall clock
 
 
 class EngineContext:
@@ -60,7 +60,7 @@
         self.now_us = now_us  # of the call that is being handled
         self.route_admission: RouteAdmission | None = options.route_admission  # None: no operators' routes
         self.address_selector: AddressSelector | None = None  # None while every endpoint has one address
-        self.endpoint_list = EndpointList(options.operator_overrides, options.wall_clock_ahead_us)
+        self.endpoint_list = EndpointList(options.operator_overrides, options.wall_clock_offset_us)
         self.counters = Counters()
         self.commands: deque[Command] = deque()  # for the drivers, who take them from the left
         self.request_log = RequestLog(self.counters, options.request_trace)
--- a/gannetweir/membership/endpoint_list.py
+++ b/gannetweir/membership/endpoint_list.py
@@ -29,14 +29,14 @@
 class EndpointList:
     """Every endpoint that discovery has ever listed; removed ones stay, with the state REMOVED."""
 
-    def __init__(self, overrides: OperatorOverrides | None = None, wall_ahead_us: int | None = None) -> None:
-        """`wall_ahead_us`: see `StartTimes`."""
+    def __init__(self, overrides: OperatorOverrides | None = None, wall_offset_us: int | None = None) -> None:
+        """`wall_offset_us`: see `StartTimes`."""
         self.version = 0
         self.overrides = overrides or OperatorOverrides()
         self.addresses: dict[EndpointId, str] = {}
         self.additional_addresses: dict[EndpointId, tuple[str, ...]] = {}  # only of endpoints that have any
         self.entries: dict[EndpointId, EndpointEntry] = {}  # as discovery reports them, overrides not applied
-        self.start_times = StartTimes(wall_ahead_us)
+        self.start_times = StartTimes(wall_offset_us)
         self._has_discovery_report = False  # what the process was started with does not count as one
 
     def apply(
--- a/gannetweir/membership/start_times.py
+++ b/gannetweir/membership/start_times.py
@@ -45,11 +45,11 @@
     A start keeps the time that it was first converted to, so that an endpoint's age grows with the own clock.
     """
 
-    def __init__(self, wall_ahead_us: int | None = None) -> None:
-        """`wall_ahead_us`: by how much the wall clock was ahead of the own clock when the process started;
+    def __init__(self, wall_offset_us: int | None = None) -> None:
+        """`wall_offset_us`: by how much the wall clock was ahead of the own clock when the process started;
         None where there is no wall clock to compare with.
         """
-        self._wall_ahead_us = wall_ahead_us
+        self._wall_offset_us = wall_offset_us
         self._latest_start_us = 0  # of all starts that were reported, on discovery's clock; 0: none yet
         self._latest_reported_us = 0  # when that one was reported, on the own clock
         self._start_times: dict[EndpointId, StartTime] = {}
@@ -71,7 +71,7 @@
         ready_count = sum(entry.state == EndpointStatus.READY for entry in entries)
         if 2 * len(past_slow_start) > ready_count:
             for entry in past_slow_start:
-                own_us = entry.started_us - (self._wall_ahead_us or 0)
+                own_us = entry.started_us - (self._wall_offset_us or 0)
                 self._start_times[entry.endpoint_id] = StartTime(
                     entry.started_us, own_us or JUST_BEFORE_ZERO_US
                 )
@@ -82,9 +82,9 @@
         """The endpoints that may be in slow start by the reported starts, and are past it by the wall clock;
         none where the wall clock is known to be wrong.
         """
-        if self._wall_ahead_us is None:
+        if self._wall_offset_us is None:
             return []
-        wall_us = now_us + self._wall_ahead_us
+        wall_us = now_us + self._wall_offset_us
         if any(entry.started_us > wall_us + MAX_CLOCK_SKEW_US for entry in entries):
             return []
         ready = [entry for entry in entries if entry.state == EndpointStatus.READY and entry.started_us]
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -186,7 +186,7 @@
             address_rules=config.address_rules,
             placement_trace=trace,
             request_trace=trace.record_request if trace is not None else None,
-            wall_clock_ahead_us=time.time_ns() // 1000 - clock(),
+            wall_clock_offset_us=time.time_ns() // 1000 - clock(),
         ),
     )
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -16,21 +16,21 @@
 from tests.relay_harness import RelayHarness
 from tests.scenario import CLASSES
 
-WALL_AHEAD_S = 1_700_000_000
+TRUE_OFFSET_S = 1_700_000_000
 HOUR_S = 3600
-OFFSETS_S = (0, HOUR_S, -HOUR_S, 5, -5)
+CLOCK_ERRORS_S = (0, HOUR_S, -HOUR_S, 5, -5)
 SLOW_START_WINDOW_US = 10_000_000
 NEW_ENDPOINT = "b0"
 
 
 class WallClock:
-    """Replaces `time.time_ns`: `WALL_AHEAD_S` ahead of the monotonic clock, and wrong by `offset_s`."""
+    """Replaces `time.time_ns`: `TRUE_OFFSET_S` ahead of the monotonic clock, and wrong by `error_s`."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.offset_s = 0
+        self.error_s = 0
         monotonic = time.monotonic_ns
-        true_ns = WALL_AHEAD_S * 1_000_000_000
-        monkeypatch.setattr(time, "time_ns", lambda: monotonic() + true_ns + self.offset_s * 1_000_000_000)
+        true_ns = TRUE_OFFSET_S * 1_000_000_000
+        monkeypatch.setattr(time, "time_ns", lambda: monotonic() + true_ns + self.error_s * 1_000_000_000)
 
 
 def relay_with_six_endpoints(
@@ -42,7 +42,7 @@
         {"host": f"b{n}", "dial": f"127.0.0.1:{n + 1}", "health": "Ready"} for n in range(6)
     ]
     if has_new_endpoint:
-        hosts[0]["born_ms"] = time.monotonic_ns() // 1_000_000 + WALL_AHEAD_S * 1000
+        hosts[0]["born_ms"] = time.monotonic_ns() // 1_000_000 + TRUE_OFFSET_S * 1000
     if port:  # processes that share a folder serve one address
         harness.config = replace(
             harness.config, listen_address=replace(harness.config.listen_address, port=port)
@@ -78,25 +78,25 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = WallClock(monkeypatch)
-    for clock.offset_s in OFFSETS_S:
+    for clock.error_s in CLOCK_ERRORS_S:
         relay = relay_with_six_endpoints()
         now = relay.runtime.clock()
-        assert NEW_ENDPOINT not in set(endpoints_chosen(relay, now)), f"{clock.offset_s} s"
+        assert NEW_ENDPOINT not in set(endpoints_chosen(relay, now)), f"{clock.error_s} s"
         later = now + SLOW_START_WINDOW_US + 1_100_000
         relay.engine.advance(later)
         assert NEW_ENDPOINT in set(endpoints_chosen(relay, later, 300)), (
-            f"slow start never ends: {clock.offset_s} s"
+            f"slow start never ends: {clock.error_s} s"
         )
 
 
-@pytest.mark.parametrize("offset_s", [0, 5, -5])
+@pytest.mark.parametrize("error_s", [0, 5, -5])
 def test_a_fleet_started_together_long_ago_has_warmed_up_when_a_relay_starts(
-    monkeypatch: pytest.MonkeyPatch, offset_s: int
+    monkeypatch: pytest.MonkeyPatch, error_s: int
 ) -> None:
     """Five of six started within 2 s of one another, an hour ago: all get requests from the first one on."""
     clock = WallClock(monkeypatch)
-    clock.offset_s = offset_s
-    born_ms = (time.time_ns() // 1_000_000) - (HOUR_S + offset_s) * 1000
+    clock.error_s = error_s
+    born_ms = (time.time_ns() // 1_000_000) - (HOUR_S + error_s) * 1000
     hosts = [
         {
             "host": f"b{n}",
@@ -127,8 +127,8 @@
     """The wall clock is stepped between the starts of two processes that share a folder."""
     clock = WallClock(monkeypatch)
     relays = []
-    for offset_s in (HOUR_S, 0, -HOUR_S):
-        clock.offset_s = offset_s
+    for error_s in (HOUR_S, 0, -HOUR_S):
+        clock.error_s = error_s
         relays.append(relay_with_six_endpoints(tmp_path, has_new_endpoint=False, port=1))
     for offline in (True, False):
         relays[0].runtime.operator_overrides.override_endpoint("b1", offline)
