--- a/gannetweir/core/draining.py
+++ b/gannetweir/core/draining.py
@@ -38,12 +38,12 @@
         self.context.set_timer(limits.drain_end_us, Timer.EXIT)
         if replaced:
             time_us = limits.drain_grace_us + limits.drain_migration_us
-            self.migrate_over(self._connections_to_migrate(), time_us, Reason.DRAIN)
+            self.spread_migrations(self._connections_to_migrate(), time_us, Reason.DRAIN)
 
     def stop_admission(self) -> None:
         """Admit nothing new, as clients are not sent here any more, and migrate every one that is left."""
         self.context.admission_closed = True
-        self.migrate_over(
+        self.spread_migrations(
             self._connections_to_migrate(), self.context.limits.drain_migration_us, Reason.DRAIN
         )
         self._exit_if_empty()
@@ -55,7 +55,7 @@
             if request.established and not request.migration_reason
         ]
 
-    def migrate_over(self, connections: list[RequestState], time_us: int, reason: Reason) -> None:
+    def spread_migrations(self, connections: list[RequestState], time_us: int, reason: Reason) -> None:
         """Spread migrations evenly over a time: all clients at once would be set up at once."""
         step_us = time_us / max(1, len(connections))
         for position, request in enumerate(connections):
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -48,4 +48,6 @@
             for request in self.context.requests.values()
             if request.endpoint_id in newly_offline and request.established
         ]
-        self.draining.migrate_over(established, self.context.limits.override_migration_us, Reason.OPERATORS)
+        self.draining.spread_migrations(
+            established, self.context.limits.override_migration_us, Reason.OPERATORS
+        )
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -53,7 +53,7 @@
 
 
 def test_relays_that_end_without_moving_anybody_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Draining, "migrate_over", lambda *_: None)
+    monkeypatch.setattr(Draining, "spread_migrations", lambda *_: None)
     monkeypatch.setattr(Draining, "exit", lambda draining: draining.context.commands.append(e.Exit()))
     assert ": cut off: " in broken("roll")
 
