--- a/gannetweir/core/answer_delays.py
+++ b/gannetweir/core/answer_delays.py
@@ -14,7 +14,7 @@
 
 _US_PER_MS = 1000
 _DELAY_THRESHOLD_DIVISOR = 3  # an answer is late over a third of the shortest objective, as in the simulator
-_NO_OBJECTIVE_US = 100_000  # stands for the shortest objective where the settings have none
+_DEFAULT_OBJECTIVE_US = 100_000  # stands for the shortest objective where the settings have none
 
 
 class AnswerDelays:
@@ -35,7 +35,7 @@
 
     def configure(self, settings: Settings, limits: Limits) -> None:
         """Set the settings that hold from now on."""
-        objective_us = min(settings.message_latency_objectives_us, default=_NO_OBJECTIVE_US)
+        objective_us = min(settings.message_latency_objectives_us, default=_DEFAULT_OBJECTIVE_US)
         self._delay_threshold_ms = objective_us / _US_PER_MS / _DELAY_THRESHOLD_DIVISOR
         self._reports_delay = settings.reports_message_delay
         self._max_unanswered = limits.max_unanswered_lines
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -61,15 +61,15 @@
         if not options.replaces_process:
             # clients that return come from other relays, and their old connections may be counted nowhere
             self.balancer.expect_no_returns()
-        self._create_concerns(seed, options.placement_trace)
-        self._bind_calls()
+        self._create_components(seed, options.placement_trace)
+        self._bind_driver_calls()
         self.context.set_timer(limits.watchdog_interval_us, Timer.WATCHDOG)
         if options.address_rules is not None:
             self.membership_updates.apply_address_rules(options.address_rules)
         self.membership_updates.apply(UpdateKind.CACHED, initial_membership)
         self.membership_updates.watch_if_pushed()
 
-    def _create_concerns(self, seed: int, trace: PlacementTrace | None) -> None:
+    def _create_components(self, seed: int, trace: PlacementTrace | None) -> None:
         """Create the concerns, each after those that it calls; none knows the engine."""
         context = self.context
         self.dispatcher = PlacementDispatcher(context, self.balancer, trace)
@@ -92,7 +92,7 @@
         )
         self.dispatcher.connect(self.placement_actions)
 
-    def _bind_calls(self) -> None:
+    def _bind_driver_calls(self) -> None:
         """Bind the drivers' calls that one concern takes whole to that concern's methods, where each is
         described: no line or request pays for a call in between.
         """
--- a/gannetweir/core/request_intake.py
+++ b/gannetweir/core/request_intake.py
@@ -28,9 +28,12 @@
 if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
     from gannetweir.routing.route_admission import Rejection
 
-_SEED_OF_RETRY_SPREAD = 0x7F4A7C15  # xor: these draws are not those of the balancer, which has the same seed
-_MARGIN_DIVISOR = 4  # the answer margin is at most a quarter of the client's time: the rest is for attempts
-_LAST_TIMER_DIVISOR = 8  # the timer for a missing answer falls due an eighth of the margin after the deadline
+# xor: these draws are not those of the balancer, which has the same seed
+_RETRY_JITTER_SEED_MASK = 0x7F4A7C15
+# the answer margin is at most a quarter of the client's time: the rest is for attempts
+_ANSWER_MARGIN_DIVISOR = 4
+# the timer for a missing answer falls due an eighth of the margin after the deadline
+_FINAL_ANSWER_DELAY_DIVISOR = 8
 
 
 class RequestIntake:
@@ -51,7 +54,7 @@
         self.final_answers = final_answers
         self.resumption = resumption
         self.last_request_id = 0  # request ids count up from 1
-        self._random = random.Random(seed ^ _SEED_OF_RETRY_SPREAD)  # spreads clients' retries over time
+        self._random = random.Random(seed ^ _RETRY_JITTER_SEED_MASK)  # spreads clients' retries over time
 
     def request_opened(
         self,
@@ -100,7 +103,7 @@
         balancer gives up on is answered in time. In the simulator, too, its deadline is the last moment for
         an answer.
         """
-        return min(self.context.limits.answer_margin_us, arrival.time_budget_us // _MARGIN_DIVISOR)
+        return min(self.context.limits.answer_margin_us, arrival.time_budget_us // _ANSWER_MARGIN_DIVISOR)
 
     def _add_request(
         self, arrival: RequestArrived, resumed_endpoint_id: EndpointId, client_request_id: str
@@ -132,7 +135,7 @@
         """
         context = self.context
         budget_us = request.deadline_us - context.now_us
-        wait_us = budget_us + self._answer_margin_us(arrival) // _LAST_TIMER_DIVISOR
+        wait_us = budget_us + self._answer_margin_us(arrival) // _FINAL_ANSWER_DELAY_DIVISOR
         context.set_timer(wait_us, Timer.FINAL_ANSWER, request.request_id)
         self.dispatcher.dispatch(replace(arrival, request_id=request.request_id, time_budget_us=budget_us))
 
--- a/gannetweir/core/request_log.py
+++ b/gannetweir/core/request_log.py
@@ -57,9 +57,9 @@
     reason: str
 
     def __str__(self) -> str:
-        where = "" if self.endpoint_id is None else f"@{self.endpoint_id}"
-        why = f":{self.reason}" if self.reason else ""
-        return f"{self.at_us // 1000}ms {self.step}{where}{why}"
+        endpoint_suffix = "" if self.endpoint_id is None else f"@{self.endpoint_id}"
+        reason_suffix = f":{self.reason}" if self.reason else ""
+        return f"{self.at_us // 1000}ms {self.step}{endpoint_suffix}{reason_suffix}"
 
 
 class RequestLog:
--- a/gannetweir/core/timers.py
+++ b/gannetweir/core/timers.py
@@ -35,14 +35,14 @@
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Timer, int]] = []  # due time, order of adding, kind, value
-        self._added = 0
+        self._added_count = 0
 
     def add(self, due_us: int, timer: Timer, value: int, attempt: int) -> None:
         """Add a timer. `value` is the balancer's token, or the id of a request."""
-        self._added += 1
+        self._added_count += 1
         if timer is not Timer.PLACEMENT:
             value = value << _ATTEMPT_BITS | attempt
-        heapq.heappush(self._heap, (due_us, self._added, timer, value))
+        heapq.heappush(self._heap, (due_us, self._added_count, timer, value))
 
     def next_due(self) -> int:
         """Return when the earliest timer falls due, in microseconds.
