--- a/gannetweir/membership/operator_overrides.py
+++ b/gannetweir/membership/operator_overrides.py
@@ -19,12 +19,12 @@
 
     def newly_offline(self, later: OperatorOverrides) -> set[EndpointId]:
         """Endpoints taken offline between this state and a later one, those back online since included."""
-        recalled = {
+        brought_back = {
             endpoint_id
             for endpoint_id, online_us in later.online_since.items()
             if online_us != self.online_since.get(endpoint_id)
         }
-        return (set(later.offline) | recalled) - self.offline
+        return (set(later.offline) | brought_back) - self.offline
 
     def with_override(self, endpoint_id: str, offline: bool, now_us: int) -> OperatorOverrides:
         """The state after one more call. A call that asks for the present state returns this same value: a
--- a/gannetweir/membership/start_times.py
+++ b/gannetweir/membership/start_times.py
@@ -23,7 +23,7 @@
 # ahead of the wall clock proves that the wall clock is behind.
 MAX_CLOCK_SKEW_US = 1_000_000
 
-JUST_BEFORE_ZERO_US = -1  # in place of a start at exactly 0 on the own clock: 0 means that none is known
+START_AT_ZERO_US = -1  # in place of a start at exactly 0 on the own clock: 0 means that none is known
 
 
 class StartTime:
@@ -32,11 +32,11 @@
     A plain class: a dataclass would cost half a millisecond of every start of a relay.
     """
 
-    __slots__ = ("discovery_us", "own_us")
+    __slots__ = ("discovery_us", "monotonic_us")
 
-    def __init__(self, discovery_us: int, own_us: int) -> None:
+    def __init__(self, discovery_us: int, monotonic_us: int) -> None:
         self.discovery_us = discovery_us
-        self.own_us = own_us
+        self.monotonic_us = monotonic_us
 
 
 class StartTimes:
@@ -71,9 +71,9 @@
         ready_count = sum(entry.state == EndpointStatus.READY for entry in entries)
         if 2 * len(past_slow_start) > ready_count:
             for entry in past_slow_start:
-                own_us = entry.started_us - (self._wall_offset_us or 0)
+                monotonic_us = entry.started_us - (self._wall_offset_us or 0)
                 self._start_times[entry.endpoint_id] = StartTime(
-                    entry.started_us, own_us or JUST_BEFORE_ZERO_US
+                    entry.started_us, monotonic_us or START_AT_ZERO_US
                 )
 
     def _past_slow_start_by_wall_clock(
@@ -100,8 +100,8 @@
         for entry in reported:
             known = self._start_times.get(entry.endpoint_id)
             if recompute or known is None or known.discovery_us != entry.started_us:
-                own_us = self._to_own_clock(entry.started_us, now_us)
-                self._start_times[entry.endpoint_id] = StartTime(entry.started_us, own_us)
+                monotonic_us = self._to_monotonic_clock(entry.started_us, now_us)
+                self._start_times[entry.endpoint_id] = StartTime(entry.started_us, monotonic_us)
 
     def _discovery_clock_us(self, now_us: int) -> int:
         """A time that discovery's clock has reached for certain; 0 before any start was reported."""
@@ -109,16 +109,16 @@
             return 0
         return self._latest_start_us + now_us - self._latest_reported_us
 
-    def _to_own_clock(self, started_us: int, now_us: int) -> int:
+    def _to_monotonic_clock(self, started_us: int, now_us: int) -> int:
         age_us = self._discovery_clock_us(now_us) - started_us
-        return (now_us - age_us) or JUST_BEFORE_ZERO_US
+        return (now_us - age_us) or START_AT_ZERO_US
 
     def started_us(self, entry: EndpointEntry) -> int:
         """When the endpoint started, on the own clock; 0 if its start is not known: long ago."""
         known = self._start_times.get(entry.endpoint_id)
         if not entry.started_us or known is None or known.discovery_us != entry.started_us:
             return 0
-        return known.own_us
+        return known.monotonic_us
 
     def online_since_us(self, endpoint_id: EndpointId, override_us: int, now_us: int) -> int:
         """Since when an endpoint is back online by an operator's call at `override_us`. That is the monotonic
