--- a/gannetweir/process_handover/descriptor_counts.py
+++ b/gannetweir/process_handover/descriptor_counts.py
@@ -13,7 +13,7 @@
 from gannetweir.process_handover.process_liveness import ProcessLiveness
 
 _COUNT = struct.Struct("<I")
-NO_DESCRIPTORS = _COUNT.pack(0)  # the content of a liveness file before the first report
+ZERO_COUNT = _COUNT.pack(0)  # the content of a liveness file before the first report
 
 
 class DescriptorCounts:
@@ -30,7 +30,7 @@
             with contextlib.suppress(OSError):
                 os.pwrite(self._liveness.descriptor, _COUNT.pack(count), 0)
 
-    def of_peers(self) -> int:
+    def total_of_peers(self) -> int:
         """How many descriptors the living peers have open now, together."""
         return sum(map(_read_count, self._liveness.peers))
 
--- a/gannetweir/process_handover/handover.py
+++ b/gannetweir/process_handover/handover.py
@@ -14,14 +14,14 @@
 from pathlib import Path
 
 from gannetweir.membership.operator_overrides import OperatorOverrides
-from gannetweir.process_handover.descriptor_counts import NO_DESCRIPTORS, DescriptorCounts
+from gannetweir.process_handover.descriptor_counts import ZERO_COUNT, DescriptorCounts
 from gannetweir.process_handover.override_file import OverrideFile
 from gannetweir.process_handover.process_liveness import ProcessLiveness
 
 # For how long a start waits for overrides that can't be read at present. Nothing is served before they are:
 # no request may be sent to an endpoint that the operators have taken offline.
-INITIAL_READ_WITHIN_S = 6.0
-INITIAL_READ_PAUSE_S = 0.001
+INITIAL_READ_TIMEOUT_S = 6.0
+INITIAL_READ_RETRY_S = 0.001
 
 # Errors that last: a relay that can share nothing still serves.
 _PERMANENT_ERRORS = frozenset({errno.ENOENT, errno.ENOTDIR, errno.EACCES, errno.EPERM, errno.EROFS})
@@ -35,7 +35,7 @@
         # private.
         stem = "gannetweir-" + re.sub(r"[^0-9A-Za-z.-]", "_", relay_name)
         self.folder = folder
-        self.liveness = ProcessLiveness(folder, f".{stem}.alive", NO_DESCRIPTORS)
+        self.liveness = ProcessLiveness(folder, f".{stem}.alive", ZERO_COUNT)
         self.descriptor_counts = DescriptorCounts(self.liveness)
         self.override_file = OverrideFile(folder, stem)
 
@@ -46,11 +46,11 @@
     """
 
     def __init__(self, folder: Path | None = None, relay_name: str = "") -> None:
-        """Announce this process, find its peers and read the overrides. Blocks for `INITIAL_READ_WITHIN_S` at
-        most, and raises nothing for a folder that fails.
+        """Announce this process, find its peers and read the overrides. Blocks for `INITIAL_READ_TIMEOUT_S`
+        at most, and raises nothing for a folder that fails.
         """
         self._files = _SharedFiles(folder, relay_name) if folder is not None else None
-        self._unshared_overrides = OperatorOverrides()
+        self._local_overrides = OperatorOverrides()
         if self._files is not None:
             self._begin(self._files)
 
@@ -64,9 +64,9 @@
         # a folder that fails for a moment is tried again at the next refresh; the overrides hold already
         with contextlib.suppress(OSError):
             self.refresh_peers()
-        give_up_s = time.monotonic() + INITIAL_READ_WITHIN_S
-        while not files.override_file.refresh() and time.monotonic() < give_up_s:
-            time.sleep(INITIAL_READ_PAUSE_S)
+        deadline_s = time.monotonic() + INITIAL_READ_TIMEOUT_S
+        while not files.override_file.refresh() and time.monotonic() < deadline_s:
+            time.sleep(INITIAL_READ_RETRY_S)
 
     @property
     def folder(self) -> Path | None:
@@ -76,7 +76,7 @@
     @property
     def overrides(self) -> OperatorOverrides:
         """The operators' overrides, as this process has last read them."""
-        return self._files.override_file.overrides if self._files is not None else self._unshared_overrides
+        return self._files.override_file.overrides if self._files is not None else self._local_overrides
 
     @property
     def peers(self) -> Sequence[Path]:
@@ -101,7 +101,7 @@
 
     def count_peer_descriptors(self) -> int:
         """How many descriptors the peers have open now."""
-        return self._files.descriptor_counts.of_peers() if self._files is not None else 0
+        return self._files.descriptor_counts.total_of_peers() if self._files is not None else 0
 
     def refresh_overrides(self) -> bool:
         """Read the overrides if they have changed on disk; whether they have. Raises nothing."""
@@ -118,7 +118,7 @@
         if self._files is not None:
             self._files.override_file.set_override(endpoint_id, offline, now_us)
         else:
-            self._unshared_overrides = self._unshared_overrides.with_override(endpoint_id, offline, now_us)
+            self._local_overrides = self._local_overrides.with_override(endpoint_id, offline, now_us)
 
     def close(self) -> None:
         """Withdraw this process: it no longer counts as living."""
--- a/gannetweir/process_handover/override_file.py
+++ b/gannetweir/process_handover/override_file.py
@@ -22,7 +22,7 @@
 # The lock is held for the length of one small write. A stopped process may hold it for good, and must not
 # stop this one: so it is waited for 20 ms at most.
 LOCK_ATTEMPTS = 20
-LOCK_PAUSE_S = 0.001
+LOCK_RETRY_S = 0.001
 
 
 class OverrideLockTimeoutError(GannetweirError, BlockingIOError):
@@ -93,13 +93,13 @@
             os.close(descriptor)
 
     def _wait_for_lock(self, descriptor: int) -> None:
-        for remaining_attempts in reversed(range(LOCK_ATTEMPTS)):
+        for retries_left in reversed(range(LOCK_ATTEMPTS)):
             try:
                 fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError as error:
-                if not remaining_attempts:
+                if not retries_left:
                     raise OverrideLockTimeoutError(self._lock_file) from error
-                time.sleep(LOCK_PAUSE_S)
+                time.sleep(LOCK_RETRY_S)
             else:
                 return
 
