--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -136,118 +136,118 @@
 
     def run_script(self, script: str) -> None:
         for step in filter(None, map(str.strip, script.splitlines())):
-            who, verb, *rest = step.split(" ", 2)
-            words = rest[0] if rest else ""
+            actor, verb, *rest = step.split(" ", 2)
+            arguments = rest[0] if rest else ""
             if verb == "expect":
-                self._expect(who, words, step)
+                self._expect(actor, arguments, step)
             else:
-                self._act(who, verb, words)
+                self._act(actor, verb, arguments)
             self._carry_out_commands()
 
-    def _expect(self, who: str, words: str, step: str) -> None:
-        if words.startswith("count "):
-            _, name, count = words.split()
+    def _expect(self, actor: str, arguments: str, step: str) -> None:
+        if arguments.startswith("count "):
+            _, name, count = arguments.split()
             counts = self.engine.counters.counts
             assert counts[name] == int(count), f"{step}: {counts}"
         else:
-            self.peer(who).expect(words, step)
+            self.peer(actor).expect(arguments, step)
 
-    def _act(self, who: str, verb: str, words: str) -> None:
-        match who:
+    def _act(self, actor: str, verb: str, arguments: str) -> None:
+        match actor:
             case "time":
-                self._wait(int(words))
+                self._wait(int(arguments))
             case "discovery":
-                self._discovery(verb, words)
+                self._discovery(verb, arguments)
             case "probes":
                 self.probes_hang = verb == "hang"
             case "balancer":
                 self._break_balancer(raises=verb == "raise")
             case "settings":
-                self._reload_settings(words)
+                self._reload_settings(arguments)
             case "routes":
-                self._reload_routes(words)
+                self._reload_routes(arguments)
             case "operators":
-                self._override(words, offline=verb == "offline")
+                self._override(arguments, offline=verb == "offline")
             case "relay":
-                self.engine.drain(self.now_us, words == "replaced")
-            case _ if who.endswith("/upstream"):
-                self._upstream(who.removesuffix("/upstream"), verb, words)
+                self.engine.drain(self.now_us, arguments == "replaced")
+            case _ if actor.endswith("/upstream"):
+                self._upstream(actor.removesuffix("/upstream"), verb, arguments)
             case _:
-                self._client(who, verb, words)
+                self._client(actor, verb, arguments)
 
-    def _client(self, who: str, verb: str, words: str) -> None:
-        if who not in self.client_connections:
-            self.client_connections[who] = ClientConnection({}, self.limits)
-        connection = self.client_connections[who]
+    def _client(self, actor: str, verb: str, arguments: str) -> None:
+        if actor not in self.client_connections:
+            self.client_connections[actor] = ClientConnection({}, self.limits)
+        connection = self.client_connections[actor]
         classes = platform_classes(self.settings)
         connection.class_index_by_name = {known.name: index for index, known in enumerate(classes)}
         if verb in ("close", "reset"):
-            if who in self.request_ids:
-                self.engine.client_disconnected(self.request_ids[who], verb == "reset", self.now_us)
+            if actor in self.request_ids:
+                self.engine.client_disconnected(self.request_ids[actor], verb == "reset", self.now_us)
             return
-        data = words.encode() + b"\r\n"
+        data = arguments.encode() + b"\r\n"
         if verb == "raw":
-            data = words.encode().decode("unicode_escape").encode("latin1")
+            data = arguments.encode().decode("unicode_escape").encode("latin1")
         for event in connection.feed(data):
-            self._on_client_event(who, event)
+            self._on_client_event(actor, event)
 
-    def _on_client_event(self, who: str, event: ClientEvent) -> None:
+    def _on_client_event(self, actor: str, event: ClientEvent) -> None:
         if isinstance(event, PingReceived):
-            self.peer(who).write(self.client_connections[who].ping_answer(self.engine.is_ready()))
+            self.peer(actor).write(self.client_connections[actor].ping_answer(self.engine.is_ready()))
         elif isinstance(event, RequestOpened):
-            self._open_request(who, event.first_line)
+            self._open_request(actor, event.first_line)
         elif isinstance(event, MalformedInput):
-            if who in self.request_ids:
-                self.engine.client_disconnected(self.request_ids[who], True, self.now_us)
+            if actor in self.request_ids:
+                self.engine.client_disconnected(self.request_ids[actor], True, self.now_us)
             if event.answer_owed:
-                self.peer(who).write(self.client_connections[who].end_failed())
+                self.peer(actor).write(self.client_connections[actor].end_failed())
         else:
-            self.peer(who + "/upstream").write(event.line)
-            self.engine.client_line_forwarded(self.request_ids[who], self.now_us)
+            self.peer(actor + "/upstream").write(event.line)
+            self.engine.client_line_forwarded(self.request_ids[actor], self.now_us)
 
-    def _open_request(self, who: str, line: FirstLine) -> None:
-        self.first_lines[who] = line
+    def _open_request(self, actor: str, line: FirstLine) -> None:
+        self.first_lines[actor] = line
         request_id = self.engine.request_opened(
             line.request, line.current_endpoint, self.now_us, line.client_id
         )
         if request_id:
-            self.request_ids[who] = request_id
+            self.request_ids[actor] = request_id
         else:
-            self.peer(who).write(self.client_connections[who].end_failed())
+            self.peer(actor).write(self.client_connections[actor].end_failed())
 
-    def _upstream(self, who: str, verb: str, words: str) -> None:
-        command, connection = self.upstreams[who]
+    def _upstream(self, actor: str, verb: str, arguments: str) -> None:
+        command, connection = self.upstreams[actor]
         if verb == "send":
-            for event in connection.feed(words.encode() + b"\r\n"):
-                self._on_upstream_event(who, command, event)
+            for event in connection.feed(arguments.encode() + b"\r\n"):
+                self._on_upstream_event(actor, command, event)
         elif verb == "written":
             self._write_first_line(command, connection)
         else:
             if verb != "refuse":
                 self._write_first_line(command, connection)
-            del self.upstreams[who]
-            self._on_upstream_event(who, command, connection.connection_ended(), verb == "reset")
+            del self.upstreams[actor]
+            self._on_upstream_event(actor, command, connection.connection_ended(), verb == "reset")
 
     def _write_first_line(self, command: OpenUpstream, connection: UpstreamConnection) -> None:
         connection.first_line_sent(len(connection.unsent_first_line))
         self.engine.upstream_first_line_written(command.request_id, command.attempt, self.now_us)
 
     def _on_upstream_event(
-        self, who: str, command: OpenUpstream, event: UpstreamEvent, reset: bool = False
+        self, actor: str, command: OpenUpstream, event: UpstreamEvent, reset: bool = False
     ) -> None:
         request_id, attempt = command.request_id, command.attempt
         if isinstance(event, UpstreamEstablished):
-            self._write_first_line(command, self.upstreams[who][1])
+            self._write_first_line(command, self.upstreams[actor][1])
             if self.engine.upstream_established(request_id, attempt, self.now_us):
-                self.peer(who).write(event.line)
+                self.peer(actor).write(event.line)
         elif isinstance(event, EndpointLine):
-            self.peer(who).write(event.line)
+            self.peer(actor).write(event.line)
             if event.may_answer:
                 self.engine.answer_line_received(request_id, self.now_us)
         elif isinstance(event, LoadReported):
             self.engine.connection_load_reported(request_id, event.load, self.now_us)
         else:
-            self.upstreams.pop(who, None)  # its descriptor is given back before the engine is notified
+            self.upstreams.pop(actor, None)  # its descriptor is given back before the engine is notified
             self.engine.upstream_ended(request_id, attempt, event.status, event.report, reset, self.now_us)
 
     def _wait(self, wait_ms: int) -> None:
@@ -258,13 +258,13 @@
             self._carry_out_commands()
         self.now_us = until_us
 
-    def _discovery(self, verb: str, words: str) -> None:
+    def _discovery(self, verb: str, arguments: str) -> None:
         if verb == "send":
-            update = read_membership(orjson.loads(words), self.settings)
+            update = read_membership(orjson.loads(arguments), self.settings)
             self.engine.endpoint_update_received(update, self.now_us)
         elif verb == "reopen":
             watch = EndpointWatch("d:1", self.engine.endpoint_list.version, self.settings, self.limits)
-            chunk = f"{len(words) + 1:x}\r\n{words}\n\r\n"
+            chunk = f"{len(arguments) + 1:x}\r\n{arguments}\n\r\n"
             answer = f"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}"
             for event in watch.feed(answer.encode()):
                 assert isinstance(event, MembershipUpdate)
@@ -280,8 +280,8 @@
 
         self.engine.balancer.handle = handle  # type: ignore[assignment,method-assign]
 
-    def _reload_settings(self, words: str) -> None:
-        max_attempts, classes = words.split()
+    def _reload_settings(self, arguments: str) -> None:
+        max_attempts, classes = arguments.split()
         pairs = [part.split(":") for part in classes.split(",")]
         self.settings = replace(
             self.settings,
@@ -308,22 +308,22 @@
     def _carry_out_commands(self) -> None:
         while self.engine.commands:
             command = self.engine.commands.popleft()
-            names = {request_id: who for who, request_id in self.request_ids.items()}
+            names = {request_id: actor for actor, request_id in self.request_ids.items()}
             self._carry_out(command, names.get(getattr(command, "request_id", -1), ""))
 
-    def _carry_out(self, command: Command, who: str) -> None:
+    def _carry_out(self, command: Command, actor: str) -> None:
         match command:
             case OpenUpstream():
-                self._open_upstream(command, who)
+                self._open_upstream(command, actor)
             case CloseUpstream():
-                self._end_upstream(who)
+                self._end_upstream(actor)
             case EndUpstream():
-                self._end_upstream(who, command.reset)
+                self._end_upstream(actor, command.reset)
             case StartForwarding():
-                for event in self.client_connections[who].establish():
-                    self._on_client_event(who, event)
+                for event in self.client_connections[actor].establish():
+                    self._on_client_event(actor, event)
             case RejectClient() | FailClient() | MigrateClient() | EndClient():
-                self._end_client(command, who)
+                self._end_client(command, actor)
             case StartLoadProbe():
                 self._answer_probe(command)
             case SetEndpointWatch() | WriteLogLine() | Exit():
@@ -338,8 +338,8 @@
             case Exit():
                 self.peers["relay"].unread.append("exit")
 
-    def _end_client(self, command: RejectClient | FailClient | MigrateClient | EndClient, who: str) -> None:
-        client, connection = self.peer(who), self.client_connections[who]
+    def _end_client(self, command: RejectClient | FailClient | MigrateClient | EndClient, actor: str) -> None:
+        client, connection = self.peer(actor), self.client_connections[actor]
         match command:
             case RejectClient():
                 client.write(connection.end_rejected(command.retry_after_us))
@@ -350,25 +350,25 @@
             case MigrateClient():
                 client.write(connection.end_migrated())
                 client.end()
-                self._end_upstream(who)
+                self._end_upstream(actor)
             case EndClient():
                 client.end(command.reset)
 
-    def _end_upstream(self, who: str, reset: bool = False) -> None:
-        self.upstreams.pop(who, None)
-        self.peer(who + "/upstream").end(reset)
+    def _end_upstream(self, actor: str, reset: bool = False) -> None:
+        self.upstreams.pop(actor, None)
+        self.peer(actor + "/upstream").end(reset)
 
     def _answer_probe(self, command: StartLoadProbe) -> None:
         if not self.probes_hang:
             report = (10.0, 0.5)
             self.engine.load_probe_ended(command.endpoint_id, AttemptStatus.OK, report, self.now_us)
 
-    def _open_upstream(self, command: OpenUpstream, who: str) -> None:
-        assert who not in self.upstreams, "two upstream connections of one request"
-        line = self.first_lines[who].for_endpoint(command.timeout_us)
+    def _open_upstream(self, command: OpenUpstream, actor: str) -> None:
+        assert actor not in self.upstreams, "two upstream connections of one request"
+        line = self.first_lines[actor].for_endpoint(command.timeout_us)
         connection = UpstreamConnection(line, self.settings.load_report_fields, self.limits)
-        self.upstreams[who] = command, connection
-        self.peer(who + "/upstream").write(line)
+        self.upstreams[actor] = command, connection
+        self.peer(actor + "/upstream").write(line)
 
 
 def run_script(
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -44,31 +44,31 @@
     client.close(True)
 
 
-Departure = Callable[[Peer], None]
+Disconnection = Callable[[Peer], None]
 
 
 @dataclass
-class Leaver:
+class DisconnectingClient:
     """One client, and how it leaves."""
 
     harness: RelayHarness
     client: Peer
-    leave: Departure
+    disconnect: Disconnection
 
-    def leave_after(self, name: str, sent_before: str = "") -> None:
+    def disconnect_after(self, name: str, sent_before: str = "") -> None:
         """Leave at the end of the engine's next call of this name, with so much sent before the end."""
         engine = self.harness.relay.engine
         call = getattr(engine, name)
 
-        def then_leave(*args: object) -> object:
+        def then_disconnect(*args: object) -> object:
             setattr(engine, name, call)
             result = call(*args)
             if sent_before:
                 self.client.send(sent_before)
-            self.leave(self.client)
+            self.disconnect(self.client)
             return result
 
-        setattr(engine, name, then_leave)
+        setattr(engine, name, then_disconnect)
 
 
 def send_endpoint_list(harness: RelayHarness, *hosts: tuple[str, int, str]) -> None:
@@ -84,64 +84,64 @@
     send_endpoint_list(harness, ("b1", port, "Ready"), ("b2", port, "Ready"))
 
 
-async def as_its_first_line_is_read(leaver: Leaver) -> None:
-    leaver.leave_after("request_opened")
-    leaver.client.send(OPEN_LINE)
+async def as_its_first_line_is_read(disconnecting: DisconnectingClient) -> None:
+    disconnecting.disconnect_after("request_opened")
+    disconnecting.client.send(OPEN_LINE)
 
 
-async def behind_more_than_one_read(leaver: Leaver) -> None:
-    leaver.client.send(OPEN_LINE + EARLY_LINE * 3)
-    leaver.leave(leaver.client)
+async def after_more_than_one_read(disconnecting: DisconnectingClient) -> None:
+    disconnecting.client.send(OPEN_LINE + EARLY_LINE * 3)
+    disconnecting.disconnect(disconnecting.client)
 
 
-async def behind_more_that_comes_later(leaver: Leaver) -> None:
-    leaver.leave_after("request_opened", EARLY_LINE * 3)
-    leaver.client.send(OPEN_LINE)
+async def after_input_that_arrives_later(disconnecting: DisconnectingClient) -> None:
+    disconnecting.disconnect_after("request_opened", EARLY_LINE * 3)
+    disconnecting.client.send(OPEN_LINE)
 
 
-async def with_the_last_piece_of_its_line(leaver: Leaver) -> None:
+async def with_the_last_byte_of_its_first_line(disconnecting: DisconnectingClient) -> None:
     for piece in OPEN_LINE[:-4]:
-        leaver.client.send(piece)
+        disconnecting.client.send(piece)
         await anyio.sleep(0)
-    leaver.client.send(r"\r\n")
-    leaver.leave(leaver.client)
+    disconnecting.client.send(r"\r\n")
+    disconnecting.disconnect(disconnecting.client)
 
 
-async def as_an_attempt_ends(leaver: Leaver) -> None:
-    list_two_endpoints(leaver.harness)
-    leaver.client.send(OPEN_LINE)
-    server = await leaver.harness.accept_upstream()
+async def as_an_attempt_ends(disconnecting: DisconnectingClient) -> None:
+    list_two_endpoints(disconnecting.harness)
+    disconnecting.client.send(OPEN_LINE)
+    server = await disconnecting.harness.accept_upstream()
     await server.expect("OPEN 0a")
-    leaver.leave_after("upstream_ended")
+    disconnecting.disconnect_after("upstream_ended")
     server.send(r"BUSY\r\n")
     await server.expect("end")
 
 
-async def as_the_wait_before_a_repeat_ends(leaver: Leaver) -> None:
-    list_two_endpoints(leaver.harness)
-    relay = leaver.harness.relay
+async def as_the_backoff_before_a_retry_ends(disconnecting: DisconnectingClient) -> None:
+    list_two_endpoints(disconnecting.harness)
+    relay = disconnecting.harness.relay
     classes = [replace(CLASSES[0], retry_backoff_us=(20_000, 20_000))]
     relay.runtime.run_engine_call(
         relay.engine.reload, replace(relay.runtime.settings, classes=classes), relay.runtime.limits
     )
-    leaver.client.send(OPEN_LINE)
-    server = await leaver.harness.accept_upstream()
+    disconnecting.client.send(OPEN_LINE)
+    server = await disconnecting.harness.accept_upstream()
     await server.expect("OPEN 0a")
     server.send(r"BUSY\r\n")
     await server.expect("end")
-    await leaver.harness.wait_until(lambda: bool(relay.engine.balancer.retry_policy.retry_due_us))
+    await disconnecting.harness.wait_until(lambda: bool(relay.engine.balancer.retry_policy.retry_due_us))
     carry_out = relay.engine.placement_actions.carry_out
 
-    def leaves_at_its_turn(action: Action) -> None:
+    def disconnects_before_the_retry(action: Action) -> None:
         if isinstance(action, StartAttempt):
-            leaver.leave(leaver.client)
+            disconnecting.disconnect(disconnecting.client)
         carry_out(action)
 
-    relay.engine.placement_actions.carry_out = leaves_at_its_turn  # type: ignore[method-assign]
+    relay.engine.placement_actions.carry_out = disconnects_before_the_retry  # type: ignore[method-assign]
 
 
-async def as_a_probe_is_answered(leaver: Leaver) -> None:
-    relay = leaver.harness.relay
+async def as_a_probe_is_answered(disconnecting: DisconnectingClient) -> None:
+    relay = disconnecting.harness.relay
     settings = replace(
         relay.runtime.settings,
         load_probes_enabled=True,
@@ -150,18 +150,20 @@
     )
     relay.runtime.run_engine_call(relay.engine.reload, settings, relay.runtime.limits)
     relay.runtime.config = replace(relay.runtime.config, settings=settings)
-    send_endpoint_list(leaver.harness, ("b1", leaver.harness.endpoint_listener.getsockname()[1], "Ready"))
+    send_endpoint_list(
+        disconnecting.harness, ("b1", disconnecting.harness.endpoint_listener.getsockname()[1], "Ready")
+    )
     relay.runtime.clock.offset_ns += 2_000_000_000  # what was known of it is stale: it has to be asked first
-    leaver.client.send(OPEN_LINE)
-    asked = await leaver.harness.accept_upstream()
-    await asked.expect("STATS")
-    leaver.leave_after("load_probe_ended")
-    asked.send(r"PONG inflight=1,util=0.1\r\n")
-    await asked.expect("end")
-    await (await leaver.harness.accept_upstream()).expect("STATS")  # got ahead for the next client
+    disconnecting.client.send(OPEN_LINE)
+    probe = await disconnecting.harness.accept_upstream()
+    await probe.expect("STATS")
+    disconnecting.disconnect_after("load_probe_ended")
+    probe.send(r"PONG inflight=1,util=0.1\r\n")
+    await probe.expect("end")
+    await (await disconnecting.harness.accept_upstream()).expect("STATS")  # got ahead for the next client
 
 
-async def as_a_long_list_moves_it_elsewhere(leaver: Leaver) -> None:
+async def as_a_long_list_removes_its_endpoint(disconnecting: DisconnectingClient) -> None:
     unreachable = socket.socket()
     unreachable.bind(("127.0.0.1", 0))
     unreachable.listen(0)
@@ -169,76 +171,80 @@
     for sock in queued_sockets:
         sock.setblocking(False)
         sock.connect_ex(unreachable.getsockname())
-    send_endpoint_list(leaver.harness, ("b1", unreachable.getsockname()[1], "Ready"))
-    leaver.client.send(OPEN_LINE)
-    descriptors = leaver.harness.relay.runtime.descriptor_count
-    await leaver.harness.wait_until(lambda: descriptors.open == 2)  # its connect is under way
-    leaver.leave_after("endpoint_update_received")
-    port = leaver.harness.endpoint_listener.getsockname()[1]
-    send_endpoint_list(leaver.harness, ("b1", port, "Gone"), *((f"s{n}", port, "Ready") for n in range(1024)))
-    assert leaver.harness.relay.engine.counters.counts["attempts_started"] == 2
+    send_endpoint_list(disconnecting.harness, ("b1", unreachable.getsockname()[1], "Ready"))
+    disconnecting.client.send(OPEN_LINE)
+    descriptors = disconnecting.harness.relay.runtime.descriptor_count
+    await disconnecting.harness.wait_until(lambda: descriptors.open == 2)  # its connect is under way
+    disconnecting.disconnect_after("endpoint_update_received")
+    port = disconnecting.harness.endpoint_listener.getsockname()[1]
+    send_endpoint_list(
+        disconnecting.harness, ("b1", port, "Gone"), *((f"s{n}", port, "Ready") for n in range(1024))
+    )
+    assert disconnecting.harness.relay.engine.counters.counts["attempts_started"] == 2
     for sock in (unreachable, *queued_sockets):
         sock.close()
 
 
-MOMENTS: list[Callable[[Leaver], Awaitable[None]]] = [
+MOMENTS: list[Callable[[DisconnectingClient], Awaitable[None]]] = [
     as_its_first_line_is_read,
-    behind_more_than_one_read,
-    behind_more_that_comes_later,
-    with_the_last_piece_of_its_line,
+    after_more_than_one_read,
+    after_input_that_arrives_later,
+    with_the_last_byte_of_its_first_line,
     as_an_attempt_ends,
-    as_the_wait_before_a_repeat_ends,
+    as_the_backoff_before_a_retry_ends,
     as_a_probe_is_answered,
-    as_a_long_list_moves_it_elsewhere,
+    as_a_long_list_removes_its_endpoint,
 ]
 
 
 @pytest.mark.anyio
-@pytest.mark.parametrize("leave", [finishes, closes, resets])
+@pytest.mark.parametrize("disconnect", [finishes, closes, resets])
 @pytest.mark.parametrize("moment", MOMENTS)
-async def test_nothing_is_connected_for_a_client_that_leaves(
-    moment: Callable[[Leaver], Awaitable[None]], leave: Departure, capsys: pytest.CaptureFixture[str]
+async def test_nothing_is_connected_for_a_client_that_disconnects(
+    moment: Callable[[DisconnectingClient], Awaitable[None]],
+    disconnect: Disconnection,
+    capsys: pytest.CaptureFixture[str],
 ) -> None:
-    async def play(harness: RelayHarness) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         client = await harness.connect_client()
         await harness.wait_until(lambda: harness.relay.clients.open_count == 1)
-        await moment(Leaver(harness, client, leave))
+        await moment(DisconnectingClient(harness, client, disconnect))
         await harness.wait_until(lambda: harness.relay.clients.open_count == 0)
         with pytest.raises(BlockingIOError):
             harness.endpoint_listener.accept()
         assert not harness.relay.engine.requests
 
-    await run_scenario(RelayHarness(SHORT_TIMES | {"connect_timeout_us": 5_000_000}), play, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES | {"connect_timeout_us": 5_000_000}), scenario, capsys)
 
 
 @pytest.mark.anyio
-@pytest.mark.parametrize("leave", [finishes, closes, resets])
-async def test_nothing_is_written_once_a_connect_is_up_whose_client_has_left(
-    leave: Departure, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("disconnect", [finishes, closes, resets])
+async def test_nothing_is_written_on_a_connect_whose_client_has_disconnected(
+    disconnect: Disconnection, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(harness: RelayHarness) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         client = await harness.connect_client()
 
-        async def leaves_as_it_is_up(
+        async def disconnects_once_connected(
             sock: socket.socket, address: SocketName, on_started: Callable[[], None]
         ) -> None:
             await connect(sock, address, on_started)
             if address[1] == harness.endpoint_listener.getsockname()[1]:
-                leave(client)
+                disconnect(client)
 
-        monkeypatch.setattr(connecting, "connect", leaves_as_it_is_up)
+        monkeypatch.setattr(connecting, "connect", disconnects_once_connected)
         client.send(OPEN_LINE)
         await (await harness.accept_upstream()).expect("end")  # without a line
         await harness.wait_until(lambda: harness.relay.clients.open_count == 0)
         monkeypatch.setattr(connecting, "connect", connect)
         await established_client(harness, "ff")
 
-    await run_scenario(RelayHarness(SHORT_TIMES), play, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES), scenario, capsys)
 
 
 @pytest.mark.anyio
 async def test_reading_pending_input_changes_no_order_of_lines(capsys: pytest.CaptureFixture[str]) -> None:
-    async def play(harness: RelayHarness) -> None:
+    async def scenario(harness: RelayHarness) -> None:
         client = await harness.connect_client()
         await harness.wait_until(lambda: harness.relay.clients.open_count == 1)
         early = [f"{n:04d}" + "y" * 3000 for n in range(5)]  # over one read, within what may come early
@@ -250,4 +256,4 @@
         for line in early:
             await server.expect(line)
 
-    await run_scenario(RelayHarness(SHORT_TIMES), play, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES), scenario, capsys)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -251,22 +251,22 @@
 
 
 async def a_first_line_as_its_connection_is_evicted(harness: RelayHarness) -> None:
-    standing = await established_client(harness, "0c")
+    established_peers = await established_client(harness, "0c")
     silent = [await harness.connect_client() for _ in range(2)]
     await harness.wait_until(lambda: len(harness.relay.runtime.descriptor_budget.awaiting_first_line) == 2)
     for session, client in zip(
         list(harness.relay.runtime.descriptor_budget.awaiting_first_line), silent, strict=True
     ):
 
-        def speaks(client: Peer = client) -> bool:
+        def sends_first_line(client: Peer = client) -> bool:
             client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")  # just after it was looked at
             return False
 
-        session.client.has_unread_input = speaks  # type: ignore[method-assign]
-    last = await harness.connect_client()
+        session.client.has_unread_input = sends_first_line  # type: ignore[method-assign]
+    new_client = await harness.connect_client()
     await silent[0].expect("BUSY 250")
     await silent[0].expect("end")  # no reset, which could take the answer along
-    for peer in (last, *standing):
+    for peer in (new_client, *established_peers):
         peer.close()
     with pytest.raises(BlockingIOError):
         harness.endpoint_listener.accept()
@@ -332,18 +332,18 @@
 
 
 async def a_client_disconnects_while_the_connect_is_pending(harness: RelayHarness) -> None:
-    full = socket.socket()
-    full.bind(("127.0.0.1", 0))
-    full.listen(0)
+    full_listener = socket.socket()
+    full_listener.bind(("127.0.0.1", 0))
+    full_listener.listen(0)
     pending = [socket.socket() for _ in range(4)]  # its queue is full: no further connect succeeds
     for sock in pending:
         sock.setblocking(False)
-        sock.connect_ex(full.getsockname())
+        sock.connect_ex(full_listener.getsockname())
     await harness.connect_client()
-    news = UPDATE % ("true", HOST_LINE % (1, full.getsockname()[1], "Ready", 0))
+    membership_update = UPDATE % ("true", HOST_LINE % (1, full_listener.getsockname()[1], "Ready", 0))
     harness.relay.runtime.run_engine_call(
         harness.relay.engine.endpoint_update_received,
-        read_membership(orjson.loads(news), harness.relay.runtime.settings),
+        read_membership(orjson.loads(membership_update), harness.relay.runtime.settings),
     )
     clients = harness.relay.runtime.descriptor_count.open
     client = await harness.connect_client()
@@ -355,7 +355,7 @@
     await client.expect("end")
     await harness.wait_until(lambda: harness.relay.runtime.descriptor_count.open == clients)
     assert harness.relay.engine.counters.counts["attempts_started"] == 1
-    for sock in (full, *pending):
+    for sock in (full_listener, *pending):
         sock.close()
 
 
@@ -363,15 +363,15 @@
     old = await harness.accept_watch(harness.discovery_listener, 1)
     old.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
     await harness.wait_until(lambda: harness.relay.endpoint_watch.has_answered)
-    live = listening_socket()
-    nowhere = SocketAddress("127.0.0.1", harness.free_port())
-    harness.reload(discovery_address=nowhere)
+    live_discovery = listening_socket()
+    closed_address = SocketAddress("127.0.0.1", harness.free_port())
+    harness.reload(discovery_address=closed_address)
     await harness.wait_until(lambda: harness.relay.engine.counters.counts["endpoint_watch_failures"] == 1)
     old.send(unchanged_update_chunk(7))  # nobody answers there: updates from the previous one still count
     await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 7)
-    harness.reload(discovery_address=nowhere)  # the same again, and on at once
-    harness.reload(discovery_address=SocketAddress(*live.getsockname()))
-    new = await harness.accept_watch(live, 0)
+    harness.reload(discovery_address=closed_address)  # the same again, and on at once
+    harness.reload(discovery_address=SocketAddress(*live_discovery.getsockname()))
+    new = await harness.accept_watch(live_discovery, 0)
     old.send(unchanged_update_chunk(8))
     await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 8)
     new.send(WATCH_RESPONSE_HEAD + unchanged_update_chunk(9))
@@ -385,10 +385,12 @@
     (await harness.connect_client()).close()  # it runs by now
     for health in ("Terminating", "Gone"):
         relay.runtime.spawn(partial(run_probe, relay.runtime, StartLoadProbe("b1", dial)))
-        news = read_membership(
+        membership_update = read_membership(
             orjson.loads(UPDATE % ("false", HOST_LINE % (1, 1, health, 0))), relay.runtime.settings
         )
-        relay.runtime.run_engine_call(relay.engine.endpoint_update_received, news)  # before the connect is up
+        relay.runtime.run_engine_call(
+            relay.engine.endpoint_update_received, membership_update
+        )  # before the connect is up
         await (await harness.accept_upstream()).expect("end")  # without a question
 
 
@@ -415,24 +417,24 @@
 
 async def first_lines_at_the_exit(harness: RelayHarness) -> None:
     client, server = await established_client(harness)
-    rests, silent = await harness.connect_client(), await harness.connect_client()
-    rests.send(r"PING\r\n")
-    await rests.expect("PONG")
+    idle_client, silent = await harness.connect_client(), await harness.connect_client()
+    idle_client.send(r"PING\r\n")
+    await idle_client.expect("PONG")
     await harness.wait_until(lambda: len(harness.relay.runtime.descriptor_budget.awaiting_first_line) == 2)
     harness.relay.runtime.run_engine_call(harness.relay.engine.drain)
     harness.relay.runtime.run_engine_call(lambda _now_us: harness.relay.engine.draining.exit())
     # from here on: what no task has had a turn to read, on a connection and in the listener's queue
-    rests.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
-    at = harness.relay.runtime.config.listen_address
-    queued = [Peer(socket.create_connection((at.host, at.port))) for _ in range(3)]
-    for last in queued[1:]:
-        last.send(r"OPEN 0a 0b c=plain,d=2000\r\n" * 2)
+    idle_client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
+    relay_address = harness.relay.runtime.config.listen_address
+    queued = [Peer(socket.create_connection((relay_address.host, relay_address.port))) for _ in range(3)]
+    for new_client in queued[1:]:
+        new_client.send(r"OPEN 0a 0b c=plain,d=2000\r\n" * 2)
     await client.expect("MOVE")
     await client.expect("end")
     await server.expect("end")
-    for last in (rests, silent, *queued):
-        await last.expect("BUSY 250")
-        await last.expect("end")
+    for new_client in (idle_client, silent, *queued):
+        await new_client.expect("BUSY 250")
+        await new_client.expect("end")
     with pytest.raises(BlockingIOError):
         harness.endpoint_listener.accept()
 
@@ -475,7 +477,7 @@
     return spawn
 
 
-async def read_for_ever(transport: Transport) -> None:
+async def read_forever(transport: Transport) -> None:
     while True:
         await transport.read()
 
@@ -486,7 +488,7 @@
     near.setblocking(False)
     reads = list[int]()
 
-    class Endless(socket.socket):
+    class EndlessPeer(socket.socket):
         def recv(self, _count: int, _flags: int = 0, /) -> bytes:
             reads.append(1)
             assert len(reads) < 1000, "nobody else had a turn"
@@ -496,10 +498,10 @@
         endpoint.close()
 
     async with anyio.create_task_group() as tasks:
-        endpoint = Transport(Endless(fileno=near.detach()), Limits(), spawn_in(tasks))
+        endpoint = Transport(EndlessPeer(fileno=near.detach()), Limits(), spawn_in(tasks))
         tasks.start_soon(closes)
         with pytest.raises(OSError, match="closed here"):
-            await read_for_ever(endpoint)
+            await read_forever(endpoint)
     far.close()
 
 
@@ -509,14 +511,14 @@
     near.setblocking(False)
     refusals = [True, True, False]
 
-    class Reluctant(socket.socket):
+    class SpuriouslyWritable(socket.socket):
         def send(self, data: bytes, flags: int = 0, /) -> int:  # type: ignore[override]
             if refusals and refusals.pop(0):
                 raise BlockingIOError
             return super().send(data, flags)
 
     async with anyio.create_task_group() as tasks:
-        endpoint = Transport(Reluctant(fileno=near.detach()), Limits(), spawn_in(tasks))
+        endpoint = Transport(SpuriouslyWritable(fileno=near.detach()), Limits(), spawn_in(tasks))
         endpoint.write(b"MOVE\r\n")  # the last word: its end follows, and must not come first
         endpoint.finish()
         await Peer(far).expect("MOVE")
