--- a/gannetweir/core/__init__.py
+++ b/gannetweir/core/__init__.py
@@ -1,6 +1,6 @@
 """One relay's requests and connections: protocol events in, commands out. No sockets, clock or line syntax.
 
-`Engine` is what a front calls; the commands are what it answers with. All else in here is the engine's own.
+A front end calls `Engine` and executes its commands. All other modules are internal to the engine.
 """
 
 from gannetweir.core.commands import (
--- a/gannetweir/core/context.py
+++ b/gannetweir/core/context.py
@@ -1,4 +1,4 @@
-"""What all concerns of one engine share: configuration, the time of the current call, records and output."""
+"""State shared by the components of one engine: configuration, current time, records and output."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 from gannetweir.placement.events import Event
 from gannetweir.placement.settings import Settings
 
-if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
+if TYPE_CHECKING:
+    # Imported for type checking only: a relay without an operators' file does not load this code.
     from gannetweir.addresses.address_selector import AddressSelector
     from gannetweir.addresses.rules import AddressRules
     from gannetweir.routing.route_admission import RouteAdmission
 
 
-MAX_LOGGED_STEPS = 8  # steps of a request in the log line of a violation: one line stays readable
+MAX_LOGGED_STEPS = 8  # steps of a request in the log line of a violation, to keep the line readable
 
 
 PlacementTrace = Callable[[int, Event, Sequence[Action]], None]
@@ -35,51 +36,51 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineOptions:
-    """Parts of an engine that a relay may do without; by default it has none of them."""
+    """Optional parts of an engine; by default it has none of them."""
 
-    operator_overrides: OperatorOverrides | None = None  # those that are in force at the start
-    replaces_process: bool = False  # another process of this relay still has clients, who return here
+    operator_overrides: OperatorOverrides | None = None  # the overrides in force at the start
+    replaces_process: bool = False  # another process of this relay still has clients, which reconnect here
     route_admission: RouteAdmission | None = None  # admission by the operators' routes
-    address_rules: AddressRules | None = None  # the operators' choice between an endpoint's addresses
-    placement_trace: PlacementTrace | None = None  # called with every event for the balancer and its actions
-    request_trace: Callable[[RequestEvent], None] | None = None  # called with every step of a request
+    address_rules: AddressRules | None = None  # the operators' rules for selecting an endpoint's address
+    placement_trace: PlacementTrace | None = None  # called with each event for the balancer and its actions
+    request_trace: Callable[[RequestEvent], None] | None = None  # called with each step of a request
     wall_clock_offset_us: int | None = None  # wall clock minus the engine's clock; None: no wall clock
 
 
 class EngineContext:
-    """State that the concerns of one engine share by reference.
+    """State that the components of one engine share by reference.
 
-    Every call into the engine sets `now_us` first; concerns read the time only from here. A reload replaces
-    `settings`, `limits` and `route_admission`, so they are read at each use and not cached. What only one
-    concern needs is that concern's own.
+    Every call into the engine sets `now_us` first, and components read the time only from here. A reload
+    replaces `settings`, `limits` and `route_admission`, so components read them at each use and do not cache
+    them. State that only one component needs belongs to that component.
     """
 
     def __init__(self, settings: Settings, limits: Limits, now_us: int, options: EngineOptions) -> None:
         self.settings = settings
         self.limits = limits
-        self.now_us = now_us  # of the call that is being handled
+        self.now_us = now_us  # time of the engine call in progress
         self.route_admission: RouteAdmission | None = options.route_admission  # None: no operators' routes
         self.address_selector: AddressSelector | None = None  # None while every endpoint has one address
         self.endpoint_list = EndpointList(options.operator_overrides, options.wall_clock_offset_us)
         self.counters = Counters()
-        self.commands: deque[Command] = deque()  # for the drivers, who take them from the left
+        self.commands: deque[Command] = deque()  # drivers take commands from the left
         self.request_log = RequestLog(self.counters, options.request_trace)
         self.guard = InvariantGuard(self.endpoint_list, self._report_violation)
         self.timers = TimerQueue()
-        self.requests: dict[int, RequestState] = {}  # by request id, until their end
-        self.request_id_by_client_id: dict[str, int] = {}  # of the same requests
-        self.admission_closed = False  # set once, as a drain ends admission
+        self.requests: dict[int, RequestState] = {}  # by request id, until the request ends
+        self.request_id_by_client_id: dict[str, int] = {}  # open requests by the client's id
+        self.admission_closed = False  # set when a drain ends admission, and never reset
 
     def set_timer(self, wait_us: float, timer: Timer, value: int = 0, attempt: int = 0) -> None:
-        """Set a timer; a wait that is not positive falls due at the next `advance`."""
+        """Set a timer. With a wait of zero or less it is due at the next `advance`."""
         self.timers.add(self.now_us + max(0, int(wait_us)), timer, value, attempt)
 
     def log(self, text: str, **fields: object) -> None:
-        """Command a log line for the engineers on call."""
+        """Append the command to write a log line for the operators on call."""
         self.commands.append(WriteLogLine(text, fields))
 
     def record_step(self, request: RequestState, step: RequestStep, reason: Reason | str = "") -> None:
-        """Record a step of a request."""
+        """Record a step of a request in the request log."""
         self.request_log.add(
             self.now_us,
             request.request_id,
@@ -91,7 +92,9 @@
         )
 
     def request_with_attempt(self, request_id: int, attempt: int) -> RequestState | None:
-        """The request, if this attempt of it is still in flight; reports on earlier ones come too late."""
+        """Return the request if this attempt of it is still in flight, otherwise None: drivers may still
+        report on attempts that have ended.
+        """
         request = self.requests.get(request_id)
         if request is not None and request.attempt_in_flight and request.attempt == attempt:
             return request
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -1,6 +1,8 @@
-"""One relay's engine: protocol events in, commands out. It composes the concerns; each has its own module.
+"""The engine of one relay: protocol events in, commands out. Each component of the engine is a module of its
+own.
 
-Knows no sockets, no clock (the time is handed in) and no line syntax: any front can drive it.
+The engine uses no sockets, no clock (callers pass in the time) and no line syntax, so any front end can drive
+it.
 """
 
 from __future__ import annotations
@@ -28,17 +30,19 @@
 from gannetweir.placement.events import TimerExpired, UpdateKind
 from gannetweir.placement.settings import Settings
 
-if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
+if TYPE_CHECKING:
+    # Imported for type checking only: a relay without an operators' file does not load this code.
     from gannetweir.addresses.address_selector import AddressSelector
     from gannetweir.addresses.rules import AddressRules
     from gannetweir.routing.route_admission import RouteAdmission
 
 
 class Engine:
-    """All requests of one relay. A call returns at once; what it leads to is appended to `commands`.
+    """All requests of one relay. A call never blocks, and appends the commands that result from it to
+    `commands`.
 
-    Drivers call it from one thread. They take commands from the left of `commands` and carry them out in that
-    order, call `advance` at `next_due`, and report to `guard` what they do on sockets.
+    Drivers call the engine from one thread. They take commands from the left of `commands` and execute them
+    in that order, call `advance` at `next_due`, and report to `guard` what they do on sockets.
     """
 
     def __init__(
@@ -59,7 +63,8 @@
         self.requests = self.context.requests
         self.balancer = Balancer(settings, seed, now_us)
         if not options.replaces_process:
-            # clients that return come from other relays, and their old connections may be counted nowhere
+            # Clients that reconnect come from other relays, and no report may still count their old
+            # connections.
             self.balancer.expect_no_returns()
         self._create_components(seed, options.placement_trace)
         self._bind_driver_calls()
@@ -70,7 +75,7 @@
         self.membership_updates.watch_if_pushed()
 
     def _create_components(self, seed: int, trace: PlacementTrace | None) -> None:
-        """Create the concerns, each after those that it calls; none knows the engine."""
+        """Create the components, each after the ones that it calls. No component refers to the engine."""
         context = self.context
         self.dispatcher = PlacementDispatcher(context, self.balancer, trace)
         self.attempts = Attempts(context, self.dispatcher)
@@ -93,8 +98,8 @@
         self.dispatcher.connect(self.placement_actions)
 
     def _bind_driver_calls(self) -> None:
-        """Bind the drivers' calls that one concern takes whole to that concern's methods, where each is
-        described: no line or request pays for a call in between.
+        """Bind each driver call that a single component handles to that component's method, where it is
+        documented. This saves one function call per line and per request.
         """
         self.request_opened = self.request_intake.request_opened
         self.client_disconnected = self.request_intake.client_disconnected
@@ -121,26 +126,26 @@
 
     @property
     def limits(self) -> Limits:
-        """The limits that hold now."""
+        """The limits that are in force."""
         return self.context.limits
 
     @property
     def route_admission(self) -> RouteAdmission | None:
-        """Admission by the operators' routes, where there are any."""
+        """Admission by the operators' routes; None without routes."""
         return self.context.route_admission
 
     @property
     def address_selector(self) -> AddressSelector | None:
-        """The choice between addresses, where endpoints have several."""
+        """The selection among an endpoint's addresses; None while every endpoint has one address."""
         return self.context.address_selector
 
     @property
     def is_draining(self) -> bool:
-        """Whether the relay has begun to shut down."""
+        """Whether graceful shutdown has started."""
         return self.draining.started
 
     def is_ready(self) -> bool:
-        """Whether clients may be sent here."""
+        """Return whether clients can be served: an endpoint is ready, and the relay is not draining."""
         return self.endpoint_list.has_ready_endpoint() and not self.is_draining
 
     def reload(
@@ -151,8 +156,9 @@
         route_admission: RouteAdmission | None = None,
         address_rules: AddressRules | None = None,
     ) -> None:
-        """Apply a new configuration from now on. Requests and timers go on as planned, but with no more
-        attempts than it allows. A `route_admission` that was in use has its new rules already.
+        """Apply a new configuration from now on. Open requests and pending timers continue, but with no more
+        attempts than the new configuration allows. A `route_admission` that was in use before already has its
+        new rules.
         """
         polled_before = self.context.settings.polls_endpoint_list
         self.context.now_us = now_us
@@ -162,20 +168,21 @@
         self.context.limits = limits
         self.answer_delays.configure(settings, limits)
         if polled_before:
-            self.membership_updates.watch_if_pushed()  # if the list is pushed from now on
+            # The new configuration may have switched from a polled list to a pushed one.
+            self.membership_updates.watch_if_pushed()
         if address_rules is not None or self.context.address_selector is not None:
             self.membership_updates.apply_address_rules(address_rules)
         self.balancer.configure(settings)
 
     def advance(self, now_us: int) -> None:
-        """Do all that is due by `now_us`."""
+        """Process every timer that is due by `now_us`."""
         for timer, value, attempt in self.context.timers.pop_due(now_us):
             self.context.now_us = now_us
             if timer is Timer.PLACEMENT:
                 self.dispatcher.dispatch(TimerExpired(value))
             elif (request := self.requests.get(value)) is not None:
                 self._request_timer_due(timer, request, attempt)
-            else:  # of the engine, or of a request that is over
+            else:  # a timer of the engine, or of a request that has ended
                 self._engine_timer_due(timer)
 
     def _request_timer_due(self, timer: Timer, request: RequestState, attempt: int) -> None:
@@ -203,7 +210,7 @@
                 self.membership_updates.watch_timer_expired()
 
     def current_figures(self) -> dict[str, int]:
-        """Return figures of this moment, which the log line of counters has beside them."""
+        """Return figures of the current state, which are logged together with the counters."""
         established = sum(request.established for request in self.requests.values())
         figures = {
             "open": established,
--- a/gannetweir/core/request_intake.py
+++ b/gannetweir/core/request_intake.py
@@ -1,4 +1,4 @@
-"""The intake of requests: duplicates, deadlines, admission; and what a client's disconnect ends."""
+"""Request intake: duplicate detection, deadlines, admission, and the handling of client disconnects."""
 
 from __future__ import annotations
 
@@ -25,19 +25,21 @@
 )
 from gannetweir.placement.settings import RequestClass
 
-if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
+if TYPE_CHECKING:
+    # Imported for type checking only: a relay without an operators' file does not load this code.
     from gannetweir.routing.route_admission import Rejection
 
-# xor: these draws are not those of the balancer, which has the same seed
+# The mask is XORed with the engine's seed. The balancer has the same seed, and the two must not draw the same
+# numbers.
 _RETRY_JITTER_SEED_MASK = 0x7F4A7C15
-# the answer margin is at most a quarter of the client's time: the rest is for attempts
+# The answer margin is at most a quarter of the client's time budget; the rest is left for attempts.
 _ANSWER_MARGIN_DIVISOR = 4
-# the timer for a missing answer falls due an eighth of the margin after the deadline
+# The timer for a missing final answer is due an eighth of the answer margin after the balancer's deadline.
 _FINAL_ANSWER_DELAY_DIVISOR = 8
 
 
 class RequestIntake:
-    """Opens requests at their first lines, and closes them as their clients disconnect."""
+    """Opens requests when their first lines arrive, and closes them when their clients disconnect."""
 
     def __init__(
         self,
@@ -63,10 +65,11 @@
         now_us: int,
         client_request_id: str = "",
     ) -> int:
-        """Open a request, or resume one at the endpoint that holds it, as a client's first line is read.
+        """Open a request after a client's first line was read, or resume one at the endpoint that holds it.
 
-        `resumed_endpoint_id` is empty where nothing is resumed. Returns the new request's id, or 0 where
-        another client has an open request of this id: forwarded, it would be a second copy of that one.
+        `resumed_endpoint_id` is empty for a new request. Returns the new request's id, or 0 if another client
+        has an open request with the same client request id: forwarding the line would create a second copy of
+        that request.
         """
         context = self.context
         context.now_us = now_us
@@ -87,7 +90,7 @@
         return request.request_id
 
     def _classified(self, arrival: RequestArrived, resumed_endpoint_id: EndpointId) -> RequestArrived:
-        """Give the arrival its route's class, and the time that this class leaves it."""
+        """Return the arrival with its route's class, and its time budget limited by the class's timeout."""
         if self.context.route_admission is not None:
             arrival = replace(arrival, class_index=self.context.route_admission.class_index_for(arrival))
         timeout_us = self._class_of(arrival).request_timeout_us
@@ -99,9 +102,9 @@
         return self.context.settings.classes[arrival.class_index]
 
     def _answer_margin_us(self, arrival: RequestArrived) -> int:
-        """Return how long before the client's deadline the balancer's falls, so that what the
-        balancer gives up on is answered in time. In the simulator, too, its deadline is the last moment for
-        an answer.
+        """Return by how much the balancer's deadline precedes the client's, so that a request that the
+        balancer abandons is answered in time. In the simulator, too, the balancer's deadline is the last
+        moment for an answer.
         """
         return min(self.context.limits.answer_margin_us, arrival.time_budget_us // _ANSWER_MARGIN_DIVISOR)
 
@@ -130,8 +133,9 @@
         self.final_answers.send(request, answer, reason)
 
     def _request_placement(self, request: RequestState, arrival: RequestArrived) -> None:
-        """Give the request to the balancer, and set the timer for its final answer a little after its
-        deadline: at that the last attempt times out, and the balancer answers by itself.
+        """Pass the request to the balancer, and set the timer for its final answer shortly after the
+        balancer's deadline. At that deadline the last attempt times out, and the balancer normally answers
+        without the timer.
         """
         context = self.context
         budget_us = request.deadline_us - context.now_us
@@ -140,7 +144,7 @@
         self.dispatcher.dispatch(replace(arrival, request_id=request.request_id, time_budget_us=budget_us))
 
     def _admitted_by_route(self, request: RequestState, arrival: RequestArrived) -> bool:
-        """Ask the route's limits for a permit; without one the request is rejected here."""
+        """Acquire the route's permit and return true, or reject the request and return false."""
         route_admission = self.context.route_admission
         if route_admission is None:
             return True
@@ -166,7 +170,7 @@
         self.final_answers.send(request, answer, Reason.ROUTE_LIMIT)
 
     def client_disconnected(self, request_id: int, reset: bool, now_us: int) -> None:
-        """End the request, or its connection, as its client has ended its side."""
+        """End the request or its connection after the client has closed or reset its side."""
         self.context.now_us = now_us
         request = self.context.requests.get(request_id)
         if request is None:
