--- a/gannetweir/core/answer_delays.py
+++ b/gannetweir/core/answer_delays.py
@@ -1,4 +1,4 @@
-"""Latency of answers on open connections: late ones are reported, and silence ends a connection."""
+"""Latency of answers on open connections. Late answers are reported; a missing answer ends the connection."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 from gannetweir.placement.settings import Settings
 
 _US_PER_MS = 1000
-_DELAY_THRESHOLD_DIVISOR = 3  # an answer is late over a third of the shortest objective, as in the simulator
-_DEFAULT_OBJECTIVE_US = 100_000  # stands for the shortest objective where the settings have none
+# An answer is late after a third of the shortest latency objective, as in the simulator.
+_DELAY_THRESHOLD_DIVISOR = 3
+_DEFAULT_OBJECTIVE_US = 100_000  # used if the settings have no latency objective
 
 
 class AnswerDelays:
     """Pairs the lines that a connection's client sends with the endpoint's answers, in order.
 
-    Two calls are made for each line that passes, so what they need is cached here by `configure`.
+    Two calls are made for each forwarded line, so `configure` caches the values that they need.
     """
 
     def __init__(
@@ -30,24 +31,24 @@
         self.dispatcher = dispatcher
         self.final_answers = final_answers
         self._requests = context.requests
-        self._reported_us: dict[EndpointId, int] = {}  # last report, of endpoints whose answers are late
+        self._reported_us: dict[EndpointId, int] = {}  # time of the last report, while answers are late
         self.configure(context.settings, context.limits)
 
     def configure(self, settings: Settings, limits: Limits) -> None:
-        """Set the settings that hold from now on."""
+        """Cache the values of the settings and limits that apply from now on."""
         objective_us = min(settings.message_latency_objectives_us, default=_DEFAULT_OBJECTIVE_US)
         self._delay_threshold_ms = objective_us / _US_PER_MS / _DELAY_THRESHOLD_DIVISOR
         self._reports_delay = settings.reports_message_delay
         self._max_unanswered = limits.max_unanswered_lines
 
     def client_line_forwarded(self, request_id: int, now_us: int) -> None:
-        """Await the answer to a line of the client's that has been forwarded."""
+        """Record that a forwarded line of the client awaits an answer."""
         request = self._requests.get(request_id)
         if request is not None and len(request.unanswered_since_us) < self._max_unanswered:
             request.unanswered_since_us.append(now_us)
 
     def answer_line_received(self, request_id: int, now_us: int) -> None:
-        """Take a line of the endpoint's for the answer to the oldest line that has none."""
+        """Take a line from the endpoint as the answer to the oldest line that has none."""
         request = self._requests.get(request_id)
         if request is None or not request.unanswered_since_us:
             return
@@ -56,9 +57,9 @@
         self._report_delay(request, delay_us / _US_PER_MS)
 
     def _report_delay(self, request: RequestState, delay_ms: float) -> None:
-        """Report late answers to the balancer, as the simulator does: at most once in
-        `limits.delay_report_interval_us` for an endpoint while they are late, and once more when they are in
-        time again.
+        """Report late answers to the balancer, as the simulator does: for each endpoint at most once per
+        `limits.delay_report_interval_us` while its answers are late, and once more when they are in time
+        again.
         """
         if not self._reports_delay:
             return
@@ -84,7 +85,7 @@
         )
 
     def watchdog_due(self) -> None:
-        """Check the answers that are due: a machine that vanished says nothing, and only they show it."""
+        """Check for overdue answers, the only sign of an endpoint's machine that has vanished."""
         limits = self.context.limits
         self.context.set_timer(limits.watchdog_interval_us, Timer.WATCHDOG)
         awaiting = [
@@ -98,5 +99,6 @@
                 self.context.counters.add("answer_timeouts")
                 self.final_answers.migrate_client(request, AttemptStatus.RESET, Reason.ENDPOINT_SILENT)
             elif waited_us > limits.slow_answer_us:
-                # early enough for the balancer to check the endpoint's health before all answers are lost
+                # This report comes early enough for the balancer to check the endpoint's health before all
+                # answers are lost.
                 self._report_delay(request, waited_us / _US_PER_MS)
--- a/gannetweir/core/attempts.py
+++ b/gannetweir/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of a request at endpoints: which may start, their timeouts, and what their ends say."""
+"""Attempts of requests at endpoints: whether one may start, its timeouts, and the report of its outcome."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
 from gannetweir.placement.actions import StartAttempt
 from gannetweir.placement.events import AttemptEnded, AttemptStatus, EndpointId
 
-if TYPE_CHECKING:  # a relay without several addresses an endpoint does without the code for them
+if TYPE_CHECKING:
+    # Imported for type checking only: a relay whose endpoints have one address each does not load this code.
     from gannetweir.addresses.address import Address
 
 
 class Attempts:
-    """Opens and closes the upstream connections of attempts; a request has at most one in flight."""
+    """Opens and closes the upstream connections of attempts. A request has at most one attempt in flight."""
 
     def __init__(self, context: EngineContext, dispatcher: PlacementDispatcher) -> None:
         self.context = context
         self.dispatcher = dispatcher
 
     def start(self, action: StartAttempt) -> None:
-        """Start the attempt that the balancer asks for; one that may not start ends as `NOT_STARTED`."""
+        """Start the attempt that the balancer requested; one that may not start ends as `NOT_STARTED`."""
         context = self.context
         request = context.requests.get(action.request_id)
         if request is None or request.established:
@@ -46,7 +47,7 @@
         self.open(request, action.endpoint_id, address, timeout_us)
 
     def _may_start(self, request: RequestState, attempt: int, endpoint_id: EndpointId) -> bool:
-        """Check what no attempt may break; the route comes last, as its limits count what they admit."""
+        """Return whether the attempt may start. The route comes last, as its limits count what they admit."""
         return (
             not request.attempt_in_flight
             and attempt < self._max_attempts(request)
@@ -63,7 +64,9 @@
         return route_admission.max_attempts_for(request.request_class, max_attempts)
 
     def _refused_by_route(self, request: RequestState, attempt: int, endpoint_id: EndpointId) -> bool:
-        """Say whether the route's retry budget or limit forbids this attempt; the balancer then gives up."""
+        """Return whether the route's retry budget or a limit forbids this attempt. If so, the balancer makes
+        no further attempt.
+        """
         route_admission = self.context.route_admission
         if route_admission is None or request.admission_permit is None:
             return False
@@ -86,14 +89,14 @@
         return True
 
     def setup_finished(self, request: RequestState) -> None:
-        """Give back the place among its endpoint's set-ups, if the attempt counts as one."""
+        """Release the attempt's slot among the endpoint's connection setups, if it holds one."""
         if request.counts_as_setup:
             request.counts_as_setup = False
             if self.context.route_admission is not None:
                 self.context.route_admission.setup_finished(request.endpoint_id)
 
     def open(self, request: RequestState, endpoint_id: EndpointId, address: str, timeout_us: int) -> None:
-        """Begin the next attempt: open its upstream connection, and set its timeouts."""
+        """Start the next attempt: open its upstream connection, and set its timeouts."""
         context = self.context
         request.begin_attempt(endpoint_id, context.endpoint_list.started_us(endpoint_id), context.now_us)
         selector = context.address_selector
@@ -111,8 +114,9 @@
         context.counters.add("attempts_started")
 
     def _set_timeouts(self, request: RequestState, timeout_us: int) -> None:
-        """A class's own timeout for an attempt counts from the first line's last byte, so it is added here to
-        the time for the connect, and set anew when that byte is out.
+        """Set the timeouts of the attempt. A class's own attempt timeout counts from the last byte of the
+        first line, so the connect timeout is added to it here, and the deadline is set again once that byte
+        was written.
         """
         context = self.context
         connect_us = context.limits.connect_timeout_us
@@ -137,16 +141,16 @@
         load_report: tuple[float, ...] = (),
         address_fault: bool = False,
     ) -> None:
-        """Report to the balancer how an attempt ended; what becomes of its request is the balancer's to say.
+        """Report the outcome of an attempt to the balancer, which decides what happens to the request.
 
-        `address_fault` says that the way to the endpoint failed, and not the endpoint.
+        `address_fault` means that the path to the endpoint failed, not the endpoint.
         """
         self._report_end(request, status, 0, load_report, address_fault)
 
     def request_ended(
         self, request: RequestState, status: AttemptStatus, load_report: tuple[float, ...] = ()
     ) -> None:
-        """Report to the balancer how a request's latest attempt, or its connection, ended for good."""
+        """Report to the balancer that a request's latest attempt, or its connection, has finally ended."""
         self._report_end(request, status, 1, load_report, address_fault=False)
 
     def _report_end(
@@ -178,9 +182,9 @@
         )
 
     def _record_address_outcome(self, request: RequestState, address: Address, status: AttemptStatus) -> bool:
-        """Record what an attempt's end says of its address; return whether the address is at fault."""
+        """Record the outcome of an attempt for its address. Return whether the address is at fault."""
         selector = self.context.address_selector
-        assert selector is not None, "an address is set only where there are several"
+        assert selector is not None, "an attempt has an address only if an endpoint has several"
         request.address = None
         endpoint_id = str(request.endpoint_id)
         if status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET):
@@ -204,7 +208,7 @@
         )
 
     def address_connected(self, request_id: int, attempt: int, address: Address, now_us: int) -> None:
-        """Note that of its endpoint's addresses this one carries the attempt."""
+        """Record which of the endpoint's addresses carries the attempt."""
         self.context.now_us = now_us
         request = self.context.request_with_attempt(request_id, attempt)
         if request is not None:
--- a/gannetweir/core/draining.py
+++ b/gannetweir/core/draining.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: clients are migrated over a time, then the process may exit."""
+"""Graceful shutdown: migrates the clients over a period, then lets the process exit."""
 
 from __future__ import annotations
 
@@ -12,12 +12,11 @@
 
 
 class Draining:
-    """Migrates clients: those of the whole relay as it drains, or of endpoints that operators took offline.
+    """Migrates clients: those of the whole relay when it drains, or of endpoints that operators took offline.
 
-    A drain has these phases, each begun by a timer: admission as before while clients still come
-    (`limits.drain_grace_us`), then no admission and migration of every client
-    (`limits.drain_migration_us`), then the exit, early once no request is left, and at `limits.drain_end_us`
-    in any case.
+    A drain has three phases, each started by a timer: admission continues while clients still arrive
+    (`limits.drain_grace_us`); admission ends and every client is migrated (`limits.drain_migration_us`); the
+    process exits, early if no request is left, and at `limits.drain_end_us` in any case.
     """
 
     def __init__(self, context: EngineContext, final_answers: FinalAnswers) -> None:
@@ -26,8 +25,8 @@
         self.started = False
 
     def start(self, now_us: int, replaced: bool = False) -> None:
-        """Start the drain, once. Where another process admits the new clients already (`replaced`), migration
-        begins at once and has the time of both phases.
+        """Start the drain; further calls have no effect. If another process already admits the new clients
+        (`replaced`), migration starts at once and is spread over the time of both phases.
         """
         if self.started:
             return
@@ -41,7 +40,9 @@
             self.spread_migrations(self._connections_to_migrate(), time_us, Reason.DRAIN)
 
     def stop_admission(self) -> None:
-        """Admit nothing new, as clients are not sent here any more, and migrate every one that is left."""
+        """Stop admitting requests, since clients are no longer sent here, and migrate all remaining
+        clients.
+        """
         self.context.admission_closed = True
         self.spread_migrations(
             self._connections_to_migrate(), self.context.limits.drain_migration_us, Reason.DRAIN
@@ -56,27 +57,29 @@
         ]
 
     def spread_migrations(self, connections: list[RequestState], time_us: int, reason: Reason) -> None:
-        """Spread migrations evenly over a time: all clients at once would be set up at once."""
+        """Spread migrations evenly over a period: if all clients were migrated at once, they would all
+        reconnect at once.
+        """
         step_us = time_us / max(1, len(connections))
         for position, request in enumerate(connections):
             request.migration_reason = reason
             self.context.set_timer(int(step_us * position), Timer.MIGRATE, request.request_id)
 
     def migration_due(self, request: RequestState) -> None:
-        """Migrate one client, its time having come."""
+        """Migrate one client whose migration timer is due."""
         if request.established:
             reason = request.migration_reason or Reason.DRAIN
             self.final_answers.migrate_client(request, AttemptStatus.CANCELLED, reason)
             self._exit_if_empty()
 
     def _exit_if_empty(self) -> None:
-        # after a pause: a client may have been sent here just before the last one left
+        # The exit waits for `linger_us`: a client may have been sent here just before the last one left.
         if self.context.admission_closed and not self.context.requests:
             self.context.set_timer(self.context.limits.linger_us, Timer.EXIT)
 
     def exit(self) -> None:
-        """Migrate or reject all that is left, and command the exit: the drain's time is up."""
-        # with the shortest deadlines this comes before the end of admission
+        """Migrate or reject all remaining requests, and command the exit: the time for the drain is over."""
+        # With the shortest deadlines the exit comes before the end of admission.
         self.context.admission_closed = True
         for request in list(self.context.requests.values()):
             if request.established:
--- a/gannetweir/core/final_answers.py
+++ b/gannetweir/core/final_answers.py
@@ -1,4 +1,4 @@
-"""Final answers of requests: rejected (the client may retry), failed (nothing is promised), or migrated."""
+"""Final answers to requests: rejected (a retry is harmless), failed (nothing is promised), or migrated."""
 
 from __future__ import annotations
 
@@ -13,7 +13,9 @@
 
 
 class FinalAnswers:
-    """Ends requests: the only place that removes one from the engine's records, so each ends once."""
+    """Ends requests. Only this class removes a request from the engine's records, so each request
+    ends once.
+    """
 
     def __init__(self, context: EngineContext, dispatcher: PlacementDispatcher, attempts: Attempts) -> None:
         self.context = context
@@ -21,7 +23,7 @@
         self.attempts = attempts
 
     def send(self, request: RequestState, answer: RejectClient | FailClient, reason: Reason) -> None:
-        """Send the one final answer of a request that is not served."""
+        """Send the only final answer of a request that is not served."""
         self.attempts.close(request)
         self.remove_request(request)
         if isinstance(answer, RejectClient):
@@ -33,8 +35,8 @@
         self.context.commands.append(answer)
 
     def reject(self, request: RequestState, retry_after_us: int, reason: Reason) -> None:
-        """Reject a request, or fail it: once an attempt may have executed, a client may only retry what is
-        idempotent everywhere.
+        """Reject a request, or fail it if a retry is not safe: once an attempt may have executed, the client
+        may only retry a request that is idempotent everywhere.
         """
         may_have_executed = request.may_have_executed or (
             request.attempt_in_flight and request.first_line_written
@@ -45,19 +47,19 @@
             self.send(request, RejectClient(request.request_id, retry_after_us), reason)
 
     def reject_request(self, request_id: int, retry_after_us: int) -> None:
-        """Reject a request for the balancer; too late where it is established or over."""
+        """Reject a request by decision of the balancer; no effect on one that is established or has ended."""
         request = self.context.requests.get(request_id)
         if request is not None and not request.established:
             self.reject(request, retry_after_us, reason_after(request.last_status))
 
     def fail_request(self, request_id: int) -> None:
-        """Fail a request for the balancer; too late where it is established or over."""
+        """Fail a request by decision of the balancer; no effect on one that is established or has ended."""
         request = self.context.requests.get(request_id)
         if request is not None and not request.established:
             self.send(request, FailClient(request_id), reason_after(request.last_status))
 
     def migrate_connection(self, request_id: int) -> None:
-        """Migrate a connection for the balancer; its client may have left since."""
+        """Migrate a connection by decision of the balancer; no effect if its client has disconnected."""
         request = self.context.requests.get(request_id)
         if request is not None and request.established:
             self.migrate_client(request, AttemptStatus.CANCELLED, Reason.PLACEMENT)
@@ -68,13 +70,15 @@
         self.dispatcher.dispatch(ClientDisconnected(request.request_id))
 
     def fail_unanswered(self, request_id: int) -> None:
-        """Fail a request on which the balancer raised, unless an attempt in flight may still serve it."""
+        """Fail a request on which the balancer raised an error, unless an attempt in flight may still serve
+        it.
+        """
         request = self.context.requests.get(request_id)
         if request is not None and not request.established and not request.attempt_in_flight:
             self.fail_and_notify(request, Reason.PLACEMENT_FAULT)
 
     def migrate_client(self, request: RequestState, status: AttemptStatus, reason: Reason) -> None:
-        """Ask the client to come again; it is asked before its upstream connection ends."""
+        """Ask the client to reconnect, and only then end its upstream connection."""
         self.remove_request(request)
         self.context.counters.add("migrated")
         self.context.record_step(request, RequestStep.MIGRATED, reason)
@@ -82,15 +86,16 @@
         self.attempts.request_ended(request, status)
 
     def deadline_passed(self, request: RequestState) -> None:
-        """Fail a request whose final answer is due. The last attempt's timeout came first, and the balancer
-        owed the answer then: it has failed to give one, and no client may be left without.
+        """Fail a request whose final answer is overdue. The last attempt has timed out by now, and the
+        balancer should have answered then. Since it has not, the engine does, so that no client is left
+        without an answer.
         """
         if not request.established:
             self.context.counters.add("overdue")
             self.fail_and_notify(request, Reason.DEADLINE)
 
     def remove_request(self, request: RequestState) -> None:
-        """Remove the record, and give back what it holds of its route's limits."""
+        """Remove the request's record, and release what the request holds of its route's limits."""
         context = self.context
         del context.requests[request.request_id]
         context.request_id_by_client_id.pop(request.client_request_id, None)
--- a/gannetweir/core/resumption.py
+++ b/gannetweir/core/resumption.py
@@ -1,4 +1,4 @@
-"""Resumed connections: open before this relay took them over, and held by one endpoint only."""
+"""Resumed connections: opened before this relay took them over, and held by a single endpoint."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Resumption:
-    """Attempts a resumed connection at the endpoint that holds it, until its deadline."""
+    """Attempts to resume a connection at the endpoint that holds it, until the deadline."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self.final_answers = final_answers
 
     def start(self, request: RequestState, arrival: RequestArrived, endpoint_id: EndpointId) -> None:
-        """Begin the attempt at that endpoint, or answer at once where it is unknown or offline."""
+        """Start an attempt at that endpoint, or answer at once if the endpoint is unknown or offline."""
         address = self.context.endpoint_list.address_of(endpoint_id)
         if not address:
             self.final_answers.send(request, FailClient(request.request_id), Reason.UNKNOWN_ENDPOINT)
@@ -44,10 +44,12 @@
             self._reject_offline(request)
             return
         request.resumed = True
-        if self.context.route_admission is not None:  # it is open already: it counts, but is never rejected
+        # The connection is already open: it counts towards the route's limits but is never rejected by them.
+        if self.context.route_admission is not None:
             request.admission_permit = self.context.route_admission.permit_for(request.request_class)
             self.context.route_admission.resume(request.admission_permit)
-        # its deadline may be an hour away; an endpoint that is silent for so long does not have it any more
+        # The client's deadline may be an hour away. An endpoint that does not answer within this timeout no
+        # longer has the connection.
         request.deadline_us = min(
             request.deadline_us, self.context.now_us + self.context.limits.resumption_timeout_us
         )
@@ -67,7 +69,7 @@
         )
 
     def attempt_failed(self, request: RequestState, status: AttemptStatus) -> None:
-        """Retry at its endpoint while nothing has executed and there is time, or give the final answer."""
+        """Retry at the endpoint if nothing was executed and time remains; otherwise give the final answer."""
         request.end_attempt(status)
         not_executed = status in NOT_EXECUTED
         retry_us = self.context.limits.resumption_retry_us
@@ -81,12 +83,12 @@
         self.attempts.request_ended(request, status)
 
     def _reject_offline(self, request: RequestState) -> None:
-        """The operators bring the endpoint back, so the client may retry."""
+        """Reject the request: the operators will bring the endpoint back online, so the client may retry."""
         rejection = RejectClient(request.request_id, self.context.limits.rejection_retry_after_us)
         self.final_answers.send(request, rejection, Reason.OPERATORS)
 
     def retry(self, request: RequestState) -> None:
-        """Attempt again, the pause after a failed attempt being over."""
+        """Start another attempt after the pause that follows a failed one."""
         if request.attempt_in_flight:
             return
         if self.context.endpoint_list.is_offline(request.endpoint_id):
--- a/gannetweir/core/upstream_events.py
+++ b/gannetweir/core/upstream_events.py
@@ -1,4 +1,4 @@
-"""What drivers report of upstream connections, and what the timeouts of attempts bring."""
+"""Drivers' reports on upstream connections, and the expiry of the timeouts of attempts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
 
 
 class UpstreamEvents:
-    """Follows each attempt from its first line to its end. Reports on an attempt that is over are ignored."""
+    """Follows each attempt from its first line to its end. Reports on attempts that have ended are
+    ignored.
+    """
 
     def __init__(
         self,
@@ -35,7 +37,9 @@
         self.resumption = resumption
 
     def first_line_written(self, request_id: int, attempt: int, now_us: int) -> None:
-        """Note that the first line's last byte is out: the class's timeout for an attempt starts here."""
+        """Record that the last byte of the first line was written. The class's attempt timeout starts
+        here.
+        """
         self.context.now_us = now_us
         request = self.context.request_with_attempt(request_id, attempt)
         if request is None:
@@ -50,7 +54,7 @@
             )
 
     def connect_delayed(self, request_id: int, attempt: int, reason: str, now_us: int) -> None:
-        """Note that the connect could not be started, by an error of this machine; the driver retries it."""
+        """Record that an error of this machine prevented the start of the connect; the driver retries it."""
         self.context.now_us = now_us
         self.context.counters.add("local_errors")
         request = self.context.request_with_attempt(request_id, attempt)
@@ -59,14 +63,16 @@
             self.context.record_step(request, RequestStep.CONNECT_DELAYED, reason)
 
     def connect_started(self, request_id: int, attempt: int, now_us: int) -> None:
-        """Note that the attempt's connect has left this machine."""
+        """Record that the connect was started, so that no local error delays the attempt any more."""
         self.context.now_us = now_us
         request = self.context.request_with_attempt(request_id, attempt)
         if request is not None:
             request.connect_delayed_locally = False
 
     def established(self, request_id: int, attempt: int, now_us: int) -> bool:
-        """Make a connection of the request, as the endpoint serves it. False if that comes too late."""
+        """Establish the connection of a request that its endpoint serves. Return false if the attempt is no
+        longer in flight.
+        """
         context = self.context
         context.now_us = now_us
         request = context.request_with_attempt(request_id, attempt)
@@ -88,7 +94,9 @@
         return True
 
     def _migrate_if_unwanted(self, request: RequestState) -> None:
-        """Migrate a connection at once that came up during a drain, or at an endpoint taken offline since."""
+        """Migrate a connection at once if it was established during a drain, or if its endpoint is now
+        offline.
+        """
         if self.context.admission_closed:
             request.migration_reason = Reason.DRAIN
         elif self.context.endpoint_list.is_offline(request.endpoint_id):
@@ -106,7 +114,7 @@
         reset: bool,
         now_us: int,
     ) -> None:
-        """Take in the end of an upstream connection that nobody here has closed."""
+        """Handle the end of an upstream connection that the relay itself did not close."""
         self.context.now_us = now_us
         request = self.context.request_with_attempt(request_id, attempt)
         if request is None:
@@ -123,12 +131,14 @@
             self.attempts.attempt_ended(request, status, load_report)
 
     def attempt_timeout_due(self, request: RequestState, attempt: int) -> None:
-        """End the attempt if its time is up; it may have been extended since this timer was set."""
+        """End the attempt if its deadline has passed; the deadline may have changed since this timer
+        was set.
+        """
         if self._is_pending(request, attempt) and self.context.now_us >= request.attempt_deadline_us:
             self._attempt_timed_out(request)
 
     def connect_timeout_due(self, request: RequestState, attempt: int) -> None:
-        """End an attempt whose first line is not out by now: its connect has failed."""
+        """End the attempt if its first line is still not written: its connect has failed."""
         if self._is_pending(request, attempt) and not request.first_line_written:
             self._attempt_timed_out(request)
 
@@ -136,15 +146,17 @@
         return request.attempt_in_flight and request.attempt == attempt and not request.established
 
     def _attempt_timed_out(self, request: RequestState) -> None:
-        """Close the attempt before anything else is sent. A local delay is not the endpoint's fault."""
+        """Close the attempt before anything else is sent. A local delay is not counted as the endpoint's
+        fault.
+        """
         if request.first_line_written:
             self._close_failed(request, AttemptStatus.TIMEOUT, address_fault=False)
         else:
             self._close_failed(request, AttemptStatus.CONNECT_FAILED, request.connect_delayed_locally)
 
     def close_unsent(self, is_outdated: Callable[[RequestState], bool], address_fault: bool = False) -> None:
-        """Close the attempts in flight that would still write their first line to an endpoint which is to get
-        nothing new, as `is_outdated` says of each.
+        """Close the attempts in flight whose first line is not yet written, and for which `is_outdated`
+        returns true because their endpoint must not receive new requests.
         """
         unsent = [
             request
@@ -162,7 +174,9 @@
             self.attempts.attempt_ended(request, status, address_fault=address_fault)
 
     def load_reported(self, request_id: int, load: float, now_us: int) -> None:
-        """Pass on an endpoint's report of one connection's load, where the settings ask for such reports."""
+        """Pass an endpoint's load report on one connection to the balancer, if the settings enable such
+        reports.
+        """
         self.context.now_us = now_us
         request = self.context.requests.get(request_id)
         if request is not None and request.established and self.context.settings.reports_connection_load:
