--- a/gannetweir/core/commands.py
+++ b/gannetweir/core/commands.py
@@ -1,7 +1,7 @@
-"""What an engine asks of its drivers: one type a command, carried out in the order in which they were given.
+"""Commands of an engine to its drivers: one type per command, executed in the order of issue.
 
-Times are integer microseconds. Commands with the same fields share a base class, since each dataclass takes
-some tenths of a millisecond of a relay's start. Two commands are equal if their types and fields are.
+Times are integer microseconds. Commands with the same fields share a base class, since each dataclass adds
+some tenths of a millisecond to a relay's start. Two commands are equal if their types and fields are equal.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _RequestCommand:
-    """A command that needs the request alone."""
+    """A command whose only field is the request."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class _EndCommand:
-    """A command that passes on how the other side ended."""
+    """A command that ends one side of a connection in the way in which the other side ended."""
 
     request_id: int
     reset: bool
@@ -29,26 +29,26 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenUpstream:
-    """Open the upstream connection of one attempt; the endpoint is sent how long the relay waits."""
+    """Open the upstream connection of one attempt. The endpoint is sent the relay's timeout."""
 
     request_id: int
     attempt: int
     address: str
     timeout_us: int
     endpoint_id: EndpointId = None
-    races_addresses: bool = False  # it has several, known to `Engine.address_selector`: their connects race
+    races_addresses: bool = False  # race the endpoint's addresses, known to `Engine.address_selector`
 
 
 @dataclass(frozen=True, slots=True)
 class CloseUpstream:
-    """Close the upstream connection of an attempt at once, before anything else is done for its request."""
+    """Close the upstream connection of an attempt at once, before any further step for its request."""
 
     request_id: int
     attempt: int
 
 
 class StartForwarding(_RequestCommand):
-    """Forward the endpoint's answer to the client, and from now on lines both ways."""
+    """Forward the endpoint's answer to the client, and lines in both directions from now on."""
 
     __slots__ = ()
 
@@ -68,26 +68,26 @@
 
 
 class MigrateClient(_RequestCommand):
-    """Ask the client to connect again, then end both sides of its connection."""
+    """Ask the client to reconnect, then end both sides of its connection."""
 
     __slots__ = ()
 
 
 class EndClient(_EndCommand):
-    """End the client's side as the endpoint ended its own: in order, or by a reset."""
+    """End the client's side as the endpoint ended its own: by an orderly close or by a reset."""
 
     __slots__ = ()
 
 
 class EndUpstream(_EndCommand):
-    """End the endpoint's side as the client ended its own: in order, or by a reset."""
+    """End the endpoint's side as the client ended its own: by an orderly close or by a reset."""
 
     __slots__ = ()
 
 
 @dataclass(frozen=True, slots=True)
 class StartLoadProbe:
-    """Ask an endpoint for its load."""
+    """Send a load probe to an endpoint."""
 
     endpoint_id: EndpointId
     address: str
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetEndpointWatch:
-    """Start the watch on the endpoint list after a version of it, or end the watch."""
+    """Start to watch the endpoint list from a version on, or end the watch."""
 
     enabled: bool
     since_version: int
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLogLine:
-    """Write a log line for the engineers on call, with fields that say what it is about."""
+    """Write a log line for the operators on call, with fields that identify its subject."""
 
     text: str
     fields: Mapping[str, object] = field(default_factory=dict)
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exit:
-    """End the process once the last answers are out: the drain is over."""
+    """End the process after the last answers have been sent: the drain is over."""
 
 
 Command = (
--- a/gannetweir/core/load_probes.py
+++ b/gannetweir/core/load_probes.py
@@ -1,4 +1,4 @@
-"""Load probes: questions to endpoints for their load, outside of any request."""
+"""Load probes: queries of endpoints for their load, independent of any request."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class LoadProbes:
-    """At most one probe of an endpoint is in flight, and `limits.max_load_probes` in all."""
+    """Runs at most one probe of an endpoint at a time, and at most `limits.max_load_probes` in total."""
 
     def __init__(self, context: EngineContext, dispatcher: PlacementDispatcher) -> None:
         self.context = context
         self.dispatcher = dispatcher
-        self._started_us: dict[EndpointId, int] = {}  # of each probe in flight
+        self._started_us: dict[EndpointId, int] = {}  # start time of each probe in flight
 
     def start(self, endpoint_id: EndpointId) -> None:
-        """Probe an endpoint. Where that may not start now, the balancer is given the result at once."""
+        """Probe an endpoint. If the probe may not start now, report that result to the balancer at once."""
         address = self.context.endpoint_list.address_of(endpoint_id)
         if not address:
             self._report(endpoint_id, AttemptStatus.CONNECT_FAILED)
         elif not self._may_start(endpoint_id):
             self._report(endpoint_id, AttemptStatus.NOT_STARTED)
-        elif endpoint_id not in self._started_us:  # one in flight answers this question too
+        elif endpoint_id not in self._started_us:  # a probe in flight serves this call as well
             self._started_us[endpoint_id] = self.context.now_us
             self.context.counters.add("load_probes_sent")
             selector = self.context.address_selector
@@ -39,7 +39,7 @@
     def probe_ended(
         self, endpoint_id: EndpointId, status: AttemptStatus, load_report: tuple[float, ...], now_us: int
     ) -> None:
-        """Take in the end of a probe, answered or not, and pass it on to the balancer."""
+        """Record the end of a probe, answered or not, and report its result to the balancer."""
         self.context.now_us = now_us
         elapsed_us = now_us - self._started_us.pop(endpoint_id, now_us)
         self.context.counters.add("load_probes", status)
--- a/gannetweir/core/membership_updates.py
+++ b/gannetweir/core/membership_updates.py
@@ -1,4 +1,4 @@
-"""Membership in the engine: updates of the endpoint list, the watch for it, and the addresses it lists."""
+"""Membership in the engine: updates of the endpoint list, the watch on it, and the endpoints' addresses."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 from gannetweir.membership.membership_update import MembershipUpdate
 from gannetweir.placement.events import EndpointId, EndpointListUpdate, EndpointStatus, UpdateKind
 
-if TYPE_CHECKING:  # loaded only where an endpoint has several addresses
+if TYPE_CHECKING:
+    # Loaded at run time only if an endpoint has several addresses.
     from gannetweir.addresses.rules import AddressRules
 
 
 class MembershipUpdates:
     """Applies membership updates to the endpoint list, and notifies the balancer of them.
 
-    Owns the watch's count of failures; the endpoint list and the address selector belong to the context.
+    Owns the count of failed watches; the endpoint list and the address selector belong to the context.
     """
 
     def __init__(
@@ -30,22 +31,22 @@
         upstream_events: UpstreamEvents,
         seed: int,
     ) -> None:
-        """`seed`: for the address selector's random numbers."""
+        """`seed` is for the address selector's random numbers."""
         self.context = context
         self.dispatcher = dispatcher
         self.upstream_events = upstream_events
         self.seed = seed
-        self.consecutive_watch_failures = 0  # counted only where discovery pushes the list
+        self.consecutive_watch_failures = 0  # counted only if discovery pushes the list
 
     def update_received(self, update: MembershipUpdate, now_us: int) -> None:
-        """Discovery, or the control plane, has sent an update."""
+        """Apply an update that discovery or the control plane sent."""
         self.context.now_us = now_us
         self.context.counters.add("membership_updates")
         self.consecutive_watch_failures = 0
         self.apply(UpdateKind.SNAPSHOT if update.complete else UpdateKind.DELTA, update)
 
     def apply(self, kind: UpdateKind, update: MembershipUpdate) -> None:
-        """Apply an update, notify the balancer, and close the attempts that must not be sent any more."""
+        """Apply an update, notify the balancer, and close the attempts that must no longer be sent."""
         effective_entries = self.context.endpoint_list.apply(
             update,
             self.context.now_us,
@@ -57,13 +58,15 @@
         elif any(listed.additional_addresses for listed in update.endpoints):
             self.apply_address_rules(None)
         self.dispatcher.dispatch(EndpointListUpdate(kind, update.version, effective_entries))
-        # A connect may outlast the grace period of a drain. One that is established late could reach a new
-        # start of the endpoint with what was meant for the warmed-up one before it. The path is at fault, not
-        # the endpoint.
+        # A connect may take longer than the grace period of a drain. If it succeeds late, it could reach a
+        # new incarnation of the endpoint with a request that was meant for the warmed-up one before. The path
+        # is at fault, not the endpoint.
         self.upstream_events.close_unsent(self._targets_stale_endpoint, address_fault=True)
 
     def _targets_stale_endpoint(self, request: RequestState) -> bool:
-        """Whether the attempt goes to an endpoint that is no longer ready, or to an earlier start of it."""
+        """Return whether the attempt goes to an endpoint that is no longer ready, or to an earlier
+        incarnation.
+        """
         endpoint_list = self.context.endpoint_list
         if request.resumed:
             return False
@@ -73,9 +76,9 @@
         )
 
     def watch_failed(self, reason: str, now_us: int) -> None:
-        """A watch has ended or could not be opened: the last known list stays in force. A pushed list is
-        watched again, at once after the first failure and then after a pause; a polled one is the balancer's
-        to poll again.
+        """Handle a watch that has ended or could not be opened; the last known list stays in force. A pushed
+        list is watched again, at once after the first failure and after a pause from then on. A polled list
+        is polled again when the balancer decides.
         """
         self.context.now_us = now_us
         self.context.counters.add("endpoint_watch_failures")
@@ -88,35 +91,35 @@
         self.consecutive_watch_failures += 1
 
     def _report_failed_poll(self) -> None:
-        """Notify the balancer, which decides when the list is polled again."""
+        """Notify the balancer, which decides when to poll the list again."""
         self.dispatcher.dispatch(
             EndpointListUpdate(UpdateKind.FAILED, self.context.endpoint_list.version, [])
         )
 
     def watch_timer_expired(self) -> None:
-        """The pause before the next watch is over."""
-        if self.context.settings.polls_endpoint_list:  # since a reload: now the balancer decides
+        """Open the watch again after the pause, or leave the list to the balancer if it is polled by now."""
+        if self.context.settings.polls_endpoint_list:  # a reload has enabled polling
             self._report_failed_poll()
         else:
             self.watch_if_pushed()
 
     def set_watch(self, enabled: bool) -> None:
-        """Command the driver to open a watch, or to close it."""
+        """Command the driver to open or close the watch."""
         self.context.commands.append(SetEndpointWatch(enabled, self.context.endpoint_list.version))
 
     def watch_if_pushed(self) -> None:
-        """Open the watch where discovery pushes the list. There a change counts as known to the relay from
-        its first moment on, watched or not. So the balancer is not asked: the watch is opened at once, and
-        again whenever it has ended.
+        """Open the watch if discovery pushes the list. In that mode a change counts as known to the relay as
+        soon as it happens, watched or not, so the watch does not depend on the balancer: it is opened at
+        once, and again whenever it has ended.
         """
         if not self.context.settings.polls_endpoint_list:
             self.set_watch(True)
 
     def apply_address_rules(self, rules: AddressRules | None) -> None:
-        """Select among the endpoints' addresses by these rules from now on; without any rules, among those
-        that discovery lists.
+        """Select among the endpoints' addresses by these rules from now on; without rules, among the
+        addresses that discovery lists.
         """
-        # Imported only here: a relay without several addresses an endpoint starts without this code.
+        # Imported only here: a relay whose endpoints have one address each starts without this code.
         from gannetweir.addresses.address_selector import AddressSelector
         from gannetweir.addresses.rules import AddressRules
 
@@ -131,7 +134,9 @@
             self._update_addresses(endpoint_id)
 
     def _update_listed_addresses(self, update: MembershipUpdate) -> None:
-        """Update the address selector: after a snapshot for all endpoints, as it removes those it lacks."""
+        """Update the address selector for the endpoints of a delta, or for all endpoints after a snapshot,
+        since a snapshot removes the endpoints that it lacks.
+        """
         if update.complete:
             for endpoint_id in self.context.endpoint_list.entries:
                 self._update_addresses(endpoint_id)
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -1,4 +1,4 @@
-"""The operators' overrides in the engine: endpoints that they take offline or bring back online."""
+"""The operators' overrides in the engine: endpoints that operators take offline or bring back online."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 class OverrideUpdates:
     """Applies the operators' overrides to the endpoint list, to attempts and to established connections.
 
-    Owns nothing: the overrides in force are the endpoint list's.
+    Has no state of its own: the endpoint list owns the overrides in force.
     """
 
     def __init__(
@@ -30,14 +30,16 @@
         self.draining = draining
 
     def apply(self, overrides: OperatorOverrides, now_us: int) -> None:
-        """Apply overrides: from now on nothing is sent to an endpoint that is offline, and the clients of one
-        that has just been taken offline are migrated, spread over a time that ends before it is restarted.
+        """Apply overrides. From now on nothing is sent to an offline endpoint. The clients of an endpoint
+        that has just been taken offline are migrated, spread over a period that ends before the endpoint is
+        restarted.
         """
         self.context.now_us = now_us
         endpoint_list = self.context.endpoint_list
         newly_offline = endpoint_list.overrides.newly_offline(overrides)
         self.context.counters.add("override_changes")
-        # As a cached list: the balancer would take a snapshot or a delta for the answer to its watch.
+        # The update is sent as a cached list, because the balancer would take a snapshot or a delta for the
+        # answer to its watch.
         effective_entries = endpoint_list.apply_overrides(overrides, now_us)
         self.dispatcher.dispatch(
             EndpointListUpdate(UpdateKind.CACHED, endpoint_list.version, effective_entries)
--- a/gannetweir/core/placement_actions.py
+++ b/gannetweir/core/placement_actions.py
@@ -1,4 +1,4 @@
-"""What each action of the balancer means to the engine."""
+"""Maps the balancer's actions to the components of the engine."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class PlacementActions:
-    """The dispatcher's `ActionHandler`: gives each action to the concern that it is for."""
+    """The dispatcher's `ActionHandler`: passes each action to the component that executes it."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         self.membership_updates = membership_updates
 
     def carry_out(self, action: Action) -> None:
-        """Carry out one action of the balancer's."""
+        """Execute one action of the balancer."""
         match action:
             case SetTimer():
                 self.context.set_timer(action.after_us, Timer.PLACEMENT, action.token)
@@ -59,5 +59,5 @@
                 self.context.log(action.text)
 
     def placement_failed(self, request_id: int) -> None:
-        """Answer the request that the balancer raised on: no client may be left without an answer."""
+        """Answer the request on which the balancer raised an error: no client may be left unanswered."""
         self.final_answers.fail_unanswered(request_id)
--- a/gannetweir/core/placement_dispatcher.py
+++ b/gannetweir/core/placement_dispatcher.py
@@ -1,4 +1,4 @@
-"""Runs the balancer: one event at a time, its actions carried out in their order."""
+"""Runs the balancer: one event at a time, and its actions in order."""
 
 from __future__ import annotations
 
@@ -13,32 +13,36 @@
 
 
 class ActionHandler(Protocol):
-    """Who carries out what the balancer answers with."""
+    """Executes the actions that the balancer returns."""
 
     def carry_out(self, action: Action) -> None:
-        """Carry out one action; events that it leads to are dispatched after the actions before it."""
+        """Execute one action. Resulting events are dispatched after all actions of the current event."""
 
     def placement_failed(self, request_id: int) -> None:
-        """The balancer raised on an event of this request, 0 for none."""
+        """Handle an error of the balancer on an event of this request; 0 for an event without a request."""
 
 
 class PlacementDispatcher:
-    """Owns the queue of events for the balancer. Nothing else calls the balancer's `handle`."""
+    """Owns the queue of events for the balancer. Only the dispatcher calls the balancer's `handle`."""
 
     def __init__(self, context: EngineContext, balancer: Balancer, trace: PlacementTrace | None) -> None:
         self.context = context
         self.balancer = balancer
-        self.trace = trace  # called with every event and its actions, where a trace is asked for
+        self.trace = trace  # called with each event and its actions; None: no trace
         self._events: deque[Event] = deque()
         self._dispatching = False
         self._handler: ActionHandler
 
     def connect(self, handler: ActionHandler) -> None:
-        """Set who carries out the actions: once, before the first event, as it needs this object itself."""
+        """Set the handler of the actions. Called once, before the first event; the handler needs this
+        dispatcher, so it is not a parameter of the constructor.
+        """
         self._handler = handler
 
     def dispatch(self, event: Event) -> None:
-        """Give the balancer an event. One that its actions lead to waits until all of them are done."""
+        """Pass an event to the balancer. An event that results from the balancer's actions is queued until
+        all of these actions are done.
+        """
         self._events.append(event)
         if self._dispatching:
             return
@@ -53,7 +57,7 @@
         now_us = self.context.now_us
         try:
             actions = self.balancer.handle(event, now_us)
-        except Exception as error:  # noqa: BLE001 - guarded edge: one event ends no connection
+        except Exception as error:  # noqa: BLE001 - an error on one event must end no connection
             self._report_fault(event, error)
             return
         if self.trace is not None:
@@ -66,6 +70,7 @@
         kind = type(event).__name__
         self.context.log(f"placement failed on {kind}: {type(error).__name__}: {error}")
         if isinstance(event, TimerExpired):
-            # the balancer sets its next timer while it handles this one: its upkeep must not end here
+            # The balancer sets its next timer while it handles this one. Without a new timer its periodic
+            # work would stop.
             self.context.set_timer(self.context.limits.placement_timer_retry_us, Timer.PLACEMENT, event.token)
         self._handler.placement_failed(getattr(event, "request_id", 0))
--- a/gannetweir/core/timers.py
+++ b/gannetweir/core/timers.py
@@ -1,4 +1,4 @@
-"""The timers of one engine, and what each is for."""
+"""The timers of one engine, and their purposes."""
 
 from __future__ import annotations
 
@@ -8,51 +8,54 @@
 
 
 class Timer(IntEnum):
-    """What a timer is for."""
+    """The purpose of a timer."""
 
-    PLACEMENT = 1  # the balancer has set it
+    PLACEMENT = 1  # set by the balancer
     ATTEMPT_TIMEOUT = 2
-    CONNECT_TIMEOUT = 3  # an attempt whose first line is not out by now has failed to connect
+    CONNECT_TIMEOUT = 3  # an attempt whose first line is not written by now has failed to connect
     FINAL_ANSWER = 4  # the final answer is overdue
-    RESUMPTION_RETRY = 5  # attempt a resumed connection again at its endpoint
-    WATCHDOG = 6  # check the answers that are due
-    MIGRATE = 7  # migrate this client
+    RESUMPTION_RETRY = 5  # retry the resumption of a connection at its endpoint
+    WATCHDOG = 6  # check for overdue answers on connections
+    MIGRATE = 7  # migrate the client of this request
     ADMISSION_END = 8  # a drain ends admission
     EXIT = 9
     ENDPOINT_WATCH = 10  # open the watch on a pushed endpoint list again
 
 
-_ATTEMPT_BITS = 16  # of a timer's value; attempts of one request are few
+# The lowest bits of a timer's value hold the attempt number; a request has only a few attempts.
+_ATTEMPT_BITS = 16
 _ATTEMPT_MASK = (1 << _ATTEMPT_BITS) - 1
 
 
 class TimerQueue:
-    """Timers in the order in which they fall due, and among equals in the order in which they were added.
+    """Timers ordered by due time, and for equal due times by the order in which they were added.
 
-    There are several for each request, so an entry is a plain tuple with one integer for its request and
-    attempt.
+    Each request has several timers, so an entry is a plain tuple in which one integer holds the request and
+    the attempt.
     """
 
     def __init__(self) -> None:
-        self._heap: list[tuple[int, int, Timer, int]] = []  # due time, order of adding, kind, value
+        self._heap: list[tuple[int, int, Timer, int]] = []  # due time, sequence number, kind, value
         self._added_count = 0
 
     def add(self, due_us: int, timer: Timer, value: int, attempt: int) -> None:
-        """Add a timer. `value` is the balancer's token, or the id of a request."""
+        """Add a timer. `value` is the balancer's token, or a request id."""
         self._added_count += 1
         if timer is not Timer.PLACEMENT:
             value = value << _ATTEMPT_BITS | attempt
         heapq.heappush(self._heap, (due_us, self._added_count, timer, value))
 
     def next_due(self) -> int:
-        """Return when the earliest timer falls due, in microseconds.
+        """Return the due time of the earliest timer, in microseconds.
 
-        Raises IndexError where there is none.
+        Raises IndexError if there is no timer.
         """
         return self._heap[0][0]
 
     def pop_due(self, now_us: int) -> Iterator[tuple[Timer, int, int]]:
-        """Remove and yield all timers that are due, also those added meanwhile: kind, value and attempt."""
+        """Remove and yield each timer that is due, including timers added during the iteration, as kind,
+        value and attempt.
+        """
         heap = self._heap
         while heap and heap[0][0] <= now_us:
             _, _, timer, value = heapq.heappop(heap)
