--- a/gannetweir/core/reasons.py
+++ b/gannetweir/core/reasons.py
@@ -1,4 +1,4 @@
-"""Why a request was rejected, failed, retried, migrated or closed: one word each, counted and logged."""
+"""Reasons why a request was rejected, failed, retried, migrated or closed, as they are counted and logged."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 
 
 class Reason(StrEnum):
-    """The cause of an end, a retry or a rejection. The values stand in names of counters and in log lines."""
+    """The cause of an end, a retry or a rejection. Names of counters and log lines use the values."""
 
-    PLACEMENT = "decision"  # the balancer, before any attempt was made
-    AFTER_ERROR = "after_error"  # the balancer, as the latest attempt ended so
+    PLACEMENT = "decision"  # the balancer's decision, before any attempt
+    # The balancer's decision after an attempt with this outcome; the next five likewise.
+    AFTER_ERROR = "after_error"
     AFTER_FULL = "after_full"
     AFTER_TIMEOUT = "after_timeout"
     AFTER_CONNECT_FAILED = "after_connect_failed"
     AFTER_RESET = "after_reset"
     AFTER_NOT_STARTED = "after_not_started"
-    ADMISSION_CLOSED = "relay_closing"  # nothing new is admitted before the exit
-    DRAIN = "drain"  # this relay shuts down
-    DRAIN_TIME_OVER = "drain_over"  # the time for that is up
-    TOO_MANY_REQUESTS = "too_many"  # requests and connections of this relay
+    ADMISSION_CLOSED = "relay_closing"  # the relay admits no more requests before it exits
+    DRAIN = "drain"  # this relay is shutting down
+    DRAIN_TIME_OVER = "drain_over"  # the time for the drain is over
+    TOO_MANY_REQUESTS = "too_many"  # the limit on this relay's requests and connections is reached
     ROUTE_LIMIT = "route_limit"
     OPERATORS = "operators"  # the operators took the endpoint offline
     UNKNOWN_ENDPOINT = "unknown_backend"
-    DEADLINE = "deadline"  # the balancer left it unanswered to the end
-    PLACEMENT_FAULT = "placement_fault"  # the balancer raised
+    DEADLINE = "deadline"  # the balancer gave no answer until the deadline
+    PLACEMENT_FAULT = "placement_fault"  # the balancer raised an error
     ENDPOINT_SILENT = "backend_silent"
     ENDPOINT_ENDED = "backend_ended"
     ENDPOINT_RESET = "backend_reset"
@@ -44,7 +45,7 @@
 
 
 def reason_after(status: AttemptStatus | None) -> Reason:
-    """Return why the balancer acts: how the attempt before ended, or its own decision before any (`None`)."""
+    """Return the reason for the balancer's decision after an attempt with this outcome; None: no attempt."""
     if status is None:
         return Reason.PLACEMENT
     return _REASON_AFTER.get(status, Reason.PLACEMENT)
--- a/gannetweir/core/request_log.py
+++ b/gannetweir/core/request_log.py
@@ -1,7 +1,7 @@
-"""What happened to each request, in order: a bounded record in memory, and counts by reason.
+"""The steps of each request in order: a bounded record in memory, and counters by reason.
 
-The record answers "what happened to request X" after an invariant was violated, without a line for every
-request on standard error. `serve --trace` writes every event.
+The record shows the history of a request after an invariant violation, without a log line for every request.
+`serve --trace` writes every event.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from gannetweir.observability.counters import OUTCOME_NAMES, Counters
 from gannetweir.placement.events import AttemptStatus, EndpointId
 
-MAX_EVENTS = 2048  # events: 0.7 MB, measured with ids of 32 characters
+MAX_EVENTS = 2048  # 0.7 MB with ids of 32 characters
 
 
 class RequestStep(StrEnum):
-    """A change of a request's state. The values stand in traces, and in names of counters."""
+    """A change of a request's state. The values are used in traces and in names of counters."""
 
     OPENED = "opened"
     ATTEMPT = "attempt"
     RETRIED = "retried"
-    CONNECT_DELAYED = "connect_delayed"  # its connect could not be started: an error of this machine
+    CONNECT_DELAYED = "connect_delayed"  # an error of this machine prevented the start of the connect
     WRITTEN = "written"
     ATTEMPT_ENDED = "attempt_ended"
     SERVED = "served"
@@ -46,11 +46,11 @@
 
 
 class RequestEvent(NamedTuple):
-    """One step of one request. `at_us` is on the engine's clock."""
+    """A step of a request. `at_us` is the time on the engine's clock."""
 
     at_us: int
     request_id: int
-    client_request_id: str  # the id that the client gave it
+    client_request_id: str  # the request id that the client sent
     step: RequestStep
     attempt: int
     endpoint_id: EndpointId
@@ -63,7 +63,7 @@
 
 
 class RequestLog:
-    """The latest events of all requests. `request_trace` is given every event as it happens."""
+    """The latest events of all requests. `request_trace` is called with every event as it occurs."""
 
     def __init__(
         self, counters: Counters, request_trace: Callable[[RequestEvent], None] | None = None
@@ -82,7 +82,7 @@
         endpoint_id: EndpointId = None,
         reason: Reason | str = "",
     ) -> None:
-        """Record one step; retries, rejections, migrations and ends are counted by their reason."""
+        """Record one step. Retries, rejections, failures, migrations and ends are also counted by reason."""
         event = RequestEvent(at_us, request_id, client_request_id, step, attempt, endpoint_id, reason)
         self.events.append(event)
         if step in _COUNTED:
@@ -91,10 +91,10 @@
             self.request_trace(event)
 
     def history(self, request_id: int) -> list[RequestEvent]:
-        """Return what is still remembered of one request, oldest first."""
+        """Return the recorded steps of one request, oldest first."""
         return [event for event in self.events if event.request_id == request_id]
 
 
 def outcome_name(status: AttemptStatus) -> str:
-    """Return the name of an attempt's outcome, as counters have it."""
+    """Return the name of an attempt's outcome, as used in counters."""
     return OUTCOME_NAMES.get(status, str(status))
