--- a/gannetweir/membership/endpoint_list.py
+++ b/gannetweir/membership/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list: what discovery reports about each endpoint, with the operators' overrides applied to it.
+"""The endpoint list: each endpoint as discovery reports it, with the operators' overrides applied.
 
-The list is the only owner of this state. It does no I/O and reads no clock: parsed updates and the time are
-passed in, and what the balancer has to be notified of is returned.
+The list is the only owner of this state. It performs no I/O and reads no clock: callers pass in parsed
+updates and the time, and receive the entries of which the balancer has to be notified.
 """
 
 from __future__ import annotations
@@ -15,8 +15,9 @@
 
 
 def _without_stale_readiness(known: EndpointEntry | None, listed: ListedEndpoint) -> ListedEndpoint:
-    """An endpoint of a stale update. Such an update may drain or remove an endpoint, but it does not make one
-    ready that was already reported as draining or removed, unless the endpoint has started anew since.
+    """Return an endpoint of a stale update as it may be applied. A stale update may drain or remove an
+    endpoint, but it must not make an endpoint ready that was already reported as draining or removed, unless
+    the endpoint has restarted since.
     """
     reported = listed.entry
     if known is None or known.state == EndpointStatus.READY:
@@ -27,24 +28,27 @@
 
 
 class EndpointList:
-    """Every endpoint that discovery has ever listed; removed ones stay, with the state REMOVED."""
+    """Every endpoint that discovery has ever listed. Removed endpoints stay, with the state REMOVED."""
 
     def __init__(self, overrides: OperatorOverrides | None = None, wall_offset_us: int | None = None) -> None:
         """`wall_offset_us`: see `StartTimes`."""
         self.version = 0
         self.overrides = overrides or OperatorOverrides()
         self.addresses: dict[EndpointId, str] = {}
-        self.additional_addresses: dict[EndpointId, tuple[str, ...]] = {}  # only of endpoints that have any
-        self.entries: dict[EndpointId, EndpointEntry] = {}  # as discovery reports them, overrides not applied
+        self.additional_addresses: dict[EndpointId, tuple[str, ...]] = {}  # only endpoints that have any
+        self.entries: dict[EndpointId, EndpointEntry] = {}  # as discovery reports them, without the overrides
         self.start_times = StartTimes(wall_offset_us)
-        self._has_discovery_report = False  # what the process was started with does not count as one
+        # The list that the process was started with does not count as a report.
+        self._has_discovery_report = False
 
     def apply(
         self, update: MembershipUpdate, now_us: int, from_cache: bool = False, slow_start_window_us: int = 0
     ) -> list[EndpointEntry]:
         """Apply an update, and return its entries as the balancer has to see them. An endpoint that is listed
-        without an address keeps the one it had. `from_cache`: the update is the list that the process was
-        started with, which may be old. `slow_start_window_us`: the settings' value.
+        without an address keeps its previous one.
+
+        `from_cache`: the update is the list that the process was started with, which may be old.
+        `slow_start_window_us`: the value from the settings.
         """
         is_first = not self._has_discovery_report
         if not from_cache:
@@ -68,7 +72,7 @@
         return [self._effective_entry(entry, now_us) for entry in entries]
 
     def _remove_unlisted(self, listed_endpoints: list[ListedEndpoint]) -> None:
-        """Mark the endpoints that a snapshot lacks as removed."""
+        """Mark the endpoints that are missing in a snapshot as removed."""
         listed_ids = {listed.entry.endpoint_id for listed in listed_endpoints}
         unlisted_ids = [endpoint_id for endpoint_id in self.entries if endpoint_id not in listed_ids]
         for endpoint_id in unlisted_ids:
@@ -92,9 +96,10 @@
         ]
 
     def _effective_entry(self, entry: EndpointEntry, now_us: int) -> EndpointEntry:
-        """The entry as the balancer sees it: with its start on this process's clock, and draining while it is
-        offline. An endpoint that is back online counts as started no earlier than the operator's call: it was
-        restarted while it was offline, and discovery may not have reported that yet.
+        """Return the entry as the balancer sees it: with its start on this process's monotonic clock, and
+        draining while the endpoint is offline. An endpoint that is back online counts as started no earlier
+        than the operator's call, because it was restarted while it was offline, and discovery may not have
+        reported the restart yet.
         """
         started_us = self.start_times.started_us(entry)
         if entry.endpoint_id in self.overrides.offline and entry.state == EndpointStatus.READY:
@@ -106,29 +111,31 @@
         return entry if started_us == entry.started_us else replace(entry, started_us=started_us)
 
     def was_listed(self, endpoint_id: EndpointId) -> bool:
-        """Whether discovery has ever listed the endpoint."""
+        """Return whether discovery has ever listed the endpoint."""
         return endpoint_id in self.entries
 
     def address_of(self, endpoint_id: EndpointId) -> str:
-        """The address to connect to; empty for an endpoint without one, to which nothing may be sent."""
+        """Return the address to connect to; empty for an endpoint without one, to which nothing may
+        be sent.
+        """
         return self.addresses.get(endpoint_id, "")
 
     def is_offline(self, endpoint_id: EndpointId) -> bool:
-        """Whether the operators have taken the endpoint offline."""
+        """Return whether the operators have taken the endpoint offline."""
         return endpoint_id in self.overrides.offline
 
     def accepts_requests(self, endpoint_id: EndpointId) -> bool:
-        """Whether a new request may be sent to the endpoint: it is ready, and not offline."""
+        """Return whether new requests may be sent to the endpoint: it is ready, and not offline."""
         entry = self.entries.get(endpoint_id)
         if entry is None or entry.state != EndpointStatus.READY:
             return False
         return endpoint_id not in self.overrides.offline
 
     def started_us(self, endpoint_id: EndpointId) -> int:
-        """The endpoint's last start on discovery's clock, in microseconds; 0 if none was reported."""
+        """Return the endpoint's last start on discovery's clock, in microseconds; 0 if none was reported."""
         entry = self.entries.get(endpoint_id)
         return entry.started_us if entry is not None else 0
 
     def has_ready_endpoint(self) -> bool:
-        """Whether any endpoint accepts requests."""
+        """Return whether any endpoint accepts requests."""
         return any(map(self.accepts_requests, self.entries))
--- a/gannetweir/membership/membership_update.py
+++ b/gannetweir/membership/membership_update.py
@@ -1,4 +1,4 @@
-"""What one message of discovery, or of the control plane, reports about endpoints."""
+"""A membership update: what one message of discovery, or of the control plane, reports about endpoints."""
 
 from __future__ import annotations
 
@@ -9,18 +9,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One endpoint of an update: its entry for the balancer, and its addresses for this relay alone."""
+    """An endpoint of an update: its entry for the balancer, and its addresses, which the balancer does not
+    see.
+    """
 
     entry: EndpointEntry
-    address: str  # empty: the update names none, and the address known before stays in use
-    additional_addresses: tuple[str, ...] = ()  # only where an installation's discovery lists several
+    address: str  # empty if the update has none; the previous address then stays in use
+    additional_addresses: tuple[str, ...] = ()  # empty unless discovery lists several
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipUpdate:
-    """A snapshot of the endpoint list, or a delta to it, at a version that discovery has counted."""
+    """A snapshot of the endpoint list, or a delta to it, with the version that discovery assigned."""
 
     version: int
-    complete: bool  # a snapshot: endpoints that it lacks are removed
+    complete: bool  # true for a snapshot, which removes the endpoints that it lacks
     endpoints: list[ListedEndpoint] = field(default_factory=list)
-    is_stale: bool = False  # its version is older than one that was applied: it must not undo a drain
+    is_stale: bool = False  # the version is older than one already applied, so it must not undo a drain
--- a/gannetweir/membership/operator_overrides.py
+++ b/gannetweir/membership/operator_overrides.py
@@ -1,4 +1,4 @@
-"""The operators' overrides: which endpoints they have taken offline, and when others came back."""
+"""The operators' overrides: which endpoints are offline, and when others were brought back online."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorOverrides:
-    """The state of all overrides; a value, replaced as a whole by each call of an operator."""
+    """The state of all overrides. Instances are immutable; each call of an operator replaces the instance."""
 
     offline: frozenset[EndpointId] = frozenset()
-    online_since: Mapping[str, int] = field(
-        default_factory=dict
-    )  # monotonic time in microseconds, by endpoint
+    # Monotonic times in microseconds, by endpoint.
+    online_since: Mapping[str, int] = field(default_factory=dict)
 
     def newly_offline(self, later: OperatorOverrides) -> set[EndpointId]:
-        """Endpoints taken offline between this state and a later one, those back online since included."""
+        """Return the endpoints that were taken offline between this state and a later one, including those
+        that are back online by then.
+        """
         brought_back = {
             endpoint_id
             for endpoint_id, online_us in later.online_since.items()
@@ -27,8 +28,9 @@
         return (set(later.offline) | brought_back) - self.offline
 
     def with_override(self, endpoint_id: str, offline: bool, now_us: int) -> OperatorOverrides:
-        """The state after one more call. A call that asks for the present state returns this same value: a
-        second call online would restart the slow start of an endpoint that has warmed up since the first.
+        """Return the state after one more call. A call that requests the current state returns the same
+        instance: a second online call would restart the slow start of an endpoint that has warmed up since
+        the first.
         """
         if offline == (endpoint_id in self.offline):
             return self
