--- a/gannetweir/process_handover/__init__.py
+++ b/gannetweir/process_handover/__init__.py
@@ -1,1 +1,1 @@
-"""What two processes of one relay share during an upgrade, as files in a folder of this machine."""
+"""State that two processes of one relay share during an upgrade, as files in a local folder."""
--- a/gannetweir/process_handover/override_file.py
+++ b/gannetweir/process_handover/override_file.py
@@ -1,7 +1,7 @@
-"""The operators' overrides on disk: one file for all processes of a relay, and for those to come.
+"""The operators' overrides on disk: one file for all current and future processes of a relay.
 
-The file is JSON: `{"out":[ID,...],"back":{ID:MICROSECONDS,...}}`, the endpoints that are offline, and when
-others came back online by the machine's monotonic clock.
+The file is JSON, `{"out":[ID,...],"back":{ID:MICROSECONDS,...}}`: the endpoints that are offline, and the
+times on the machine's monotonic clock at which others were brought back online.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from gannetweir.errors import GannetweirError
 from gannetweir.membership.operator_overrides import OperatorOverrides
 
-# The lock is held for the length of one small write. A stopped process may hold it for good, and must not
-# stop this one: so it is waited for 20 ms at most.
+# The lock is held for the duration of one small write. A stopped process may hold it indefinitely and must
+# not block this one, so this process waits for at most 20 ms.
 LOCK_ATTEMPTS = 20
 LOCK_RETRY_S = 0.001
 
 
 class OverrideLockTimeoutError(GannetweirError, BlockingIOError):
-    """Another process has held the lock of the overrides' file for longer than this one waits."""
+    """Another process has held the lock of the override file for longer than this process waits."""
 
     def __init__(self, lock_file: Path) -> None:
         super().__init__(errno.EAGAIN, os.strerror(errno.EAGAIN), str(lock_file))
@@ -34,29 +34,29 @@
 
 
 class MalformedOverrideFileError(GannetweirError, ValueError):
-    """The overrides' file has a content that no process of this program writes."""
+    """The override file has a content that no process of this program writes."""
 
     def __init__(self, reason: str) -> None:
-        super().__init__(f"malformed file of overrides: {reason}")
+        super().__init__(f"malformed override file: {reason}")
         self.reason = reason
 
 
 class OverrideFile:
-    """Reads and writes the file. Owns the overrides as this process has last read them."""
+    """Reads and writes the file. Owns the overrides as last read by this process."""
 
     def __init__(self, folder: Path, stem: str) -> None:
-        """`stem`: of the names of this relay's files."""
+        """`stem` is the common stem of this relay's file names."""
         self.overrides = OperatorOverrides()
         self._folder = folder
         self._file = folder / f"{stem}.out"
         self._part_file = folder / f"{stem}.out.part"
         self._lock_file = folder / f"{stem}.lock"
-        self._last_read: tuple[int, int, int] | None = None  # inode, time and size of the file as last read
-        self._is_sync_pending = False  # the file was replaced, but the folder could not be synced
+        self._last_read: tuple[int, int, int] | None = None  # inode, mtime and size at the last read
+        self._is_sync_pending = False  # the file was replaced, but the sync of the folder failed
 
     def refresh(self) -> bool:
-        """Read the overrides if the file has changed. False if it can't be read at present. A missing or
-        malformed file changes nothing; to read it again soon would not help, so that returns True.
+        """Read the overrides if the file has changed. Return false if it cannot be read at present. A missing
+        or malformed file changes nothing and returns true, since another read soon after would not help.
         """
         try:
             status = self._file.stat()
@@ -71,10 +71,10 @@
         return True
 
     def set_override(self, endpoint_id: str, offline: bool, now_us: int) -> None:
-        """Take an endpoint offline or bring it back online; on return that holds for every process.
+        """Take an endpoint offline or bring it back online. On return the override applies to every process.
 
-        Raises `OverrideLockTimeoutError`, or another `OSError` if the file can't be written; the file is then
-        what it was before.
+        Raises `OverrideLockTimeoutError`, or another `OSError` if the file cannot be written; the file is
+        then unchanged.
         """
         with self._locked():
             self.refresh()
@@ -104,8 +104,8 @@
                 return
 
     def _write(self, overrides: OperatorOverrides) -> None:
-        """Replace the file as a whole and on disk, or not at all: a peer may read at any moment, this process
-        may be killed, and the machine may go down. The lock is held, so no other process writes the part.
+        """Replace the file atomically and durably: a peer may read it at any moment, this process may be
+        killed, and the machine may crash. The lock is held, so no other process writes the part file.
         """
         try:
             with self._part_file.open("wb") as file:
@@ -120,12 +120,14 @@
         self._sync_folder()
 
     def retry_sync(self) -> None:
-        """Sync the folder if that failed after the last write."""
+        """Sync the folder if the sync after the last write failed."""
         if self._is_sync_pending:
             self._sync_folder()
 
     def _sync_folder(self) -> None:
-        """Make the replaced file last. It holds for all processes already, so a failure is retried later."""
+        """Make the replacement of the file durable. It already applies to all processes, so a failed sync is
+        retried later.
+        """
         self._is_sync_pending = True
         with contextlib.suppress(OSError):
             descriptor = os.open(self._folder, os.O_RDONLY | os.O_CLOEXEC)
@@ -142,18 +144,20 @@
 
 
 def _decode(content: bytes) -> OperatorOverrides:
-    """Raises `MalformedOverrideFileError` for anything but what `_encode` returns."""
+    """Decode the content of the file. Raises `MalformedOverrideFileError` for anything that `_encode` does
+    not return.
+    """
     try:
         data: object = orjson.loads(content)
     except orjson.JSONDecodeError as error:
-        raise MalformedOverrideFileError("not JSON") from error
+        raise MalformedOverrideFileError(f"not JSON: {error}") from error
     if not isinstance(data, dict):
-        raise MalformedOverrideFileError("not an object")
+        raise MalformedOverrideFileError(f"expected a JSON object, found {type(data).__name__}")
     offline, online_since = data.get("out"), data.get("back")
     if not isinstance(offline, list) or not isinstance(online_since, dict):
-        raise MalformedOverrideFileError("a part is missing or of another type")
+        raise MalformedOverrideFileError("expected a list `out` and an object `back`")
     if not all(isinstance(endpoint_id, str) for endpoint_id in offline):
-        raise MalformedOverrideFileError("an offline endpoint is not a string")
+        raise MalformedOverrideFileError("expected only strings in `out`")
     if not all(type(online_us) is int for online_us in online_since.values()):
-        raise MalformedOverrideFileError("a time is not an integer")
+        raise MalformedOverrideFileError("expected only integers in `back`")
     return OperatorOverrides(frozenset(offline), online_since)
--- a/gannetweir/process_handover/process_liveness.py
+++ b/gannetweir/process_handover/process_liveness.py
@@ -1,7 +1,7 @@
-"""Which processes of one relay live: each holds the lock of a file of its own in the shared folder.
+"""Liveness of the processes of one relay: each live process locks its own file in the shared folder.
 
-The kernel releases a lock when its holder ends, however it ends. A process id would say less: it could belong
-to another process by now.
+The kernel releases a lock when its holder ends, for whatever reason. A process id would be less reliable,
+since another process could have the same id by now.
 """
 
 from __future__ import annotations
@@ -12,29 +12,32 @@
 import tempfile
 from pathlib import Path
 
-_STARTING_SUFFIX = ".starting"  # of a liveness file that is not locked yet
+_STARTING_SUFFIX = ".starting"  # suffix of a liveness file that is not locked yet
 
 
 class ProcessLiveness:
-    """The liveness file of this process, and those of its living peers.
+    """The liveness file of this process, and those of its live peers.
 
     Owns the file's lock and descriptor from `announce` to `withdraw`.
     """
 
     def __init__(self, folder: Path, suffix: str, initial_content: bytes) -> None:
-        """`suffix`: of the names of this relay's liveness files. `initial_content`: of this process's."""
-        self.peers: list[Path] = []  # the liveness files of the other living processes, when last looked for
-        self.descriptor: int | None = None  # of this process's liveness file; None: not announced
+        """`suffix` ends the names of this relay's liveness files; `initial_content` is that of this process's
+        file.
+        """
+        self.peers: list[Path] = []  # liveness files of the other live processes, as of the last refresh
+        self.descriptor: int | None = None  # the open liveness file of this process; None: not announced
         self._folder = folder
         self._suffix = suffix
         self._initial_content = initial_content
         self._file: Path | None = None
 
     def announce(self) -> None:
-        """Publish that this process lives, unless that is done already.
+        """Publish that this process is live, unless that is already done.
 
-        Raises `OSError` if the file can't be written; it is removed then. The file gets its final name only
-        once it is locked: a peer would take it for one that an ended process has left behind.
+        Raises `OSError` if the file cannot be written; the file is then removed. The file gets its final name
+        only after it is locked: a peer would take an unlocked file for one that an ended process has left
+        behind.
         """
         if self._file is not None:
             return
@@ -54,12 +57,14 @@
         self.descriptor = descriptor
 
     def refresh_peers(self) -> None:
-        """Find the other processes that live, and remove what ended ones left behind. Raises `OSError`."""
+        """Find the other live processes, and remove the files that ended processes left behind. Raises
+        `OSError`.
+        """
         files = [path for path in self._folder.glob("*" + self._suffix) if path != self._file]
         self.peers = [path for path in files if not _remove_if_abandoned(path)]
 
     def withdraw(self) -> None:
-        """Stop being one of the living processes; also if the file can't be removed: a peer will do it."""
+        """Stop counting as a live process, even if the file cannot be removed: a peer will then remove it."""
         if self._file is None or self.descriptor is None:
             return
         with contextlib.suppress(OSError):
@@ -70,12 +75,12 @@
 
 
 def _remove_if_abandoned(path: Path) -> bool:
-    """Remove a liveness file that no process locks; whether there was none, or it has been removed."""
+    """Remove a liveness file that no process has locked. Return whether the file is gone."""
     try:
         descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     except FileNotFoundError:
         return True
-    except OSError:  # a fault of this machine's is no evidence that the other process has ended
+    except OSError:  # A local error is no evidence that the other process has ended.
         return False
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
