--- a/gannetweir/__init__.py
+++ b/gannetweir/__init__.py
@@ -1,4 +1,4 @@
-"""A relay for long-lived connections, and the decisions it stands on."""
+"""A relay for long-lived client connections, and the placement logic that it is built on."""
 
 from gannetweir.placement.balancer import Balancer
 
--- a/gannetweir/errors.py
+++ b/gannetweir/errors.py
@@ -1,5 +1,5 @@
-"""The root of the program's exceptions."""
+"""The base class of the program's exceptions."""
 
 
 class GannetweirError(Exception):
-    """Every error that this program raises for its callers to handle derives from this one."""
+    """Base class of every error that this program raises for its callers to handle."""
