--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,22 +1,22 @@
-"""The scenario language: one step a line, `WHO VERB [WORDS]`, played on the engine and the protocol machines.
+"""The scenario language: one step a line, `ACTOR VERB [ARGUMENTS]`, run on the engine and the protocol code.
 
-    c1 send LINE        a client's line (CRLF added; `raw` sends the words as they are, escapes read)
+    c1 send LINE        the client sends a line (CRLF added; `raw` sends the text as it is, escapes decoded)
     c1/upstream expect P  the next line on that client's upstream connection matches the pattern P
-    c1 expect end       and so for `reset` and `nothing`
-    c1 close | reset    an end, in good order or not; on an upstream connection not yet established, `refuse`
-    c1/upstream written the first line's last byte is out, and nothing comes back
-    time wait MS        the clock goes on, timers fall due
+    c1 expect end       the client sees the end; likewise `reset` and `nothing`
+    c1 close | reset    the peer closes or resets; on an upstream connection not yet established also `refuse`
+    c1/upstream written the last byte of the first line was written, and no answer follows
+    time wait MS        the clock advances, and due timers run
     discovery send JSON an update of the endpoint list; `close` ends the watch; `expect watch SINCE`
     discovery reopen JSON  the first answer of a new watch
-    probes answer | hang  load probes are answered at once, as at the start, or never
-    balancer raise | ignore  the balancer fails on each event, or answers none
-    settings reload N CLASS:IDEMPOTENCY,...  a new file: at most N attempts, these classes
-    routes reload NAME  another operators' file; `run_script` is given them by name
-    operators offline | online ID  an operators' override, at whichever process
-    relay term          SIGTERM; `term replaced` where another process takes the clients
+    probes answer | hang  load probes are answered at once (as at the start), or never
+    balancer raise | ignore  the balancer raises an error on each event, or returns no action
+    settings reload N CLASS:IDEMPOTENCY,...  new settings: at most N attempts, these classes
+    routes reload NAME  another operators' file, one of those passed to `run_script`
+    operators offline | online ID  an operators' override, set at either process
+    relay term          SIGTERM; `term replaced` if another process admits the clients
     relay expect exit   the drain is over; `relay expect log P`; `relay expect count NAME N`
 
-Time stands still but for `wait`, and nothing here has a socket.
+Time advances only with `time wait`, and nothing here uses a socket.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
 
 
 class PeerView:
-    """One end of a connection as its peer sees it: lines, then perhaps an end."""
+    """One end of a connection as its peer sees it: the received lines, then possibly an end."""
 
     def __init__(self) -> None:
         self.unread: list[str] = []
@@ -94,7 +94,7 @@
 
 
 class EngineScenario:
-    """The relay's machines, with lists in place of sockets."""
+    """The engine and the protocol code of a relay, with lists in place of sockets."""
 
     def __init__(
         self, backends: int = 2, files: Mapping[str, str] | None = None, pushed: bool = False, **limits: int
@@ -247,7 +247,7 @@
         elif isinstance(event, LoadReported):
             self.engine.connection_load_reported(request_id, event.load, self.now_us)
         else:
-            self.upstreams.pop(actor, None)  # its descriptor is given back before the engine is notified
+            self.upstreams.pop(actor, None)  # the descriptor is released before the engine is notified
             self.engine.upstream_ended(request_id, attempt, event.status, event.report, reset, self.now_us)
 
     def _wait(self, wait_ms: int) -> None:
@@ -378,8 +378,8 @@
     pushed: bool = False,
     **limits: int,
 ) -> EngineScenario:
-    """Play one scenario from the start; `files` are operators' files, the one named `start` among them. A
-    `pushed` list is watched unasked.
+    """Run one scenario from the start, and return it. `files` are operators' files by name, the one named
+    `start` among them. A `pushed` list is watched without a request of the balancer.
     """
     scenario = EngineScenario(backends, files, pushed, **limits)
     scenario.run_script(script)
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -1,6 +1,7 @@
-"""No attempt begins for a client that has left. The client ends its side in the turn of the loop in which the
-relay decides to try: the end is in the kernel, but the loop has not heard of it. That is what a long turn
-(a complete list, a rush of other clients) looks like, without one.
+"""No attempt starts for a client that has disconnected. The client ends its side in the same turn of the
+event loop in which the relay decides to start an attempt: the end has reached the kernel, but the loop has
+not read it yet. In production a long turn (a complete endpoint list, many other clients) leaves time for
+this; the tests force it without one.
 """
 
 from __future__ import annotations
@@ -27,9 +28,8 @@
 from tests.scenario import CLASSES
 
 OPEN_LINE = r"OPEN 0a 0b c=plain,d=2000\r\n"
-EARLY_LINE = (
-    "x" * 4000 + r"\r\n"
-)  # three of these go beyond one read, and are still within what may come early
+# Three of these lines exceed one read, but not the limit on input before the answer.
+EARLY_LINE = "x" * 4000 + r"\r\n"
 
 
 def finishes(client: Peer) -> None:
@@ -49,14 +49,14 @@
 
 @dataclass
 class DisconnectingClient:
-    """One client, and how it leaves."""
+    """A client, and the way in which it disconnects."""
 
     harness: RelayHarness
     client: Peer
     disconnect: Disconnection
 
     def disconnect_after(self, name: str, sent_before: str = "") -> None:
-        """Leave at the end of the engine's next call of this name, with so much sent before the end."""
+        """Send `sent_before` and disconnect at the end of the engine's next call of this name."""
         engine = self.harness.relay.engine
         call = getattr(engine, name)
 
@@ -72,14 +72,14 @@
 
 
 def send_endpoint_list(harness: RelayHarness, *hosts: tuple[str, int, str]) -> None:
-    """The complete list, as discovery sends it."""
+    """Pass the complete list to the engine, as if discovery had sent it."""
     entries = [{"host": name, "dial": f"127.0.0.1:{port}", "health": health} for name, port, health in hosts]
     update = read_membership({"seq": 7, "whole": True, "hosts": entries}, harness.relay.runtime.settings)
     harness.relay.runtime.run_engine_call(harness.relay.engine.endpoint_update_received, update)
 
 
 def list_two_endpoints(harness: RelayHarness) -> None:
-    """Two names for one listener, so that whichever is tried next is seen there."""
+    """List two endpoints that share one listener, so that the listener sees whichever is tried next."""
     port = harness.endpoint_listener.getsockname()[1]
     send_endpoint_list(harness, ("b1", port, "Ready"), ("b2", port, "Ready"))
 
@@ -153,28 +153,30 @@
     send_endpoint_list(
         disconnecting.harness, ("b1", disconnecting.harness.endpoint_listener.getsockname()[1], "Ready")
     )
-    relay.runtime.clock.offset_ns += 2_000_000_000  # what was known of it is stale: it has to be asked first
+    # The known load of the endpoint is stale by now, so a probe precedes the attempt.
+    relay.runtime.clock.offset_ns += 2_000_000_000
     disconnecting.client.send(OPEN_LINE)
     probe = await disconnecting.harness.accept_upstream()
     await probe.expect("STATS")
     disconnecting.disconnect_after("load_probe_ended")
     probe.send(r"PONG inflight=1,util=0.1\r\n")
     await probe.expect("end")
-    await (await disconnecting.harness.accept_upstream()).expect("STATS")  # got ahead for the next client
+    await (await disconnecting.harness.accept_upstream()).expect("STATS")  # a probe ahead of the next client
 
 
 async def as_a_long_list_removes_its_endpoint(disconnecting: DisconnectingClient) -> None:
     unreachable = socket.socket()
     unreachable.bind(("127.0.0.1", 0))
     unreachable.listen(0)
-    queued_sockets = [socket.socket() for _ in range(4)]  # its queue is full: no further connect comes up
+    # The backlog is full, so no further connect succeeds.
+    queued_sockets = [socket.socket() for _ in range(4)]
     for sock in queued_sockets:
         sock.setblocking(False)
         sock.connect_ex(unreachable.getsockname())
     send_endpoint_list(disconnecting.harness, ("b1", unreachable.getsockname()[1], "Ready"))
     disconnecting.client.send(OPEN_LINE)
     descriptors = disconnecting.harness.relay.runtime.descriptor_count
-    await disconnecting.harness.wait_until(lambda: descriptors.open == 2)  # its connect is under way
+    await disconnecting.harness.wait_until(lambda: descriptors.open == 2)  # the connect is in progress
     disconnecting.disconnect_after("endpoint_update_received")
     port = disconnecting.harness.endpoint_listener.getsockname()[1]
     send_endpoint_list(
@@ -234,7 +236,7 @@
 
         monkeypatch.setattr(connecting, "connect", disconnects_once_connected)
         client.send(OPEN_LINE)
-        await (await harness.accept_upstream()).expect("end")  # without a line
+        await (await harness.accept_upstream()).expect("end")  # no line was written
         await harness.wait_until(lambda: harness.relay.clients.open_count == 0)
         monkeypatch.setattr(connecting, "connect", connect)
         await established_client(harness, "ff")
@@ -247,7 +249,8 @@
     async def scenario(harness: RelayHarness) -> None:
         client = await harness.connect_client()
         await harness.wait_until(lambda: harness.relay.clients.open_count == 1)
-        early = [f"{n:04d}" + "y" * 3000 for n in range(5)]  # over one read, within what may come early
+        # Together these lines exceed one read, but not the limit on input before the answer.
+        early = [f"{n:04d}" + "y" * 3000 for n in range(5)]
         client.send(OPEN_LINE + "".join(line + r"\r\n" for line in early))
         server = await harness.accept_upstream()
         await server.expect("OPEN 0a")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,6 @@
-"""Two events that cross, in either order: what the relay owes all the same. In scenarios, and on sockets
-where the order is certain: what is sent together is read together, since test and relay share one loop.
+"""Pairs of events that occur at almost the same time, in either order, and what the relay must do in each
+case. The tests use scenarios, and sockets where the order is certain: data that is sent together is read
+together, because the test and the relay share one event loop.
 """
 
 from __future__ import annotations
@@ -45,11 +46,11 @@
 c1 send OPEN 0a 0b c=plain,d=2000
 c1/upstream expect OPEN*
 """
-UNAVAILABLE = {  # updates while an attempt at b1 is in flight
+UNAVAILABLE = {  # updates that arrive while an attempt at b1 is in flight
     "drains": UPDATE % ("false", HOST_LINE % (1, 1, "Terminating", 0) + "," + READY_B3),
     "is gone": UPDATE % ("false", HOST_LINE % (1, 1, "Gone", 0) + "," + READY_B3),
     "is missing in the snapshot": UPDATE % ("true", READY_B3),
-    "has started anew": UPDATE % ("false", HOST_LINE % (1, 1, "Ready", 1_700_000_000_000) + "," + READY_B3),
+    "has restarted": UPDATE % ("false", HOST_LINE % (1, 1, "Ready", 1_700_000_000_000) + "," + READY_B3),
 }
 
 
@@ -92,14 +93,12 @@
 @pytest.mark.parametrize(
     ("idempotency", "before", "answer"),
     [
-        ("once", "c1/upstream written", "ERR"),  # it may have been executed: a retry could execute it twice
+        # The request may have been executed, and a retry could execute it a second time.
+        ("once", "c1/upstream written", "ERR"),
         ("once", "", "BUSY*"),
         ("repeatable", "c1/upstream written", "BUSY*"),
-        (
-            "by_key",
-            "c1/upstream written",
-            "BUSY*",
-        ),  # the keys of the scenarios' classes are known at all endpoints
+        # All endpoints know the idempotency keys of the scenarios' classes.
+        ("by_key", "c1/upstream written", "BUSY*"),
     ],
 )
 def test_the_exit_rejects_only_what_may_be_retried(idempotency: str, before: str, answer: str) -> None:
@@ -124,11 +123,8 @@
     [
         (HOST_LINE % (1, 1, "Terminating", 0), HOST_LINE % (1, 1, "Ready", 0), True),
         (HOST_LINE % (1, 1, "Gone", 0), HOST_LINE % (1, 1, "Ready", 0), True),
-        (
-            HOST_LINE % (1, 1, "Gone", 0),
-            HOST_LINE % (1, 1, "Ready", 1_700_000_000_000),
-            False,
-        ),  # started anew since
+        # The endpoint has restarted since.
+        (HOST_LINE % (1, 1, "Gone", 0), HOST_LINE % (1, 1, "Ready", 1_700_000_000_000), False),
     ],
 )
 def test_an_older_snapshot_does_not_undo_a_drain(before: str, listed: str, stays_unavailable: bool) -> None:
@@ -198,9 +194,9 @@
                 client.finish()
                 await client.expect("end")
             await harness.wait_until(lambda: harness.relay.clients.open_count == 0)
-        with pytest.raises(BlockingIOError):  # not even a connect was started
+        with pytest.raises(BlockingIOError):  # no connect was started
             harness.endpoint_listener.accept()
-        assert reset or harness.relay.engine.counters.counts["requests"] == 20  # a reset may come first
+        assert reset or harness.relay.engine.counters.counts["requests"] == 20  # a reset may precede the line
         await established_client(harness, "ff")
 
     disconnects.__name__ = f"the first line and the client's {'reset' if reset else 'end'} together"
@@ -211,7 +207,7 @@
     watcher = await harness.accept_watch(harness.discovery_listener, 1)
     watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK + r"fff\r\n")
     with contextlib.suppress(BrokenPipeError, ConnectionResetError):
-        for _ in range(400):  # bytes extend no timeout: only a complete line or a heartbeat does
+        for _ in range(400):  # only a complete line or a heartbeat extends the timeout
             watcher.send(" ")
             await anyio.sleep(0.005)
             if harness.relay.engine.counters.counts["endpoint_watch_failures"]:
@@ -227,7 +223,7 @@
     harness.reload(discovery_address=SocketAddress(*discovery.getsockname()))
     new = await harness.accept_watch(discovery, 0)
     new.send(WATCH_RESPONSE_HEAD + unchanged_update_chunk(9))
-    old.send(unchanged_update_chunk(8))  # both are read in one turn, the new one first
+    old.send(unchanged_update_chunk(8))  # both are read in one turn of the loop, the new watch first
     await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version >= 8)
     await old.expect("end")
     assert harness.relay.engine.endpoint_list.version == 9
@@ -236,7 +232,7 @@
 async def a_first_line_as_its_timeout_expires(harness: RelayHarness) -> None:
     for has_pinged in (True, False):
         client = await harness.connect_client()
-        if has_pinged:  # it stays open, as the front's do
+        if has_pinged:  # the connection stays open, as those of the front end do
             client.send(r"PING\r\n")
             await client.expect("PONG")
         await harness.wait_until(lambda: harness.relay.clients.open_count == 1)
@@ -259,13 +255,13 @@
     ):
 
         def sends_first_line(client: Peer = client) -> bool:
-            client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")  # just after it was looked at
+            client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")  # sent just after the relay checked for input
             return False
 
         session.client.has_unread_input = sends_first_line  # type: ignore[method-assign]
     new_client = await harness.connect_client()
     await silent[0].expect("BUSY 250")
-    await silent[0].expect("end")  # no reset, which could take the answer along
+    await silent[0].expect("end")  # a reset could discard the answer
     for peer in (new_client, *established_peers):
         peer.close()
     with pytest.raises(BlockingIOError):
@@ -277,11 +273,12 @@
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
     server = await harness.accept_upstream()
     await server.expect("OPEN 0a 0b c=plain,d=500")
-    harness.relay.runtime.clock.offset_ns += 600_000_000  # the attempt has timed out: the timer comes first
+    # The attempt has timed out, and its timer runs before the answer is read.
+    harness.relay.runtime.clock.offset_ns += 600_000_000
     harness.relay.runtime.timers.wake.set()
     server.send(r"UP late\r\n")
-    await server.expect("reset")  # closed, in spite of what it has just sent
-    await client.expect("BUSY")  # the one final answer: there is no other backend
+    await server.expect("reset")  # the relay closes the attempt although it was just answered
+    await client.expect("BUSY")  # the only final answer: there is no other endpoint
     await client.expect("end")
     counts = harness.relay.engine.counters.counts
     assert (counts["attempts_started"], counts["attempts.timeout"], counts["served"]) == (1, 1, 0)
@@ -293,7 +290,7 @@
         client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
         server = await harness.accept_upstream()
         await server.expect("OPEN 0a 0b")
-        server.send(r"UP r1\r\n")  # in one turn, whichever is read first
+        server.send(r"UP r1\r\n")  # read in the same turn as the client's end, in either order
         client.close(reset)
         ended = "reset" if reset and harness.relay.engine.counters.counts["served"] else "end"
         with anyio.fail_after(DEADLINE_S):
@@ -315,7 +312,7 @@
         server = await harness.accept_upstream()
         await server.expect("OPEN 0b 0b")
         server.send(answer + line)
-        await client.expect("UP r1")  # the answer; whatever follows is a line like any other
+        await client.expect("UP r1")  # the answer; any later line is forwarded as it is
         await client.expect(line[:2])
         client.send(r"still here\r\n")
         await server.expect("still here")
@@ -326,7 +323,7 @@
         client.send(r"OPEN 0c 0b c=plain,d=2000\r\n")
         server = await harness.accept_upstream()
         await server.expect("OPEN 0c 0b")
-        server.send(answer + r"UP late\r\n")  # the second is nobody's
+        server.send(answer + r"UP late\r\n")  # the second answer is ignored
         await client.expect("BUSY")
         await client.expect("end")
 
@@ -335,7 +332,7 @@
     full_listener = socket.socket()
     full_listener.bind(("127.0.0.1", 0))
     full_listener.listen(0)
-    pending = [socket.socket() for _ in range(4)]  # its queue is full: no further connect succeeds
+    pending = [socket.socket() for _ in range(4)]  # the backlog is full, so no further connect succeeds
     for sock in pending:
         sock.setblocking(False)
         sock.connect_ex(full_listener.getsockname())
@@ -348,9 +345,8 @@
     clients = harness.relay.runtime.descriptor_count.open
     client = await harness.connect_client()
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
-    await harness.wait_until(
-        lambda: harness.relay.runtime.descriptor_count.open == clients + 2
-    )  # its connect is under way
+    # The connect is in progress.
+    await harness.wait_until(lambda: harness.relay.runtime.descriptor_count.open == clients + 2)
     client.finish()
     await client.expect("end")
     await harness.wait_until(lambda: harness.relay.runtime.descriptor_count.open == clients)
@@ -367,9 +363,10 @@
     closed_address = SocketAddress("127.0.0.1", harness.free_port())
     harness.reload(discovery_address=closed_address)
     await harness.wait_until(lambda: harness.relay.engine.counters.counts["endpoint_watch_failures"] == 1)
-    old.send(unchanged_update_chunk(7))  # nobody answers there: updates from the previous one still count
+    # Nothing listens at the new address, so updates from the previous one still count.
+    old.send(unchanged_update_chunk(7))
     await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 7)
-    harness.reload(discovery_address=closed_address)  # the same again, and on at once
+    harness.reload(discovery_address=closed_address)  # the same address again, and the next one at once
     harness.reload(discovery_address=SocketAddress(*live_discovery.getsockname()))
     new = await harness.accept_watch(live_discovery, 0)
     old.send(unchanged_update_chunk(8))
@@ -382,16 +379,15 @@
 
 async def a_probe_of_an_endpoint_that_drains(harness: RelayHarness) -> None:
     relay, dial = harness.relay, harness.relay.engine.endpoint_list.address_of("b1")
-    (await harness.connect_client()).close()  # it runs by now
+    (await harness.connect_client()).close()  # the relay is running once it accepts a client
     for health in ("Terminating", "Gone"):
         relay.runtime.spawn(partial(run_probe, relay.runtime, StartLoadProbe("b1", dial)))
         membership_update = read_membership(
             orjson.loads(UPDATE % ("false", HOST_LINE % (1, 1, health, 0))), relay.runtime.settings
         )
-        relay.runtime.run_engine_call(
-            relay.engine.endpoint_update_received, membership_update
-        )  # before the connect is up
-        await (await harness.accept_upstream()).expect("end")  # without a question
+        # The update arrives before the probe's connect succeeds.
+        relay.runtime.run_engine_call(relay.engine.endpoint_update_received, membership_update)
+        await (await harness.accept_upstream()).expect("end")  # no probe was written
 
 
 async def a_fault_in_a_timer_and_in_a_reload(harness: RelayHarness) -> None:
@@ -412,7 +408,7 @@
     client.send(r"still here\r\n")
     await server.expect("still here")
     await established_client(harness, "0c")
-    del relay.engine.counters.counts["driver_faults"]  # both are accounted for
+    del relay.engine.counters.counts["driver_faults"]  # both faults were expected
 
 
 async def first_lines_at_the_exit(harness: RelayHarness) -> None:
@@ -423,7 +419,7 @@
     await harness.wait_until(lambda: len(harness.relay.runtime.descriptor_budget.awaiting_first_line) == 2)
     harness.relay.runtime.run_engine_call(harness.relay.engine.drain)
     harness.relay.runtime.run_engine_call(lambda _now_us: harness.relay.engine.draining.exit())
-    # from here on: what no task has had a turn to read, on a connection and in the listener's queue
+    # From here on: input that no task has read yet, on a connection and in the listener's backlog.
     idle_client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
     relay_address = harness.relay.runtime.config.listen_address
     queued = [Peer(socket.create_connection((relay_address.host, relay_address.port))) for _ in range(3)]
@@ -491,7 +487,7 @@
     class EndlessPeer(socket.socket):
         def recv(self, _count: int, _flags: int = 0, /) -> bytes:
             reads.append(1)
-            assert len(reads) < 1000, "nobody else had a turn"
+            assert len(reads) < 1000, "no other task got a turn"
             return b"x"
 
     async def closes() -> None:
@@ -519,7 +515,7 @@
 
     async with anyio.create_task_group() as tasks:
         endpoint = Transport(SpuriouslyWritable(fileno=near.detach()), Limits(), spawn_in(tasks))
-        endpoint.write(b"MOVE\r\n")  # the last word: its end follows, and must not come first
+        endpoint.write(b"MOVE\r\n")  # the last line, which the end that follows must not overtake
         endpoint.finish()
         await Peer(far).expect("MOVE")
         endpoint.close()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""What two processes of one relay share, and what is left of one that ended."""
+"""The files that two processes of one relay share, and the files that an ended process left behind."""
 
 import contextlib
 import errno
@@ -16,7 +16,7 @@
 Parameters = ParamSpec("Parameters")
 Result = TypeVar("Result")
 
-# The names of the shared files of a relay named n0; processes of other releases of this program know them.
+# File names of a relay named n0, which processes of other releases of this program use as well.
 OVERRIDE_FILE = "gannetweir-n0.out"
 LOCK_FILE = "gannetweir-n0.lock"
 LIVENESS_FILES = "*.gannetweir-n0.alive"
@@ -34,7 +34,7 @@
 def failing_first(
     call: Callable[Parameters, Result], error: int, times: int = 1
 ) -> Callable[Parameters, Result]:
-    """A call that fails the first `times` times, then works."""
+    """Return a call that raises `OSError` the first `times` times and works afterwards."""
     failures = [error] * times
 
     def wrapped(*args: Parameters.args, **named: Parameters.kwargs) -> Result:
@@ -48,7 +48,7 @@
 
 @contextlib.contextmanager
 def locked(path: Path) -> Iterator[None]:
-    """A file whose lock another process holds."""
+    """Hold the lock of a file, as another process would."""
     with path.open("r+b") as file:
         fcntl.flock(file, fcntl.LOCK_EX)
         yield
@@ -67,8 +67,8 @@
     assert one.refresh_overrides()
     assert one.overrides.offline == {"b"}
     assert one.overrides.online_since == {"a": 3}
-    assert Handover(tmp_path, "n0").overrides == one.overrides  # the next one has it from its start
-    assert not Handover(tmp_path, "n1").overrides.offline  # another relay's folder may be the same
+    assert Handover(tmp_path, "n0").overrides == one.overrides  # a new process reads it at its start
+    assert not Handover(tmp_path, "n1").overrides.offline  # another relay may use the same folder
 
 
 def test_files_of_earlier_releases_are_read_and_written_in_the_same_form(tmp_path: Path) -> None:
@@ -144,7 +144,7 @@
     for name, owner in (("mkstemp", tempfile), ("write", os), ("rename", os)):
         with monkeypatch.context() as patch:
             patch.setattr(owner, name, failing_first(getattr(owner, name), errno.ENOSPC))
-            one = Handover(tmp_path, "n0")  # its announcement fails at first
+            one = Handover(tmp_path, "n0")  # the first announcement fails
             assert one.overrides.offline == {"a"}, name
             one.refresh_peers()
             assert not first.refresh_peers(), name
@@ -185,7 +185,7 @@
     one.set_override("a", True, 1)
 
     class KilledError(BaseException):
-        """As a SIGKILL: nothing is cleared away."""
+        """Simulates SIGKILL: no handler catches this error, so nothing is cleaned up."""
 
     def kill(*_: object) -> None:
         raise KilledError
@@ -204,7 +204,7 @@
     (tmp_path / LOCK_FILE).touch()
     with locked(tmp_path / LOCK_FILE), pytest.raises(BlockingIOError) as refused:
         one.set_override("a", True, 1)
-    assert refused.value.strerror == os.strerror(errno.EAGAIN)  # what operators are answered
+    assert refused.value.strerror == os.strerror(errno.EAGAIN)  # the text that operators receive
     one.set_override("a", True, 1)
     assert one.overrides.offline == {"a"}
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The run-time guard of the invariants: each violation is caught, and what is allowed is none."""
+"""The run-time guard of the invariants: each violation is reported, and permitted sequences are not."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class GuardedRequest:
-    """A guard over endpoints in two cells with one request, and the violations that it reported."""
+    """A guard over endpoints in two cells with one request, and the violations that the guard reported."""
 
     def __init__(self, request_class: RequestClass = IDEMPOTENT, deadline_us: int = DEADLINE_US) -> None:
         self.endpoint_list = EndpointList()
@@ -48,7 +48,7 @@
         self.endpoint_list.apply(MembershipUpdate(2, False, [ListedEndpoint(entry, "127.0.0.1:1")]), 1)
 
     def retry_elsewhere(self, request_class: RequestClass, endpoint_id: str, now_us: int = 1000) -> None:
-        """One attempt at b0 that may have executed, and a second one."""
+        """Write an attempt at b0 that may have executed, then a second attempt."""
         self.guard.request_opened(1, request_class, DEADLINE_US)
         self.start_attempt(0, "b0")
         self.close_attempt(0, True)
@@ -92,10 +92,8 @@
     (InvariantRule.OVERLAP, overlapping_attempts),
     (InvariantRule.UNSAFE_REPEAT, lambda guarded: guarded.retry_elsewhere(NOT_IDEMPOTENT, "b1")),
     (InvariantRule.UNSAFE_REPEAT, lambda guarded: guarded.retry_elsewhere(WITH_KEY, "b1")),  # another cell
-    (
-        InvariantRule.UNSAFE_REPEAT,
-        lambda guarded: guarded.retry_elsewhere(WITH_KEY, "b2", 1_001_000),
-    ),  # its window is over
+    # The idempotency window of the first attempt has passed.
+    (InvariantRule.UNSAFE_REPEAT, lambda guarded: guarded.retry_elsewhere(WITH_KEY, "b2", 1_001_000)),
     (InvariantRule.TOO_MANY_ATTEMPTS, lambda guarded: guarded.start_attempt(0, max_attempts=0)),
     (InvariantRule.ENDPOINT_UNAVAILABLE, attempt_at_a_draining_endpoint),
     (InvariantRule.ENDPOINT_UNAVAILABLE, lambda guarded: guarded.start_attempt(0, "unlisted")),
@@ -135,7 +133,7 @@
 def retried_after_a_rejection(guarded: GuardedRequest) -> None:
     guarded.guard.request_opened(1, NOT_IDEMPOTENT, DEADLINE_US)
     guarded.start_attempt(0)
-    guarded.close_attempt(0, False)  # it never executed, so any class may be retried
+    guarded.close_attempt(0, False)  # the attempt was never executed, so any class may be retried
     guarded.start_attempt(1, "b1")
     guarded.guard.final_answer_written(1, False, 5)
     guarded.guard.client_connection_closed(1)
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("script", OFFLINE_SCRIPTS.values(), ids=OFFLINE_SCRIPTS.keys())
 def test_nothing_new_is_sent_to_an_offline_endpoint(script: str) -> None:
-    # the seed of the scenario settles which endpoint is drawn
+    # The seed of the scenario determines which endpoint is chosen.
     drawn = int(run_script("c1 send OPEN 0a 0b c=plain,d=2000").upstreams["c1"][0].address[-1])
     run_script(script.format(there=f"b{drawn}", other=f"b{3 - drawn}"))
 
@@ -114,9 +114,8 @@
     assert endpoint.ejection_count == 0
     assert endpoint.ejected_until_us == 0
     back_online_us = endpoint.started_us
-    scenario.run_script(
-        "time wait 1000\noperators online b1"
-    )  # a second call must not restart the slow start
+    # A second call must not restart the slow start.
+    scenario.run_script("time wait 1000\noperators online b1")
     assert endpoint.started_us == back_online_us
 
 
--- a/tests/test_replaced_process.py
+++ b/tests/test_replaced_process.py
@@ -1,4 +1,4 @@
-"""The drain of a process whose clients another process of the same relay already takes."""
+"""The drain of a process while another process of the same relay already admits the clients."""
 
 import pytest
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""What the relay owes its clients and endpoints, in the scenario language."""
+"""The relay's behaviour towards its clients and endpoints, in the scenario language."""
 
 import pytest
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The machine's wall clock may be wrong or be stepped; slow start follows the monotonic clock alone."""
+"""The machine's wall clock may be wrong or may be stepped; slow start depends on the monotonic clock only."""
 
 from __future__ import annotations
 
@@ -24,7 +24,9 @@
 
 
 class WallClock:
-    """Replaces `time.time_ns`: `TRUE_OFFSET_S` ahead of the monotonic clock, and wrong by `error_s`."""
+    """Replaces `time.time_ns` by a clock that is `TRUE_OFFSET_S` ahead of the monotonic clock, plus an error
+    of `error_s`.
+    """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.error_s = 0
@@ -36,14 +38,16 @@
 def relay_with_six_endpoints(
     shared: Path | None = None, has_new_endpoint: bool = True, port: int = 0
 ) -> Relay:
-    """A relay with six endpoints. One has just started (`has_new_endpoint`), by the clock of discovery."""
+    """Return a relay with six endpoints. With `has_new_endpoint`, one of them has just started by discovery's
+    clock.
+    """
     harness = RelayHarness()
     hosts: list[dict[str, str | int]] = [
         {"host": f"b{n}", "dial": f"127.0.0.1:{n + 1}", "health": "Ready"} for n in range(6)
     ]
     if has_new_endpoint:
         hosts[0]["born_ms"] = time.monotonic_ns() // 1_000_000 + TRUE_OFFSET_S * 1000
-    if port:  # processes that share a folder serve one address
+    if port:  # processes that share a folder serve the same address
         harness.config = replace(
             harness.config, listen_address=replace(harness.config.listen_address, port=port)
         )
@@ -64,7 +68,7 @@
 
 
 def endpoints_chosen(relay: Relay, now_us: int, count: int = 60) -> Iterator[str]:
-    """The endpoints to which requests that arrive at this time are sent."""
+    """Yield the endpoints that are chosen for `count` requests that arrive at this time."""
     for _ in range(count):
         relay.engine.request_opened(RequestArrived(0, time_budget_us=2_000_000), None, now_us)
     commands = relay.engine.commands
@@ -93,7 +97,9 @@
 def test_a_fleet_started_together_long_ago_has_warmed_up_when_a_relay_starts(
     monkeypatch: pytest.MonkeyPatch, error_s: int
 ) -> None:
-    """Five of six started within 2 s of one another, an hour ago: all get requests from the first one on."""
+    """Five of six endpoints started within 2 s of one another an hour ago. All six receive requests from the
+    first request on.
+    """
     clock = WallClock(monkeypatch)
     clock.error_s = error_s
     born_ms = (time.time_ns() // 1_000_000) - (HOUR_S + error_s) * 1000
@@ -124,7 +130,7 @@
 def test_an_endpoint_back_online_is_in_slow_start_for_its_time_at_both_processes(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    """The wall clock is stepped between the starts of two processes that share a folder."""
+    """The wall clock is stepped between the starts of processes that share a folder."""
     clock = WallClock(monkeypatch)
     relays = []
     for error_s in (HOUR_S, 0, -HOUR_S):
