--- a/gannetweir/core/invariants.py
+++ b/gannetweir/core/invariants.py
@@ -147,15 +147,15 @@
         in force.
         """
         record = self.records.get(request_id)
-        where = f"attempt {attempt} at {endpoint_id}"
+        attempt_detail = f"attempt {attempt} at {endpoint_id}"
         if record is None or record.client_ended:
-            self._record_violation(InvariantRule.CLIENT_DISCONNECTED, request_id, where)
+            self._record_violation(InvariantRule.CLIENT_DISCONNECTED, request_id, attempt_detail)
             return
         if record.attempt_in_flight is not None:
             in_flight = f"attempt {record.attempt_in_flight} in flight at {record.in_flight_endpoint_id}"
-            self._record_violation(InvariantRule.OVERLAP, request_id, f"{where}, {in_flight}")
+            self._record_violation(InvariantRule.OVERLAP, request_id, f"{attempt_detail}, {in_flight}")
         if record.answered:
-            self._record_violation(InvariantRule.AFTER_ANSWER, request_id, where)
+            self._record_violation(InvariantRule.AFTER_ANSWER, request_id, attempt_detail)
         # A resumed connection is open at its endpoint, whatever state the endpoint list reports.
         if record.deadline_us:
             self._check_new_attempt(record, request_id, attempt, endpoint_id, now_us, max_attempts)
@@ -176,7 +176,7 @@
         if record.attempts_written >= max_attempts:
             detail = f"attempt {record.attempts_written + 1} of at most {max_attempts}"
             self._record_violation(InvariantRule.TOO_MANY_ATTEMPTS, request_id, detail)
-        if record.executed_us is not None and not self._repeat_is_safe(
+        if record.executed_us is not None and not self._retry_is_safe(
             record, record.executed_us, endpoint_id, now_us
         ):
             idempotency = record.request_class.idempotency
@@ -185,7 +185,7 @@
             )
             self._record_violation(InvariantRule.UNSAFE_REPEAT, request_id, detail)
 
-    def _repeat_is_safe(
+    def _retry_is_safe(
         self, record: RequestRecord, executed_us: int, endpoint_id: EndpointId, now_us: int
     ) -> bool:
         request_class = record.request_class
@@ -197,13 +197,13 @@
             return False
         if request_class.idempotency_scope == "all":
             return True
-        before = self.endpoint_list.entries.get(record.executed_endpoint_id)
-        here = self.endpoint_list.entries.get(endpoint_id)
-        if before is None or here is None:
+        executed_entry = self.endpoint_list.entries.get(record.executed_endpoint_id)
+        retry_entry = self.endpoint_list.entries.get(endpoint_id)
+        if executed_entry is None or retry_entry is None:
             return False
         if request_class.idempotency_scope == "zone":
-            return before.zone == here.zone
-        return before.cell == here.cell
+            return executed_entry.zone == retry_entry.zone
+        return executed_entry.cell == retry_entry.cell
 
     def attempt_closed(self, request_id: int, attempt: int, may_have_executed: bool) -> None:
         """Record that the relay closed an attempt's upstream connection; may be called more than once."""
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -9,7 +9,7 @@
 
 
 def ports_connected_to(scenario: EngineScenario) -> set[str]:
-    return {order.address.partition(":")[2] for order, _ in scenario.upstreams.values()}
+    return {command.address.partition(":")[2] for command, _ in scenario.upstreams.values()}
 
 
 OFFLINE_SCRIPTS = {
@@ -80,8 +80,8 @@
 @pytest.mark.parametrize("script", OFFLINE_SCRIPTS.values(), ids=OFFLINE_SCRIPTS.keys())
 def test_nothing_new_is_sent_to_an_offline_endpoint(script: str) -> None:
     # The seed of the scenario determines which endpoint is chosen.
-    drawn = int(run_script("c1 send OPEN 0a 0b c=plain,d=2000").upstreams["c1"][0].address[-1])
-    run_script(script.format(there=f"b{drawn}", other=f"b{3 - drawn}"))
+    chosen = int(run_script("c1 send OPEN 0a 0b c=plain,d=2000").upstreams["c1"][0].address[-1])
+    run_script(script.format(there=f"b{chosen}", other=f"b{3 - chosen}"))
 
 
 @pytest.mark.parametrize(
