--- a/gannetweir/core/draining.py
+++ b/gannetweir/core/draining.py
@@ -12,7 +12,7 @@
 
 
 class Draining:
-    """Migrates clients: those of the whole relay when it drains, or of endpoints that operators took offline.
+    """Migrates clients: all clients of a draining relay, or those of endpoints that operators took offline.
 
     A drain has three phases, each started by a timer: admission continues while clients still arrive
     (`limits.drain_grace_us`); admission ends and every client is migrated (`limits.drain_migration_us`); the
--- a/gannetweir/core/invariants.py
+++ b/gannetweir/core/invariants.py
@@ -31,7 +31,7 @@
     SECOND_ANSWER = "second_answer"
     LATE_ANSWER = "late_answer"
     NO_ANSWER = "no_answer"  # the relay closed a client connection without an answer
-    CUT_OFF = "cut_off"  # the relay closed an established connection without MOVE or an end of either side
+    CUT_OFF = "cut_off"  # closed by the relay without MOVE although neither side had ended the connection
     DESCRIPTORS = "descriptors"  # clients and their attempts use more descriptors than the limit allows
 
 
--- a/gannetweir/core/operator_overrides.py
+++ b/gannetweir/core/operator_overrides.py
@@ -14,7 +14,7 @@
 class OverrideUpdates:
     """Applies the operators' overrides to the endpoint list, to attempts and to established connections.
 
-    Has no state of its own: the endpoint list owns the overrides in force.
+    Holds no state: the endpoint list owns the overrides in force.
     """
 
     def __init__(
--- a/gannetweir/membership/endpoint_list.py
+++ b/gannetweir/membership/endpoint_list.py
@@ -36,7 +36,7 @@
         self.overrides = overrides or OperatorOverrides()
         self.addresses: dict[EndpointId, str] = {}
         self.additional_addresses: dict[EndpointId, tuple[str, ...]] = {}  # only endpoints that have any
-        self.entries: dict[EndpointId, EndpointEntry] = {}  # as discovery reports them, without the overrides
+        self.entries: dict[EndpointId, EndpointEntry] = {}  # reported entries, without the overrides
         self.start_times = StartTimes(wall_offset_us)
         # The list that the process was started with does not count as a report.
         self._has_discovery_report = False
--- a/gannetweir/membership/start_times.py
+++ b/gannetweir/membership/start_times.py
@@ -53,7 +53,7 @@
         """
         self._wall_offset_us = wall_offset_us
         self._latest_start_us = 0  # latest reported start, on discovery's clock; 0: none yet
-        self._latest_reported_us = 0  # when that start was reported, on the monotonic clock
+        self._latest_reported_us = 0  # time of that report, on the monotonic clock
         self._start_times: dict[EndpointId, StartTime] = {}
         self._online_since_us: dict[tuple[EndpointId, int], int] = {}  # by endpoint and time of the override
 
@@ -117,8 +117,8 @@
         return (now_us - age_us) or START_AT_ZERO_US
 
     def started_us(self, entry: EndpointEntry) -> int:
-        """Return when the endpoint started, on the monotonic clock; 0 if its start is unknown, hence long
-        ago.
+        """Return when the endpoint started, on the monotonic clock; 0 if unknown, which counts as
+        long ago.
         """
         known = self._start_times.get(entry.endpoint_id)
         if not entry.started_us or known is None or known.discovery_us != entry.started_us:
--- a/tests/test_operator_overrides.py
+++ b/tests/test_operator_overrides.py
@@ -26,7 +26,7 @@
         c2 expect nothing
         time wait 1500
         c2 expect MOVE""",
-    "an attempt that is not written yet is made elsewhere": """
+    "an attempt that is not written yet moves to another endpoint": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*
         operators offline {there}
@@ -55,7 +55,7 @@
         c1 send OPEN 0a 0b c=plain,d=2000,at=b1
         c1/upstream expect nothing
         c1 expect BUSY 250""",
-    "a resumption that was refused once": """
+    "a resumption whose first connect was refused": """
         c1 send OPEN 0a 0b c=plain,d=2000,at=b1
         c1/upstream refuse
         operators offline b1
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -75,7 +75,7 @@
         c1/upstream expect nothing
         c1/upstream send UP r1
         c1/upstream expect early""",
-    "the id of another client's open request is rejected, and that one is unharmed": ESTABLISHED
+    "the id of another client's open request is rejected, and that request is unaffected": ESTABLISHED
     + """
         c2 send OPEN 0a 0c c=plain,d=2000
         c2 expect ERR
@@ -159,13 +159,13 @@
         c1/upstream expect OPEN*
         c1/upstream expect OPEN*
         relay expect count attempts.error 1""",
-    "what no endpoint serves is rejected as soon as the balancer gives up, not near the deadline": """
+    "a request that no endpoint serves is rejected after the last attempt, not near the deadline": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream send BUSY
         c1/upstream send BUSY
         c1 expect BUSY [1-9]*
         c1 expect end""",
-    "an UP after the deadline serves nobody": """
+    "an UP after the deadline serves no client": """
         c1 send OPEN 0a 0b c=plain,d=200
         c1/upstream expect OPEN*
         time wait 159
@@ -248,7 +248,7 @@
         c1/upstream expect OPEN*
         c1/upstream send UP r1
         c1 expect UP r1""",
-    "an endpoint that was never listed is not sent to": """
+    "nothing is sent to an endpoint that was never listed": """
         c1 send OPEN 0a 0b c=plain,d=2000,at=b9
         c1 expect ERR
         c1/upstream expect nothing""",
@@ -288,7 +288,7 @@
 }
 
 DRAINING = {
-    "a drain goes on serving, then migrates every client before its upstream ends, then exits": ESTABLISHED
+    "a drain still serves, then migrates every client before its upstream ends, then exits": ESTABLISHED
     + """
         relay term
         front send PING
@@ -310,7 +310,7 @@
         c2 expect MOVE
         time wait 300
         relay expect exit""",
-    "what is established during the migrations is migrated as well": """
+    "a connection established during the migrations is migrated as well": """
         relay term
         time wait 400
         c1 send OPEN 0a 0b c=plain,d=2000
@@ -320,7 +320,7 @@
         time wait 1
         c1 expect MOVE
         c1 expect end""",
-    "what is still without an answer at the exit is rejected": """
+    "a request still without an answer at the exit is rejected": """
         balancer ignore
         c1 send OPEN 0a 0b c=plain,d=9000
         relay term
