--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,22 +1,22 @@
-"""The scenario language: one step a line, `WHO VERB [WORDS]`, played on the engine and the protocol machines.
+"""The scenario language: one step a line, `ACTOR VERB [ARGUMENTS]`, run on the engine and the protocol code.
 
-    c1 send LINE        a client's line (CRLF added; `raw` sends the words as they are, escapes read)
+    c1 send LINE        the client sends a line (CRLF added; `raw` sends the text as it is, escapes decoded)
     c1/upstream expect P  the next line on that client's upstream connection matches the pattern P
-    c1 expect end       and so for `reset` and `nothing`
-    c1 close | reset    an end, in good order or not; on an upstream connection not yet established, `refuse`
-    c1/upstream written the first line's last byte is out, and nothing comes back
-    time wait MS        the clock goes on, timers fall due
+    c1 expect end       the client sees the end; likewise `reset` and `nothing`
+    c1 close | reset    the peer closes or resets; on an upstream connection not yet established also `refuse`
+    c1/upstream written the last byte of the first line was written, and no answer follows
+    time wait MS        the clock advances, and due timers run
     discovery send JSON an update of the endpoint list; `close` ends the watch; `expect watch SINCE`
     discovery reopen JSON  the first answer of a new watch
-    probes answer | hang  load probes are answered at once, as at the start, or never
-    balancer raise | ignore  the balancer fails on each event, or answers none
-    settings reload N CLASS:IDEMPOTENCY,...  a new file: at most N attempts, these classes
-    routes reload NAME  another operators' file; `play` is given them by name
-    operators offline | online ID  an operators' override, at whichever process
-    relay term          SIGTERM; `term replaced` where another process takes the clients
+    probes answer | hang  load probes are answered at once (as at the start), or never
+    balancer raise | ignore  the balancer raises an error on each event, or returns no action
+    settings reload N CLASS:IDEMPOTENCY,...  new settings: at most N attempts, these classes
+    routes reload NAME  another operators' file, one of those passed to `run_script`
+    operators offline | online ID  an operators' override, set at either process
+    relay term          SIGTERM; `term replaced` if another process admits the clients
     relay expect exit   the drain is over; `relay expect log P`; `relay expect count NAME N`
 
-Time stands still but for `wait`, and nothing here has a socket.
+Time advances only with `time wait`, and nothing here uses a socket.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
 
 
 class PeerView:
-    """One end of a connection as its peer sees it: lines, then perhaps an end."""
+    """One end of a connection as its peer sees it: the received lines, then possibly an end."""
 
     def __init__(self) -> None:
         self.unread: list[str] = []
@@ -93,8 +93,8 @@
         self.unread.append("reset" if reset else "end")
 
 
-class World:
-    """The relay's machines, with lists in place of sockets."""
+class EngineScenario:
+    """The engine and the protocol code of a relay, with lists in place of sockets."""
 
     def __init__(
         self, backends: int = 2, files: Mapping[str, str] | None = None, pushed: bool = False, **limits: int
@@ -134,120 +134,120 @@
     def peer(self, name: str) -> PeerView:
         return self.peers.setdefault(name, PeerView())
 
-    def play(self, script: str) -> None:
+    def run_script(self, script: str) -> None:
         for step in filter(None, map(str.strip, script.splitlines())):
-            who, verb, *rest = step.split(" ", 2)
-            words = rest[0] if rest else ""
+            actor, verb, *rest = step.split(" ", 2)
+            arguments = rest[0] if rest else ""
             if verb == "expect":
-                self._expect(who, words, step)
+                self._expect(actor, arguments, step)
             else:
-                self._act(who, verb, words)
+                self._act(actor, verb, arguments)
             self._carry_out_commands()
 
-    def _expect(self, who: str, words: str, step: str) -> None:
-        if words.startswith("count "):
-            _, name, count = words.split()
+    def _expect(self, actor: str, arguments: str, step: str) -> None:
+        if arguments.startswith("count "):
+            _, name, count = arguments.split()
             counts = self.engine.counters.counts
             assert counts[name] == int(count), f"{step}: {counts}"
         else:
-            self.peer(who).expect(words, step)
+            self.peer(actor).expect(arguments, step)
 
-    def _act(self, who: str, verb: str, words: str) -> None:
-        match who:
+    def _act(self, actor: str, verb: str, arguments: str) -> None:
+        match actor:
             case "time":
-                self._wait(int(words))
+                self._wait(int(arguments))
             case "discovery":
-                self._discovery(verb, words)
+                self._discovery(verb, arguments)
             case "probes":
                 self.probes_hang = verb == "hang"
             case "balancer":
                 self._break_balancer(raises=verb == "raise")
             case "settings":
-                self._reload_settings(words)
+                self._reload_settings(arguments)
             case "routes":
-                self._reload_routes(words)
+                self._reload_routes(arguments)
             case "operators":
-                self._override(words, offline=verb == "offline")
+                self._override(arguments, offline=verb == "offline")
             case "relay":
-                self.engine.drain(self.now_us, words == "replaced")
-            case _ if who.endswith("/upstream"):
-                self._upstream(who.removesuffix("/upstream"), verb, words)
+                self.engine.drain(self.now_us, arguments == "replaced")
+            case _ if actor.endswith("/upstream"):
+                self._upstream(actor.removesuffix("/upstream"), verb, arguments)
             case _:
-                self._client(who, verb, words)
+                self._client(actor, verb, arguments)
 
-    def _client(self, who: str, verb: str, words: str) -> None:
-        if who not in self.client_connections:
-            self.client_connections[who] = ClientConnection({}, self.limits)
-        connection = self.client_connections[who]
+    def _client(self, actor: str, verb: str, arguments: str) -> None:
+        if actor not in self.client_connections:
+            self.client_connections[actor] = ClientConnection({}, self.limits)
+        connection = self.client_connections[actor]
         classes = platform_classes(self.settings)
         connection.class_index_by_name = {known.name: index for index, known in enumerate(classes)}
         if verb in ("close", "reset"):
-            if who in self.request_ids:
-                self.engine.client_disconnected(self.request_ids[who], verb == "reset", self.now_us)
+            if actor in self.request_ids:
+                self.engine.client_disconnected(self.request_ids[actor], verb == "reset", self.now_us)
             return
-        data = words.encode() + b"\r\n"
+        data = arguments.encode() + b"\r\n"
         if verb == "raw":
-            data = words.encode().decode("unicode_escape").encode("latin1")
+            data = arguments.encode().decode("unicode_escape").encode("latin1")
         for event in connection.feed(data):
-            self._on_client_event(who, event)
+            self._on_client_event(actor, event)
 
-    def _on_client_event(self, who: str, event: ClientEvent) -> None:
+    def _on_client_event(self, actor: str, event: ClientEvent) -> None:
         if isinstance(event, PingReceived):
-            self.peer(who).write(self.client_connections[who].ping_answer(self.engine.is_ready()))
+            self.peer(actor).write(self.client_connections[actor].ping_answer(self.engine.is_ready()))
         elif isinstance(event, RequestOpened):
-            self._open_request(who, event.first_line)
+            self._open_request(actor, event.first_line)
         elif isinstance(event, MalformedInput):
-            if who in self.request_ids:
-                self.engine.client_disconnected(self.request_ids[who], True, self.now_us)
+            if actor in self.request_ids:
+                self.engine.client_disconnected(self.request_ids[actor], True, self.now_us)
             if event.answer_owed:
-                self.peer(who).write(self.client_connections[who].end_failed())
+                self.peer(actor).write(self.client_connections[actor].end_failed())
         else:
-            self.peer(who + "/upstream").write(event.line)
-            self.engine.client_line_forwarded(self.request_ids[who], self.now_us)
+            self.peer(actor + "/upstream").write(event.line)
+            self.engine.client_line_forwarded(self.request_ids[actor], self.now_us)
 
-    def _open_request(self, who: str, line: FirstLine) -> None:
-        self.first_lines[who] = line
+    def _open_request(self, actor: str, line: FirstLine) -> None:
+        self.first_lines[actor] = line
         request_id = self.engine.request_opened(
             line.request, line.current_endpoint, self.now_us, line.client_id
         )
         if request_id:
-            self.request_ids[who] = request_id
+            self.request_ids[actor] = request_id
         else:
-            self.peer(who).write(self.client_connections[who].end_failed())
+            self.peer(actor).write(self.client_connections[actor].end_failed())
 
-    def _upstream(self, who: str, verb: str, words: str) -> None:
-        command, connection = self.upstreams[who]
+    def _upstream(self, actor: str, verb: str, arguments: str) -> None:
+        command, connection = self.upstreams[actor]
         if verb == "send":
-            for event in connection.feed(words.encode() + b"\r\n"):
-                self._on_upstream_event(who, command, event)
+            for event in connection.feed(arguments.encode() + b"\r\n"):
+                self._on_upstream_event(actor, command, event)
         elif verb == "written":
             self._write_first_line(command, connection)
         else:
             if verb != "refuse":
                 self._write_first_line(command, connection)
-            del self.upstreams[who]
-            self._on_upstream_event(who, command, connection.connection_ended(), verb == "reset")
+            del self.upstreams[actor]
+            self._on_upstream_event(actor, command, connection.connection_ended(), verb == "reset")
 
     def _write_first_line(self, command: OpenUpstream, connection: UpstreamConnection) -> None:
         connection.first_line_sent(len(connection.unsent_first_line))
         self.engine.upstream_first_line_written(command.request_id, command.attempt, self.now_us)
 
     def _on_upstream_event(
-        self, who: str, command: OpenUpstream, event: UpstreamEvent, reset: bool = False
+        self, actor: str, command: OpenUpstream, event: UpstreamEvent, reset: bool = False
     ) -> None:
         request_id, attempt = command.request_id, command.attempt
         if isinstance(event, UpstreamEstablished):
-            self._write_first_line(command, self.upstreams[who][1])
+            self._write_first_line(command, self.upstreams[actor][1])
             if self.engine.upstream_established(request_id, attempt, self.now_us):
-                self.peer(who).write(event.line)
+                self.peer(actor).write(event.line)
         elif isinstance(event, EndpointLine):
-            self.peer(who).write(event.line)
+            self.peer(actor).write(event.line)
             if event.may_answer:
                 self.engine.answer_line_received(request_id, self.now_us)
         elif isinstance(event, LoadReported):
             self.engine.connection_load_reported(request_id, event.load, self.now_us)
         else:
-            self.upstreams.pop(who, None)  # its descriptor is given back before the engine is notified
+            self.upstreams.pop(actor, None)  # the descriptor is released before the engine is notified
             self.engine.upstream_ended(request_id, attempt, event.status, event.report, reset, self.now_us)
 
     def _wait(self, wait_ms: int) -> None:
@@ -258,13 +258,13 @@
             self._carry_out_commands()
         self.now_us = until_us
 
-    def _discovery(self, verb: str, words: str) -> None:
+    def _discovery(self, verb: str, arguments: str) -> None:
         if verb == "send":
-            update = read_membership(orjson.loads(words), self.settings)
+            update = read_membership(orjson.loads(arguments), self.settings)
             self.engine.endpoint_update_received(update, self.now_us)
         elif verb == "reopen":
             watch = EndpointWatch("d:1", self.engine.endpoint_list.version, self.settings, self.limits)
-            chunk = f"{len(words) + 1:x}\r\n{words}\n\r\n"
+            chunk = f"{len(arguments) + 1:x}\r\n{arguments}\n\r\n"
             answer = f"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}"
             for event in watch.feed(answer.encode()):
                 assert isinstance(event, MembershipUpdate)
@@ -280,8 +280,8 @@
 
         self.engine.balancer.handle = handle  # type: ignore[assignment,method-assign]
 
-    def _reload_settings(self, words: str) -> None:
-        max_attempts, classes = words.split()
+    def _reload_settings(self, arguments: str) -> None:
+        max_attempts, classes = arguments.split()
         pairs = [part.split(":") for part in classes.split(",")]
         self.settings = replace(
             self.settings,
@@ -308,22 +308,22 @@
     def _carry_out_commands(self) -> None:
         while self.engine.commands:
             command = self.engine.commands.popleft()
-            names = {request_id: who for who, request_id in self.request_ids.items()}
+            names = {request_id: actor for actor, request_id in self.request_ids.items()}
             self._carry_out(command, names.get(getattr(command, "request_id", -1), ""))
 
-    def _carry_out(self, command: Command, who: str) -> None:
+    def _carry_out(self, command: Command, actor: str) -> None:
         match command:
             case OpenUpstream():
-                self._open_upstream(command, who)
+                self._open_upstream(command, actor)
             case CloseUpstream():
-                self._end_upstream(who)
+                self._end_upstream(actor)
             case EndUpstream():
-                self._end_upstream(who, command.reset)
+                self._end_upstream(actor, command.reset)
             case StartForwarding():
-                for event in self.client_connections[who].establish():
-                    self._on_client_event(who, event)
+                for event in self.client_connections[actor].establish():
+                    self._on_client_event(actor, event)
             case RejectClient() | FailClient() | MigrateClient() | EndClient():
-                self._end_client(command, who)
+                self._end_client(command, actor)
             case StartLoadProbe():
                 self._answer_probe(command)
             case SetEndpointWatch() | WriteLogLine() | Exit():
@@ -338,8 +338,8 @@
             case Exit():
                 self.peers["relay"].unread.append("exit")
 
-    def _end_client(self, command: RejectClient | FailClient | MigrateClient | EndClient, who: str) -> None:
-        client, connection = self.peer(who), self.client_connections[who]
+    def _end_client(self, command: RejectClient | FailClient | MigrateClient | EndClient, actor: str) -> None:
+        client, connection = self.peer(actor), self.client_connections[actor]
         match command:
             case RejectClient():
                 client.write(connection.end_rejected(command.retry_after_us))
@@ -350,37 +350,37 @@
             case MigrateClient():
                 client.write(connection.end_migrated())
                 client.end()
-                self._end_upstream(who)
+                self._end_upstream(actor)
             case EndClient():
                 client.end(command.reset)
 
-    def _end_upstream(self, who: str, reset: bool = False) -> None:
-        self.upstreams.pop(who, None)
-        self.peer(who + "/upstream").end(reset)
+    def _end_upstream(self, actor: str, reset: bool = False) -> None:
+        self.upstreams.pop(actor, None)
+        self.peer(actor + "/upstream").end(reset)
 
     def _answer_probe(self, command: StartLoadProbe) -> None:
         if not self.probes_hang:
             report = (10.0, 0.5)
             self.engine.load_probe_ended(command.endpoint_id, AttemptStatus.OK, report, self.now_us)
 
-    def _open_upstream(self, command: OpenUpstream, who: str) -> None:
-        assert who not in self.upstreams, "two upstream connections of one request"
-        line = self.first_lines[who].for_endpoint(command.timeout_us)
+    def _open_upstream(self, command: OpenUpstream, actor: str) -> None:
+        assert actor not in self.upstreams, "two upstream connections of one request"
+        line = self.first_lines[actor].for_endpoint(command.timeout_us)
         connection = UpstreamConnection(line, self.settings.load_report_fields, self.limits)
-        self.upstreams[who] = command, connection
-        self.peer(who + "/upstream").write(line)
+        self.upstreams[actor] = command, connection
+        self.peer(actor + "/upstream").write(line)
 
 
-def play(
+def run_script(
     script: str,
     backends: int = 2,
     files: Mapping[str, str] | None = None,
     pushed: bool = False,
     **limits: int,
-) -> World:
-    """Play one scenario from the start; `files` are operators' files, the one named `start` among them. A
-    `pushed` list is watched unasked.
+) -> EngineScenario:
+    """Run one scenario from the start, and return it. `files` are operators' files by name, the one named
+    `start` among them. A `pushed` list is watched without a request of the balancer.
     """
-    world = World(backends, files, pushed, **limits)
-    world.play(script)
-    return world
+    scenario = EngineScenario(backends, files, pushed, **limits)
+    scenario.run_script(script)
+    return scenario
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The run-time guard of the invariants: each violation is caught, and what is allowed is none."""
+"""The run-time guard of the invariants: each violation is reported, and permitted sequences are not."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.events import EndpointEntry, EndpointStatus
 from gannetweir.placement.settings import RequestClass
-from tests.scenario import World
+from tests.scenario import EngineScenario
 
 DEADLINE_US = 2_000_000
 IDEMPOTENT = RequestClass("plain", idempotency="repeatable")
@@ -23,7 +23,7 @@
 
 
 class GuardedRequest:
-    """A guard over endpoints in two cells with one request, and the violations that it reported."""
+    """A guard over endpoints in two cells with one request, and the violations that the guard reported."""
 
     def __init__(self, request_class: RequestClass = IDEMPOTENT, deadline_us: int = DEADLINE_US) -> None:
         self.endpoint_list = EndpointList()
@@ -48,7 +48,7 @@
         self.endpoint_list.apply(MembershipUpdate(2, False, [ListedEndpoint(entry, "127.0.0.1:1")]), 1)
 
     def retry_elsewhere(self, request_class: RequestClass, endpoint_id: str, now_us: int = 1000) -> None:
-        """One attempt at b0 that may have executed, and a second one."""
+        """Write an attempt at b0 that may have executed, then a second attempt."""
         self.guard.request_opened(1, request_class, DEADLINE_US)
         self.start_attempt(0, "b0")
         self.close_attempt(0, True)
@@ -92,10 +92,8 @@
     (InvariantRule.OVERLAP, overlapping_attempts),
     (InvariantRule.UNSAFE_REPEAT, lambda guarded: guarded.retry_elsewhere(NOT_IDEMPOTENT, "b1")),
     (InvariantRule.UNSAFE_REPEAT, lambda guarded: guarded.retry_elsewhere(WITH_KEY, "b1")),  # another cell
-    (
-        InvariantRule.UNSAFE_REPEAT,
-        lambda guarded: guarded.retry_elsewhere(WITH_KEY, "b2", 1_001_000),
-    ),  # its window is over
+    # The idempotency window of the first attempt has passed.
+    (InvariantRule.UNSAFE_REPEAT, lambda guarded: guarded.retry_elsewhere(WITH_KEY, "b2", 1_001_000)),
     (InvariantRule.TOO_MANY_ATTEMPTS, lambda guarded: guarded.start_attempt(0, max_attempts=0)),
     (InvariantRule.ENDPOINT_UNAVAILABLE, attempt_at_a_draining_endpoint),
     (InvariantRule.ENDPOINT_UNAVAILABLE, lambda guarded: guarded.start_attempt(0, "unlisted")),
@@ -113,10 +111,10 @@
 ]
 
 
-@pytest.mark.parametrize(("rule", "play"), VIOLATIONS)
-def test_a_violation_is_counted(rule: InvariantRule, play: Steps) -> None:
+@pytest.mark.parametrize(("rule", "steps"), VIOLATIONS)
+def test_a_violation_is_counted(rule: InvariantRule, steps: Steps) -> None:
     guarded = GuardedRequest()
-    play(guarded)
+    steps(guarded)
     assert [violation.rule for violation in guarded.violations] == [rule]
     assert guarded.guard.violations == 1
 
@@ -135,7 +133,7 @@
 def retried_after_a_rejection(guarded: GuardedRequest) -> None:
     guarded.guard.request_opened(1, NOT_IDEMPOTENT, DEADLINE_US)
     guarded.start_attempt(0)
-    guarded.close_attempt(0, False)  # it never executed, so any class may be retried
+    guarded.close_attempt(0, False)  # the attempt was never executed, so any class may be retried
     guarded.start_attempt(1, "b1")
     guarded.guard.final_answer_written(1, False, 5)
     guarded.guard.client_connection_closed(1)
@@ -160,32 +158,32 @@
 ]
 
 
-@pytest.mark.parametrize("play", ALLOWED)
-def test_allowed_steps_are_no_violation(play: Steps) -> None:
+@pytest.mark.parametrize("steps", ALLOWED)
+def test_allowed_steps_are_no_violation(steps: Steps) -> None:
     guarded = GuardedRequest()
-    play(guarded)
+    steps(guarded)
     assert not guarded.violations
     assert guarded.guard.violations == 0
 
 
 def test_a_violation_is_logged_with_the_steps_of_its_request_and_counted() -> None:
-    world = World()
-    world.play("c1 send OPEN 0a 0b c=plain,d=2000\ntime wait 1")
-    world.engine.guard.attempt_write_started(1, 0, "b1", world.now_us, 3)
-    world.engine.guard.attempt_write_started(1, 1, "b2", world.now_us, 3)
-    lines = [command for command in world.engine.commands if isinstance(command, WriteLogLine)]
+    scenario = EngineScenario()
+    scenario.run_script("c1 send OPEN 0a 0b c=plain,d=2000\ntime wait 1")
+    scenario.engine.guard.attempt_write_started(1, 0, "b1", scenario.now_us, 3)
+    scenario.engine.guard.attempt_write_started(1, 1, "b2", scenario.now_us, 3)
+    lines = [command for command in scenario.engine.commands if isinstance(command, WriteLogLine)]
     line = next(line for line in lines if line.text == "invariant violated")
     assert line.fields["rule"] == InvariantRule.OVERLAP
     assert line.fields["id"] == "0a"
     assert "opened:plain" in str(line.fields["history"])
     assert "attempt@b" in str(line.fields["history"])
-    assert world.engine.counters.counts["violations.overlap"] == 1
-    assert world.engine.current_figures()["violations"] == 1
+    assert scenario.engine.counters.counts["violations.overlap"] == 1
+    assert scenario.engine.current_figures()["violations"] == 1
 
 
 def test_rejections_retries_migrations_and_ends_are_counted_by_reason() -> None:
-    world = World(backends=2)
-    world.play(
+    scenario = EngineScenario(backends=2)
+    scenario.run_script(
         """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*
@@ -205,6 +203,6 @@
         c3 expect BUSY*
         """
     )
-    counts = world.engine.counters.counts
+    counts = scenario.engine.counters.counts
     reasons = ("retried.after_full", "closed.client_ended", "migrated.drain", "rejected.relay_closing")
     assert [counts[reason] for reason in reasons] == [1, 1, 1, 1], counts
--- a/tests/test_replaced_process.py
+++ b/tests/test_replaced_process.py
@@ -1,8 +1,8 @@
-"""The drain of a process whose clients another process of the same relay already takes."""
+"""The drain of a process while another process of the same relay already admits the clients."""
 
 import pytest
 
-from tests.scenario import play
+from tests.scenario import run_script
 from tests.test_scenarios import ESTABLISHED
 
 DRAIN_SCRIPTS = {
@@ -32,4 +32,4 @@
 
 @pytest.mark.parametrize("script", DRAIN_SCRIPTS.values(), ids=DRAIN_SCRIPTS.keys())
 def test_a_replaced_process_migrates_at_once_what_it_has_admitted(script: str) -> None:
-    play(script)
+    run_script(script)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,8 +1,8 @@
-"""What the relay owes its clients and endpoints, in the scenario language."""
+"""The relay's behaviour towards its clients and endpoints, in the scenario language."""
 
 import pytest
 
-from tests.scenario import play
+from tests.scenario import run_script
 
 ESTABLISHED = """
 c1 send OPEN 0a 0b c=plain,d=2000
@@ -75,7 +75,7 @@
         c1/upstream expect nothing
         c1/upstream send UP r1
         c1/upstream expect early""",
-    "the id of another client's open request is rejected, and that one is unharmed": ESTABLISHED
+    "the id of another client's open request is rejected, and that request is unaffected": ESTABLISHED
     + """
         c2 send OPEN 0a 0c c=plain,d=2000
         c2 expect ERR
@@ -159,13 +159,13 @@
         c1/upstream expect OPEN*
         c1/upstream expect OPEN*
         relay expect count attempts.error 1""",
-    "what no endpoint serves is rejected as soon as the balancer gives up, not near the deadline": """
+    "a request that no endpoint serves is rejected after the last attempt, not near the deadline": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream send BUSY
         c1/upstream send BUSY
         c1 expect BUSY [1-9]*
         c1 expect end""",
-    "an UP after the deadline serves nobody": """
+    "an UP after the deadline serves no client": """
         c1 send OPEN 0a 0b c=plain,d=200
         c1/upstream expect OPEN*
         time wait 159
@@ -248,7 +248,7 @@
         c1/upstream expect OPEN*
         c1/upstream send UP r1
         c1 expect UP r1""",
-    "an endpoint that was never listed is not sent to": """
+    "nothing is sent to an endpoint that was never listed": """
         c1 send OPEN 0a 0b c=plain,d=2000,at=b9
         c1 expect ERR
         c1/upstream expect nothing""",
@@ -288,7 +288,7 @@
 }
 
 DRAINING = {
-    "a drain goes on serving, then migrates every client before its upstream ends, then exits": ESTABLISHED
+    "a drain still serves, then migrates every client before its upstream ends, then exits": ESTABLISHED
     + """
         relay term
         front send PING
@@ -310,7 +310,7 @@
         c2 expect MOVE
         time wait 300
         relay expect exit""",
-    "what is established during the migrations is migrated as well": """
+    "a connection established during the migrations is migrated as well": """
         relay term
         time wait 400
         c1 send OPEN 0a 0b c=plain,d=2000
@@ -320,7 +320,7 @@
         time wait 1
         c1 expect MOVE
         c1 expect end""",
-    "what is still without an answer at the exit is rejected": """
+    "a request still without an answer at the exit is rejected": """
         balancer ignore
         c1 send OPEN 0a 0b c=plain,d=9000
         relay term
@@ -355,15 +355,15 @@
 
 @pytest.mark.parametrize("script", cases(FORWARDING, FAILURES, RESUMPTION, DRAINING))
 def test_with_two_endpoints(script: str) -> None:
-    play(script)
+    run_script(script)
 
 
 def test_a_relay_is_ready_once_an_endpoint_is() -> None:
-    play(MEMBERSHIP["ready with a listed endpoint, not without"], backends=0)
+    run_script(MEMBERSHIP["ready with a listed endpoint, not without"], backends=0)
 
 
 def test_the_watch_backs_off() -> None:
-    play(MEMBERSHIP["a watch is opened, and again after it ended, with a growing backoff"])
+    run_script(MEMBERSHIP["a watch is opened, and again after it ended, with a growing backoff"])
 
 
 @pytest.mark.parametrize(
@@ -394,14 +394,14 @@
     ],
 )
 def test_a_malformed_first_line_fails_and_reaches_no_endpoint(raw: str) -> None:
-    world = play(f"c1 raw {raw}")
-    assert world.peers["c1"].unread[-1] == "ERR"
-    assert not world.peer("c1/upstream").unread
-    assert not world.engine.requests
+    scenario = run_script(f"c1 raw {raw}")
+    assert scenario.peers["c1"].unread[-1] == "ERR"
+    assert not scenario.peer("c1/upstream").unread
+    assert not scenario.engine.requests
 
 
 def test_a_request_over_the_limit_is_rejected_at_once() -> None:
-    play(
+    run_script(
         "c1 send OPEN 0a 0b c=plain,d=2000\nc2 send OPEN 0c 0d c=plain,d=2000\nc2 expect BUSY*\n"
         "c1/upstream send UP r1\nc1 expect UP r1",
         sockets=28,
@@ -411,27 +411,29 @@
 @pytest.mark.parametrize("ready_endpoint", ["b2", "b1"])
 def test_a_draining_endpoint_gets_no_requests(ready_endpoint: str) -> None:
     update = B1_DRAINS.replace("b1", "b2" if ready_endpoint == "b1" else "b1")
-    world = play(f"discovery send {update}")
+    scenario = run_script(f"discovery send {update}")
     for number in range(8):
         client = f"c{number}"
-        world.play(
+        scenario.run_script(
             f"{client} send OPEN 0{number} 0b c=plain,d=2000\n{client}/upstream expect OPEN*\n"
             f"{client}/upstream send UP r"
         )
-        world.play("time wait 1500")
-    addresses = {command.address for command, _ in world.upstreams.values()}
+        scenario.run_script("time wait 1500")
+    addresses = {command.address for command, _ in scenario.upstreams.values()}
     assert addresses == {f"127.0.0.1:{ready_endpoint[1]}"}
 
 
 def test_a_changed_address_is_used_from_the_next_attempt_on() -> None:
     moved = '{"seq":42,"whole":false,"hosts":[' + HOST % ("b1", 77, "Ready") + "]}"
-    world = play(f"discovery send {moved}\nc1 send OPEN 0a 0b c=plain,d=2000,at=b1")
-    assert world.upstreams["c1"][0].address == "127.0.0.1:77"
+    scenario = run_script(f"discovery send {moved}\nc1 send OPEN 0a 0b c=plain,d=2000,at=b1")
+    assert scenario.upstreams["c1"][0].address == "127.0.0.1:77"
 
 
 def test_an_endpoint_missing_from_a_snapshot_gets_no_requests() -> None:
-    world = play(f"discovery send {ONLY_B3}\nc1 send OPEN 0a 0b c=plain,d=2000\nc1/upstream expect OPEN*")
-    assert world.upstreams["c1"][0].address == "127.0.0.1:3"
+    scenario = run_script(
+        f"discovery send {ONLY_B3}\nc1 send OPEN 0a 0b c=plain,d=2000\nc1/upstream expect OPEN*"
+    )
+    assert scenario.upstreams["c1"][0].address == "127.0.0.1:3"
 
 
 RELOADS = {
@@ -468,4 +470,4 @@
 
 @pytest.mark.parametrize("script", RELOADS.values(), ids=RELOADS.keys())
 def test_a_reload_of_classes_and_attempts(script: str) -> None:
-    play(script)
+    run_script(script)
