--- a/gannetweir/net/client_connection.py
+++ b/gannetweir/net/client_connection.py
@@ -199,7 +199,7 @@
         if self.request_id:
             engine.guard.client_ended(self.request_id)  # what it sent ends the connection
             self.context.run_engine_call(engine.client_disconnected, self.request_id, True)
-        self._finish(self.protocol.end_failed() if event.answer_owed else b"")
+        self._finish(self.protocol.end_failed() if event.answer_pending else b"")
 
     def open_upstream(self, command: OpenUpstream) -> None:
         """Start an attempt in a task of its own."""
--- a/gannetweir/proto/client_connection.py
+++ b/gannetweir/proto/client_connection.py
@@ -145,7 +145,7 @@
     """The client sent what cannot be served."""
 
     reason: str
-    answer_owed: bool  # it has had no answer so far
+    answer_pending: bool  # it has had no answer so far
 
 
 class LineReceived(NamedTuple):
@@ -179,11 +179,11 @@
                 if event is not None:
                     events.append(event)
         except LineError as error:
-            answer_owed = self.phase is not ClientPhase.ESTABLISHED
+            answer_pending = self.phase is not ClientPhase.ESTABLISHED
             self.phase = ClientPhase.ENDED
             # complete lines of an established connection pass; a request is not begun just to be failed
             events = [event for event in events if not isinstance(event, RequestOpened)]
-            events.append(MalformedInput(str(error), answer_owed))
+            events.append(MalformedInput(str(error), answer_pending))
         return events
 
     def _parse_line(self, line: bytes) -> ClientEvent | None:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -199,7 +199,7 @@
         elif isinstance(event, MalformedInput):
             if who in self.request_ids:
                 self.engine.client_disconnected(self.request_ids[who], True, self.now_us)
-            if event.answer_owed:
+            if event.answer_pending:
                 self.peer(who).write(self.client_connections[who].end_failed())
         else:
             self.peer(who + "/upstream").write(event.line)
