--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -60,8 +60,8 @@
         servers: int = 4,
         *,
         seed: int = 1,
-        starts: dict[int, int] | None = None,
-        places: dict[int, int] | None = None,
+        started_us_by_endpoint: dict[int, int] | None = None,
+        zones: dict[int, int] | None = None,
         cells: dict[int, int] | None = None,
         **changes: object,
     ) -> None:
@@ -76,12 +76,12 @@
         entries = [
             EndpointEntry(
                 n,
-                (places or {}).get(n, 0),
+                (zones or {}).get(n, 0),
                 0,
                 (cells or {}).get(n, 0),
                 EndpointStatus.READY,
                 1.0,
-                (starts or {}).get(n, 0),
+                (started_us_by_endpoint or {}).get(n, 0),
             )
             for n in range(servers)
         ]
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -13,18 +13,27 @@
 RELAYS = 20
 
 
-def relay_with_warming_endpoints(seed: int, starts: dict[int, int], **changes: object) -> BalancerDriver:
+def relay_with_warming_endpoints(
+    seed: int, started_us_by_endpoint: dict[int, int], **changes: object
+) -> BalancerDriver:
     """One relay of twenty: slow and fast servers that are loaded alike, some of them just started."""
     settings: dict[str, Any] = {
         "slow_start_window_us": 2300 * SECOND,
         "slow_start_min_share": 0.3,
         "overload_multiple": 4.0,
     } | changes
-    g = BalancerDriver(8, seed=seed, starts=starts, relay_count=RELAYS, groups_enabled=True, **settings)
+    g = BalancerDriver(
+        8,
+        seed=seed,
+        started_us_by_endpoint=started_us_by_endpoint,
+        relay_count=RELAYS,
+        groups_enabled=True,
+        **settings,
+    )
     for node in g.balancer.state.endpoints.values():
         n = number_of(node)
         node.machine_type = FAST if n % 2 else SLOW
-        if n not in starts:
+        if n not in started_us_by_endpoint:
             g.balancer.state.reports.record(node, 21.0 if n % 2 else 9.0, 0.5)
     return g
 
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -23,7 +23,7 @@
 ZONES: dict[str, Any] = {
     "zone_names": ["a", "b"],
     "cross_zone_cost": 0.1,
-    "places": {n: n % 2 for n in range(6)},
+    "zones": {n: n % 2 for n in range(6)},
 }
 
 
@@ -208,7 +208,7 @@
 def test_a_permit_of_a_warming_endpoint_waits_for_an_arrival() -> None:
     """Turns went to draws no arrival with a group uses: a server stood empty for 12 s after it started."""
     g = relay_with_groups(
-        starts={5: 95 * SECOND},
+        started_us_by_endpoint={5: 95 * SECOND},
         slow_start_window_us=230 * SECOND,
         slow_start_min_share=0.12,
         overload_multiple=4.0,
@@ -230,7 +230,7 @@
     given = []
     for report in ((1.0, 0.05), (4.0, 1.2)):
         g = relay_with_groups(
-            starts={4: 95 * SECOND, 5: 95 * SECOND},
+            started_us_by_endpoint={4: 95 * SECOND, 5: 95 * SECOND},
             slow_start_window_us=2300 * SECOND,
             slow_start_min_share=0.3,
         )
@@ -294,7 +294,9 @@
 
 def test_nothing_migrates_where_crossing_is_free_or_the_own_zone_is_warming_up_or_unreported() -> None:
     free = relay_with_crossing_connections(0.3, 1, cross_zone_cost=0.0)
-    cold = relay_with_crossing_connections(0.3, 1, starts=dict.fromkeys((0, 2, 4), 99 * SECOND))
+    cold = relay_with_crossing_connections(
+        0.3, 1, started_us_by_endpoint=dict.fromkeys((0, 2, 4), 99 * SECOND)
+    )
     unheard = relay_with_groups(**ZONES)
     unheard.silent_endpoints = set(range(6))
     for rid in range(70, 80):
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -107,7 +107,7 @@
             groups_enabled=True,
             zone_names=["a", "b"],
             cross_zone_cost=0.1,
-            places={n: n % 2 for n in range(servers)},
+            zones={n: n % 2 for n in range(servers)},
         )
         g.loads = dict.fromkeys(range(servers), (10.0, 0.4))
         spent = dict.fromkeys(("arrival", "tick", "held"), 0.0)
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -113,7 +113,7 @@
             g = BalancerDriver(
                 8,
                 seed=seed,
-                places={n: n % 4 for n in range(8)},
+                zones={n: n % 4 for n in range(8)},
                 zone=1,
                 cross_zone_cost=fee,
                 zone_names=["a", "b", "c", "d"],
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -89,7 +89,7 @@
 def test_keyed_repeats_stay_in_their_group_and_window(scope: str) -> None:
     groups = {n: n % 3 for n in range(12)}
     for seed in range(20):
-        g = BalancerDriver(12, seed=seed, classes=[keyed(scope)], places=groups, cells=groups)
+        g = BalancerDriver(12, seed=seed, classes=[keyed(scope)], zones=groups, cells=groups)
         g.arrive()
         first = g.started_attempts[-1]
         g.advance(SECOND // 2)
@@ -246,7 +246,7 @@
             10,
             seed=seed,
             relay_count=gateways,
-            starts={0: 100 * SECOND - 1},
+            started_us_by_endpoint={0: 100 * SECOND - 1},
             slow_start_min_share=0.2,
             slow_start_window_us=20 * SECOND,
             overload_multiple=3.0,
@@ -272,7 +272,7 @@
 
 
 def test_a_heavy_connection_does_not_go_to_a_warming_endpoint() -> None:
-    g = BalancerDriver(2, starts={0: 100 * SECOND - 1}, slow_start_window_us=20 * SECOND)
+    g = BalancerDriver(2, started_us_by_endpoint={0: 100 * SECOND - 1}, slow_start_window_us=20 * SECOND)
     node = g.balancer.state.endpoints[0]
     g.balancer.load_model.mean_load_hint = 1000.0
     for hint, expected in ((500, 0), (5000, 1)):
@@ -283,7 +283,7 @@
 
 
 def test_a_warm_endpoint_needs_no_permit() -> None:
-    g = BalancerDriver(2, starts={0: 60 * SECOND}, slow_start_window_us=30 * SECOND)
+    g = BalancerDriver(2, started_us_by_endpoint={0: 60 * SECOND}, slow_start_window_us=30 * SECOND)
     assert not g.balancer.slow_start.warming_up
     g.arrive()
     for _ in range(20):
@@ -292,7 +292,7 @@
 
 
 def test_a_fleet_that_is_warming_up_altogether_is_used() -> None:
-    g = BalancerDriver(3, starts=dict.fromkeys(range(3), 100 * SECOND - 1))
+    g = BalancerDriver(3, started_us_by_endpoint=dict.fromkeys(range(3), 100 * SECOND - 1))
     assert actions_of(g.arrive(), StartAttempt)
 
 
@@ -528,7 +528,7 @@
     """One final answer in time, no double effect, nothing to draining servers, one attempt at a time."""
     cls = {"repeatable": REPEATABLE, "once": ONCE}.get(kind) or keyed(kind)
     part = {n: n % 2 for n in range(6)}
-    g = BalancerDriver(6, classes=[cls], places=part, cells=part, load_probes_enabled=probes)
+    g = BalancerDriver(6, classes=[cls], zones=part, cells=part, load_probes_enabled=probes)
     state = dict.fromkeys(range(6), EndpointStatus.READY)
     owed: dict[int, int] = {}  # request: deadline
     out: dict[int, StartAttempt] = {}
