--- a/gannetweir/adapter.py
+++ b/gannetweir/adapter.py
@@ -64,21 +64,26 @@
             raise wire.WireError(f"Teardown for instance {instance}, which does not exist")
 
     def _handle(
-        self, kind: wire.EventRecord, record: memoryview, tail: memoryview, now_us: int, reply: wire.Reply
+        self,
+        event_record: wire.EventRecord,
+        record: memoryview,
+        tail: memoryview,
+        now_us: int,
+        reply: wire.Reply,
     ) -> None:
-        instance, *fields = kind.layout.unpack_from(record, 1)
+        instance, *fields = event_record.layout.unpack_from(record, 1)
         balancer = self._balancers.get(instance)
         if balancer is None:
             if instance in self._faulted:
                 return
-            raise wire.WireError(f"{kind.wire_name} for instance {instance}, which does not exist")
-        event = kind.decode(tail, *fields)
+            raise wire.WireError(f"{event_record.wire_name} for instance {instance}, which does not exist")
+        event = event_record.decode(tail, *fields)
         try:
             actions = balancer.handle(event, now_us)
         # The guarded edge: the wire has a record for it, which ends the instance.
         except Exception as error:  # noqa: BLE001 - the wire has a record for it
             traceback.print_exc()
-            reply.add_text(wire.FAULT, instance, f"{kind.wire_name}: {type(error).__name__}: {error}")
+            reply.add_text(wire.FAULT, instance, f"{event_record.wire_name}: {type(error).__name__}: {error}")
             return
         reply.add(instance, actions)
 
--- a/gannetweir/config/kdl.py
+++ b/gannetweir/config/kdl.py
@@ -33,7 +33,7 @@
 
 MAX_DOCUMENT_BYTES = 1 << 20  # far over any file that people write; bounds the memory of a read
 MAX_LINE_CHARACTERS = 2000  # ckdl takes time that grows with the square of a number's digits
-MAX_NODE_DEPTH = 16  # ckdl and `_node` recurse: a deep document would end the process
+MAX_NODE_DEPTH = 16  # ckdl and `_build_node` recurse: a deep document would end the process
 _NO_LINE = -1  # of a node for which reader and scan do not agree
 
 
@@ -73,7 +73,7 @@
     except (ckdl.ParseError, ValueError, OverflowError) as error:
         raise KdlError(f"not KDL: {error}", _line_of_error(text)) from error
     remaining_starts = iter(starts)
-    nodes = [_node(node, remaining_starts) for node in document.nodes]
+    nodes = [_build_node(node, remaining_starts) for node in document.nodes]
     all_starts_used = next(remaining_starts, None) is None
     lines_agree = with_lines and all_starts_used and all(node.line != _NO_LINE for node in _all_nodes(nodes))
     if not lines_agree:
@@ -100,13 +100,13 @@
     return max_depth
 
 
-def _node(node: _ParsedNode, starts: Iterator[NodeStart]) -> Node:
+def _build_node(node: _ParsedNode, starts: Iterator[NodeStart]) -> Node:
     start = next(starts, None)
     line = start.line if start is not None and start.name == node.name else _NO_LINE
     arguments = [_plain_value(argument) for argument in node.args]
     properties = {key: _plain_value(value) for key, value in node.properties.items()}
     parsed = Node(node.name, arguments, properties, [], line)
-    parsed.children = [_node(child, starts) for child in node.children]
+    parsed.children = [_build_node(child, starts) for child in node.children]
     return parsed
 
 
--- a/gannetweir/config/kdl_forms.py
+++ b/gannetweir/config/kdl_forms.py
@@ -10,7 +10,7 @@
 from typing import Generic, NamedTuple, TypeVar, cast
 
 from gannetweir.config.kdl import KdlValue, Node
-from gannetweir.config.kdl_values import ValueFormatError, shown
+from gannetweir.config.kdl_values import ValueFormatError, format_value
 from gannetweir.mistakes import Mistake
 
 T = TypeVar("T")
@@ -66,7 +66,7 @@
         try:
             return parse(value)
         except ValueFormatError as error:
-            self.report(node, where, f"found {shown(value)}", str(error))
+            self.report(node, where, f"found {format_value(value)}", str(error))
         return None
 
     def parse_only_argument(self, node: Node, where: str, parse: Callable[[KdlValue], T]) -> T | None:
@@ -105,7 +105,7 @@
     def _read_arguments(self, node: Node, where: str, form: NodeForm[T]) -> tuple[T, ...]:
         if form.argument is None:
             if node.arguments:
-                found = f"found {shown(node.arguments[0])}"
+                found = f"found {format_value(node.arguments[0])}"
                 self.report(node, where, found, "named values only, as name=value")
             return ()
         if not node.arguments or (len(node.arguments) > 1 and not form.allows_many):
--- a/gannetweir/config/kdl_values.py
+++ b/gannetweir/config/kdl_values.py
@@ -113,11 +113,11 @@
     return parse_member
 
 
-def shown(value: KdlValue) -> str:
+def format_value(value: KdlValue) -> str:
     """Return a value as the file states it, cut to a length that fits a message."""
     if value is None:
         return "#null"
     if isinstance(value, bool):
         return f"#{str(value).lower()}"
-    max_shown = 60
-    return f'"{value[:max_shown]}"' if isinstance(value, str) else f"{value!r}"[:max_shown]
+    max_characters = 60
+    return f'"{value[:max_characters]}"' if isinstance(value, str) else f"{value!r}"[:max_characters]
--- a/gannetweir/config/operators_addresses.py
+++ b/gannetweir/config/operators_addresses.py
@@ -22,21 +22,23 @@
     `rules` is what they state together; None while there was no such section.
     """
 
-    def __init__(self, nodes: NodeReader) -> None:
+    def __init__(self, node_reader: NodeReader) -> None:
         self.rules: AddressRules | None = None
-        self._nodes = nodes
+        self._node_reader = node_reader
 
     def read_connection_rules(self, node: Node) -> None:
         """Read how servers with several addresses are connected to."""
-        self._nodes.check_block_only(node, "reach")
+        self._node_reader.check_block_only(node, "reach")
         rules = self.rules or AddressRules()
-        for name, child in self._nodes.read_block(node, "reach", ("prefer", "fallback", "mend")).items():
+        for name, child in self._node_reader.read_block(
+            node, "reach", ("prefer", "fallback", "mend")
+        ).items():
             where = f"reach {name}"
             if name == "prefer":
-                families = self._nodes.read_values(child, where, _PREFER).arguments
+                families = self._node_reader.read_values(child, where, _PREFER).arguments
                 rules = replace(rules, family_preference=families or rules.family_preference)
                 continue
-            duration_us = self._nodes.read_values(child, where, _DURATION).single
+            duration_us = self._node_reader.read_values(child, where, _DURATION).single
             if duration_us is None:
                 continue
             if name == "fallback":
@@ -48,17 +50,17 @@
     def read_server(self, node: Node) -> None:
         """Read the addresses of a server, or of all that a pattern means."""
         rules = self.rules or AddressRules()
-        name = self._nodes.parse_only_argument(node, "server", parse_text)
+        name = self._node_reader.parse_only_argument(node, "server", parse_text)
         where = f"server {name}" if name else "server"
         if node.properties:
-            self._nodes.report(node, where, "found values", "its name only")
+            self._node_reader.report(node, where, "found values", "its name only")
         addresses: tuple[str, ...] = ()
         dial: bool | None = None
-        for child_name, child in self._nodes.read_block(node, where, ("address", "dial")).items():
+        for child_name, child in self._node_reader.read_block(node, where, ("address", "dial")).items():
             if child_name == "address":
-                addresses = self._nodes.read_values(child, f"{where} address", _ADDRESS).arguments
+                addresses = self._node_reader.read_values(child, f"{where} address", _ADDRESS).arguments
             else:
-                dial = self._nodes.read_values(child, f"{where} dial", _DIAL).single
+                dial = self._node_reader.read_values(child, f"{where} dial", _DIAL).single
         if name:
             rule = EndpointRule(name, addresses, dial is not False, node.line)
             rules = replace(rules, endpoint_rules=(*rules.endpoint_rules, rule))
--- a/gannetweir/config/operators_file.py
+++ b/gannetweir/config/operators_file.py
@@ -49,45 +49,45 @@
     """Reads one document, section by section. What has mistakes is left out of the rules."""
 
     def __init__(self) -> None:
-        self._nodes = NodeReader()
-        self._addresses = AddressReader(self._nodes)
-        self._route_reader = RouteReader(self._nodes)
+        self._node_reader = NodeReader()
+        self._address_reader = AddressReader(self._node_reader)
+        self._route_reader = RouteReader(self._node_reader)
         self._relay = RelaySection()
         self._routes: list[Route] = []
         self._default: Route | None = None
-        self._seen: set[str] = set()
+        self._seen_names: set[str] = set()
 
     @property
     def mistakes(self) -> list[Mistake]:
         """What was wrong, in the order of reading."""
-        return self._nodes.mistakes
+        return self._node_reader.mistakes
 
     def read(self, nodes: list[Node]) -> OperatorsFile:
         """Read the top nodes of a document."""
         for node in nodes:
             if node.name not in _TOP_NODES:
-                self._nodes.report(node, node.name, "unknown", f"one of {', '.join(_TOP_NODES)}")
-            elif node.name in self._seen and node.name not in _REPEATABLE_NODES:
-                self._nodes.report(node, node.name, "a second time", "once in a file")
+                self._node_reader.report(node, node.name, "unknown", f"one of {', '.join(_TOP_NODES)}")
+            elif node.name in self._seen_names and node.name not in _REPEATABLE_NODES:
+                self._node_reader.report(node, node.name, "a second time", "once in a file")
             else:
-                self._seen.add(node.name)
+                self._seen_names.add(node.name)
                 self._read_section(node)
-        if "gannetweir" not in self._seen:
+        if "gannetweir" not in self._seen_names:
             allowed = f"a first line `gannetweir version={VERSION}`"
             self.mistakes.append(Mistake(0, "gannetweir", "missing", allowed))
         routes = (*self._routes, self._default) if self._default is not None else tuple(self._routes)
         relay = self._relay
         rules = RoutingRules(routes, relay.retry_budget, relay.limits, relay.lines)
-        return OperatorsFile(rules, self._addresses.rules)
+        return OperatorsFile(rules, self._address_reader.rules)
 
     def _read_section(self, node: Node) -> None:
         match node.name:
             case "gannetweir":
                 self._read_header(node)
             case "reach":
-                self._addresses.read_connection_rules(node)
+                self._address_reader.read_connection_rules(node)
             case "server":
-                self._addresses.read_server(node)
+                self._address_reader.read_server(node)
             case "relay":
                 self._relay = self._route_reader.read_relay(node)
             case "default":
@@ -96,13 +96,13 @@
                 self._read_route(node)
 
     def _read_header(self, node: Node) -> None:
-        version = self._nodes.read_values(node, "gannetweir", _HEADER).get(_VERSION)
+        version = self._node_reader.read_values(node, "gannetweir", _HEADER).get(_VERSION)
         if version not in (None, VERSION):
-            self._nodes.report(node, "gannetweir version", f"found {version}", f"{VERSION}")
+            self._node_reader.report(node, "gannetweir version", f"found {version}", f"{VERSION}")
 
     def _read_route(self, node: Node) -> None:
         if self._default is not None:
-            self._nodes.report(node, "route", "after the default, which takes all", "the default last")
+            self._node_reader.report(node, "route", "after the default, which takes all", "the default last")
         self._routes.append(self._route_reader.read_route(node, len(self._routes) + 1))
 
 
--- a/gannetweir/config/operators_routes.py
+++ b/gannetweir/config/operators_routes.py
@@ -97,13 +97,13 @@
 class RouteReader:
     """Reads routes; mistakes go to the node reader."""
 
-    def __init__(self, nodes: NodeReader) -> None:
-        self._nodes = nodes
+    def __init__(self, node_reader: NodeReader) -> None:
+        self._node_reader = node_reader
 
     def read_relay(self, node: Node) -> RelaySection:
         """Read what holds for all routes together."""
-        self._nodes.check_block_only(node, "relay")
-        children = self._nodes.read_block(node, "relay", ("retry-budget", "limits"))
+        self._node_reader.check_block_only(node, "relay")
+        children = self._node_reader.read_block(node, "relay", ("retry-budget", "limits"))
         return RelaySection(
             self._read_retry_budget(children, "relay"),
             self._read_limits(children, "relay", _RELAY_LIMITS),
@@ -112,25 +112,25 @@
 
     def read_route(self, node: Node, number: int) -> Route:
         """Read a route; `number` stands for a name that is missing or wrong."""
-        name = self._nodes.parse_only_argument(node, "route", parse_name)
+        name = self._node_reader.parse_only_argument(node, "route", parse_name)
         if name in _RESERVED_NAMES:
-            self._nodes.report(node, "route", f"the name {name!r}", "a name of its own")
+            self._node_reader.report(node, "route", f"the name {name!r}", "a name of its own")
         if name == DEFAULT_ROUTE:
             return self.read_default(node)
         name = name or f"#{number}"
         where = f"route {name}"
         if node.properties:
-            self._nodes.report(node, where, "found values", "its name only")
-        children = self._nodes.read_block(node, where, _ROUTE_NODES)
+            self._node_reader.report(node, where, "found values", "its name only")
+        children = self._node_reader.read_block(node, where, _ROUTE_NODES)
         if "match" not in children:
             allowed = "a match block; what takes all is the default"
-            self._nodes.report(node, where, "match is missing", allowed)
+            self._node_reader.report(node, where, "match is missing", allowed)
         return self._read_body(node, name, where, children)
 
     def read_default(self, node: Node) -> Route:
         """Read the route that takes all that no other does."""
-        self._nodes.check_block_only(node, DEFAULT_ROUTE)
-        children = self._nodes.read_block(node, DEFAULT_ROUTE, _DEFAULT_NODES)
+        self._node_reader.check_block_only(node, DEFAULT_ROUTE)
+        children = self._node_reader.read_block(node, DEFAULT_ROUTE, _DEFAULT_NODES)
         return self._read_body(node, DEFAULT_ROUTE, DEFAULT_ROUTE, children)
 
     def _read_body(self, node: Node, name: str, where: str, children: Mapping[str, Node]) -> Route:
@@ -164,24 +164,26 @@
         """Return the one value of a child; None where the child is missing or its value wrong."""
         if name not in children:
             return None
-        return self._nodes.read_values(children[name], f"{where} {name}", form).single
+        return self._node_reader.read_values(children[name], f"{where} {name}", form).single
 
     def _read_hedge(self, children: Mapping[str, Node], where: str) -> int:
         if "hedge" not in children:
             return 0
-        return self._nodes.read_values(children["hedge"], f"{where} hedge", _HEDGE).get(_AFTER) or 0
+        return self._node_reader.read_values(children["hedge"], f"{where} hedge", _HEDGE).get(_AFTER) or 0
 
     def _read_match(self, route_children: Mapping[str, Node], route_where: str) -> RouteMatch:
         if "match" not in route_children:
             return RouteMatch()
         node = route_children["match"]
         where = f"{route_where} match"
-        self._nodes.check_block_only(node, where)
-        children = self._nodes.read_block(node, where, _MATCH_FORMS)
+        self._node_reader.check_block_only(node, where)
+        children = self._node_reader.read_block(node, where, _MATCH_FORMS)
         if not node.children:
-            self._nodes.report(node, where, "empty", "what the route takes; what takes all is the default")
+            self._node_reader.report(
+                node, where, "empty", "what the route takes; what takes all is the default"
+            )
         conditions: dict[str, NodeValues[str | bool]] = {
-            name: self._nodes.read_values(child, f"{where} {name}", _MATCH_FORMS[name])
+            name: self._node_reader.read_values(child, f"{where} {name}", _MATCH_FORMS[name])
             for name, child in children.items()
         }
         return RouteMatch(
@@ -197,18 +199,18 @@
             return None
         node = children["wait"]
         where = f"{route_where} wait"
-        values = self._nodes.read_values(node, where, _WAIT)
+        values = self._node_reader.read_values(node, where, _WAIT)
         kind = values.single
         initial_us = values.get(_INITIAL)
         if kind is None or initial_us is None:
             return None
         max_us = values.get(_MAX)
         if kind is not BackoffKind.EXPONENTIAL and max_us is not None:
-            self._nodes.report(node, where, "max", 'max only with "exponential"')
+            self._node_reader.report(node, where, "max", 'max only with "exponential"')
         full_jitter = values.get(_JITTER) == "full"
         if kind is BackoffKind.EVERY and full_jitter:
             allowed = 'no jitter with "every": it would let attempts overlap'
-            self._nodes.report(node, where, 'jitter "full"', allowed)
+            self._node_reader.report(node, where, 'jitter "full"', allowed)
             return None
         return BackoffRule(kind, initial_us, max_us or 0, full_jitter)
 
@@ -216,7 +218,9 @@
         """Return a retry budget, if one is stated whole."""
         if "retry-budget" not in children:
             return None
-        values = self._nodes.read_values(children["retry-budget"], f"{where} retry-budget", _RETRY_BUDGET)
+        values = self._node_reader.read_values(
+            children["retry-budget"], f"{where} retry-budget", _RETRY_BUDGET
+        )
         retry_ratio = values.get(_RATIO)
         window_us = values.get(_WINDOW)
         min_retries = values.get(_FLOOR)
@@ -231,10 +235,10 @@
         if "limits" not in children:
             return ConnectionLimitRule()
         node = children["limits"]
-        values = self._nodes.read_values(node, f"{where} limits", form)
+        values = self._node_reader.read_values(node, f"{where} limits", form)
         if not node.properties:
             names = ", ".join(known.name for known in form.properties)
-            self._nodes.report(node, f"{where} limits", "empty", f"one of {names}")
+            self._node_reader.report(node, f"{where} limits", "empty", f"one of {names}")
         return ConnectionLimitRule(
             max_open=values.get(_OPEN) or 0,
             max_setups_per_s=values.get(_SETUPS_PER_SECOND) or 0.0,
--- a/gannetweir/proto/endpoint_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -193,8 +193,8 @@
         well be a late copy of an old one, so it is marked as stale.
         """
         is_older = update.version < self.version
-        is_new_beginning = update.complete and not self.has_updated
-        if is_older and not is_new_beginning:
+        is_first_complete_list = update.complete and not self.has_updated
+        if is_older and not is_first_complete_list:
             raise EndpointListError(f"version {update.version} after {self.version}")
         self.version = update.version
         self.has_updated = True
