--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -92,9 +92,9 @@
         """One event, and the answers to the probes it led to."""
         actions = self.balancer.handle(event, self.now)
         self.all_actions += actions
-        for send in actions_of(actions, StartAttempt):
-            self.started_attempts.append(send)
-            self.attempts[send.request_id] = self.attempts.get(send.request_id, -1) + 1
+        for start in actions_of(actions, StartAttempt):
+            self.started_attempts.append(start)
+            self.attempts[start.request_id] = self.attempts.get(start.request_id, -1) + 1
         result = list(actions)
         for probe in actions_of(actions, ProbeLoad):
             if probe.endpoint_id not in self.silent_endpoints:
@@ -106,17 +106,19 @@
     def arrive(self, **fields: int) -> list[Action]:
         """A request with two seconds to go."""
         fields.setdefault("time_budget_us", 2 * SECOND)
-        rid, self.next_id = self.next_id, self.next_id + 1
-        return self.handle(RequestArrived(rid, **fields))
+        request_id, self.next_id = self.next_id, self.next_id + 1
+        return self.handle(RequestArrived(request_id, **fields))
 
-    def establish(self, send: StartAttempt) -> None:
+    def establish(self, start: StartAttempt) -> None:
         self.handle(
-            ConnectionEstablished(send.request_id, self.attempts[send.request_id], send.endpoint_id, 10_000)
+            ConnectionEstablished(
+                start.request_id, self.attempts[start.request_id], start.endpoint_id, 10_000
+            )
         )
 
-    def end(self, send: StartAttempt, status: int, closed: int = 0) -> list[Action]:
-        attempt = self.attempts[send.request_id]
-        return self.handle(AttemptEnded(send.request_id, attempt, status, closed, send.endpoint_id, 10_000))
+    def end(self, start: StartAttempt, status: int, closed: int = 0) -> list[Action]:
+        attempt = self.attempts[start.request_id]
+        return self.handle(AttemptEnded(start.request_id, attempt, status, closed, start.endpoint_id, 10_000))
 
     def change_status(self, server: int, state: int, started_us: int = 0) -> list[Action]:
         entry = replace(self.entries[server], state=state, started_us=started_us)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -33,17 +33,17 @@
     lines = [line for line in path.read_text().splitlines() if line.strip()]
     if len(lines) > MAX_LINES:
         raise pytest.UsageError(f"{path.name}: {len(lines)} lines, {MAX_LINES} at most")
-    found = []
+    known_failures = []
     for line in lines:
         match [part.strip() for part in line.split(" | ")]:
             case [test, cause, issue] if "::" in test and cause and issue:
-                found.append(KnownFailure(test, cause, issue))
+                known_failures.append(KnownFailure(test, cause, issue))
             case _:
                 raise pytest.UsageError(f"{path.name}: not 'test | cause | issue': {line}")
-    return found
+    return known_failures
 
 
-class KnownRed:
+class KnownFailuresPlugin:
     """Turns the failures of listed tests into expected ones, and reports them."""
 
     def __init__(self, listed: list[KnownFailure], covers_suite: bool) -> None:
@@ -80,4 +80,4 @@
     listed = read(config.rootpath / FILE)
     covers_suite = not config.args or config.args == config.getini("testpaths")
     if listed:
-        config.pluginmanager.register(KnownRed(listed, covers_suite))
+        config.pluginmanager.register(KnownFailuresPlugin(listed, covers_suite))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -81,7 +81,7 @@
     assert not expected_us or min(retry_after_us) > 0
 
 
-def test_the_smallest_machine_in_service_admits_its_clients(tmp_path: Path) -> None:
+def test_a_machine_of_256_sockets_admits_112_clients(tmp_path: Path) -> None:
     assert (
         load_config(environment(tmp_path, {"limits": {"sockets": 256, "memory_mb": 32}})).limits.max_clients
         == 112
@@ -141,16 +141,16 @@
     tmp_path: Path, text: object, named: str
 ) -> None:
     env = environment(tmp_path, COMPLETE) | {"RELAY_DISCOVERY": "127.0.0.1:2"}
-    standing = load_config(env)
+    previous = load_config(env)
     (tmp_path / "config.json").write_bytes(text if isinstance(text, bytes) else orjson.dumps(text))
     with pytest.raises(ConfigError, match=re.escape(named)):
-        load_config(env, standing)
+        load_config(env, previous)
 
 
 def test_a_reload_may_add_and_remove_request_classes(tmp_path: Path) -> None:
-    standing = load_config(environment(tmp_path, COMPLETE))
+    previous = load_config(environment(tmp_path, COMPLETE))
     config = load_config(
-        environment(tmp_path, with_settings(categories=[CLASSES[1] | {"name": "c", "aim-us": 1}])), standing
+        environment(tmp_path, with_settings(categories=[CLASSES[1] | {"name": "c", "aim-us": 1}])), previous
     )
     assert [c.name for c in config.settings.classes] == ["c"]
 
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -38,12 +38,12 @@
 
 @pytest.mark.parametrize("step", [1, 7, 4096])
 def test_updates_and_heartbeats_in_pieces_of_any_size(step: int) -> None:
-    endpoint_watch, found = watch(), list[object]()
+    endpoint_watch, events = watch(), list[object]()
     # an object may lie across chunks, and several lines in one
     data = HEAD + chunk(UPDATE_LINE[:30]) + chunk(UPDATE_LINE[30:] + b"\n") + chunk(b"\n")
     for start in range(0, len(data), step):
-        found += endpoint_watch.feed(data[start : start + step])
-    update, *heartbeats = found
+        events += endpoint_watch.feed(data[start : start + step])
+    update, *heartbeats = events
     assert isinstance(update, MembershipUpdate)
     assert (update.version, update.complete) == (43, False)
     (endpoint,) = update.endpoints
@@ -94,20 +94,20 @@
     ],
 )
 @pytest.mark.parametrize("apart", [False, True])
-def test_what_is_valid_before_what_is_malformed_holds_and_nothing_after(rest: bytes, apart: bool) -> None:
+def test_updates_before_malformed_data_are_kept_and_nothing_after(rest: bytes, apart: bool) -> None:
     endpoint_watch = watch()
-    found = (
+    events = (
         endpoint_watch.feed(HEAD + chunk(UPDATE_LINE)) + endpoint_watch.feed(rest)
         if apart
         else endpoint_watch.feed(HEAD + chunk(UPDATE_LINE) + rest)
     )
-    update, failure = found
+    update, failure = events
     assert isinstance(update, MembershipUpdate)
     assert update.version == 43
     assert isinstance(failure, WatchFailed)
 
 
-def test_lines_before_a_malformed_one_in_the_same_chunk_hold() -> None:
+def test_lines_before_a_malformed_one_in_the_same_chunk_are_kept() -> None:
     update, heartbeat, failure = watch().feed(HEAD + chunk(UPDATE_LINE + b"\n" + b"{]\n" + OTHER_UPDATE_LINE))
     assert isinstance(update, MembershipUpdate)
     assert heartbeat == Heartbeat()
@@ -125,12 +125,12 @@
 @pytest.mark.parametrize("step", [1, 11, 4096])
 @pytest.mark.parametrize("layout", LAYOUTS.values(), ids=LAYOUTS.keys())
 def test_objects_over_several_lines(step: int, layout: Callable[[Any], str]) -> None:
-    endpoint_watch, found = watch(), list[object]()
+    endpoint_watch, events = watch(), list[object]()
     text = [layout(orjson.loads(data)).encode() for data in (UPDATE_LINE, OTHER_UPDATE_LINE)]
     data = HEAD + chunk(text[0] + b"\n\n") + chunk(b"  " + text[1] + b"\n\n")
     for start in range(0, len(data), step):
-        found += endpoint_watch.feed(data[start : start + step])
-    assert [event.version if isinstance(event, MembershipUpdate) else event for event in found] == [
+        events += endpoint_watch.feed(data[start : start + step])
+    assert [event.version if isinstance(event, MembershipUpdate) else event for event in events] == [
         43,
         Heartbeat(),
         44,
@@ -138,12 +138,14 @@
     ]
 
 
-@pytest.mark.parametrize(("complete", "holds"), [(b"true", True), (b"false", False)])
-def test_an_older_first_answer_holds_only_as_a_complete_list(complete: bytes, holds: bool) -> None:
+@pytest.mark.parametrize(("complete", "is_accepted"), [(b"true", True), (b"false", False)])
+def test_an_older_first_update_is_accepted_only_as_a_complete_list(
+    complete: bytes, is_accepted: bool
+) -> None:
     (event,) = watch().feed(
         HEAD + chunk(UPDATE_LINE.replace(b"false", complete).replace(b'"seq":43', b'"seq":7'))
     )
-    assert isinstance(event, MembershipUpdate if holds else WatchFailed)
+    assert isinstance(event, MembershipUpdate if is_accepted else WatchFailed)
     assert not isinstance(event, MembershipUpdate) or event.is_stale
 
 
--- a/tests/test_operators_file.py
+++ b/tests/test_operators_file.py
@@ -296,7 +296,7 @@
 
 
 @pytest.mark.parametrize(("text", "line", "words"), [case[1:] for case in BAD], ids=[case[0] for case in BAD])
-def test_a_wrong_file_is_rejected_with_reason_and_line(text: str, line: int, words: list[str]) -> None:
+def test_an_invalid_file_is_rejected_with_reason_and_line(text: str, line: int, words: list[str]) -> None:
     with pytest.raises(OperatorsFileError) as caught:
         parse_routing_rules(text, SETTINGS, LIMITS)
     found = [m for m in caught.value.mistakes if all(word in m.text("f.kdl") for word in words)]
@@ -476,7 +476,7 @@
     return path
 
 
-def test_check_and_explain_print_results_and_end_with_codes(
+def test_check_and_explain_print_results_and_return_exit_codes(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     good, platform = str(ROOT / "deploy/operators.kdl"), str(platform_config(tmp_path))
@@ -492,14 +492,14 @@
     assert "2756.67ms of 3000ms" in out
     assert main(["explain", good, "--platform", platform, "--class", "zone-view", "--group", "5c"]) == 0
     assert "route default" in capsys.readouterr().out
-    for words, said in (
+    for words, message in (
         (["explain", good, "--platform", platform, "--class", "none"], "none of"),
         (["explain", good, "--platform", platform, "--class", "zone-view", "--key", "xyz"], "hex"),
         (["check", "/nowhere.kdl"], "No such file"),
         (["check", good, "--platform", good], "not JSON"),
     ):
         assert main(words) == 2
-        assert said in capsys.readouterr().err
+        assert message in capsys.readouterr().err
     bad = tmp_path / "bad.kdl"
     bad.write_text(operators_file("attempts 9\nattempt 5"))
     assert main(["check", str(bad)]) == 2
@@ -513,13 +513,13 @@
     operators = tmp_path / "o.kdl"
     operators.write_text(operators_file('attempt "400ms"\nattempts 2'))
     env = {"RELAY_CONFIG": str(platform_config(tmp_path)), "RELAY_OPERATORS": str(operators)}
-    standing = load_config(env)
-    assert standing.routing_rules is not None
-    assert len(standing.settings.classes) == 8
+    previous = load_config(env)
+    assert previous.routing_rules is not None
+    assert len(previous.settings.classes) == 8
     assert load_config({"RELAY_CONFIG": env["RELAY_CONFIG"]}).routing_rules is None
     operators.write_text(operators_file("attempts 0"))
     with pytest.raises(ConfigError, match="over 0"):
-        load_config(env, standing)
+        load_config(env, previous)
     operators.write_text(operators_file('attempt "400ms"\nattempts 2'))
     classes = [{"name": "zone-view", "hard-limit-us": 900_000, "aim-us": 1, "idempotency": "repeatable"}]
     limits = {"max-attempts": 6, "connect-timeout-us": 250_000}
@@ -533,7 +533,7 @@
         },
     )
     with pytest.raises(ConfigError, match="class zone-view: the worst case"):
-        load_config(env, standing)
+        load_config(env, previous)
 
 
 def test_a_wrong_file_ends_a_start_with_code_2_and_leaves_a_running_relay_unchanged(tmp_path: Path) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -80,7 +80,7 @@
     return frame([first.ljust(48, b"\0"), listed.ljust(48, b"\0")], text + entry)
 
 
-def answers(*frames: bytes) -> list[tuple[int, bytes]]:
+def replies_to(*frames: bytes) -> list[tuple[int, bytes]]:
     """(number of records, the rest) of each reply."""
     sink = io.BytesIO()
     serve(io.BytesIO(b"".join(frames)), sink)
@@ -135,7 +135,7 @@
     assert decode(raw) == event
 
 
-def test_list_and_peer_events_take_their_tail() -> None:
+def test_list_and_peer_events_are_decoded_from_the_tail() -> None:
     tail = bytes.fromhex(
         "0a124a07 c32b 0000 0000 0000 01 0000803f 0000000000000000"
         "0a9011f2 ec2b 0100 0000 0000 02 0000c03f 20145d0000000000".replace(" ", "")
@@ -173,7 +173,7 @@
     assert len(reply.frame()) == 32
 
 
-def test_log_lines_go_to_the_tail() -> None:
+def test_texts_of_log_lines_are_stored_in_the_tail() -> None:
     reply = wire.Reply()
     reply.add(3, [WriteLog("one"), WriteLog("three")])
     data = reply.frame()
@@ -182,7 +182,7 @@
     assert data[56:] == b"onethree"
 
 
-def test_settings_are_read_and_defaults_stand_in() -> None:
+def test_settings_are_read_and_missing_ones_take_defaults() -> None:
     s = parse_settings_json(json.dumps(SETTINGS).encode())
     assert (s.polls_endpoint_list, s.load_probes_enabled, s.max_attempts, s.overload_multiple) == (
         True,
@@ -218,17 +218,17 @@
     ],
 )
 def test_a_bad_setting_is_named_in_the_fault(change: dict[str, object], named: str) -> None:
-    (count, body), after = answers(create(settings=SETTINGS | change), frame([record(22, "0300 01")]))
+    (count, body), after = replies_to(create(settings=SETTINGS | change), frame([record(22, "0300 01")]))
     assert count == 1
     assert body[0] == wire.FAULT
     assert named.encode() in body
     assert after == (0, b"")
 
 
-def test_a_request_is_answered_and_a_stopped_instance_starts_from_nothing() -> None:
+def test_a_request_is_answered_and_a_recreated_instance_keeps_no_state() -> None:
     request = record(18, f"0300 {ID} 00 0000 0000000000000000 80a90300 00000000 0000000000000000 00")
     probed = record(23, "0300 0a124a07c32b 0a00 78050000 02 0000e040 cdcccc3e")
-    replies = answers(
+    replies = replies_to(
         create(), frame([probed, request]), frame([record(25, "0300")]), create(), frame([request])
     )
     assert [body[k * 24] for count, body in replies[1:2] for k in range(count)].count(16) == 1
@@ -249,7 +249,7 @@
         (frame([record(25, "0900")]), "Teardown for instance 9"),
     ],
 )
-def test_bad_input_gets_one_plain_message_and_a_non_zero_exit(data: bytes, message: str) -> None:
+def test_malformed_input_is_reported_in_one_line_with_a_non_zero_exit_code(data: bytes, message: str) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "gannetweir.adapter"],
         input=data,
@@ -277,7 +277,7 @@
 
 
 @pytest.mark.parametrize("seed", ["0", "1", "4242"])
-def test_hash_seeds_do_not_matter(seed: str) -> None:
+def test_replies_do_not_depend_on_the_hash_seed(seed: str) -> None:
     request = record(18, f"0300 {ID} 00 0000 0000000000000000 80a90300 00000000 0000000000000000 00")
     data = create() + frame([request])
     done = subprocess.run(
@@ -293,7 +293,7 @@
     assert done.stdout == sink.getvalue()
 
 
-def test_an_exception_in_the_decisions_is_a_fault(
+def test_an_exception_in_the_balancer_is_reported_as_a_fault(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def broken(self: Balancer, event: Event, now_us: int) -> list[Action]:
