--- a/gannetweir/__main__.py
+++ b/gannetweir/__main__.py
@@ -1,10 +1,10 @@
-"""`python -m gannetweir`: the command line, with signals that wait until the relay handles them."""
+"""`python -m gannetweir`: the command line, with signals blocked until the relay handles them."""
 
 import signal
 import sys
 
 if sys.argv[1:2] == ["serve"]:
-    # A signal that comes before its handler would end the process: it waits until the relay unblocks it.
+    # A signal that arrives before its handler is set would end the process; the relay unblocks signals.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1})
 
 from gannetweir.cli import main
--- a/gannetweir/adapter.py
+++ b/gannetweir/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter, from standard input to standard output: one `Balancer` for each instance."""
+"""The simulator's adapter, from standard input to standard output, with a `Balancer` for each instance."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class Host:
-    """The instances of one process; they share nothing. Owns their balancers."""
+    """Owns the balancers of the instances in this process; instances share no state."""
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
-        self._faulted: set[int] = set()  # had bad settings; what still comes for them is not an error
+        self._faulted: set[int] = set()  # their settings were invalid; further records for them are ignored
 
     def answer(self, count: int, now_us: int, body: memoryview) -> bytes:
-        """Answer one frame of so many records.
+        """Return the reply to one frame of `count` records.
 
         Raises:
-            WireError: a record is malformed, or of an instance that does not exist.
+            WireError: a record is malformed, or names an instance that does not exist.
         """
         records_bytes = count * wire.EVENT_BYTES
         if records_bytes > len(body):
@@ -80,8 +80,8 @@
         event = event_record.decode(tail, *fields)
         try:
             actions = balancer.handle(event, now_us)
-        # The guarded edge: the wire has a record for it, which ends the instance.
-        except Exception as error:  # noqa: BLE001 - the wire has a record for it
+        # The wire has a record for any fault of a balancer; the record ends the instance.
+        except Exception as error:  # noqa: BLE001 - reported to the simulator
             traceback.print_exc()
             reply.add_text(wire.FAULT, instance, f"{event_record.wire_name}: {type(error).__name__}: {error}")
             return
@@ -96,10 +96,10 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer frames until the input ends between two of them.
+    """Answer frames until the input ends after a complete frame.
 
     Raises:
-        WireError: the input is malformed, or ends within a frame.
+        WireError: the input is malformed or ends within a frame.
     """
     host = Host()
     frames = 0
@@ -119,7 +119,7 @@
 
 
 def main() -> int:
-    """Run the adapter; 0 at a clean end of input, 2 on malformed input."""
+    """Run the adapter and return its exit code: 0 at a clean end of input, 2 on malformed input."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/gannetweir/cli.py
+++ b/gannetweir/cli.py
@@ -11,36 +11,36 @@
   gannetweir version
   gannetweir (-h | --help)
 
-serve         Run one relay; SIGTERM drains it, SIGHUP reads its configuration again, SIGUSR1 prints
-              its counters.
-check         Read an operators' file and say all that is wrong with it, a line each.
-explain       Print the route that a request takes and its whole schedule, with the time to spare.
-check-config  Read the configuration as serve does, and say what is wrong with it.
-control       status asks control machines (HOST:PORT each) where every version stands.
-demo          Relays, push nodes and clients on loopback, a fault, a drain, restarts; ends by itself.
-lab           Experiments on the project's own world; `gannetweir lab` alone lists them.
+serve         Run one relay; SIGTERM drains it, SIGHUP reloads its configuration, SIGUSR1 prints its
+              counters.
+check         Read an operators' file and report every mistake in it, one a line.
+explain       Print the route of a request and its worst-case schedule, with the time to spare.
+check-config  Read the configuration as serve does and report what is wrong with it.
+control       status asks control machines (HOST:PORT each) how far each version is rolled out.
+demo          Run relays, push nodes and clients on loopback, through a fault, a drain and restarts.
+lab           Run experiments on emulated fleets; `gannetweir lab` alone lists them.
 version       Print the version.
 
 Options:
-  --seconds N       How long the demo takes [default: 30].
+  --seconds N       Duration of the demo [default: 30].
   --operators FILE  Routes, time-outs, budgets and limits, in KDL (or $RELAY_OPERATORS).
-  --platform JSON   The platform's configuration, or its settings alone (or $RELAY_CONFIG).
-  --log FORM        plain or json (or $RELAY_LOG, or plain).
-  --trace           Write all that the decisions hear and answer to standard error, a JSON line an event.
-  --class CLASS     The class of the request, by its name.
-  --group HEX       Its group, as in the first line's g=.
-  --key HEX         Its key, as in the first line.
-  --again           Its connection was broken or moved.
-  --retry           The client marks it as its own retry.
+  --platform JSON   The platform's configuration, or only its settings object (or $RELAY_CONFIG).
+  --log FORM        Log format: plain or json (or $RELAY_LOG, or plain).
+  --trace           Write every event of the balancer and its actions to standard error, a JSON line an event.
+  --class CLASS     Name of the request's class.
+  --group HEX       Group of the request, as in g= of the first line.
+  --key HEX         Key of the request, as in the first line.
+  --again           The request's connection was broken or migrated before.
+  --retry           The client marks the request as its own retry.
 
 Examples:
   gannetweir check deploy/operators.kdl --platform config.json
   gannetweir explain deploy/operators.kdl --platform config.json --class rider-area --group 5c0f6e1a
   RELAY_CONFIG=config.json gannetweir serve --operators deploy/operators.kdl --log json
 
-The configuration is named by RELAY_CONFIG; RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY go before it.
-Exit codes: 0 done; 1 not all is in force, or a machine does not answer (control status); 2 a bad command
-line, configuration or operators' file.
+RELAY_CONFIG names the configuration file; RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY override it.
+Exit codes: 0 success; 1 a version is not in force everywhere, or a control machine does not answer
+(control status); 2 invalid command line, configuration or operators' file.
 """
 
 from __future__ import annotations
@@ -55,18 +55,18 @@
 EXIT_DONE = 0
 EXIT_NOT_IN_FORCE = 1
 EXIT_USAGE = 2
-MAX_SHOWN_CHARACTERS = 40  # of a wrong value
+MAX_SHOWN_CHARACTERS = 40  # length to which messages cut an invalid value
 
-Arguments = Mapping[str, Any]  # docopt's: a text, a flag, a list or None by the names of the usage above
+Arguments = Mapping[str, Any]  # docopt's result: a text, flag, list or None by each name in the usage text
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command line and return its exit code, as the usage above says. Errors go to standard error."""
-    from docopt import DocoptExit, docopt  # an embedding program has no use for it
+    """Run the command line and return its exit code. Errors are printed to standard error."""
+    from docopt import DocoptExit, docopt  # not needed by a program that embeds the relay
 
     given = sys.argv[1:] if argv is None else argv
     try:
-        if given[:1] == ["lab"]:  # a command line of its own, with options of its own
+        if given[:1] == ["lab"]:  # the lab parses its own command line and options
             return _run_lab(given[1:])
         arguments = docopt(__doc__ or "", argv=given)
     except DocoptExit as error:
@@ -74,7 +74,7 @@
         return EXIT_USAGE
     try:
         return _run(arguments)
-    except ValueError as error:  # `ConfigError` among them
+    except ValueError as error:  # includes `ConfigError`
         for line in str(error).splitlines():
             print(f"gannetweir: {line}", file=sys.stderr)
     except OSError as error:
@@ -101,7 +101,7 @@
 
 
 def _run_lab(argv: list[str], demo_s: float = 0.0) -> int:
-    """Run the lab's command line, or the demo where it is given a time."""
+    """Run the lab's command line, or the demo if `demo_s` is not 0."""
     try:
         from gannetweir.lab import __main__
         from gannetweir.lab.experiments import demo
@@ -120,7 +120,7 @@
 
 def _print_control_status(machines: list[str]) -> int:
     from gannetweir.config.platform import parse_socket_address
-    from gannetweir.net.control_status import fleet_status  # only where it is asked for
+    from gannetweir.net.control_status import fleet_status  # imported by this command only
 
     lines, is_in_force = fleet_status([parse_socket_address(machine, "MACHINE") for machine in machines])
     print("\n".join(lines))
@@ -134,13 +134,13 @@
 
 
 def _check(arguments: Arguments) -> None:
-    from gannetweir.explain import check_file  # only where it is asked for
+    from gannetweir.explain import check_file  # imported by this command only
 
     print(check_file(arguments["FILE"], _platform_path(arguments)))
 
 
 def _explain(arguments: Arguments) -> None:
-    from gannetweir.explain import explain  # only where it is asked for
+    from gannetweir.explain import explain  # imported by this command only
 
     text = explain(
         arguments["FILE"],
@@ -157,7 +157,7 @@
 def _serve(arguments: Arguments) -> None:
     environment = _environment(arguments)
     config = load_config(environment)
-    from gannetweir.net.relay import serve  # only where it is asked for, and the configuration is right
+    from gannetweir.net.relay import serve  # imported only once the configuration is valid
 
     log_form = arguments["--log"] or environment.get("RELAY_LOG") or "plain"
     serve(config, lambda previous: load_config(environment, previous), log_form, arguments["--trace"])
@@ -165,7 +165,7 @@
 
 def _check_config(arguments: Arguments) -> None:
     config = load_config(_environment(arguments))
-    from gannetweir.proto.endpoint_watch import read_cached_membership  # only where it is asked for
+    from gannetweir.proto.endpoint_watch import read_cached_membership  # imported by this command only
 
     endpoints = read_cached_membership(config.known_endpoints, config.settings).endpoints
     counts = f"{len(endpoints)} backends known, {config.limits.max_clients} clients at most"
@@ -175,7 +175,7 @@
 
 
 def _environment(arguments: Arguments) -> dict[str, str]:
-    """Return the environment with the operators' file that the command line names."""
+    """Return the environment; an operators' file named on the command line replaces RELAY_OPERATORS."""
     environment = dict(os.environ)
     if arguments["--operators"]:
         environment["RELAY_OPERATORS"] = arguments["--operators"]
--- a/gannetweir/explain.py
+++ b/gannetweir/explain.py
@@ -1,4 +1,4 @@
-"""What `check` and `explain` print: an operators' file in people's words, with the whole schedule."""
+"""The output of `check` and `explain`: an operators' file as readable text, with the worst-case schedule."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 from gannetweir.routing.schedule import Schedule, worst_case_schedule
 from gannetweir.routing.units import format_ms
 
-TIMELINE_CHARACTERS = 48  # of the bar: a line fits a terminal of 100 columns
-_MAX_SHOWN_CHARACTERS = 40  # of a wrong value
+TIMELINE_CHARACTERS = 48  # width of the bar; a line fits a terminal of 100 columns
+_MAX_SHOWN_CHARACTERS = 40  # length to which messages cut an invalid value
 _SLACK = "to spare"
 
 
 def read_platform(path: str) -> tuple[Settings, Limits]:
     """Return the settings and limits of the platform's JSON, checked.
 
-    The file is a whole configuration, or the settings object alone. Raises `ConfigError`.
+    The file holds a complete configuration or only the settings object. Raises `ConfigError`.
     """
     data = read_json_object(path, "--platform")
     settings = parse_settings(data.get("settings", data))
@@ -41,15 +41,18 @@
 
 
 def check_file(file: str, platform: str = "") -> str:
-    """Return what to say of a good file. Raises `ConfigError` with every mistake of a bad one.
+    """Return the text that confirms a valid file. Raises `ConfigError` with every mistake of an invalid one.
 
-    Without a `platform` file the operators' file is checked by itself.
+    Without a `platform` file the operators' file is checked on its own.
     """
     if not platform:
         rules = load_routing_rules(file)
-        return f"{file}: {len(rules.routes)} routes; checked by itself: name --platform JSON for the rest"
+        return (
+            f"{file}: {len(rules.routes)} routes, checked on its own; "
+            "add --platform JSON to check them against the platform"
+        )
     rules = load_routing_rules(file, *read_platform(platform))
-    return f"{file}: {len(rules.routes)} routes, right together with {platform}"
+    return f"{file}: {len(rules.routes)} routes, valid together with {platform}"
 
 
 def explain(
@@ -63,10 +66,12 @@
 ) -> str:
     """Return the route that a request takes and its schedule, as text of several lines.
 
-    Raises `ConfigError` for wrong files, a class that is none of the platform's, and wrong hex digits.
+    Raises `ConfigError` for invalid files, a class that the platform does not have, and invalid hex digits.
     """
     if not platform:
-        raise ConfigError("explain: the classes are the platform's: add --platform JSON, or set RELAY_CONFIG")
+        raise ConfigError(
+            "explain: no platform file named, which has the classes: add --platform JSON or set RELAY_CONFIG"
+        )
     settings, limits = read_platform(platform)
     rules = load_routing_rules(file, settings, limits, with_lines=True)
     request = _parse_request(settings, class_name, group, key, _request_flags(returning, retry))
@@ -96,7 +101,7 @@
 
 
 def _parse_hex_prefix(digits: str | None, option: str) -> int:
-    """Return the least number that begins with these digits; 0 where there are none."""
+    """Return the smallest number that begins with these hex digits; 0 if there are none."""
     if not digits:
         return 0
     if len(digits) > HEX_DIGITS or not set(digits) <= set(string.hexdigits):
@@ -118,7 +123,7 @@
 def _plan_lines(routed: RequestClass, settings: Settings) -> Iterator[str]:
     request_timeout_us = routed.request_timeout_us or routed.deadline_us
     connect_timeout_us = routed.connect_timeout_us or settings.connect_timeout_us
-    attempt_timeout = "the module's: the aim, doubled each time, the last to the end"
+    attempt_timeout = "the latency objective, doubled for each attempt; the last one lasts until give-up"
     if routed.attempt_timeout_us:
         attempt_timeout = format_ms(routed.attempt_timeout_us)
     retries_executed = routed.retries_executed_attempts and routed.idempotency != Idempotency.ONCE
@@ -127,7 +132,7 @@
     yield f"  attempts       {routed.max_attempts} (the platform's: {settings.max_attempts})"
     yield f"  connect        {format_ms(connect_timeout_us)}"
     yield f"  attempt        {attempt_timeout}"
-    yield f"  tried again    {retry_on.value} (the class is {routed.idempotency})"
+    yield f"  retry-on       {retry_on.value} (the class is {routed.idempotency})"
 
 
 def _budget_lines(route: Route, rules: RoutingRules) -> Iterator[str]:
@@ -137,8 +142,8 @@
 
 
 def _budget_text(budget: RetryBudgetRule) -> str:
-    first_attempts = f"the first tries of {format_ms(budget.window_us)}"
-    return f"{budget.retry_ratio:.3g} of {first_attempts}, {budget.min_retries} in any case"
+    first_attempts = f"the first attempts of the last {format_ms(budget.window_us)}"
+    return f"{budget.retry_ratio:.3g} of {first_attempts}, {budget.min_retries} always allowed"
 
 
 def _limit_lines(route: Route, rules: RoutingRules) -> Iterator[str]:
@@ -152,11 +157,11 @@
     if limits.max_open:
         stated.append(f"open {limits.max_open}")
     if limits.max_setups_per_s:
-        stated.append(f"set-ups a second {limits.max_setups_per_s:g}")
+        stated.append(f"set-ups per second {limits.max_setups_per_s:g}")
     if limits.setup_burst:
-        stated.append(f"at one moment {limits.setup_burst}")
+        stated.append(f"burst {limits.setup_burst}")
     if limits.max_setups_per_endpoint:
-        stated.append(f"set-ups at a backend {limits.max_setups_per_endpoint}")
+        stated.append(f"set-ups per backend {limits.max_setups_per_endpoint}")
     return ", ".join(stated)
 
 
@@ -166,7 +171,7 @@
         yield _timeline_line(plan, step.name, step.start_us, step.end_us, "#")
     yield _timeline_line(plan, _SLACK, plan.total_us, plan.request_timeout_us, ".")
     total = f"{format_ms(plan.total_us)} of {format_ms(plan.request_timeout_us)}"
-    remark = "" if plan.has_fixed_timeouts else "; the module divides what there is"
+    remark = "" if plan.has_fixed_timeouts else "; the attempts divide the time left"
     yield f"  {total}, {format_ms(plan.slack_us)} {_SLACK}{remark}"
 
 
--- a/gannetweir/wire.py
+++ b/gannetweir/wire.py
@@ -1,7 +1,7 @@
-"""Frames of the simulator's wire, zinc-af87: tables of its records, and their names turned into the field's.
+"""Frames of the simulator's wire, zinc-af87: decodes its records into events and encodes actions as records.
 
 A frame is a header, records of a fixed size, and a tail that records refer to by offset and size. All numbers
-are little-endian. The wire's own names for events stand in `EVENTS`, as error texts give them.
+are little-endian. `EVENTS` has the wire's own names of events, which error messages use.
 """
 
 from __future__ import annotations
@@ -40,27 +40,27 @@
 
 FRAME_HEADER = struct.Struct("<IIQ")  # length of the frame, number of records, the time in microseconds
 REPLY_HEADER = struct.Struct("<II")  # length of the frame, number of records
-EVENT_BYTES = 48  # of one record to the relay
-ACTION_BYTES = 24  # of one record from it
-MAX_FRAME_BYTES = 1 << 28  # 256 MiB, by the wire's page: a longer one is malformed
-ENTRY = struct.Struct("<6sHHHBfQ")  # one endpoint of a list, in the order of EndpointEntry's fields
+EVENT_BYTES = 48  # size of a record sent to the relay
+ACTION_BYTES = 24  # size of a record sent by the relay
+MAX_FRAME_BYTES = 1 << 28  # 256 MiB, the limit of the wire's specification
+ENTRY = struct.Struct("<6sHHHBfQ")  # one endpoint of a list; fields as in EndpointEntry
 
-# Codes of the records that are no events or actions of a balancer.
-CREATE = 16  # makes an instance
+# Codes of records that are neither events for a balancer nor its actions.
+CREATE = 16  # creates an instance
 TEARDOWN = 25  # ends an instance
-FAULT = 25  # from the relay: an instance has failed, with a text
-LOG = 24  # from the relay: a line of log
+FAULT = 25  # sent by the relay: an instance has failed; the text says why
+LOG = 24  # sent by the relay: a log line
 
 
 class WireError(GannetweirError):
-    """The input is malformed; the text says what is wrong, and in which frame and record."""
+    """The input is malformed; the message names the fault, the frame and the record."""
 
 
 def tail_slice(tail: memoryview, offset: int, size: int) -> memoryview:
     """Return the part of a frame's tail that a record refers to.
 
     Raises:
-        WireError: the tail is shorter.
+        WireError: the tail ends before that part does.
     """
     if offset + size > len(tail):
         raise WireError(f"tail holds {len(tail)} bytes, the record names {offset}+{size}")
@@ -100,16 +100,16 @@
 
 
 def _in_field_order(event_type: Callable[..., Event]) -> Callable[..., Event]:
-    """Make an event whose fields are the record's, in the same order."""
+    """Return a decoder of events that have the fields of the record in the same order."""
     return lambda _tail, *fields: event_type(*fields)
 
 
 class EventRecord(NamedTuple):
-    """How one kind of event stands on the wire."""
+    """The wire's name, layout and decoder of one kind of event."""
 
     wire_name: str
-    layout: struct.Struct  # from byte 1, the instance first
-    decode: Callable[..., Event]  # of the tail and the fields behind the instance
+    layout: struct.Struct  # starts at byte 1, with the instance
+    decode: Callable[..., Event]  # takes the tail and the fields after the instance
 
 
 EVENTS: dict[int, EventRecord] = {
@@ -127,7 +127,7 @@
 CREATE_LAYOUT = struct.Struct("<HQII")  # instance, seed, offset and size of the settings in the tail
 TEARDOWN_LAYOUT = struct.Struct("<H")  # instance
 
-# Of each action: its code, the layout behind code and instance, and the fields in that order.
+# For each action: its code, the layout after code and instance, and the fields in the layout's order.
 _ACTIONS: dict[type[Action], tuple[int, str, tuple[str, ...]]] = {
     StartAttempt: (16, "Q6sI", ("request_id", "endpoint_id", "timeout_us")),
     RejectRequest: (17, "QI", ("request_id", "retry_after_us")),
@@ -142,7 +142,7 @@
 def _encoder(code: int, layout: str, fields: tuple[str, ...]) -> Callable[[int, Action], bytes]:
     padding_bytes = ACTION_BYTES - struct.calcsize("<BH" + layout)
     record = struct.Struct(f"<BH{layout}{padding_bytes}x")
-    values_of = attrgetter(*fields)  # one value where there is one field, else a tuple
+    values_of = attrgetter(*fields)  # a single value for one field, a tuple for several
     if len(fields) == 1:
         return lambda instance, action: record.pack(code, instance, values_of(action))
     return lambda instance, action: record.pack(code, instance, *values_of(action))
@@ -153,14 +153,14 @@
 
 
 class Reply:
-    """Collects the records and the tail of one frame from the relay."""
+    """Collects the records and the tail of a frame that the relay sends."""
 
     def __init__(self) -> None:
         self._records: list[bytes] = []
         self._tail = bytearray()
 
     def add(self, instance: int, actions: list[Action]) -> None:
-        """Add what an instance answered, in its order."""
+        """Add the actions of an instance, in their order."""
         for action in actions:
             if isinstance(action, WriteLog):
                 self.add_text(LOG, instance, action.text)
@@ -168,12 +168,12 @@
                 self._records.append(_ENCODERS[type(action)](instance, action))
 
     def add_text(self, code: int, instance: int, text: str) -> None:
-        """Add a record whose text stands in the tail."""
+        """Add a record with a text, which goes to the tail."""
         encoded = text.encode("utf-8", "replace")
         self._records.append(_TEXT_RECORD.pack(code, instance, len(self._tail), len(encoded)))
         self._tail += encoded
 
     def frame(self) -> bytes:
-        """Return the frame."""
+        """Return the encoded frame."""
         body = b"".join(self._records) + bytes(self._tail)
         return REPLY_HEADER.pack(REPLY_HEADER.size + len(body), len(self._records)) + body
