--- a/gannetweir/config/__init__.py
+++ b/gannetweir/config/__init__.py
@@ -1,4 +1,4 @@
-"""What the relay is told: the platform's JSON, and the operators' file, which loads only when named."""
+"""A relay's configuration: the platform's JSON, and the operators' file, loaded only if one is named."""
 
 from gannetweir.config.errors import ConfigError
 from gannetweir.config.loader import load_config
--- a/gannetweir/config/errors.py
+++ b/gannetweir/config/errors.py
@@ -1,4 +1,4 @@
-"""The errors that every reader of configuration raises."""
+"""The exceptions that the readers of configuration raise."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class ConfigError(GannetweirError, ValueError):
-    """What is wrong with the configuration, in one line."""
+    """The configuration is invalid; the message says why in one line."""
 
 
 class SettingError(ConfigError):
-    """One setting that is missing, of a wrong type or out of bounds.
+    """A setting is missing, of a wrong type or out of bounds.
 
-    `setting` is its path in the JSON, `problem` what is wrong with it.
+    `setting` is the path of the setting in the JSON; `problem` says what is wrong.
     """
 
     def __init__(self, setting: str, problem: str) -> None:
--- a/gannetweir/config/files.py
+++ b/gannetweir/config/files.py
@@ -1,4 +1,4 @@
-"""Reading a file of configuration, though the machine may be short of something for a moment."""
+"""Reads configuration files and retries while the machine is briefly short of a resource."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from pathlib import Path
 
 READ_ATTEMPTS = 10
-READ_RETRY_DELAY_S = 0.005  # with the attempts: 45 ms in all, which a reload can wait
+READ_RETRY_DELAY_S = 0.005  # all delays together are 45 ms, which a reload can afford
 _TRANSIENT_ERRNOS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS, errno.EIO, errno.EAGAIN}
 )
 
 
 def read_bytes(path: str | Path) -> bytes:
-    """Return the content of a file. A transient error is retried after a delay.
+    """Return the content of a file. Retries after transient errors, with a delay.
 
-    Raises `OSError`: the last one of a transient kind, any other at once.
+    Raises `OSError`: a transient error after the last attempt, any other error at once.
     """
     for _ in range(READ_ATTEMPTS - 1):
         try:
--- a/gannetweir/config/kdl.py
+++ b/gannetweir/config/kdl.py
@@ -1,7 +1,7 @@
-"""A KDL document as nodes that know their lines.
+"""Parses a KDL document into nodes with line numbers.
 
-`ckdl` reads the document; it reports no positions, so `kdl_lines` scans the text for where each node begins.
-The two are compared node by node: where they do not agree, nodes have no line rather than a wrong one.
+`ckdl` parses the document but reports no positions, so `kdl_lines` scans the text for the start of each node.
+The results are compared node by node: where they disagree, nodes have no line rather than a wrong one.
 Source: https://kdl.dev, version 2 of the language.
 """
 
@@ -21,7 +21,7 @@
     from typing import Protocol
 
     class _ParsedNode(Protocol):
-        """What is used of a node of `ckdl`, which has no types of its own."""
+        """The attributes used of a `ckdl` node; ckdl has no type annotations."""
 
         name: str
         args: list[KdlValue]
@@ -31,14 +31,14 @@
 
 KdlValue = str | int | float | bool | None
 
-MAX_DOCUMENT_BYTES = 1 << 20  # far over any file that people write; bounds the memory of a read
-MAX_LINE_CHARACTERS = 2000  # ckdl takes time that grows with the square of a number's digits
-MAX_NODE_DEPTH = 16  # ckdl and `_build_node` recurse: a deep document would end the process
-_NO_LINE = -1  # of a node for which reader and scan do not agree
+MAX_DOCUMENT_BYTES = 1 << 20  # far larger than files written by hand; bounds the memory for parsing
+MAX_LINE_CHARACTERS = 2000  # ckdl's time grows with the square of the digits of a number
+MAX_NODE_DEPTH = 16  # ckdl and `_build_node` recurse: a deep document would crash the process
+_NO_LINE = -1  # marks a node for which parser and scan disagree
 
 
 class KdlError(GannetweirError, ValueError):
-    """What is wrong with the document, and the line; 0 where it is not known."""
+    """The document is invalid. `line` is the line of the mistake, 0 if it is not known."""
 
     def __init__(self, text: str, line: int = 0) -> None:
         super().__init__(text)
@@ -47,20 +47,20 @@
 
 @dataclass(slots=True)
 class Node:
-    """One node: its name, its values, and the line where it begins; 0 where that is not known."""
+    """A node of a document. `line` is the line where the node begins, 0 if it is not known."""
 
     name: str
-    arguments: list[Any]  # `KdlValue`; the lab's readers of plans check the types by hand
+    arguments: list[Any]  # `KdlValue`; the lab's readers of experiments check the types themselves
     properties: dict[str, Any]
     children: list[Node] = field(default_factory=list)
     line: int = 0
 
 
 def parse_document(text: str, with_lines: bool = True) -> list[Node]:
-    """Return the top nodes of a document.
+    """Return the top-level nodes of a document.
 
-    Size, line length and depth are checked first. Lines cost as much as all the rest: a start reads without
-    them, and once more with them to report mistakes. Raises `KdlError`.
+    Size, line length and depth are checked first. To find the lines takes as long as all other work: a start
+    parses without them, and parses again with them only to report mistakes. Raises `KdlError`.
     """
     _check_size(text)
     starts: list[NodeStart] = []
@@ -91,7 +91,7 @@
 
 
 def _max_brace_depth(text: str) -> int:
-    """Return no less than the depth of nodes: braces in strings and comments count as well."""
+    """Return an upper bound of the nodes' depth: braces in strings and comments count, too."""
     depth = 0
     max_depth = 0
     for brace in re.findall("[{}]", text):
@@ -111,7 +111,7 @@
 
 
 def _plain_value(value: KdlValue) -> KdlValue:
-    """Return a value without its type annotation, which no reader of ours uses."""
+    """Return a value without its type annotation, which no caller uses."""
     plain: KdlValue = value.value if isinstance(value, ckdl.Value) else value
     return plain
 
@@ -123,7 +123,7 @@
 
 
 def _line_of_error(text: str) -> int:
-    """Return the first line with which the text up to it can't be continued to a document."""
+    """Return the first line at which the text so far can no longer be continued to a valid document."""
     lines = text.split("\n")
     low = 0
     high = len(lines)
@@ -137,7 +137,7 @@
 
 
 def _is_broken(text: str) -> bool:
-    """Whether ckdl finds a mistake in the text other than that it ends too early."""
+    """Return whether ckdl finds a mistake in the text other than an early end."""
     try:
         ckdl.parse(text, version=2)
     except ckdl.ParseError as error:
--- a/gannetweir/config/kdl_forms.py
+++ b/gannetweir/config/kdl_forms.py
@@ -1,6 +1,6 @@
-"""What nodes of an operators' file may hold, and the reader that checks nodes against it.
+"""Forms that state which values a node of an operators' file may have, and the reader that checks nodes.
 
-The reader goes on after a mistake, so that all of them are found in one go. It owns the list of mistakes.
+The reader continues after a mistake, so that one run reports all of them. It owns the list of mistakes.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Property(Generic[T_co]):
-    """A named value of a node, as `share="20%"`, and the parser of its kind."""
+    """A property that a node may have, such as `share="20%"`, and the parser of its value."""
 
     name: str
     parse: Callable[[KdlValue], T_co]
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeForm(Generic[T_co]):
-    """What a node without children may hold: values of one kind, and named values, some of them required."""
+    """The values that a node without children may have: arguments of one kind, and properties."""
 
     argument: Callable[[KdlValue], T_co] | None = None
     allows_many: bool = False
@@ -36,18 +36,18 @@
 
 
 class NodeValues(NamedTuple, Generic[T_co]):
-    """The values of a node, parsed. Those that are wrong have been reported and are left out."""
+    """The parsed values of a node. Invalid values have been reported and are left out."""
 
     arguments: tuple[T_co, ...]
     properties: Mapping[str, object]
 
     @property
     def single(self) -> T_co | None:
-        """The first value; None where there is none that is right."""
+        """The first valid argument; None if there is none."""
         return self.arguments[0] if self.arguments else None
 
     def get(self, wanted: Property[T]) -> T | None:
-        """Return a named value; None where it is missing or wrong."""
+        """Return the value of a property; None if it is missing or invalid."""
         return cast("T | None", self.properties.get(wanted.name))
 
 
@@ -58,11 +58,11 @@
         self.mistakes: list[Mistake] = []
 
     def report(self, node: Node, where: str, found: str, allowed: str) -> None:
-        """Add one mistake."""
+        """Record a mistake."""
         self.mistakes.append(Mistake(node.line, where, found, allowed))
 
     def parse(self, node: Node, where: str, parse: Callable[[KdlValue], T], value: KdlValue) -> T | None:
-        """Return a parsed value; None, and a mistake, where it is none of its kind."""
+        """Return a parsed value; record a mistake and return None if the value is invalid."""
         try:
             return parse(value)
         except ValueFormatError as error:
@@ -70,11 +70,11 @@
         return None
 
     def parse_only_argument(self, node: Node, where: str, parse: Callable[[KdlValue], T]) -> T | None:
-        """Return the one value of a node that also has a block, as the name of a route."""
+        """Return the only argument of a node that may also have a block, such as the name of a route."""
         return self.parse(node, where, parse, node.arguments[0] if len(node.arguments) == 1 else None)
 
     def read_values(self, node: Node, where: str, form: NodeForm[T]) -> NodeValues[T]:
-        """Return the values of a node that has no children."""
+        """Return the values of a node that may not have children."""
         if node.children:
             self.report(node, where, "found a block", "no block here")
         arguments = self._read_arguments(node, where, form)
@@ -86,7 +86,7 @@
         return NodeValues(arguments, properties)
 
     def read_block(self, node: Node, where: str, names: Collection[str]) -> dict[str, Node]:
-        """Return the children of a node by name: each name known, and there once."""
+        """Return the children of a node by name; record a mistake for an unknown or repeated name."""
         children: dict[str, Node] = {}
         for child in node.children:
             if child.name not in names:
@@ -98,7 +98,7 @@
         return children
 
     def check_block_only(self, node: Node, where: str) -> None:
-        """Report values beside a block."""
+        """Record a mistake if a node has values beside its block."""
         if node.arguments or node.properties:
             self.report(node, where, "found values", "a block only")
 
--- a/gannetweir/config/kdl_lines.py
+++ b/gannetweir/config/kdl_lines.py
@@ -1,7 +1,7 @@
-"""Where the nodes of a KDL document begin: a scan of its text, beside the reader that reports no lines.
+"""Scans the text of a KDL document for the lines where its nodes begin, which the parser does not report.
 
-The scan knows strings, comments, slashdashes (`/-`, which leave out what follows) and blocks, and takes the
-first value of each statement for a node's name. It does not check the document.
+The scan recognises strings, comments, slashdashes (`/-`, which leave out what follows) and blocks, and takes
+the first value of each statement as a node's name. It does not validate the document.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
 
 
 class NodeStart(NamedTuple):
-    """A node's name and the line where it begins, from 1."""
+    """A node's name and the line where it begins; the first line is 1."""
 
     name: str
     line: int
 
 
 def scan_node_starts(text: str) -> tuple[list[NodeStart], int]:
-    """Return the start of every node, in their order, and how deep they go. Slashdashed ones are left out."""
+    """Return the starts of all nodes in order, and the greatest depth. Slashdashed nodes are left out."""
     scanner = _Scanner()
     position = 0
     while position < len(text):
         match = _TOKEN.match(text, position)
-        assert match is not None  # the last alternative takes anything
+        assert match is not None  # the last alternative matches any character
         kind = match.lastgroup
         token = _block_comment(text, position) if kind == "block" else match.group()
         scanner.add_token(kind, token)
@@ -49,7 +49,7 @@
 
 
 class _Scanner:
-    """Fed the tokens of a document in their order; collects the starts of nodes."""
+    """Collects the starts of nodes from the tokens of a document, which are added in their order."""
 
     def __init__(self) -> None:
         self.starts: list[NodeStart] = []
@@ -58,10 +58,10 @@
         self._expects_node = True
         self._after_slashdash = False
         self._node_is_slashdashed = False
-        self._slashdashed_blocks = [False]  # for the document and each open block: is all in it left out?
+        self._slashdashed_blocks = [False]  # for the document and each open block: whether it is left out
 
     def add_token(self, kind: str | None, token: str) -> None:
-        """Take the next token; `kind` is its group in `_TOKEN`."""
+        """Process the next token; `kind` is its group in `_TOKEN`."""
         match kind:
             case "dash":
                 self._after_slashdash = True
@@ -102,7 +102,7 @@
 
 
 def _block_comment(text: str, start: int) -> str:
-    """Return the comment over several lines that begins at `start`; comments may stand within one another."""
+    """Return the block comment that begins at `start`; block comments may be nested."""
     depth = 0
     for match in re.finditer(r"/\*|\*/", text[start:]):
         depth += 1 if match.group() == "/*" else -1
--- a/gannetweir/config/kdl_values.py
+++ b/gannetweir/config/kdl_values.py
@@ -1,4 +1,4 @@
-"""The kinds of values in an operators' file. Each function parses one, or raises `ValueFormatError`."""
+"""Parsers of the values in an operators' file. A parser raises `ValueFormatError` for an invalid value."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 E = TypeVar("E", bound=Enum)
 
-MAX_DURATION_US = 3_600_000_000  # an hour: no time-out of a request is longer
+MAX_DURATION_US = 3_600_000_000  # one hour; no time-out of a request is longer
 MAX_COUNT = 1_000_000_000
-MAX_TEXT_CHARACTERS = 200  # of an address or a server's name
+MAX_TEXT_CHARACTERS = 200  # longest address or server name
 MAX_PERCENT = 100.0
 _UNITS_US = {"us": 1, "ms": 1000, "s": 1_000_000, "m": 60_000_000}
 _DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?)(us|ms|s|m)")
@@ -25,11 +25,11 @@
 
 
 class ValueFormatError(GannetweirError, ValueError):
-    """A value is none of its kind; the message says what is allowed in its place."""
+    """A value is invalid; the message says what is allowed instead."""
 
 
 def parse_duration_us(value: KdlValue) -> int:
-    """Return the microseconds of `"250ms"`, `"2s"`, `"1.5s"`, `"10m"` or `"900us"`; at least 1."""
+    """Return `"250ms"`, `"2s"`, `"1.5s"`, `"10m"` or `"900us"` in microseconds; at least 1."""
     match = _DURATION.fullmatch(value) if isinstance(value, str) else None
     if match is None:
         raise ValueFormatError('a time with its unit, as "250ms" or "2s"')
@@ -40,7 +40,7 @@
 
 
 def parse_count(value: KdlValue) -> int:
-    """Return a whole number over 0."""
+    """Return an integer over 0."""
     if type(value) is not int or not 0 < value <= MAX_COUNT:
         raise ValueFormatError("a whole number over 0")
     return value
@@ -56,7 +56,7 @@
 
 
 def parse_percent(value: KdlValue) -> float:
-    """Return 0.2 for `"20%"`: over 0, at most 1."""
+    """Return a percentage as a share, such as 0.2 for `"20%"`; over 0 and at most 1."""
     match = _PERCENT.fullmatch(value) if isinstance(value, str) else None
     if match is None or not 0.0 < float(match[1]) <= MAX_PERCENT:
         raise ValueFormatError('a share over "0%", at most "100%"')
@@ -64,21 +64,21 @@
 
 
 def parse_flag(value: KdlValue) -> bool:
-    """Return what `#true` or `#false` means."""
+    """Return the boolean that `#true` or `#false` states."""
     if not isinstance(value, bool):
         raise ValueFormatError("#true or #false")
     return value
 
 
 def parse_name(value: KdlValue) -> str:
-    """Return a name of a route or a class."""
+    """Return the name of a route or a class."""
     if not isinstance(value, str) or not _NAME.fullmatch(value):
         raise ValueFormatError("a name of letters, digits, - _ or .")
     return value
 
 
 def parse_hex_prefix(value: KdlValue) -> str:
-    """Return the first hex digits of a group or a key, in lower case."""
+    """Return the leading hex digits of a group or a key, in lower case."""
     digits = value.lower() if isinstance(value, str) else ""
     if not re.fullmatch(f"[0-9a-f]{{1,{HEX_DIGITS}}}", digits):
         raise ValueFormatError(f'1 to {HEX_DIGITS} hex digits in quotes, as "5c0f"')
@@ -86,14 +86,14 @@
 
 
 def parse_text(value: KdlValue) -> str:
-    """Return a text that is neither empty nor too long."""
+    """Return a text of 1 to `MAX_TEXT_CHARACTERS` characters."""
     if not isinstance(value, str) or not 0 < len(value) <= MAX_TEXT_CHARACTERS:
         raise ValueFormatError("a text of 1 to 200 characters")
     return value
 
 
 def one_of(*choices: str) -> Callable[[KdlValue], str]:
-    """Return the parser of a value that is one of `choices`."""
+    """Return a parser that accepts only the texts in `choices`."""
 
     def parse_choice(value: KdlValue) -> str:
         if not isinstance(value, str) or value not in choices:
@@ -104,7 +104,7 @@
 
 
 def member_of(kind: type[E]) -> Callable[[KdlValue], E]:
-    """Return the parser of a value that names a member of an enum by the operators' word."""
+    """Return a parser that returns the member of an enum whose value is stated."""
     parse_choice = one_of(*(member.value for member in kind))
 
     def parse_member(value: KdlValue) -> E:
@@ -114,7 +114,7 @@
 
 
 def format_value(value: KdlValue) -> str:
-    """Return a value as the file states it, cut to a length that fits a message."""
+    """Return a value in KDL notation, cut to a length that fits a message."""
     if value is None:
         return "#null"
     if isinstance(value, bool):
--- a/gannetweir/config/loader.py
+++ b/gannetweir/config/loader.py
@@ -1,4 +1,4 @@
-"""A relay's whole configuration: the platform's and, if one is named, the operators' file, read together."""
+"""Loads the complete configuration of a relay: the platform's and, if one is named, the operators' file."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 def load_config(env: Mapping[str, str], previous: Config | None = None) -> Config:
     """Read the platform's configuration, and the operators' file if the environment names one.
 
-    `previous` is the configuration that a reload replaces. Raises `ConfigError` if either of the two is
-    wrong, or both are not right together; then neither is to be applied.
+    `previous` is the configuration that a reload replaces. Raises `ConfigError` if one of the two is invalid
+    or if they contradict each other; the caller then applies neither.
     """
     config = load_platform_config(env, previous)
     operators_path = env.get("RELAY_OPERATORS")
@@ -20,8 +20,8 @@
 
 
 def add_operators_file(config: Config, path: str) -> Config:
-    """Return the configuration with the operators' file applied. Raises `ConfigError`, as `load_config`."""
-    # Only where it is switched on: a relay without an operators' file does without the code for one.
+    """Return the configuration with the operators' file applied. Raises as `load_config`."""
+    # Imported here: a relay without an operators' file does not load the code for one.
     from gannetweir.config.operators_file import load_operators_file
     from gannetweir.routing.route_admission import with_routed_classes
 
--- a/gannetweir/config/operators_addresses.py
+++ b/gannetweir/config/operators_addresses.py
@@ -1,4 +1,4 @@
-"""The sections of an operators' file about addresses: `reach` and `server`."""
+"""Reads the sections of an operators' file about addresses: `reach` and `server`."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class AddressReader:
-    """Reads the sections about addresses; mistakes go to the node reader.
+    """Reads the sections about addresses and reports mistakes to the node reader.
 
-    `rules` is what they state together; None while there was no such section.
+    `rules` combines the sections read so far; None before the first one.
     """
 
     def __init__(self, node_reader: NodeReader) -> None:
@@ -27,7 +27,7 @@
         self._node_reader = node_reader
 
     def read_connection_rules(self, node: Node) -> None:
-        """Read how servers with several addresses are connected to."""
+        """Read how the relay connects to endpoints with several addresses."""
         self._node_reader.check_block_only(node, "reach")
         rules = self.rules or AddressRules()
         for name, child in self._node_reader.read_block(
@@ -48,7 +48,7 @@
         self.rules = rules
 
     def read_server(self, node: Node) -> None:
-        """Read the addresses of a server, or of all that a pattern means."""
+        """Read the addresses of an endpoint, or of all endpoints whose names match a pattern."""
         rules = self.rules or AddressRules()
         name = self._node_reader.parse_only_argument(node, "server", parse_text)
         where = f"server {name}" if name else "server"
--- a/gannetweir/config/operators_file.py
+++ b/gannetweir/config/operators_file.py
@@ -1,7 +1,7 @@
-"""The operators' file: KDL in, `RoutingRules` and `AddressRules` out, and every mistake with its line.
+"""Reads the operators' file: from KDL to `RoutingRules` and `AddressRules`, reporting mistakes with lines.
 
-Loaded only where a file is named. docs/operators-file.md describes the form. `operators_routes` and
-`operators_addresses` read its sections; `routing.route_checks` and `addresses.rules` check what they state.
+Imported only if a file is named. docs/operators-file.md describes the format. `operators_routes` and
+`operators_addresses` read its sections; `routing.route_checks` and `addresses.rules` check their values.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from gannetweir.routing.route_checks import check_routing_rules
 from gannetweir.routing.rules import Route, RoutingRules
 
-VERSION = 1  # of the file's form
+VERSION = 1  # version of the file format
 _TOP_NODES = ("gannetweir", "relay", "reach", "server", "route", DEFAULT_ROUTE)
 _REPEATABLE_NODES = ("route", "server")
 _VERSION = Property("version", parse_count)
@@ -31,7 +31,7 @@
 
 
 class OperatorsFileError(ConfigError):
-    """All that is wrong with an operators' file, a line each; `mistakes` in the order of the lines."""
+    """An operators' file is invalid. The message has a line for each of the `mistakes`, in order of lines."""
 
     def __init__(self, mistakes: list[Mistake], file: str) -> None:
         super().__init__("\n".join(mistake.text(file) for mistake in mistakes))
@@ -39,14 +39,14 @@
 
 
 class OperatorsFile(NamedTuple):
-    """What a file states; no address rules where it has no section about addresses."""
+    """The rules of a file. `address_rules` is None if the file has no section about addresses."""
 
     routing_rules: RoutingRules
     address_rules: AddressRules | None
 
 
 class _DocumentReader:
-    """Reads one document, section by section. What has mistakes is left out of the rules."""
+    """Reads one document, section by section. Values with mistakes are left out of the rules."""
 
     def __init__(self) -> None:
         self._node_reader = NodeReader()
@@ -59,11 +59,11 @@
 
     @property
     def mistakes(self) -> list[Mistake]:
-        """What was wrong, in the order of reading."""
+        """All mistakes found so far, in the order of reading."""
         return self._node_reader.mistakes
 
     def read(self, nodes: list[Node]) -> OperatorsFile:
-        """Read the top nodes of a document."""
+        """Read the top-level nodes of a document."""
         for node in nodes:
             if node.name not in _TOP_NODES:
                 self._node_reader.report(node, node.name, "unknown", f"one of {', '.join(_TOP_NODES)}")
@@ -120,10 +120,10 @@
     with_lines: bool = False,
     endpoint_names: Sequence[str] = (),
 ) -> OperatorsFile:
-    """Return a file's rules, checked with the platform's settings and limits where they are given.
+    """Return the rules in a file's text, checked against the platform's settings and limits if given.
 
-    Patterns are tried on `endpoint_names`. Without `with_lines` the rules of a good file do not know their
-    lines. Raises `OperatorsFileError` with all mistakes and their lines; `load_operators_file` puts in the
+    Patterns are tested on `endpoint_names`. Without `with_lines` the rules of a valid file have no line
+    numbers. Raises `OperatorsFileError` with all mistakes and their lines; `load_operators_file` adds the
     name of the file.
     """
     reader = _DocumentReader()
@@ -137,7 +137,7 @@
         *_route_mistakes(operators_file.routing_rules, settings, limits, reader.mistakes),
         *_address_mistakes(operators_file.address_rules, settings, endpoint_names),
     ]
-    if mistakes and not with_lines:  # read it again, for the lines of the mistakes
+    if mistakes and not with_lines:  # parse again to report the lines of the mistakes
         return parse_operators_file(text, settings, limits, True, endpoint_names)
     if mistakes:
         raise OperatorsFileError(sorted(mistakes, key=lambda mistake: mistake.line), "")
@@ -147,10 +147,10 @@
 def _route_mistakes(
     rules: RoutingRules, settings: Settings | None, limits: Limits | None, read_mistakes: list[Mistake]
 ) -> list[Mistake]:
-    """Return the mistakes of the rules as a whole.
+    """Return the mistakes in the combination of all rules.
 
-    What could not be read is left out of the rules. Sums over a route that lacks something, and who is
-    reached, would then mislead, and are not reported.
+    Values that could not be read are missing from the rules. For such a route the schedule would mislead, and
+    so would statements about unreachable routes; neither is reported.
     """
     incomplete_routes = tuple(
         f"{route.title}, " for route in rules.routes if _concerns_route(read_mistakes, route)
@@ -192,9 +192,9 @@
     with_lines: bool = False,
     endpoint_names: Sequence[str] = (),
 ) -> OperatorsFile:
-    """Return the rules of a file, as `parse_operators_file` does of a text.
+    """Return the rules of a file, as `parse_operators_file` does for a text.
 
-    Raises `ConfigError` for a file that can't be read, `OperatorsFileError` for one that is wrong.
+    Raises `ConfigError` for a file that cannot be read, `OperatorsFileError` for an invalid one.
     """
     try:
         text = read_bytes(path).decode("utf-8")
--- a/gannetweir/config/operators_routes.py
+++ b/gannetweir/config/operators_routes.py
@@ -1,7 +1,7 @@
-"""The sections of an operators' file that route requests: `route`, `default` and `relay`.
+"""Reads the sections of an operators' file that route requests: `route`, `default` and `relay`.
 
-docs/operators-file.md describes them; what a value may be together with others is checked by
-`gannetweir.routing.route_checks`, not here.
+docs/operators-file.md describes them. Values are checked one by one here, and in combination by
+`gannetweir.routing.route_checks`.
 """
 
 from __future__ import annotations
@@ -36,7 +36,8 @@
 T = TypeVar("T")
 
 DEFAULT_ROUTE = "default"
-_RESERVED_NAMES = (DEFAULT_ROUTE, "relay")  # of sections; messages and counters name routes beside them
+# Messages and counters name these sections beside routes, so no route may have such a name.
+_RESERVED_NAMES = (DEFAULT_ROUTE, "relay")
 
 _DURATION = NodeForm(parse_duration_us)
 _COUNT = NodeForm(parse_count)
@@ -87,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelaySection:
-    """What holds for all routes together, and the line of each part."""
+    """The limits of all routes together, and the line of each part."""
 
     retry_budget: RetryBudgetRule | None = None
     limits: ConnectionLimitRule = field(default_factory=ConnectionLimitRule)
@@ -95,13 +96,13 @@
 
 
 class RouteReader:
-    """Reads routes; mistakes go to the node reader."""
+    """Reads routes and reports mistakes to the node reader."""
 
     def __init__(self, node_reader: NodeReader) -> None:
         self._node_reader = node_reader
 
     def read_relay(self, node: Node) -> RelaySection:
-        """Read what holds for all routes together."""
+        """Read the limits of all routes together."""
         self._node_reader.check_block_only(node, "relay")
         children = self._node_reader.read_block(node, "relay", ("retry-budget", "limits"))
         return RelaySection(
@@ -111,7 +112,7 @@
         )
 
     def read_route(self, node: Node, number: int) -> Route:
-        """Read a route; `number` stands for a name that is missing or wrong."""
+        """Read a route; `number` replaces a missing or invalid name in messages."""
         name = self._node_reader.parse_only_argument(node, "route", parse_name)
         if name in _RESERVED_NAMES:
             self._node_reader.report(node, "route", f"the name {name!r}", "a name of its own")
@@ -128,13 +129,13 @@
         return self._read_body(node, name, where, children)
 
     def read_default(self, node: Node) -> Route:
-        """Read the route that takes all that no other does."""
+        """Read the default route, which takes the requests that no other route takes."""
         self._node_reader.check_block_only(node, DEFAULT_ROUTE)
         children = self._node_reader.read_block(node, DEFAULT_ROUTE, _DEFAULT_NODES)
         return self._read_body(node, DEFAULT_ROUTE, DEFAULT_ROUTE, children)
 
     def _read_body(self, node: Node, name: str, where: str, children: Mapping[str, Node]) -> Route:
-        # mistakes of one line come in the order in which its parts are read here
+        # Mistakes in the same line are reported in the order in which the parts are read here.
         request_timeout_us = self._read_single(children, "give-up", where, _DURATION)
         connect_timeout_us = self._read_single(children, "connect", where, _DURATION)
         attempt_timeout_us = self._read_single(children, "attempt", where, _DURATION)
@@ -161,7 +162,7 @@
     def _read_single(
         self, children: Mapping[str, Node], name: str, where: str, form: NodeForm[T]
     ) -> T | None:
-        """Return the one value of a child; None where the child is missing or its value wrong."""
+        """Return the only value of a child; None if the child is missing or its value invalid."""
         if name not in children:
             return None
         return self._node_reader.read_values(children[name], f"{where} {name}", form).single
@@ -215,7 +216,7 @@
         return BackoffRule(kind, initial_us, max_us or 0, full_jitter)
 
     def _read_retry_budget(self, children: Mapping[str, Node], where: str) -> RetryBudgetRule | None:
-        """Return a retry budget, if one is stated whole."""
+        """Return the retry budget; None if it is missing or incomplete."""
         if "retry-budget" not in children:
             return None
         values = self._node_reader.read_values(
@@ -231,7 +232,7 @@
     def _read_limits(
         self, children: Mapping[str, Node], where: str, form: NodeForm[object]
     ) -> ConnectionLimitRule:
-        """Return limits, as far as they are stated."""
+        """Return the connection limits; a limit that is not stated is 0."""
         if "limits" not in children:
             return ConnectionLimitRule()
         node = children["limits"]
--- a/gannetweir/config/platform.py
+++ b/gannetweir/config/platform.py
@@ -1,4 +1,4 @@
-"""What the platform configures a relay with: the environment and the JSON file that it names."""
+"""The platform's configuration of a relay: the environment and the JSON file that it names."""
 
 from __future__ import annotations
 
@@ -21,16 +21,17 @@
 from gannetweir.limits import Limits
 from gannetweir.placement.settings import Settings
 
-if TYPE_CHECKING:  # a relay without an operators' file does without the code for one
+if TYPE_CHECKING:  # a relay without an operators' file does not import the code for one
     from gannetweir.addresses.rules import AddressRules
     from gannetweir.routing.rules import RoutingRules
 
 MAX_PORT = 65535
-MIN_BUFFER_BYTES = 4096  # of unsent data on one connection: a whole line fits, however small the machine
+# Least limit of unsent data on one connection: a complete line fits even on the smallest machine.
+MIN_BUFFER_BYTES = 4096
 SEED_MASK = (1 << 64) - 1
 MAX_MISSING_KEYS_SHOWN = 5
 _HALF_MB_BYTES = 1 << 19
-_IDENTITY_KEYS = ("name", "listen", "discovery")  # in the file, or RELAY_ and the name in the environment
+_IDENTITY_KEYS = ("name", "listen", "discovery")  # keys in the file, or RELAY_NAME etc. in the environment
 _MACHINE_KEYS = {
     "sockets": SettingKey("sockets", is_integer),
     "memory_mb": SettingKey("memory_mb", is_integer),
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SocketAddress:
-    """Where to listen or to connect; there is no DNS, so the host is a number."""
+    """An address to listen on or to connect to. The host is an IP address, since there is no DNS."""
 
     host: str
     port: int
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The whole configuration of a relay, checked."""
+    """The complete configuration of a relay, checked."""
 
     name: str
     listen_address: SocketAddress
@@ -55,19 +56,19 @@
     seed: int
     settings: Settings
     limits: Limits
-    known_endpoints: dict[str, Any]  # the endpoint list as of the start, JSON as discovery sends it
+    known_endpoints: dict[str, Any]  # endpoint list for the start, in discovery's JSON form
     admin_address: SocketAddress | None = None
-    inherited_listener_fd: int | None = None  # of a clients' listener that the platform holds
-    shared_folder: Path | None = None  # which all processes of this relay share
+    inherited_listener_fd: int | None = None  # descriptor of a client listener that the platform holds
+    shared_folder: Path | None = None  # shared by all processes of this relay
     named_keys: frozenset[str] = frozenset()  # paths of all keys in the file, see `key_paths`
-    routing_rules: RoutingRules | None = None  # of the operators' file; its routes stand in `settings`, too
-    address_rules: AddressRules | None = None  # of the operators' file
+    routing_rules: RoutingRules | None = None  # from the operators' file; `settings` has the routes applied
+    address_rules: AddressRules | None = None  # from the operators' file
 
 
 def parse_socket_address(literal: object, source: str) -> SocketAddress:
-    """Return the address that `HOST:PORT` means. Raises `ConfigError`, which names the `source`."""
+    """Return the address in a `HOST:PORT` literal. Raises `ConfigError`, which names the `source`."""
     host, _, port = str(literal).rpartition(":")
-    # isdecimal alone admits other scripts' digits, which no peer sends
+    # isdecimal alone also accepts digits of other scripts, which no peer sends
     if not host or not port.isascii() or not port.isdecimal() or int(port) > MAX_PORT:
         raise ConfigError(f"{source}: {literal!r} is not HOST:PORT")
     return SocketAddress(host, int(port))
@@ -76,20 +77,20 @@
 def parse_limits(data: object, settings: Settings) -> Limits:
     """Return the limits that follow from the machine's size (`data`, may be None) and from the settings.
 
-    Raises `SettingError` for a size that is no whole number over 0.
+    Raises `SettingError` for a size that is not an integer over 0.
     """
     machine = read_fields(_MACHINE_KEYS, {} if data is None else data)
     for name, value in machine.items():
-        # less than a relay is known to need is tried all the same: not to start serves nobody
+        # Sizes below a relay's known needs are accepted: a relay that does not start serves no client.
         if value <= 0:
             raise SettingError(f"limits.{name}", f"{value} is not over 0")
     limits = Limits(**machine, connect_timeout_us=int(settings.connect_timeout_us))
-    # no longer than the platform allows as Retry-After; where it allows none, none is sent
+    # Retry-After is at most what the platform allows; if it allows none, none is sent.
     max_retry_after_us = settings.max_retry_after_us if settings.sends_retry_after else 0
     limits = replace(
         limits, rejection_retry_after_us=int(max(0, min(limits.rejection_retry_after_us, max_retry_after_us)))
     )
-    # buffers must fit the memory: half of it, over both directions of each connection
+    # The buffers for both directions of all connections together take at most half of the memory.
     memory_per_socket_bytes = limits.memory_mb * _HALF_MB_BYTES // limits.sockets
     buffer_bytes = max(MIN_BUFFER_BYTES, min(limits.max_buffered_bytes, memory_per_socket_bytes))
     longest_deadline_us = max(request_class.deadline_us for request_class in settings.classes)
@@ -105,15 +106,15 @@
     except ValueError as error:
         raise ConfigError(f"{source}: not JSON: {error}") from error
     if not isinstance(data, dict):
-        raise ConfigError(f"{source}: not a JSON object")
+        raise ConfigError(f"{source}: not a JSON object but {type(data).__name__}")
     return data
 
 
 def key_paths(data: object, path: str = "") -> set[str]:
-    """Return every key of a configuration, by its path; of a list of objects those that each of them has."""
+    """Return the paths of all keys of a configuration; in a list of objects, those that all objects have."""
     if isinstance(data, dict):
         if path == ".known":
-            return {path}  # the list itself changes all the time, and may be of thousands
+            return {path}  # the endpoint list changes constantly and may have thousands of entries
         return {path} | {key for name, value in data.items() for key in key_paths(value, f"{path}.{name}")}
     if isinstance(data, list) and data and all(isinstance(entry, dict) for entry in data):
         return {path} | set[str].intersection(*(key_paths(entry, path + "[]") for entry in data))
@@ -123,13 +124,13 @@
 def load_platform_config(env: Mapping[str, str], previous: Config | None = None) -> Config:
     """Read the environment and the file that it names.
 
-    At a reload, with a `previous` configuration, the file goes before the environment, which is still the
-    start's and would hide what the new file says. And it must name all that the previous one named: what it
-    lacks would silently become a default. Raises `ConfigError`.
+    At a reload, with a `previous` configuration, the file overrides the environment, which is still that of
+    the start and would hide changes in the file. The file must also have every key that the previous one had:
+    a missing key would silently take its default. Raises `ConfigError`.
     """
     path = env.get("RELAY_CONFIG", "")
     if not path:
-        raise ConfigError("RELAY_CONFIG: not set")
+        raise ConfigError("RELAY_CONFIG: not set, expected the path of a JSON file")
     data = read_json_object(path, "RELAY_CONFIG")
     named_keys = frozenset(key_paths(data))
     if previous is not None:
@@ -142,7 +143,7 @@
 def _read_config(
     env: Mapping[str, str], data: Mapping[str, object], identity: Mapping[str, object]
 ) -> Config:
-    # the first of several mistakes that is reported is the first that is read here
+    # Only the first of several mistakes is reported, in the order in which the parts are read here.
     seed = _read_seed(data)
     settings = parse_settings(data.get("settings"))
     validate_settings(settings)
@@ -164,11 +165,14 @@
 
 def _check_no_key_missing(missing_keys: Iterable[str]) -> None:
     if missing := sorted(key.removeprefix(".") for key in missing_keys):
-        raise ConfigError(f"missing: {', '.join(missing[:MAX_MISSING_KEYS_SHOWN])}")
+        raise ConfigError(
+            f"missing: {', '.join(missing[:MAX_MISSING_KEYS_SHOWN])}; "
+            "expected every key of the file that was loaded before"
+        )
 
 
 def _read_identity(env: Mapping[str, str], data: Mapping[str, object], file_first: bool) -> dict[str, object]:
-    """Return the relay's name and addresses as the environment or the file state them."""
+    """Return the relay's name and addresses from the environment or the file."""
     identity: dict[str, object] = {}
     for name in _IDENTITY_KEYS:
         in_environment = env.get("RELAY_" + name.upper())
@@ -192,7 +196,7 @@
     if known_endpoints is None:
         return {}
     if not isinstance(known_endpoints, dict):
-        raise ConfigError("known: not an object")
+        raise ConfigError(f"known: not an object but {type(known_endpoints).__name__}")
     return known_endpoints
 
 
--- a/gannetweir/config/settings.py
+++ b/gannetweir/config/settings.py
@@ -1,6 +1,6 @@
-"""The settings object of a relay and of the simulator's wire: its keys, their types and their bounds.
+"""The settings object in a relay's configuration and on the simulator's wire: keys, types and bounds.
 
-Keys that are not in the tables are skipped; a missing key leaves the default of its field.
+Keys that are not in the tables are ignored; a missing key takes the default of its field.
 """
 
 from __future__ import annotations
@@ -18,32 +18,32 @@
 
 
 def is_integer(value: object) -> bool:
-    """Whether a JSON value is a whole number; JSON's true and false are none."""
+    """Return whether a JSON value is an integer; true and false are not."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def is_number(value: object) -> bool:
-    """Whether a JSON value is a number."""
+    """Return whether a JSON value is a number; true and false are not."""
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
 def is_text(value: object) -> bool:
-    """Whether a JSON value is a string."""
+    """Return whether a JSON value is a string."""
     return isinstance(value, str)
 
 
 def is_flag(value: object) -> bool:
-    """Whether a JSON value is true or false."""
+    """Return whether a JSON value is true or false."""
     return isinstance(value, bool)
 
 
 def is_object(value: object) -> bool:
-    """Whether a JSON value is an object."""
+    """Return whether a JSON value is an object."""
     return isinstance(value, dict)
 
 
 def list_of(is_item: TypeCheck) -> TypeCheck:
-    """Return the check of a list all of whose items pass `is_item`."""
+    """Return the check that a value is a list whose items all pass `is_item`."""
 
     def is_list(value: object) -> bool:
         return isinstance(value, list) and all(is_item(item) for item in value)
@@ -52,9 +52,9 @@
 
 
 class SettingKey:
-    """Where a setting stands in the JSON (names joined by dots), and the check of the type it has there.
+    """The path of a setting in the JSON (names joined by dots), and the check of its type.
 
-    A plain class: every start makes these, and a dataclass would cost more than all of them.
+    A plain class: every start creates these objects, and defining a dataclass costs more than creating them.
     """
 
     __slots__ = ("has_type", "path")
@@ -64,7 +64,7 @@
         self.has_type = has_type
 
 
-# By the field of `Settings` that takes the value.
+# Each key, by the field of `Settings` that takes its value.
 SETTINGS_KEYS: dict[str, SettingKey] = {
     "relay_count": SettingKey("fleet-size", is_integer),
     "zone": SettingKey("zone", is_integer),
@@ -89,7 +89,7 @@
     "allows_hedged_requests": SettingKey("limits.may-duplicate", is_flag),
     "clients_mark_retries": SettingKey("client-habits.marks-retry", is_flag),
 }
-# By the field of `RequestClass`.
+# Each key of a class, by the field of `RequestClass` that takes its value.
 REQUEST_CLASS_KEYS: dict[str, SettingKey] = {
     "name": SettingKey("name", is_text),
     "latency_objective_us": SettingKey("aim-us", is_number),
@@ -104,9 +104,9 @@
 
 
 def read_value(data: object, key: SettingKey) -> object:
-    """Return the value of a key, checked to be of its type; None where it or its parent is missing.
+    """Return the value of a key after a check of its type; None if the key or its parent is missing.
 
-    Raises `SettingError` for a value of another type and for a parent that is no object.
+    Raises `SettingError` for a value of another type and for a parent that is not an object.
     """
     value = data
     for name in key.path.split("."):
@@ -121,19 +121,19 @@
 
 
 def read_fields(keys: Mapping[str, SettingKey], data: object) -> dict[str, Any]:
-    """Return the values that `data` has for the fields of a table, by field. Raises `SettingError`."""
+    """Return the values in `data` for the fields of a table, by field. Raises `SettingError`."""
     values = {field: read_value(data, key) for field, key in keys.items()}
     return {field: value for field, value in values.items() if value is not None}
 
 
 def parse_settings(data: object) -> Settings:
-    """Return the settings that a JSON value states, types checked, bounds not. Raises `SettingError`."""
+    """Return the settings in a JSON value. Checks types but not bounds. Raises `SettingError`."""
     classes = read_value(data, _CLASSES_KEY)
     if not isinstance(classes, list) or not classes:
-        raise SettingError(_CLASSES_KEY.path, "missing")
+        raise SettingError(_CLASSES_KEY.path, "missing or empty, expected a list of at least one class")
     fields = read_fields(SETTINGS_KEYS, data)
     if fields.get("poll_interval_us") == 0:
-        # 0 states no interval; it does not ask for polls without a pause
+        # 0 means that no interval is stated, not that polls follow without a pause
         del fields["poll_interval_us"]
     request_classes = [RequestClass(**read_fields(REQUEST_CLASS_KEYS, entry)) for entry in classes]
     mode = read_value(data, _ENDPOINT_LIST_MODE_KEY)
@@ -143,7 +143,7 @@
 
 
 def parse_settings_json(text: bytes) -> Settings:
-    """Return the settings in JSON text, as the simulator's wire carries them. Raises `ConfigError`."""
+    """Return the settings in a JSON text, as sent on the simulator's wire. Raises `ConfigError`."""
     try:
         data = orjson.loads(text)
     except ValueError as error:
@@ -154,11 +154,11 @@
 def validate_settings(settings: Settings) -> None:
     """Check the bounds of settings.
 
-    Raises `SettingError` for a value that would leave every request without an answer, for one that no fleet
-    can have, and for two classes of one name.
+    Raises `SettingError` for a value that would leave every request without an answer, for a value that is
+    impossible for a fleet, and for two classes with the same name.
     """
     if not 0 <= settings.slow_start_min_share <= 1:
-        raise SettingError("contract.cold-from", f"{settings.slow_start_min_share} is no share of 1")
+        raise SettingError("contract.cold-from", f"{settings.slow_start_min_share} is not from 0 to 1")
     _check_not_negative("contract.ask-within-us", settings.poll_interval_us)
     _check_not_negative("contract.fall-multiple", settings.overload_multiple)
     for setting, value in dict(_positive_settings(settings)).items():
@@ -166,11 +166,11 @@
             raise SettingError(setting, f"{value} is not over 0")
     names = {request_class.name for request_class in settings.classes}
     if len(names) < len(settings.classes):
-        raise SettingError(_CLASSES_KEY.path, "two of one name")
+        raise SettingError(_CLASSES_KEY.path, "two classes of one name, expected a unique name for each")
 
 
 def _check_not_negative(setting: str, value: float) -> None:
-    # 0 is what an installation may state that has no such rule
+    # an installation without such a rule may state 0
     if not value >= 0:
         raise SettingError(setting, f"{value} is under 0")
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -181,7 +181,10 @@
         ({"limits": []}, "sockets"),
         ({"settings": {"categories": [{"name": "a", "hard-limit-us": 0}]}}, "a: hard-limit-us"),
         ({"settings": {"categories": [{"name": "a"}], "limits": {"max-attempts": 0}}}, "max-attempts"),
-        ({"settings": {"categories": [{"name": "a"}, {"name": "a"}]}}, "two of one name"),
+        (
+            {"settings": {"categories": [{"name": "a"}, {"name": "a"}]}},
+            "two classes of one name, expected a unique name for each",
+        ),
         ({"admin_addr": "door"}, "RELAY_ADMIN_ADDR"),
         ({"known": [1]}, "known"),
         ({"known": {"hosts": [{}]}}, "health"),
