--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,3 +1,3 @@
-"""Plugins of the whole suite."""
+"""Plugins of the test suite."""
 
 pytest_plugins = ["tests.known_red"]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A balancer and the events that it is given, built without the wire."""
+"""Drives a balancer with events, without the wire."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def settings(**changes: object) -> Settings:
-    """A fleet of one relay with probes, full reports and repeatable requests, but for the changes."""
+    """Return settings of one relay with probes, full reports and repeatable requests, plus `changes`."""
     values: dict[str, object] = {
         "classes": [RequestClass("plain", idempotency="repeatable", idempotency_window_us=5 * SECOND)],
         "load_report_fields": ["concurrent", "x0"],
@@ -47,13 +47,13 @@
 
 
 def number_of(record: StartAttempt | ProbeLoad | EndpointState) -> int:
-    """Return the number that the endpoint of a test goes by."""
+    """Return the endpoint's id, which is a number in these tests."""
     assert isinstance(record.endpoint_id, int)
     return record.endpoint_id
 
 
 class BalancerDriver:
-    """Drives one `Balancer`; `loads` are the reports that its probes are answered with."""
+    """Drives one `Balancer`; `loads` are the load reports with which its probes are answered."""
 
     def __init__(
         self,
@@ -85,11 +85,11 @@
             )
             for n in range(servers)
         ]
-        self.entries = dict(enumerate(entries))  # an endpoint keeps its zone and cell when it comes back
+        self.entries = dict(enumerate(entries))  # an endpoint that returns has the same zone and cell
         self.handle(EndpointListUpdate(UpdateKind.CACHED, 1, entries))
 
     def handle(self, event: Event) -> list[Action]:
-        """One event, and the answers to the probes it led to."""
+        """Handle an event, and then the answers to the probes that it causes; return all actions."""
         actions = self.balancer.handle(event, self.now)
         self.all_actions += actions
         for start in actions_of(actions, StartAttempt):
@@ -104,7 +104,7 @@
         return result
 
     def arrive(self, **fields: int) -> list[Action]:
-        """A request with two seconds to go."""
+        """Send a request; its deadline is in two seconds unless `fields` states another."""
         fields.setdefault("time_budget_us", 2 * SECOND)
         request_id, self.next_id = self.next_id, self.next_id + 1
         return self.handle(RequestArrived(request_id, **fields))
@@ -128,7 +128,7 @@
         self.now += microseconds
 
     def ejected_endpoints(self) -> list[EndpointId]:
-        """The servers that nothing is sent to for now, by what was seen of them."""
+        """Return the endpoints that are ejected as outliers now."""
         return [
             node.endpoint_id
             for node in self.balancer.state.endpoints.values()
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Tests that are known to fail: KNOWN-RED.txt lists at most three, one a line: test, cause, issue.
+"""Tests that are known to fail: KNOWN-RED.txt lists at most three, one a line: test | cause | issue.
 
-A listed test is run like any other. While it fails it does not fail the run, and is printed with its line. A
-listed test that passes fails the run, and so do a fourth line, a line that is not of this form, and a listed
-test that a run of the whole suite does not find.
+A listed test runs like any other. Its failure does not fail the run, but is printed with cause and issue. The
+run does fail if a listed test passes, if the file has a fourth line or a malformed one, or if a run of the
+complete suite does not find a listed test.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """One line of the file."""
+    """One line of KNOWN-RED.txt."""
 
-    test: str  # as pytest names it: tests/test_x.py::test_y
+    test: str  # pytest's node id, such as tests/test_x.py::test_y
     cause: str
     issue: str
 
 
 def read(path: Path) -> list[KnownFailure]:
-    """The lines of the file, none where there is no file. Raises `pytest.UsageError` for a bad one."""
+    """Return the lines of the file; none without a file. Raises `pytest.UsageError` for a malformed file."""
     if not path.exists():
         return []
     lines = [line for line in path.read_text().splitlines() if line.strip()]
@@ -44,7 +44,7 @@
 
 
 class KnownFailuresPlugin:
-    """Turns the failures of listed tests into expected ones, and reports them."""
+    """Reports failures of listed tests as expected, and passes of listed tests as failures."""
 
     def __init__(self, listed: list[KnownFailure], covers_suite: bool) -> None:
         self.listed = {known.test: known for known in listed}
@@ -68,7 +68,7 @@
                 report.outcome, report.wasxfail = "skipped", f"known: {known.cause}"
             elif report.passed:
                 report.outcome = "failed"
-                report.longrepr = f"listed in {FILE}, but it passes: take its line off"
+                report.longrepr = f"listed in {FILE}, but it passes: remove its line"
         return report
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -1,4 +1,4 @@
-"""Every setting with every wrong value: rejected in one clear line, or tolerated; never a fault or a stop."""
+"""Any wrong value of any setting is rejected in one line or tolerated, without an exception in the engine."""
 
 import copy
 from collections.abc import Iterator
@@ -74,7 +74,7 @@
 
 
 def setting_paths(data: object, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    """Return the path of every part of the settings, objects and leaves."""
+    """Yield the path of every part of the settings: objects, lists and leaves."""
     if path:
         yield path
     parts = data.items() if isinstance(data, dict) else enumerate(data) if isinstance(data, list) else ()
@@ -91,7 +91,10 @@
 
 
 def play_six_seconds(engine: e.Engine, now: int) -> int:
-    """Six seconds of a relay: cold and warm servers, groups, reports, answers of every kind, a list anew."""
+    """Run an engine for six seconds and return the time at the end.
+
+    The run has cold and warm endpoints, groups, load reports, attempts of every outcome and list updates.
+    """
 
     def listed_endpoints(state: int, started_us: int) -> list[ListedEndpoint]:
         ready = [ListedEndpoint(EndpointEntry(f"b{n}", n % 2), f"127.0.0.1:{n}") for n in range(1, 5)]
@@ -161,7 +164,7 @@
         known = MembershipUpdate(1, True, [])
         engines = [e.Engine(c.settings, c.limits, 7, known, 1_700_000_000_000_000) for c in (config, good)]
         now = play_six_seconds(engines[1], 1_700_000_000_000_000)
-        engines[1].reload(config.settings, config.limits, now)  # with connections that stand
+        engines[1].reload(config.settings, config.limits, now)  # with open connections
         for engine in engines:
             play_six_seconds(engine, now)
             counts = engine.counters.counts
@@ -174,7 +177,7 @@
         orjson.dumps(CONFIG | {"settings": with_value(("contract", name), 0)})
     )
     settings = load_config({"RELAY_CONFIG": str(tmp_path / "config.json")}).settings
-    assert settings.poll_interval_us > 1_000_000  # and the list is not asked for without a pause
+    assert settings.poll_interval_us > 1_000_000  # the endpoint list is not polled without a pause
 
 
 def test_timers_go_on_after_faults_of_the_balancer(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Bad configuration ends with one clear line and code 2."""
+"""An invalid configuration is reported in one line, and the program ends with exit code 2."""
 
 import os
 import re
@@ -44,7 +44,7 @@
         123000,
     )
     assert config.limits.max_clients * 2 + config.limits.reserved_sockets <= 1100
-    # what waits unsent, in both directions of every connection, leaves half the memory
+    # unsent data in both directions of all connections takes at most half of the memory
     assert config.limits.max_clients * 2 * config.limits.max_buffered_bytes <= 96 << 20
 
 
@@ -68,7 +68,7 @@
     assert config.limits.rejection_retry_after_us == expected_us
     expected_line = b"BUSY %d\r\n" % (expected_us // 1000) if expected_us else b"BUSY\r\n"
     assert rejection_line(expected_us) == expected_line
-    balancer = Balancer(config.settings, 1, 0)  # it has no endpoint: it rejects
+    balancer = Balancer(config.settings, 1, 0)  # without an endpoint the balancer rejects every request
     retry_after_us = [
         action.retry_after_us
         for n in range(50)
@@ -117,7 +117,7 @@
 
 
 def with_settings(**settings: object) -> dict[str, object]:
-    """The file with other settings."""
+    """Return the file with some settings changed."""
     return GOOD | {"settings": COMPLETE["settings"] | settings}
 
 
@@ -159,7 +159,7 @@
 def test_sockets_suffice_for_every_role(sockets: int) -> None:
     limits = Limits(sockets=sockets)
     assert limits.client_sockets + limits.max_load_probes + limits.fixed_sockets <= sockets
-    assert limits.max_clients >= sockets / 3 or sockets < 256  # so many are the usual ones
+    assert limits.max_clients >= sockets / 3 or sockets < 256  # machines in service have at least 256 sockets
     assert 2_300_000 < limits.first_line_timeout_us < 2_800_000
     assert limits.discard_timeout_us < 4_000_000
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy files: when `build` installs, what it compiles, and how the traced one differs."""
+"""The deploy files: when `build` installs, what it compiles, and how the traced deployment differs."""
 
 import importlib.util
 import shutil
@@ -11,7 +11,7 @@
 
 DEPLOY = Path(__file__).parent.parent / "deploy"
 PINS = "anyio==4\n"
-CHECKED_HASH = b"\x03\0\0\0"  # flags of a compiled file that names its source by hash
+CHECKED_HASH = b"\x03\0\0\0"  # flags of a compiled file that is validated by the hash of its source
 PYTHON = """#!/bin/sh
 mkdir -p "$3/bin" && printf '#!/bin/sh\\nexit %s' "$PIP_EXIT_CODE" > "$3/bin/pip"
 cp "$3/bin/pip" "$3/bin/python"
@@ -58,7 +58,10 @@
 
 
 def test_the_program_is_compiled_with_hashes_of_its_sources(tmp_path: Path) -> None:
-    """A copy of the tree has other times; without hashes a read-only one would be compiled at each start."""
+    """A copied tree has other modification times than its compiled files record.
+
+    Without hashes, a copy that is read-only would be compiled again at each start.
+    """
     shutil.copytree(DEPLOY.parent / "gannetweir", tmp_path / "gannetweir", ignore=lambda *_: ["__pycache__"])
     (tmp_path / ".venv/bin").mkdir(parents=True)
     (tmp_path / ".venv/bin/python").symlink_to(sys.executable)
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The endpoint watch, fed bytes: updates, heartbeats, and every kind of malformed answer."""
+"""The endpoint watch: updates, heartbeats and every kind of malformed response, in pieces of any size."""
 
 import json
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("step", [1, 7, 4096])
 def test_updates_and_heartbeats_in_pieces_of_any_size(step: int) -> None:
     endpoint_watch, events = watch(), list[object]()
-    # an object may lie across chunks, and several lines in one
+    # an object may span chunks, and one chunk may hold several lines
     data = HEAD + chunk(UPDATE_LINE[:30]) + chunk(UPDATE_LINE[30:] + b"\n") + chunk(b"\n")
     for start in range(0, len(data), step):
         events += endpoint_watch.feed(data[start : start + step])
@@ -84,13 +84,12 @@
         b"0\r\n\r\n",
         b"zz\r\n",
         chunk(b"{]\n"),
-        chunk(
-            OTHER_UPDATE_LINE.replace(b"Terminating", b"Asleep")
-        ),  # a good entry beside a bad one updates nothing either
+        # The other entries of a list with a malformed one are not applied either.
+        chunk(OTHER_UPDATE_LINE.replace(b"Terminating", b"Asleep")),
         chunk(b"x" * 5000),
-        chunk(OTHER_UPDATE_LINE[:60] + b"\n\n"),  # cut short, then a heartbeat
-        chunk(OTHER_UPDATE_LINE[:60] + b"\n" + OTHER_UPDATE_LINE),  # and another
-        chunk(UPDATE_LINE.replace(b'"seq":43', b'"seq":42')),  # older than what was sent
+        chunk(OTHER_UPDATE_LINE[:60] + b"\n\n"),  # a heartbeat follows an incomplete object
+        chunk(OTHER_UPDATE_LINE[:60] + b"\n" + OTHER_UPDATE_LINE),  # another object follows an incomplete one
+        chunk(UPDATE_LINE.replace(b'"seq":43', b'"seq":42')),  # older than the update before
     ],
 )
 @pytest.mark.parametrize("apart", [False, True])
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures passes over these tests alone, and over no more than three."""
+"""KNOWN-RED.txt tolerates failures of the tests that it lists, and of no more than three."""
 
 import os
 import subprocess
--- a/tests/test_operators_file.py
+++ b/tests/test_operators_file.py
@@ -1,4 +1,4 @@
-"""An operators' file that can't work is rejected with the reason; one that is accepted always fits."""
+"""An invalid operators' file is rejected with the reason; the schedules of an accepted file always fit."""
 
 import random
 import signal
@@ -41,7 +41,7 @@
     return f'route "{name}" {{\n match {{\n {match}\n }}\n {body}\n}}\n'
 
 
-# what is wrong, the file, the line that is reported, and words of the message
+# Each case: its name, the file, the line that is reported (0: not checked), and words of the message.
 BAD: list[tuple[str, str, int, list[str]]] = [
     ("no default", HEAD, 0, ["default", "missing"]),
     ("no version", operators_file(head=""), 0, ["version=1"]),
@@ -68,17 +68,17 @@
     ("a value missing", operators_file("attempt"), 4, ["0 values", "one value"]),
     ("two values", operators_file('attempt "300ms" "200ms"'), 4, ["2 values", "one value"]),
     ("a time without a unit", operators_file("attempt 300"), 4, ["300", "unit"]),
-    ("a unit that is none", operators_file('attempt "300 parsecs"'), 4, ["parsecs", "unit"]),
+    ("an unknown unit", operators_file('attempt "300 parsecs"'), 4, ["parsecs", "unit"]),
     ("a time of 0", operators_file('attempt "0ms"'), 4, ["0ms", "over 0"]),
-    ("a time under 0", operators_file('attempt "-5ms"'), 4, ["-5ms", "unit"]),
+    ("a negative time", operators_file('attempt "-5ms"'), 4, ["-5ms", "unit"]),
     ("a time too long", operators_file('give-up "61m"'), 4, ["61m", "60m"]),
     ("attempts of 0", operators_file("attempts 0"), 4, ["found 0", "over 0"]),
     ("attempts as text", operators_file('attempts "3"'), 4, ['"3"', "whole number"]),
-    ("attempts and a half", operators_file("attempts 2.5"), 4, ["2.5", "whole number"]),
+    ("attempts as a fraction", operators_file("attempts 2.5"), 4, ["2.5", "whole number"]),
     ("attempts as a flag", operators_file("attempts #true"), 4, ["#true", "whole number"]),
     ("too many attempts", operators_file("attempts 7"), 4, ["7", "at most 6"]),
     ("a rate that is not finite", operators_file("limits setups-per-second=#inf"), 4, ["inf", "finite"]),
-    ("a rate that is no number", operators_file("limits setups-per-second=#nan"), 4, ["nan", "finite"]),
+    ("a rate that is not a number", operators_file("limits setups-per-second=#nan"), 4, ["nan", "finite"]),
     ("a rate of 0", operators_file("limits setups-per-second=0"), 4, ["found 0", "over 0"]),
     ("an unknown limit", operators_file("limits closed=5"), 4, ["closed", "open"]),
     (
@@ -87,8 +87,18 @@
         4,
         ["5000", "448", "1024 descriptors"],
     ),
-    ("a backend's limit likewise", operators_file("limits setups-at-backend=449"), 4, ["449", "448"]),
-    ("the relay's limit likewise", operators_file(before="relay {\n limits open=449\n}"), 3, ["449", "448"]),
+    (
+        "a backend's limit over the descriptors",
+        operators_file("limits setups-at-backend=449"),
+        4,
+        ["449", "448"],
+    ),
+    (
+        "the relay's limit over the descriptors",
+        operators_file(before="relay {\n limits open=449\n}"),
+        3,
+        ["449", "448"],
+    ),
     (
         "a backend's limit over the route's",
         operators_file("limits open=5 setups-at-backend=6"),
@@ -96,7 +106,7 @@
         ["6", "open 5"],
     ),
     (
-        "a burst over what may be open",
+        "a burst over the limit of open connections",
         operators_file("limits open=5 setups-per-second=1 burst=6"),
         4,
         ["6", "open 5"],
@@ -109,12 +119,12 @@
         ["floor is missing"],
     ),
     (
-        "a share over the whole",
+        "a share over 100%",
         operators_file('retry-budget share="120%" window="10s" floor=1'),
         4,
         ["120%", "100%"],
     ),
-    ("a share of nothing", operators_file('retry-budget share="0%" window="10s" floor=1'), 4, ["0%", "over"]),
+    ("a share of 0%", operators_file('retry-budget share="0%" window="10s" floor=1'), 4, ["0%", "over"]),
     (
         "a share as a number",
         operators_file('retry-budget share=0.2 window="10s" floor=1'),
@@ -133,52 +143,57 @@
         3,
         ["share is missing"],
     ),
-    ("a wait of no known kind", operators_file('wait "random" first="1ms"'), 4, ["random", "exponential"]),
+    ("a wait of an unknown kind", operators_file('wait "random" first="1ms"'), 4, ["random", "exponential"]),
     ("a wait without a length", operators_file('wait "fixed"'), 4, ["first is missing"]),
     (
-        "a wait that shrinks",
+        "a wait whose maximum is less than its first",
         operators_file('wait "exponential" first="9ms" max="5ms"'),
         4,
         ["max 5ms", "first 9ms"],
     ),
-    ("a wait for nothing", operators_file('attempts 1\nwait "fixed" first="9ms"'), 5, ["attempts is 1"]),
     (
-        "a wait over an overlap",
+        "a wait without a second attempt",
+        operators_file('attempts 1\nwait "fixed" first="9ms"'),
+        5,
+        ["attempts is 1"],
+    ),
+    (
+        "attempts that would overlap",
         operators_file('attempts 3\nattempt "300ms"\nwait "every" first="500ms"'),
         6,
         ["zone-view", "500ms", "550ms", "overlap"],
     ),
     (
-        "a cadence without an end",
+        "a fixed interval without an attempt time-out",
         operators_file('wait "every" first="500ms"'),
         4,
         ["overlap", "attempt time-out"],
     ),
     (
-        "a cadence with jitter",
+        "a fixed interval with jitter",
         operators_file('wait "every" first="2s" jitter="full"'),
         4,
         ["jitter", "overlap"],
     ),
     (
-        "a second copy",
+        "a hedged request",
         operators_file('hedge after="150ms"'),
         4,
         ["zone-view", "second copy", "may-duplicate is false"],
     ),
     (
-        "a second copy of one class",
+        "a hedged request of one class",
         operators_file(before=route_section('hedge after="1ms"')),
         6,
         ["rider-area", "second copy"],
     ),
     (
-        "what may not be repeated",
+        "a retry of a class that is not idempotent",
         operators_file(before=route_section('retry-on "may-have-run"', 'class "write-once"')),
         6,
         ["write-once", "once", "never-ran"],
     ),
-    ("a word that is none", operators_file('retry-on "always"'), 4, ["always", "may-have-run"]),
+    ("an unknown value of retry-on", operators_file('retry-on "always"'), 4, ["always", "may-have-run"]),
     (
         "an unknown class",
         operators_file(before=route_section("", 'class "rider"')),
@@ -212,7 +227,7 @@
     ),
     ("a flag as text", operators_file(before=route_section("", 'again "yes"')), 4, ["yes", "#true"]),
     (
-        "a route behind one that takes all",
+        "a route behind one that takes all its requests",
         operators_file(
             before=route_section("", "again #true", "a")
             + route_section("", 'again #true\n class "zone-view"', "b")
@@ -221,7 +236,7 @@
         ["route b", "never reached", "route a"],
     ),
     (
-        "a route behind two that take all",
+        "a route behind two that together take all requests",
         operators_file(
             before=route_section("", "again #true", "a")
             + route_section("", "again #false", "b")
@@ -261,19 +276,19 @@
         ["2000ms", "1000ms"],
     ),
     (
-        "a plan for no class",
+        "a schedule that exceeds a deadline",
         operators_file('attempt "2s"\nattempts 2'),
         5,
         ["zone-view", "4706.67ms", "2000ms", "at most 646ms"],
     ),
     (
-        "a plan that fits one class and not the other",
+        "a schedule that fits only one of two classes",
         operators_file(before=route_section('attempts 3\nattempt "600ms"', 'class "rider-area" "zone-view"')),
         6,
         ["class zone-view", "2756.67ms", "756.666ms more", "2000ms", "at most 347ms", "at most 2 attempts"],
     ),
     (
-        "waits that do not fit",
+        "waits that exceed the deadline",
         operators_file('attempts 2\nattempt "500ms"\nwait "fixed" first="1s"'),
         4,
         ["zone-view", "2706.67ms", "at most 146ms or at most 1 attempts"],
@@ -333,7 +348,7 @@
 
 
 def test_a_schedule_that_no_request_takes_is_not_checked() -> None:
-    """The default would not fit rider-area's first half; a route of its own takes all of that class."""
+    """The default's schedule does not fit zone-view, but another route takes all requests of that class."""
     before = route_section('attempt "300ms"\nattempts 2', 'class "zone-view"')
     parse_routing_rules(operators_file('attempts 2\nattempt "1s"', before), SETTINGS, LIMITS)
     with pytest.raises(OperatorsFileError, match="class zone-view"):
@@ -548,7 +563,7 @@
     with subprocess.Popen(command, env=env, cwd=ROOT, stderr=subprocess.PIPE) as relay:
         assert relay.stderr is not None
         try:
-            assert relay.stderr.readline()  # the watch has failed, nobody is there: it runs
+            assert relay.stderr.readline()  # the relay runs: its watch has failed, since no discovery listens
             bad = operators_file("attempts 0")
             for text, word in (
                 (operators_file("attempts 3"), "done"),
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs and prints what the README says."""
+"""The README's example runs and prints the output that the README shows."""
 
 import contextlib
 import io
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire against frames worked out by hand from the documented layouts, and what bad input gets."""
+"""The wire, compared with frames built by hand from the documented layouts, and malformed input."""
 
 import io
 import json
@@ -81,7 +81,7 @@
 
 
 def replies_to(*frames: bytes) -> list[tuple[int, bytes]]:
-    """(number of records, the rest) of each reply."""
+    """Return, for each reply, the number of its records and the bytes after its header."""
     sink = io.BytesIO()
     serve(io.BytesIO(b"".join(frames)), sink)
     out, data = [], sink.getvalue()
@@ -233,7 +233,7 @@
     )
     assert [body[k * 24] for count, body in replies[1:2] for k in range(count)].count(16) == 1
     assert replies[2] == (0, b"")
-    assert replies[3][1] == replies[0][1]  # same seed, same first actions
+    assert replies[3][1] == replies[0][1]  # the same seed gives the same first actions
 
 
 @pytest.mark.parametrize(
