--- a/gannetweir/adapter.py
+++ b/gannetweir/adapter.py
@@ -16,7 +16,7 @@
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
-        self._faulted: set[int] = set()  # their settings were invalid; further records for them are ignored
+        self._faulted: set[int] = set()  # instances with invalid settings; their further records are ignored
 
     def answer(self, count: int, now_us: int, body: memoryview) -> bytes:
         """Return the reply to one frame of `count` records.
--- a/gannetweir/config/platform.py
+++ b/gannetweir/config/platform.py
@@ -61,8 +61,9 @@
     inherited_listener_fd: int | None = None  # descriptor of a client listener that the platform holds
     shared_folder: Path | None = None  # shared by all processes of this relay
     named_keys: frozenset[str] = frozenset()  # paths of all keys in the file, see `key_paths`
-    routing_rules: RoutingRules | None = None  # from the operators' file; `settings` has the routes applied
-    address_rules: AddressRules | None = None  # from the operators' file
+    # Rules of the operators' file; `settings` has the routes applied.
+    routing_rules: RoutingRules | None = None
+    address_rules: AddressRules | None = None  # rules of the operators' file
 
 
 def parse_socket_address(literal: object, source: str) -> SocketAddress:
--- a/gannetweir/proto/client_connection.py
+++ b/gannetweir/proto/client_connection.py
@@ -23,7 +23,7 @@
 
     before_deadline: bytes  # the line up to the value of `d`; empty if the line has no `d`
     after_deadline: bytes  # the line after the value of `d`; the complete line if it has no `d`
-    client_id: str  # the client's id for the request; requests that are open together have different ids
+    client_id: str  # the client's id for the request; requests open at the same time must differ in it
     request: RequestArrived  # the engine assigns the `request_id`
     current_endpoint: str  # the endpoint that already serves this connection; empty if none
 
@@ -126,7 +126,7 @@
     AWAITING_FIRST_LINE = 1
     AWAITING_ANSWER = 2  # the request is open, the client waits for the answer
     ESTABLISHED = 3
-    ENDED = 4  # what the client still sends is discarded unread
+    ENDED = 4  # further data from the client is discarded
 
 
 class PingReceived:
@@ -227,17 +227,17 @@
         return [LineReceived(line) for line in early_lines]
 
     def end_rejected(self, retry_after_us: int) -> bytes:
-        """End the connection as rejected and return the answer. A retry after that time is harmless."""
+        """End as rejected and return the answer: a retry after `retry_after_us` is harmless."""
         self.phase = ClientPhase.ENDED
         return rejection_line(retry_after_us)
 
     def end_failed(self) -> bytes:
-        """End the connection as failed and return the answer, which promises nothing about a retry."""
+        """End as failed and return the answer, which promises nothing about a retry."""
         self.phase = ClientPhase.ENDED
         return b"ERR" + LINE_END
 
     def end_migrated(self) -> bytes:
-        """End the connection and return the line that makes the client reconnect elsewhere.
+        """End as migrated and return the line that makes the client reconnect elsewhere.
 
         Only complete lines are written to a client, so `MOVE` never splits a line.
         """
--- a/gannetweir/proto/load_report.py
+++ b/gannetweir/proto/load_report.py
@@ -22,7 +22,10 @@
 
 
 def parse_load_report(text: str, field_names: list[str]) -> tuple[float, ...]:
-    """Return the figures named in the settings; empty if one is missing, no number or over `MAX_FIGURE`."""
+    """Return the figures named in the settings.
+
+    The result is empty if one of them is missing, is not a number or is over `MAX_FIGURE`.
+    """
     try:
         figures = {SETTINGS_NAMES.get(name, name): float(value) for name, value in parse_fields(text).items()}
     except (LineError, ValueError):
--- a/gannetweir/wire.py
+++ b/gannetweir/wire.py
@@ -42,7 +42,7 @@
 REPLY_HEADER = struct.Struct("<II")  # length of the frame, number of records
 EVENT_BYTES = 48  # size of a record sent to the relay
 ACTION_BYTES = 24  # size of a record sent by the relay
-MAX_FRAME_BYTES = 1 << 28  # 256 MiB, the limit of the wire's specification
+MAX_FRAME_BYTES = 1 << 28  # 256 MiB, as the wire specifies; a longer frame is malformed
 ENTRY = struct.Struct("<6sHHHBfQ")  # one endpoint of a list; fields as in EndpointEntry
 
 # Codes of records that are neither events for a balancer nor its actions.
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -164,7 +164,7 @@
         known = MembershipUpdate(1, True, [])
         engines = [e.Engine(c.settings, c.limits, 7, known, 1_700_000_000_000_000) for c in (config, good)]
         now = play_six_seconds(engines[1], 1_700_000_000_000_000)
-        engines[1].reload(config.settings, config.limits, now)  # with open connections
+        engines[1].reload(config.settings, config.limits, now)  # a reload while connections are open
         for engine in engines:
             play_six_seconds(engine, now)
             counts = engine.counters.counts
