--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -8,7 +8,7 @@
 import orjson
 import pytest
 
-from gannetweir import core as e
+from gannetweir import core
 from gannetweir.config import Config, ConfigError, load_config
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.actions import Action
@@ -90,7 +90,7 @@
     return data
 
 
-def play_six_seconds(engine: e.Engine, now: int) -> int:
+def run_six_seconds(engine: core.Engine, now: int) -> int:
     """Run an engine for six seconds and return the time at the end.
 
     The run has cold and warm endpoints, groups, load reports, attempts of every outcome and list updates.
@@ -130,9 +130,9 @@
         engine.advance(now)
         while engine.commands:
             command = engine.commands.popleft()
-            if isinstance(command, e.StartLoadProbe):
+            if isinstance(command, core.StartLoadProbe):
                 engine.load_probe_ended(command.endpoint_id, AttemptStatus.OK, (10.0 + step, 0.5), now)
-            elif isinstance(command, e.OpenUpstream):
+            elif isinstance(command, core.OpenUpstream):
                 engine.upstream_first_line_written(command.request_id, command.attempt, now)
                 if step % 2:
                     engine.upstream_established(command.request_id, command.attempt, now)
@@ -162,11 +162,11 @@
             assert len(str(config)) < 500
             continue
         known = MembershipUpdate(1, True, [])
-        engines = [e.Engine(c.settings, c.limits, 7, known, 1_700_000_000_000_000) for c in (config, good)]
-        now = play_six_seconds(engines[1], 1_700_000_000_000_000)
+        engines = [core.Engine(c.settings, c.limits, 7, known, 1_700_000_000_000_000) for c in (config, good)]
+        now = run_six_seconds(engines[1], 1_700_000_000_000_000)
         engines[1].reload(config.settings, config.limits, now)  # a reload while connections are open
         for engine in engines:
-            play_six_seconds(engine, now)
+            run_six_seconds(engine, now)
             counts = engine.counters.counts
             assert not counts["placement_faults"], (value, engine.commands)
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -193,11 +193,11 @@
 def test_a_wrong_configuration_is_reported_in_one_line(
     tmp_path: Path, change: dict[str, object], named: str
 ) -> None:
-    done = run(environment(tmp_path, change), "check-config")
-    lines = done.stderr.decode().splitlines()
-    assert done.returncode == 2, done
-    assert len(lines) == 1, done
-    assert named in lines[0], done
+    process = run(environment(tmp_path, change), "check-config")
+    lines = process.stderr.decode().splitlines()
+    assert process.returncode == 2, process
+    assert len(lines) == 1, process
+    assert named in lines[0], process
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]"])
@@ -207,9 +207,9 @@
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = run({"RELAY_CONFIG": str(path)}, "serve")
-    assert done.returncode == 2, done
-    assert len(done.stderr.decode().splitlines()) == 1, done
+    process = run({"RELAY_CONFIG": str(path)}, "serve")
+    assert process.returncode == 2, process
+    assert len(process.stderr.decode().splitlines()) == 1, process
 
 
 @pytest.mark.parametrize(
--- a/tests/test_operators_file.py
+++ b/tests/test_operators_file.py
@@ -389,15 +389,15 @@
 @profile(max_examples=400, deadline=None, derandomize=True)
 @given(BODIES, BODIES, st.integers(1, 6), st.integers(200, 4000), st.integers(200, 4000))
 def test_no_accepted_schedule_exceeds_its_request_timeout(
-    one: str, other: str, most: int, first_ms: int, second_ms: int
+    route_body: str, default_body: str, max_attempts: int, first_ms: int, second_ms: int
 ) -> None:
     classes = [
         RequestClass("zone-view", 500_000, first_ms * 1000, 1.0, "repeatable", "all"),
         RequestClass("rider-area", 500_000, second_ms * 1000, 1.0, "repeatable", "all"),
     ]
-    settings = Settings(classes=classes, max_attempts=most)
+    settings = Settings(classes=classes, max_attempts=max_attempts)
     try:
-        rules = parse_routing_rules(operators_file(other, route_section(one)), settings, LIMITS)
+        rules = parse_routing_rules(operators_file(default_body, route_section(route_body)), settings, LIMITS)
     except OperatorsFileError:
         return
     routed = with_routed_classes(settings, rules)
@@ -556,9 +556,9 @@
     operators.write_text(operators_file("attempts 0"))
     env = {"RELAY_CONFIG": str(platform_config(tmp_path)), "PATH": ""}
     command = [sys.executable, "-m", "gannetweir", "serve", "--operators", str(operators), "--log", "json"]
-    done = subprocess.run(command, env=env, cwd=ROOT, capture_output=True, check=False, timeout=60)
-    assert done.returncode == 2
-    assert b"default attempts: found 0" in done.stderr
+    process = subprocess.run(command, env=env, cwd=ROOT, capture_output=True, check=False, timeout=60)
+    assert process.returncode == 2
+    assert b"default attempts: found 0" in process.stderr
     operators.write_text(operators_file("attempts 2"))
     with subprocess.Popen(command, env=env, cwd=ROOT, stderr=subprocess.PIPE) as relay:
         assert relay.stderr is not None
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -183,15 +183,20 @@
 
 
 def test_settings_are_read_and_missing_ones_take_defaults() -> None:
-    s = parse_settings_json(json.dumps(SETTINGS).encode())
-    assert (s.polls_endpoint_list, s.load_probes_enabled, s.max_attempts, s.overload_multiple) == (
+    parsed = parse_settings_json(json.dumps(SETTINGS).encode())
+    assert (
+        parsed.polls_endpoint_list,
+        parsed.load_probes_enabled,
+        parsed.max_attempts,
+        parsed.overload_multiple,
+    ) == (
         True,
         True,
         3,
         2.5,
     )
-    assert s.classes[0].idempotency == "repeatable"
-    assert s.load_report_fields == ["concurrent", "x0"]
+    assert parsed.classes[0].idempotency == "repeatable"
+    assert parsed.load_report_fields == ["concurrent", "x0"]
     bare = parse_settings_json(b'{"categories": [{}]}')
     assert (
         bare.load_probes_enabled,
@@ -250,37 +255,37 @@
     ],
 )
 def test_malformed_input_is_reported_in_one_line_with_a_non_zero_exit_code(data: bytes, message: str) -> None:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "gannetweir.adapter"],
         input=data,
         capture_output=True,
         check=False,
         cwd=Path(__file__).parent.parent,
     )
-    lines = done.stderr.decode().splitlines()
-    assert done.returncode != 0
+    lines = process.stderr.decode().splitlines()
+    assert process.returncode != 0
     assert len(lines) == 1
     assert message in lines[0]
 
 
 def test_clean_end_of_input() -> None:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "gannetweir.adapter"],
         input=create(),
         capture_output=True,
         check=False,
         cwd=Path(__file__).parent.parent,
     )
-    assert done.returncode == 0
-    assert done.stderr == b""
-    assert done.stdout
+    assert process.returncode == 0
+    assert process.stderr == b""
+    assert process.stdout
 
 
 @pytest.mark.parametrize("seed", ["0", "1", "4242"])
 def test_replies_do_not_depend_on_the_hash_seed(seed: str) -> None:
     request = record(18, f"0300 {ID} 00 0000 0000000000000000 80a90300 00000000 0000000000000000 00")
     data = create() + frame([request])
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "gannetweir.adapter"],
         input=data,
         capture_output=True,
@@ -290,7 +295,7 @@
     )
     sink = io.BytesIO()
     serve(io.BytesIO(data), sink)
-    assert done.stdout == sink.getvalue()
+    assert process.stdout == sink.getvalue()
 
 
 def test_an_exception_in_the_balancer_is_reported_as_a_fault(
