--- a/gannetweir/config/operators_routes.py
+++ b/gannetweir/config/operators_routes.py
@@ -1,7 +1,7 @@
-"""The sections of an operators' file that route requests: `route`, `default` and `relay`.
+"""Reads the sections of an operators' file that route requests: `route`, `default` and `relay`.
 
-docs/operators-file.md describes them; what a value may be together with others is checked by
-`gannetweir.routing.route_checks`, not here.
+docs/operators-file.md describes them. Values are checked one by one here, and in combination by
+`gannetweir.routing.route_checks`.
 """
 
 from __future__ import annotations
@@ -36,7 +36,8 @@
 T = TypeVar("T")
 
 DEFAULT_ROUTE = "default"
-_RESERVED_NAMES = (DEFAULT_ROUTE, "relay")  # of sections; messages and counters name routes beside them
+# Messages and counters name these sections beside routes, so no route may have such a name.
+_RESERVED_NAMES = (DEFAULT_ROUTE, "relay")
 
 _DURATION = NodeForm(parse_duration_us)
 _COUNT = NodeForm(parse_count)
@@ -87,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelaySection:
-    """What holds for all routes together, and the line of each part."""
+    """The limits of all routes together, and the line of each part."""
 
     retry_budget: RetryBudgetRule | None = None
     limits: ConnectionLimitRule = field(default_factory=ConnectionLimitRule)
@@ -95,15 +96,15 @@
 
 
 class RouteReader:
-    """Reads routes; mistakes go to the node reader."""
+    """Reads routes and reports mistakes to the node reader."""
 
-    def __init__(self, nodes: NodeReader) -> None:
-        self._nodes = nodes
+    def __init__(self, node_reader: NodeReader) -> None:
+        self._node_reader = node_reader
 
     def read_relay(self, node: Node) -> RelaySection:
-        """Read what holds for all routes together."""
-        self._nodes.check_block_only(node, "relay")
-        children = self._nodes.read_block(node, "relay", ("retry-budget", "limits"))
+        """Read the limits of all routes together."""
+        self._node_reader.check_block_only(node, "relay")
+        children = self._node_reader.read_block(node, "relay", ("retry-budget", "limits"))
         return RelaySection(
             self._read_retry_budget(children, "relay"),
             self._read_limits(children, "relay", _RELAY_LIMITS),
@@ -111,30 +112,30 @@
         )
 
     def read_route(self, node: Node, number: int) -> Route:
-        """Read a route; `number` stands for a name that is missing or wrong."""
-        name = self._nodes.parse_only_argument(node, "route", parse_name)
+        """Read a route; `number` replaces a missing or invalid name in messages."""
+        name = self._node_reader.parse_only_argument(node, "route", parse_name)
         if name in _RESERVED_NAMES:
-            self._nodes.report(node, "route", f"the name {name!r}", "a name of its own")
+            self._node_reader.report(node, "route", f"the name {name!r}", "a name of its own")
         if name == DEFAULT_ROUTE:
             return self.read_default(node)
         name = name or f"#{number}"
         where = f"route {name}"
         if node.properties:
-            self._nodes.report(node, where, "found values", "its name only")
-        children = self._nodes.read_block(node, where, _ROUTE_NODES)
+            self._node_reader.report(node, where, "found values", "its name only")
+        children = self._node_reader.read_block(node, where, _ROUTE_NODES)
         if "match" not in children:
             allowed = "a match block; what takes all is the default"
-            self._nodes.report(node, where, "match is missing", allowed)
+            self._node_reader.report(node, where, "match is missing", allowed)
         return self._read_body(node, name, where, children)
 
     def read_default(self, node: Node) -> Route:
-        """Read the route that takes all that no other does."""
-        self._nodes.check_block_only(node, DEFAULT_ROUTE)
-        children = self._nodes.read_block(node, DEFAULT_ROUTE, _DEFAULT_NODES)
+        """Read the default route, which takes the requests that no other route takes."""
+        self._node_reader.check_block_only(node, DEFAULT_ROUTE)
+        children = self._node_reader.read_block(node, DEFAULT_ROUTE, _DEFAULT_NODES)
         return self._read_body(node, DEFAULT_ROUTE, DEFAULT_ROUTE, children)
 
     def _read_body(self, node: Node, name: str, where: str, children: Mapping[str, Node]) -> Route:
-        # mistakes of one line come in the order in which its parts are read here
+        # Mistakes in the same line are reported in the order in which the parts are read here.
         request_timeout_us = self._read_single(children, "give-up", where, _DURATION)
         connect_timeout_us = self._read_single(children, "connect", where, _DURATION)
         attempt_timeout_us = self._read_single(children, "attempt", where, _DURATION)
@@ -161,27 +162,29 @@
     def _read_single(
         self, children: Mapping[str, Node], name: str, where: str, form: NodeForm[T]
     ) -> T | None:
-        """Return the one value of a child; None where the child is missing or its value wrong."""
+        """Return the only value of a child; None if the child is missing or its value invalid."""
         if name not in children:
             return None
-        return self._nodes.read_values(children[name], f"{where} {name}", form).single
+        return self._node_reader.read_values(children[name], f"{where} {name}", form).single
 
     def _read_hedge(self, children: Mapping[str, Node], where: str) -> int:
         if "hedge" not in children:
             return 0
-        return self._nodes.read_values(children["hedge"], f"{where} hedge", _HEDGE).get(_AFTER) or 0
+        return self._node_reader.read_values(children["hedge"], f"{where} hedge", _HEDGE).get(_AFTER) or 0
 
     def _read_match(self, route_children: Mapping[str, Node], route_where: str) -> RouteMatch:
         if "match" not in route_children:
             return RouteMatch()
         node = route_children["match"]
         where = f"{route_where} match"
-        self._nodes.check_block_only(node, where)
-        children = self._nodes.read_block(node, where, _MATCH_FORMS)
+        self._node_reader.check_block_only(node, where)
+        children = self._node_reader.read_block(node, where, _MATCH_FORMS)
         if not node.children:
-            self._nodes.report(node, where, "empty", "what the route takes; what takes all is the default")
+            self._node_reader.report(
+                node, where, "empty", "what the route takes; what takes all is the default"
+            )
         conditions: dict[str, NodeValues[str | bool]] = {
-            name: self._nodes.read_values(child, f"{where} {name}", _MATCH_FORMS[name])
+            name: self._node_reader.read_values(child, f"{where} {name}", _MATCH_FORMS[name])
             for name, child in children.items()
         }
         return RouteMatch(
@@ -197,26 +200,28 @@
             return None
         node = children["wait"]
         where = f"{route_where} wait"
-        values = self._nodes.read_values(node, where, _WAIT)
+        values = self._node_reader.read_values(node, where, _WAIT)
         kind = values.single
         initial_us = values.get(_INITIAL)
         if kind is None or initial_us is None:
             return None
         max_us = values.get(_MAX)
         if kind is not BackoffKind.EXPONENTIAL and max_us is not None:
-            self._nodes.report(node, where, "max", 'max only with "exponential"')
+            self._node_reader.report(node, where, "max", 'max only with "exponential"')
         full_jitter = values.get(_JITTER) == "full"
         if kind is BackoffKind.EVERY and full_jitter:
             allowed = 'no jitter with "every": it would let attempts overlap'
-            self._nodes.report(node, where, 'jitter "full"', allowed)
+            self._node_reader.report(node, where, 'jitter "full"', allowed)
             return None
         return BackoffRule(kind, initial_us, max_us or 0, full_jitter)
 
     def _read_retry_budget(self, children: Mapping[str, Node], where: str) -> RetryBudgetRule | None:
-        """Return a retry budget, if one is stated whole."""
+        """Return the retry budget; None if it is missing or incomplete."""
         if "retry-budget" not in children:
             return None
-        values = self._nodes.read_values(children["retry-budget"], f"{where} retry-budget", _RETRY_BUDGET)
+        values = self._node_reader.read_values(
+            children["retry-budget"], f"{where} retry-budget", _RETRY_BUDGET
+        )
         retry_ratio = values.get(_RATIO)
         window_us = values.get(_WINDOW)
         min_retries = values.get(_FLOOR)
@@ -227,14 +232,14 @@
     def _read_limits(
         self, children: Mapping[str, Node], where: str, form: NodeForm[object]
     ) -> ConnectionLimitRule:
-        """Return limits, as far as they are stated."""
+        """Return the connection limits; a limit that is not stated is 0."""
         if "limits" not in children:
             return ConnectionLimitRule()
         node = children["limits"]
-        values = self._nodes.read_values(node, f"{where} limits", form)
+        values = self._node_reader.read_values(node, f"{where} limits", form)
         if not node.properties:
             names = ", ".join(known.name for known in form.properties)
-            self._nodes.report(node, f"{where} limits", "empty", f"one of {names}")
+            self._node_reader.report(node, f"{where} limits", "empty", f"one of {names}")
         return ConnectionLimitRule(
             max_open=values.get(_OPEN) or 0,
             max_setups_per_s=values.get(_SETUPS_PER_SECOND) or 0.0,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A balancer and the events that it is given, built without the wire."""
+"""Drives a balancer with events, without the wire."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def settings(**changes: object) -> Settings:
-    """A fleet of one relay with probes, full reports and repeatable requests, but for the changes."""
+    """Return settings of one relay with probes, full reports and repeatable requests, plus `changes`."""
     values: dict[str, object] = {
         "classes": [RequestClass("plain", idempotency="repeatable", idempotency_window_us=5 * SECOND)],
         "load_report_fields": ["concurrent", "x0"],
@@ -47,21 +47,21 @@
 
 
 def number_of(record: StartAttempt | ProbeLoad | EndpointState) -> int:
-    """Return the number that the endpoint of a test goes by."""
+    """Return the endpoint's id, which is a number in these tests."""
     assert isinstance(record.endpoint_id, int)
     return record.endpoint_id
 
 
 class BalancerDriver:
-    """Drives one `Balancer`; `loads` are the reports that its probes are answered with."""
+    """Drives one `Balancer`; `loads` are the load reports with which its probes are answered."""
 
     def __init__(
         self,
         servers: int = 4,
         *,
         seed: int = 1,
-        starts: dict[int, int] | None = None,
-        places: dict[int, int] | None = None,
+        started_us_by_endpoint: dict[int, int] | None = None,
+        zones: dict[int, int] | None = None,
         cells: dict[int, int] | None = None,
         **changes: object,
     ) -> None:
@@ -76,25 +76,25 @@
         entries = [
             EndpointEntry(
                 n,
-                (places or {}).get(n, 0),
+                (zones or {}).get(n, 0),
                 0,
                 (cells or {}).get(n, 0),
                 EndpointStatus.READY,
                 1.0,
-                (starts or {}).get(n, 0),
+                (started_us_by_endpoint or {}).get(n, 0),
             )
             for n in range(servers)
         ]
-        self.entries = dict(enumerate(entries))  # an endpoint keeps its zone and cell when it comes back
+        self.entries = dict(enumerate(entries))  # an endpoint that returns has the same zone and cell
         self.handle(EndpointListUpdate(UpdateKind.CACHED, 1, entries))
 
     def handle(self, event: Event) -> list[Action]:
-        """One event, and the answers to the probes it led to."""
+        """Handle an event, and then the answers to the probes that it causes; return all actions."""
         actions = self.balancer.handle(event, self.now)
         self.all_actions += actions
-        for send in actions_of(actions, StartAttempt):
-            self.started_attempts.append(send)
-            self.attempts[send.request_id] = self.attempts.get(send.request_id, -1) + 1
+        for start in actions_of(actions, StartAttempt):
+            self.started_attempts.append(start)
+            self.attempts[start.request_id] = self.attempts.get(start.request_id, -1) + 1
         result = list(actions)
         for probe in actions_of(actions, ProbeLoad):
             if probe.endpoint_id not in self.silent_endpoints:
@@ -104,19 +104,21 @@
         return result
 
     def arrive(self, **fields: int) -> list[Action]:
-        """A request with two seconds to go."""
+        """Send a request; its deadline is in two seconds unless `fields` states another."""
         fields.setdefault("time_budget_us", 2 * SECOND)
-        rid, self.next_id = self.next_id, self.next_id + 1
-        return self.handle(RequestArrived(rid, **fields))
+        request_id, self.next_id = self.next_id, self.next_id + 1
+        return self.handle(RequestArrived(request_id, **fields))
 
-    def establish(self, send: StartAttempt) -> None:
+    def establish(self, start: StartAttempt) -> None:
         self.handle(
-            ConnectionEstablished(send.request_id, self.attempts[send.request_id], send.endpoint_id, 10_000)
+            ConnectionEstablished(
+                start.request_id, self.attempts[start.request_id], start.endpoint_id, 10_000
+            )
         )
 
-    def end(self, send: StartAttempt, status: int, closed: int = 0) -> list[Action]:
-        attempt = self.attempts[send.request_id]
-        return self.handle(AttemptEnded(send.request_id, attempt, status, closed, send.endpoint_id, 10_000))
+    def end(self, start: StartAttempt, status: int, closed: int = 0) -> list[Action]:
+        attempt = self.attempts[start.request_id]
+        return self.handle(AttemptEnded(start.request_id, attempt, status, closed, start.endpoint_id, 10_000))
 
     def change_status(self, server: int, state: int, started_us: int = 0) -> list[Action]:
         entry = replace(self.entries[server], state=state, started_us=started_us)
@@ -126,7 +128,7 @@
         self.now += microseconds
 
     def ejected_endpoints(self) -> list[EndpointId]:
-        """The servers that nothing is sent to for now, by what was seen of them."""
+        """Return the endpoints that are ejected as outliers now."""
         return [
             node.endpoint_id
             for node in self.balancer.state.endpoints.values()
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -199,7 +199,7 @@
         elif isinstance(event, MalformedInput):
             if actor in self.request_ids:
                 self.engine.client_disconnected(self.request_ids[actor], True, self.now_us)
-            if event.answer_owed:
+            if event.answer_pending:
                 self.peer(actor).write(self.client_connections[actor].end_failed())
         else:
             self.peer(actor + "/upstream").write(event.line)
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -1,4 +1,4 @@
-"""Every setting with every wrong value: rejected in one clear line, or tolerated; never a fault or a stop."""
+"""Any wrong value of any setting is rejected in one line or tolerated, without an exception in the engine."""
 
 import copy
 from collections.abc import Iterator
@@ -8,7 +8,7 @@
 import orjson
 import pytest
 
-from gannetweir import core as e
+from gannetweir import core
 from gannetweir.config import Config, ConfigError, load_config
 from gannetweir.membership.membership_update import ListedEndpoint, MembershipUpdate
 from gannetweir.placement.actions import Action
@@ -74,7 +74,7 @@
 
 
 def setting_paths(data: object, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    """Return the path of every part of the settings, objects and leaves."""
+    """Yield the path of every part of the settings: objects, lists and leaves."""
     if path:
         yield path
     parts = data.items() if isinstance(data, dict) else enumerate(data) if isinstance(data, list) else ()
@@ -90,8 +90,11 @@
     return data
 
 
-def play_six_seconds(engine: e.Engine, now: int) -> int:
-    """Six seconds of a relay: cold and warm servers, groups, reports, answers of every kind, a list anew."""
+def run_six_seconds(engine: core.Engine, now: int) -> int:
+    """Run an engine for six seconds and return the time at the end.
+
+    The run has cold and warm endpoints, groups, load reports, attempts of every outcome and list updates.
+    """
 
     def listed_endpoints(state: int, started_us: int) -> list[ListedEndpoint]:
         ready = [ListedEndpoint(EndpointEntry(f"b{n}", n % 2), f"127.0.0.1:{n}") for n in range(1, 5)]
@@ -127,9 +130,9 @@
         engine.advance(now)
         while engine.commands:
             command = engine.commands.popleft()
-            if isinstance(command, e.StartLoadProbe):
+            if isinstance(command, core.StartLoadProbe):
                 engine.load_probe_ended(command.endpoint_id, AttemptStatus.OK, (10.0 + step, 0.5), now)
-            elif isinstance(command, e.OpenUpstream):
+            elif isinstance(command, core.OpenUpstream):
                 engine.upstream_first_line_written(command.request_id, command.attempt, now)
                 if step % 2:
                     engine.upstream_established(command.request_id, command.attempt, now)
@@ -159,11 +162,11 @@
             assert len(str(config)) < 500
             continue
         known = MembershipUpdate(1, True, [])
-        engines = [e.Engine(c.settings, c.limits, 7, known, 1_700_000_000_000_000) for c in (config, good)]
-        now = play_six_seconds(engines[1], 1_700_000_000_000_000)
-        engines[1].reload(config.settings, config.limits, now)  # with connections that stand
+        engines = [core.Engine(c.settings, c.limits, 7, known, 1_700_000_000_000_000) for c in (config, good)]
+        now = run_six_seconds(engines[1], 1_700_000_000_000_000)
+        engines[1].reload(config.settings, config.limits, now)  # a reload while connections are open
         for engine in engines:
-            play_six_seconds(engine, now)
+            run_six_seconds(engine, now)
             counts = engine.counters.counts
             assert not counts["placement_faults"], (value, engine.commands)
 
@@ -174,7 +177,7 @@
         orjson.dumps(CONFIG | {"settings": with_value(("contract", name), 0)})
     )
     settings = load_config({"RELAY_CONFIG": str(tmp_path / "config.json")}).settings
-    assert settings.poll_interval_us > 1_000_000  # and the list is not asked for without a pause
+    assert settings.poll_interval_us > 1_000_000  # the endpoint list is not polled without a pause
 
 
 def test_timers_go_on_after_faults_of_the_balancer(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Bad configuration ends with one clear line and code 2."""
+"""An invalid configuration is reported in one line, and the program ends with exit code 2."""
 
 import os
 import re
@@ -44,7 +44,7 @@
         123000,
     )
     assert config.limits.max_clients * 2 + config.limits.reserved_sockets <= 1100
-    # what waits unsent, in both directions of every connection, leaves half the memory
+    # unsent data in both directions of all connections takes at most half of the memory
     assert config.limits.max_clients * 2 * config.limits.max_buffered_bytes <= 96 << 20
 
 
@@ -68,7 +68,7 @@
     assert config.limits.rejection_retry_after_us == expected_us
     expected_line = b"BUSY %d\r\n" % (expected_us // 1000) if expected_us else b"BUSY\r\n"
     assert rejection_line(expected_us) == expected_line
-    balancer = Balancer(config.settings, 1, 0)  # it has no endpoint: it rejects
+    balancer = Balancer(config.settings, 1, 0)  # without an endpoint the balancer rejects every request
     retry_after_us = [
         action.retry_after_us
         for n in range(50)
@@ -81,7 +81,7 @@
     assert not expected_us or min(retry_after_us) > 0
 
 
-def test_the_smallest_machine_in_service_admits_its_clients(tmp_path: Path) -> None:
+def test_a_machine_of_256_sockets_admits_112_clients(tmp_path: Path) -> None:
     assert (
         load_config(environment(tmp_path, {"limits": {"sockets": 256, "memory_mb": 32}})).limits.max_clients
         == 112
@@ -117,7 +117,7 @@
 
 
 def with_settings(**settings: object) -> dict[str, object]:
-    """The file with other settings."""
+    """Return the file with some settings changed."""
     return GOOD | {"settings": COMPLETE["settings"] | settings}
 
 
@@ -141,16 +141,16 @@
     tmp_path: Path, text: object, named: str
 ) -> None:
     env = environment(tmp_path, COMPLETE) | {"RELAY_DISCOVERY": "127.0.0.1:2"}
-    standing = load_config(env)
+    previous = load_config(env)
     (tmp_path / "config.json").write_bytes(text if isinstance(text, bytes) else orjson.dumps(text))
     with pytest.raises(ConfigError, match=re.escape(named)):
-        load_config(env, standing)
+        load_config(env, previous)
 
 
 def test_a_reload_may_add_and_remove_request_classes(tmp_path: Path) -> None:
-    standing = load_config(environment(tmp_path, COMPLETE))
+    previous = load_config(environment(tmp_path, COMPLETE))
     config = load_config(
-        environment(tmp_path, with_settings(categories=[CLASSES[1] | {"name": "c", "aim-us": 1}])), standing
+        environment(tmp_path, with_settings(categories=[CLASSES[1] | {"name": "c", "aim-us": 1}])), previous
     )
     assert [c.name for c in config.settings.classes] == ["c"]
 
@@ -159,7 +159,7 @@
 def test_sockets_suffice_for_every_role(sockets: int) -> None:
     limits = Limits(sockets=sockets)
     assert limits.client_sockets + limits.max_load_probes + limits.fixed_sockets <= sockets
-    assert limits.max_clients >= sockets / 3 or sockets < 256  # so many are the usual ones
+    assert limits.max_clients >= sockets / 3 or sockets < 256  # machines in service have at least 256 sockets
     assert 2_300_000 < limits.first_line_timeout_us < 2_800_000
     assert limits.discard_timeout_us < 4_000_000
 
@@ -181,7 +181,10 @@
         ({"limits": []}, "sockets"),
         ({"settings": {"categories": [{"name": "a", "hard-limit-us": 0}]}}, "a: hard-limit-us"),
         ({"settings": {"categories": [{"name": "a"}], "limits": {"max-attempts": 0}}}, "max-attempts"),
-        ({"settings": {"categories": [{"name": "a"}, {"name": "a"}]}}, "two of one name"),
+        (
+            {"settings": {"categories": [{"name": "a"}, {"name": "a"}]}},
+            "two classes of one name, expected a unique name for each",
+        ),
         ({"admin_addr": "door"}, "RELAY_ADMIN_ADDR"),
         ({"known": [1]}, "known"),
         ({"known": {"hosts": [{}]}}, "health"),
@@ -190,11 +193,11 @@
 def test_a_wrong_configuration_is_reported_in_one_line(
     tmp_path: Path, change: dict[str, object], named: str
 ) -> None:
-    done = run(environment(tmp_path, change), "check-config")
-    lines = done.stderr.decode().splitlines()
-    assert done.returncode == 2, done
-    assert len(lines) == 1, done
-    assert named in lines[0], done
+    process = run(environment(tmp_path, change), "check-config")
+    lines = process.stderr.decode().splitlines()
+    assert process.returncode == 2, process
+    assert len(lines) == 1, process
+    assert named in lines[0], process
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]"])
@@ -204,9 +207,9 @@
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = run({"RELAY_CONFIG": str(path)}, "serve")
-    assert done.returncode == 2, done
-    assert len(done.stderr.decode().splitlines()) == 1, done
+    process = run({"RELAY_CONFIG": str(path)}, "serve")
+    assert process.returncode == 2, process
+    assert len(process.stderr.decode().splitlines()) == 1, process
 
 
 @pytest.mark.parametrize(
