--- a/gannetweir/placement/context.py
+++ b/gannetweir/placement/context.py
@@ -19,7 +19,7 @@
 RETRY_TIMER = 3
 
 TICK_INTERVAL_US = 1_000_000  # between two ticks of upkeep; nothing in a tick must be noticed sooner
-REPORT_FRESH_US = (
+REPORT_FRESHNESS_US = (
     1_000_000  # age up to which a report decides: reports are up to about a second old when read
 )
 LOG_REPEAT_INTERVAL_US = 10_000_000  # a kind of log line is written at most this often, to stay readable
--- a/gannetweir/placement/group_placement.py
+++ b/gannetweir/placement/group_placement.py
@@ -10,7 +10,7 @@
 from itertools import chain, islice
 
 from gannetweir.placement.admission import LoadLimit
-from gannetweir.placement.context import REPORT_FRESH_US, Choice, Deferral, FleetState, PlacementContext
+from gannetweir.placement.context import REPORT_FRESHNESS_US, Choice, Deferral, FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
 from gannetweir.placement.pending_request import PendingRequest
 from gannetweir.placement.slow_start import SlowStart
@@ -21,9 +21,11 @@
 MAX_SETUPS = 5  # under way at one endpoint from this relay
 MAX_SETUPS_AFTER_WAIT = 10  # for a request that has waited as long as it may
 # Reports of the first candidates have to be this recent: they are those that many arrivals of a group go to.
-FIRST_REPORT_FRESH_US = REPORT_FRESH_US // 10
+FIRST_REPORT_FRESHNESS_US = REPORT_FRESHNESS_US // 10
 FIRST_CANDIDATES = 4
-RETURN_PERIOD_US = 5 * REPORT_FRESH_US  # after the start, in which returned connections are counted elsewhere
+RETURN_PERIOD_US = (
+    5 * REPORT_FRESHNESS_US
+)  # after the start, in which returned connections are counted elsewhere
 
 
 class CandidateSearch:
@@ -164,7 +166,7 @@
         if not endpoint.has_report:
             return False
         is_first = len(search.examined) <= FIRST_CANDIDATES
-        max_age_us = FIRST_REPORT_FRESH_US if is_first else REPORT_FRESH_US
+        max_age_us = FIRST_REPORT_FRESHNESS_US if is_first else REPORT_FRESHNESS_US
         return now_us - endpoint.reported_us < max_age_us
 
     def _await_report(
--- a/gannetweir/placement/load_probing.py
+++ b/gannetweir/placement/load_probing.py
@@ -6,11 +6,11 @@
 
 from gannetweir.placement.actions import ProbeLoad
 from gannetweir.placement.admission import LoadLimit
-from gannetweir.placement.context import REPORT_FRESH_US, FleetState, PlacementContext
+from gannetweir.placement.context import REPORT_FRESHNESS_US, FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
 from gannetweir.placement.events import ConnectionMetric, MetricKind
 
-# How old a probe of an endpoint that holds own connections may be, in `REPORT_FRESH_US`.
+# How old a probe of an endpoint that holds own connections may be, in `REPORT_FRESHNESS_US`.
 MAX_AGE_WITHOUT_REPORT = 1
 MAX_AGE_AT_HIGH_LOAD = 2
 MAX_AGE_AT_LOW_LOAD = 5
@@ -18,8 +18,8 @@
 RELAYS_A_PROBE = 4  # relays that hold connections at an endpoint share its probes: each probes less often
 MAX_SHARING = 4  # times less often, at most: an overload has to be seen in a few seconds
 DEFAULT_LATENCY_OBJECTIVE_US = 1e5  # for a message, where no class of messages states one
-DELAYED_MESSAGE_REPORT_US = 4 * REPORT_FRESH_US  # age up to which a report makes a late message count
-DELAYED_MESSAGE_PROBE_US = 2 * REPORT_FRESH_US  # between two probes that late messages lead to
+DELAYED_MESSAGE_REPORT_US = 4 * REPORT_FRESHNESS_US  # age up to which a report makes a late message count
+DELAYED_MESSAGE_PROBE_US = 2 * REPORT_FRESHNESS_US  # between two probes that late messages lead to
 MICROSECONDS_A_MILLISECOND = 1000
 
 
@@ -49,13 +49,13 @@
 
     def _interval_us(self, endpoint: EndpointState) -> int:
         if not endpoint.has_report:
-            return MAX_AGE_WITHOUT_REPORT * REPORT_FRESH_US
+            return MAX_AGE_WITHOUT_REPORT * REPORT_FRESHNESS_US
         limit = self._load_limit.value
         age = MAX_AGE_AT_HIGH_LOAD if endpoint.load > HIGH_LOAD * limit else MAX_AGE_AT_LOW_LOAD
         if endpoint.load < limit:
             relays = min(self._context.settings.relay_count, endpoint.connections / len(endpoint.request_ids))
             age *= int(min(MAX_SHARING, max(1, relays / RELAYS_A_PROBE)))
-        return age * REPORT_FRESH_US
+        return age * REPORT_FRESHNESS_US
 
 
 class ConnectionMetrics:
--- a/gannetweir/placement/packing.py
+++ b/gannetweir/placement/packing.py
@@ -11,7 +11,7 @@
 import math
 from collections.abc import Callable, Container
 
-from gannetweir.placement.context import REPORT_FRESH_US, FleetState, PlacementContext
+from gannetweir.placement.context import REPORT_FRESHNESS_US, FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
 from gannetweir.placement.slow_start import SlowStart
 
@@ -178,7 +178,7 @@
 
     def is_stale(self, now_us: int) -> bool:
         """Whether there is no target, or its report no longer decides."""
-        return self.target is None or now_us - self.sampled_us > REPORT_FRESH_US
+        return self.target is None or now_us - self.sampled_us > REPORT_FRESHNESS_US
 
     def use_fill(self, endpoint: EndpointState | None) -> None:
         """Count one arrival of the fill; the target ends with its last one."""
--- a/gannetweir/placement/rebalancing.py
+++ b/gannetweir/placement/rebalancing.py
@@ -6,7 +6,7 @@
 
 from gannetweir.placement.actions import MigrateConnection
 from gannetweir.placement.admission import LoadLimit
-from gannetweir.placement.context import REPORT_FRESH_US, FleetState, PlacementContext
+from gannetweir.placement.context import REPORT_FRESHNESS_US, FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
 from gannetweir.placement.group_placement import OWN_ZONE_LOAD_LIMIT
 from gannetweir.placement.load_model import LoadModel
@@ -14,9 +14,9 @@
 from gannetweir.placement.slow_start import SlowStart
 
 RELIEF_INTERVAL_US = (
-    2 * REPORT_FRESH_US
+    2 * REPORT_FRESHNESS_US
 )  # between two reliefs of one endpoint: its report has to show the first
-ZONE_REPORT_FRESH_US = 2 * REPORT_FRESH_US  # age of a report that decides on a return to the own zone
+ZONE_REPORT_FRESHNESS_US = 2 * REPORT_FRESHNESS_US  # age of a report that decides on a return to the own zone
 ZONE_RETURN_SHARE = 0.1  # of the connections that cross zones, how many return in a tick
 
 
@@ -89,7 +89,7 @@
         if not ranked:
             return
         endpoint = ranked[0]
-        if not endpoint.has_report or now_us - endpoint.reported_us > ZONE_REPORT_FRESH_US:
+        if not endpoint.has_report or now_us - endpoint.reported_us > ZONE_REPORT_FRESHNESS_US:
             self._probe(endpoint, now_us)
         elif endpoint.ejected_until_us <= now_us and self._has_capacity(endpoint, request):
             self._context.actions.append(MigrateConnection(request_id))
