--- a/gannetweir/placement/arrival_placement.py
+++ b/gannetweir/placement/arrival_placement.py
@@ -41,8 +41,8 @@
             packing.drop_target()
             target = None
             is_stale = True
-        if is_stale and self._context.probes_load and not request.has_waited(now_us):
-            self._context.start_wait(request, now_us)
+        if is_stale and self._context.probes_load and not request.has_wait_expired(now_us):
+            self._context.start_report_wait(request, now_us)
             packing.await_sample(request_id, target, now_us)
             return Deferral.AWAITING_REPORT
         packing.use_fill(target)
--- a/gannetweir/placement/context.py
+++ b/gannetweir/placement/context.py
@@ -63,13 +63,13 @@
         """Ask for a `TimerExpired` with this token."""
         self.actions.append(SetTimer(token, after_us))
 
-    def start_wait(self, request: PendingRequest, now_us: int) -> None:
+    def start_report_wait(self, request: PendingRequest, now_us: int) -> None:
         """Let a request wait for a load report, once, and set the timer at which it goes on without one."""
-        if request.waits_until_us:
+        if request.wait_deadline_us:
             return
-        patience_us = int(request.request_class.latency_objective_us / 3)
-        request.waits_until_us = now_us + min(patience_us, (request.deadline_us - now_us) // 2)
-        self.set_timer(RETRY_TIMER, request.waits_until_us - now_us)
+        max_wait_us = int(request.request_class.latency_objective_us / 3)
+        request.wait_deadline_us = now_us + min(max_wait_us, (request.deadline_us - now_us) // 2)
+        self.set_timer(RETRY_TIMER, request.wait_deadline_us - now_us)
 
     def write_log(self, kind: str, text: str, now_us: int) -> None:
         """Write a line, unless one of its kind was written within `LOG_REPEAT_INTERVAL_US`."""
--- a/gannetweir/placement/group_placement.py
+++ b/gannetweir/placement/group_placement.py
@@ -93,15 +93,15 @@
         """Go on with the search of a request: an endpoint, none, or a deferral for a candidate's report."""
         search = self.searches.setdefault(request_id, CandidateSearch(request.attempted_endpoints))
         preference = self._preference(search, request.group)
-        has_waited = request.has_waited(now_us)
+        has_wait_expired = request.has_wait_expired(now_us)
         is_crowded = False
         remaining = max(0, MAX_CANDIDATES - len(search.examined))
         for endpoint in islice(self._eligible(preference, search, now_us), remaining):
             self._examine(endpoint, request, search, now_us)
-            if not has_waited and not self._is_report_recent(endpoint, search, now_us):
+            if not has_wait_expired and not self._is_report_recent(endpoint, search, now_us):
                 self._await_report(endpoint, request, search, now_us)
                 return Deferral.AWAITING_REPORT
-            if self._has_most_setups(endpoint, request, has_waited):
+            if self._has_most_setups(endpoint, request, has_wait_expired):
                 is_crowded = True
             elif not self._load_limit.is_exceeded(endpoint, request):
                 if self._is_within_limit(endpoint, request, preference):
@@ -109,8 +109,8 @@
                 # Never the extra endpoint in the own zone: it would be one more to pay for.
                 if endpoint in preference.first_ranked or endpoint not in preference.in_own_zone:
                     search.fallback = search.fallback or endpoint
-        if is_crowded and not has_waited and search.fallback is None:
-            self._context.start_wait(request, now_us)
+        if is_crowded and not has_wait_expired and search.fallback is None:
+            self._context.start_report_wait(request, now_us)
             self.searches[request_id] = CandidateSearch(request.attempted_endpoints)
             return Deferral.AWAITING_REPORT
         return search.fallback if search.fallback and search.fallback.is_ready else None
@@ -173,13 +173,15 @@
         self, endpoint: EndpointState, request: PendingRequest, search: CandidateSearch, now_us: int
     ) -> None:
         """Hold the request until the candidate's report comes; one probe serves all that wait for it."""
-        self._context.start_wait(request, now_us)
+        self._context.start_report_wait(request, now_us)
         if all(other.awaiting is not endpoint for other in self.searches.values()):
             self._probe(endpoint, now_us)
         search.awaiting = endpoint
 
-    def _has_most_setups(self, endpoint: EndpointState, request: PendingRequest, has_waited: bool) -> bool:
-        default = MAX_SETUPS_AFTER_WAIT if has_waited else MAX_SETUPS
+    def _has_most_setups(
+        self, endpoint: EndpointState, request: PendingRequest, has_wait_expired: bool
+    ) -> bool:
+        default = MAX_SETUPS_AFTER_WAIT if has_wait_expired else MAX_SETUPS
         max_setups = request.request_class.max_setups_per_endpoint or default
         return self._requests.setups_at(endpoint) >= max_setups
 
@@ -205,4 +207,4 @@
 
     def overdue_requests(self, now_us: int) -> list[int]:
         """Return the requests whose search has waited as long as it may."""
-        return [number for number in self.searches if now_us >= self._requests[number].waits_until_us]
+        return [number for number in self.searches if now_us >= self._requests[number].wait_deadline_us]
--- a/gannetweir/placement/pending_request.py
+++ b/gannetweir/placement/pending_request.py
@@ -27,7 +27,7 @@
         "request_class",
         "suspects",
         "tenant",
-        "waits_until_us",
+        "wait_deadline_us",
         "was_returned",
     )
 
@@ -55,15 +55,15 @@
         self.attempted_endpoints: list[EndpointState] = []
         # Endpoints that failed it in a way which may be the client's fault.
         self.suspects: list[EndpointState] = []
-        self.waits_until_us = 0  # for a load report, at most until then; 0: it has not waited yet
+        self.wait_deadline_us = 0  # for a load report, at most until then; 0: it has not waited yet
         self.executed_at: EndpointState | None = (
             None  # where the first attempt that may have been executed went
         )
         self.executed_us = 0  # when that attempt started
 
-    def has_waited(self, now_us: int) -> bool:
+    def has_wait_expired(self, now_us: int) -> bool:
         """Whether it has waited for a load report as long as it may."""
-        return now_us >= self.waits_until_us > 0
+        return now_us >= self.wait_deadline_us > 0
 
 
 class PendingRequests(dict[int, PendingRequest]):
