--- a/gannetweir/placement/attempt_dispatch.py
+++ b/gannetweir/placement/attempt_dispatch.py
@@ -67,12 +67,12 @@
         scope = self._retry_policy.allowed_scope(request, now_us)
         if scope is None:
             return None
-        if scope is IdempotencyScope.ALL or request.executed_at is None:
+        if scope is IdempotencyScope.ALL or request.executed_endpoint is None:
             return self._choose_among_all(request_id, request, now_us)
         if scope is IdempotencyScope.ZONE:
-            candidates = self._state.ready_endpoints.in_zone(request.executed_at.zone)
+            candidates = self._state.ready_endpoints.in_zone(request.executed_endpoint.zone)
         else:
-            candidates = self._state.ready_endpoints.in_cell(request.executed_at.cell)
+            candidates = self._state.ready_endpoints.in_cell(request.executed_endpoint.cell)
         return self._uniform_draw.draw(candidates, request.attempted_endpoints, now_us)
 
     def _choose_among_all(self, request_id: int, request: PendingRequest, now_us: int) -> Choice:
--- a/gannetweir/placement/pending_request.py
+++ b/gannetweir/placement/pending_request.py
@@ -18,14 +18,14 @@
         "attempts",
         "deadline_us",
         "endpoint",
-        "executed_at",
-        "executed_us",
+        "executed_endpoint",
+        "execution_started_us",
         "group",
         "is_established",
         "load_hint",
         "previous_endpoint",
         "request_class",
-        "suspects",
+        "suspect_endpoints",
         "tenant",
         "wait_deadline_us",
         "was_returned",
@@ -54,12 +54,12 @@
         self.attempt_started_us = 0
         self.attempted_endpoints: list[EndpointState] = []
         # Endpoints that failed it in a way which may be the client's fault.
-        self.suspects: list[EndpointState] = []
+        self.suspect_endpoints: list[EndpointState] = []
         self.wait_deadline_us = 0  # for a load report, at most until then; 0: it has not waited yet
-        self.executed_at: EndpointState | None = (
+        self.executed_endpoint: EndpointState | None = (
             None  # where the first attempt that may have been executed went
         )
-        self.executed_us = 0  # when that attempt started
+        self.execution_started_us = 0  # when that attempt started
 
     def has_wait_expired(self, now_us: int) -> bool:
         """Whether it has waited for a load report as long as it may."""
--- a/gannetweir/placement/request_lifecycle.py
+++ b/gannetweir/placement/request_lifecycle.py
@@ -95,7 +95,7 @@
         request.is_established = True
         request.previous_endpoint = None
         self._ejection.succeeded(request.endpoint)
-        for suspect in request.suspects:
+        for suspect in request.suspect_endpoints:
             self._ejection.eject(suspect, now_us)
         self._retry_policy.attempt_succeeded(request, event.elapsed_us)
 
@@ -119,9 +119,9 @@
                 self._slow_start.connection_ended()
             del self._requests[event.request_id]
             return
-        if request.executed_at is None and event.status not in NOT_EXECUTED:
-            request.executed_at = endpoint
-            request.executed_us = request.attempt_started_us
+        if request.executed_endpoint is None and event.status not in NOT_EXECUTED:
+            request.executed_endpoint = endpoint
+            request.execution_started_us = request.attempt_started_us
         self._attribute_failure(event, request, endpoint, now_us)
         self._packing.end_fill(endpoint)  # a new draw places the next attempt
         if event.address_fault:  # it may be tried again, by another address
@@ -137,7 +137,7 @@
             return
         if event.status in (AttemptStatus.ERROR, AttemptStatus.RESET):
             # So endpoints end what they can't use of a client's: at fault only once another has taken it.
-            request.suspects.append(endpoint)
+            request.suspect_endpoints.append(endpoint)
             return
         self._retry_policy.attempt_failed(event.status)
         if request.attempts == 1:
--- a/gannetweir/placement/retry_policy.py
+++ b/gannetweir/placement/retry_policy.py
@@ -36,7 +36,7 @@
         """
         if request.attempts >= self._max_attempts(request) or request.deadline_us <= now_us:
             return None
-        if request.executed_at is None:
+        if request.executed_endpoint is None:
             return IdempotencyScope.ALL
         request_class = request.request_class
         if not request_class.retries_executed_attempts:
@@ -47,7 +47,7 @@
             return None
         connect_timeout_us = request_class.connect_timeout_us or self._context.settings.connect_timeout_us
         latest_arrival_us = now_us + connect_timeout_us
-        if latest_arrival_us - request.executed_us >= request_class.idempotency_window_us:
+        if latest_arrival_us - request.execution_started_us >= request_class.idempotency_window_us:
             return None
         for scope in IdempotencyScope:
             if request_class.idempotency_scope == scope:
@@ -107,4 +107,4 @@
     @staticmethod
     def is_retryable(request: PendingRequest) -> bool:
         """Whether the client may repeat a failed request without harm."""
-        return request.executed_at is None or request.request_class.is_idempotent_everywhere
+        return request.executed_endpoint is None or request.request_class.is_idempotent_everywhere
