--- a/gannetweir/placement/arrival_placement.py
+++ b/gannetweir/placement/arrival_placement.py
@@ -37,8 +37,8 @@
         packing = self._packing
         target = packing.target
         is_stale = packing.is_stale(now_us)
-        if target is not None and self._is_unfit(target, request, is_stale, now_us):
-            packing.drop_target()
+        if target is not None and self._is_ineligible(target, request, is_stale, now_us):
+            packing.clear_target()
             target = None
             is_stale = True
         if is_stale and self._context.probes_load and not request.has_wait_expired(now_us):
@@ -53,10 +53,12 @@
             endpoint = self._uniform_draw.draw(free, request.attempted_endpoints, now_us)
         self._uniform_draw.note_placement(endpoint)
         if packing.target is None:
-            packing.sample_ahead(now_us)
+            packing.start_sample(now_us)
         return endpoint
 
-    def _is_unfit(self, target: EndpointState, request: PendingRequest, is_stale: bool, now_us: int) -> bool:
+    def _is_ineligible(
+        self, target: EndpointState, request: PendingRequest, is_stale: bool, now_us: int
+    ) -> bool:
         """Whether the request may not go to the target."""
         if target.ejected_until_us > now_us or target in request.attempted_endpoints:
             return True
--- a/gannetweir/placement/balancer.py
+++ b/gannetweir/placement/balancer.py
@@ -137,7 +137,7 @@
         self.load_limit.adjust()
         self.endpoint_polling.repoll(now_us)
         if packing.target is None or (self.slow_start.permits and not context.settings.groups_enabled):
-            packing.sample_ahead(now_us)
+            packing.start_sample(now_us)
         self._probing.probe_ahead(now_us)
         if context.prefers_own_zone:  # where crossings are free, nobody's connections are walked through
             self._rebalancing.return_to_own_zone(now_us)
--- a/gannetweir/placement/endpoint_updates.py
+++ b/gannetweir/placement/endpoint_updates.py
@@ -51,7 +51,7 @@
         for entry in update.entries:
             self._apply_entry(entry, now_us)
         if self._packing.target is None:
-            self._packing.sample_ahead(now_us)
+            self._packing.start_sample(now_us)
 
     def _apply_entry(self, entry: EndpointEntry, now_us: int) -> None:
         endpoint = self._endpoints.setdefault(entry.endpoint_id, EndpointState(entry))
--- a/gannetweir/placement/group_placement.py
+++ b/gannetweir/placement/group_placement.py
@@ -38,7 +38,7 @@
         # The first of those that would do, though one more group is much for them.
         self.fallback: EndpointState | None = None
 
-    def report_came(self, endpoint: EndpointState, may_be_sent_to: bool) -> None:
+    def probe_answered(self, endpoint: EndpointState, may_be_sent_to: bool) -> None:
         """Go on from the endpoint whose probe has been answered, or past it."""
         self.awaiting = None
         if may_be_sent_to:
@@ -198,11 +198,11 @@
         """Forget the search of a request that is placed, finished or gone."""
         self.searches.pop(request_id, None)
 
-    def report_came(self, endpoint: EndpointState, may_be_sent_to: bool) -> Iterator[int]:
+    def probe_answered(self, endpoint: EndpointState, may_be_sent_to: bool) -> Iterator[int]:
         """Yield the requests that waited for an endpoint's report, each when its search can go on."""
         waiting = [number for number, search in self.searches.items() if search.awaiting is endpoint]
         for request_id in waiting:
-            self.searches[request_id].report_came(endpoint, may_be_sent_to)
+            self.searches[request_id].probe_answered(endpoint, may_be_sent_to)
             yield request_id
 
     def overdue_requests(self, now_us: int) -> list[int]:
--- a/gannetweir/placement/packing.py
+++ b/gannetweir/placement/packing.py
@@ -96,18 +96,18 @@
         self.target: EndpointState | None = None
         self.remaining_fill = 0
         self.sampled_us = 0  # when the target was named
-        self._awaiting: EndpointState | None = None  # the one sampled, while its probe is out
-        self._samples = 0  # of the round under way
+        self._sampled_endpoint: EndpointState | None = None  # the one sampled, while its probe is out
+        self._sample_count = 0  # of the round under way
         self._fallback: EndpointState | None = None  # the lowest of this round's above-average ones
         self._waiting_request_ids: list[int] = []
 
-    def sample_ahead(self, now_us: int) -> None:
+    def start_sample(self, now_us: int) -> None:
         """Begin a sample, unless one is under way: by a permit, in the own zone, or anywhere."""
-        if self._awaiting is not None:
+        if self._sampled_endpoint is not None:
             return
         context, ready, draw = self._context, self._ready_endpoints, self._uniform_draw.draw
         own_zone: list[EndpointState] = []
-        if context.prefers_own_zone and self._samples < MAX_SAMPLES - 1:
+        if context.prefers_own_zone and self._sample_count < MAX_SAMPLES - 1:
             own_zone = ready.in_zone(context.settings.zone)
         endpoint = None
         # A permit is for an arrival: where all have groups, a sample ahead for none would use it up.
@@ -118,29 +118,29 @@
             self._sample(endpoint, now_us)
 
     def _sample(self, endpoint: EndpointState, now_us: int) -> None:
-        self._samples += 1
+        self._sample_count += 1
         if self._context.probes_load:
-            self._awaiting = endpoint
+            self._sampled_endpoint = endpoint
             self._probe(endpoint, now_us)
             return
         endpoint.connections = float(len(endpoint.request_ids))
-        self.settle(endpoint, now_us)
+        self.complete_sample(endpoint, now_us)
 
-    def allotment(self, endpoint: EndpointState) -> int:
+    def fill_size(self, endpoint: EndpointState) -> int:
         """Return the arrivals that fill an endpoint to ceil(W/n) + 1, or 0 if it is not below W/n."""
-        mean = self._mean_for(endpoint)
+        mean = self._mean_connections_for(endpoint)
         if endpoint.connections >= mean:
             return 0
         is_unreported = self._context.probes_load and not endpoint.has_report
         if endpoint in self._slow_start.warming_up or is_unreported:
             return 1  # all relays' fills would overload a warming one, and one without a report may be full
         # About relays/endpoints of all relays fill the same endpoint: take this one's share of the fill.
-        crowd = self._context.settings.relay_count / max(1, len(self._ready_endpoints.all))
+        relays_per_endpoint = self._context.settings.relay_count / max(1, len(self._ready_endpoints.all))
         fill = math.ceil(mean) + 1 - endpoint.connections
-        chance = self._context.rng.random()  # drawn in any case, so that equal seeds decide alike
-        return max(1, int(fill / crowd + chance if crowd > 1.0 else fill))
+        rounding = self._context.rng.random()  # drawn in any case, so that equal seeds decide alike
+        return max(1, int(fill / relays_per_endpoint + rounding if relays_per_endpoint > 1.0 else fill))
 
-    def _mean_for(self, endpoint: EndpointState) -> float:
+    def _mean_connections_for(self, endpoint: EndpointState) -> float:
         """Return W/n, or where endpoints are unequal the count that loads this one as the mean one."""
         mean_load = self._reports.mean_load
         shows_capacity = endpoint.connections > 0.0 and endpoint.load > MIN_LOAD_SHARE * mean_load
@@ -150,21 +150,21 @@
             return self._reports.mean_connections
         return len(self._requests) / max(1, len(self._ready_endpoints.all))
 
-    def settle(self, endpoint: EndpointState, now_us: int) -> None:
+    def complete_sample(self, endpoint: EndpointState, now_us: int) -> None:
         """Take the sampled endpoint for the target, or sample another if this one is not below the mean."""
-        fill = self.allotment(endpoint)
+        fill = self.fill_size(endpoint)
         if not fill and self._compares_samples():
-            rivals = (self._fallback or endpoint, endpoint)
-            self._fallback = min(rivals, key=lambda rival: (rival.load, rival.connections))
-            if self._samples < MAX_SAMPLES:
-                self.sample_ahead(now_us)
+            compared = (self._fallback or endpoint, endpoint)
+            self._fallback = min(compared, key=lambda other: (other.load, other.connections))
+            if self._sample_count < MAX_SAMPLES:
+                self.start_sample(now_us)
                 return
             endpoint = self._fallback
         self.target = endpoint
         self.remaining_fill = max(1, fill)
         self.sampled_us = now_us
         self._fallback = None
-        self._samples = 0
+        self._sample_count = 0
         while self._waiting_request_ids and self.target is not None:
             self._resume(self._waiting_request_ids.pop(0), now_us)
 
@@ -192,32 +192,32 @@
         if self._fallback is endpoint:
             self._fallback = None
 
-    def drop_target(self) -> None:
+    def clear_target(self) -> None:
         """Give the target up."""
         self.target = None
 
     def await_sample(self, request_id: int, stale: EndpointState | None, now_us: int) -> None:
         """Let a request wait for a sample: of the target whose report is stale, or of a new draw."""
         self._waiting_request_ids.append(request_id)
-        if stale is not None and self._awaiting is None:
+        if stale is not None and self._sampled_endpoint is None:
             self.target = None
             self._sample(stale, now_us)
         else:
-            self.sample_ahead(now_us)
+            self.start_sample(now_us)
 
     def release_waiting(self) -> list[int]:
         """Return the requests that wait for a sample, which do so no longer."""
         waiting, self._waiting_request_ids = self._waiting_request_ids, []
         return waiting
 
-    def report_came(self, endpoint: EndpointState) -> bool:
+    def probe_answered(self, endpoint: EndpointState) -> bool:
         """Note an answer to a probe, and say whether it is that of the sample."""
-        if endpoint is not self._awaiting:
+        if endpoint is not self._sampled_endpoint:
             return False
-        self._awaiting = None
+        self._sampled_endpoint = None
         return True
 
-    def sample_lost(self, now_us: int) -> None:
+    def sample_failed(self, now_us: int) -> None:
         """Sample again, where it is needed: the sampled endpoint can't be sent to."""
         if self._waiting_request_ids or self.target is None:
-            self.sample_ahead(now_us)
+            self.start_sample(now_us)
--- a/gannetweir/placement/probe_results.py
+++ b/gannetweir/placement/probe_results.py
@@ -47,7 +47,7 @@
         endpoint = self._endpoints.get(event.endpoint_id)
         if endpoint is None:
             return
-        is_sample = self._packing.report_came(endpoint)
+        is_sample = self._packing.probe_answered(endpoint)
         if self._is_report(event):
             endpoint.reported_us = now_us
             if endpoint.is_ready:
@@ -60,10 +60,10 @@
         may_be_sent_to = endpoint.may_be_sent_to(now_us)
         if is_sample and may_be_sent_to:
             # An answer without a report counts as a sample, or a round would never end.
-            self._packing.settle(endpoint, now_us)
+            self._packing.complete_sample(endpoint, now_us)
         elif is_sample:
-            self._packing.sample_lost(now_us)
-        for request_id in self._group_placement.report_came(endpoint, may_be_sent_to):
+            self._packing.sample_failed(now_us)
+        for request_id in self._group_placement.probe_answered(endpoint, may_be_sent_to):
             self._dispatch.proceed(request_id, self._requests[request_id], now_us)
 
     @staticmethod
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -57,7 +57,7 @@
     node, other = b.state.endpoints[0], b.state.endpoints[1]
     b.state.reports.record(node, x, 0.0)
     b.state.reports.record(other, 2 * mean - x, 0.0)
-    assert max(1, b.packing.allotment(node)) == fill
+    assert max(1, b.packing.fill_size(node)) == fill
 
 
 def test_unequal_servers_are_filled_to_equal_load() -> None:
@@ -66,8 +66,8 @@
     b = g.balancer
     b.state.reports.record(b.state.endpoints[0], 10.0, 0.2)
     b.state.reports.record(b.state.endpoints[1], 10.0, 0.6)
-    assert b.packing.allotment(b.state.endpoints[0]) == math.ceil(10 * 0.4 / 0.2) + 1 - 10
-    assert b.packing.allotment(b.state.endpoints[1]) == 0
+    assert b.packing.fill_size(b.state.endpoints[0]) == math.ceil(10 * 0.4 / 0.2) + 1 - 10
+    assert b.packing.fill_size(b.state.endpoints[1]) == 0
 
 
 def test_no_load_near_zero_divides() -> None:
@@ -75,7 +75,7 @@
     b = g.balancer
     b.state.reports.record(b.state.endpoints[0], 1.0, 0.0)
     b.state.reports.record(b.state.endpoints[1], 9.0, 0.6)
-    assert b.packing.allotment(b.state.endpoints[0]) == 5
+    assert b.packing.fill_size(b.state.endpoints[0]) == 5
 
 
 def test_many_relays_share_a_fill() -> None:
@@ -83,7 +83,7 @@
     b = g.balancer
     b.state.reports.record(b.state.endpoints[0], 0.0, 0.0)
     b.state.reports.record(b.state.endpoints[1], 40.0, 0.0)
-    fills = [b.packing.allotment(b.state.endpoints[0]) for _ in range(200)]
+    fills = [b.packing.fill_size(b.state.endpoints[0]) for _ in range(200)]
     assert 1.8 < sum(fills) / 200 < 2.5  # 21 over ten gateways a server
 
 
--- a/tests/test_refresh.py
+++ b/tests/test_refresh.py
@@ -71,7 +71,7 @@
     g = BalancerDriver(2)
     g.silent_endpoints = {0, 1}
     resume(g, 0, 71, 72)
-    assert g.balancer.packing.allotment(g.balancer.state.endpoints[0]) == 1
+    assert g.balancer.packing.fill_size(g.balancer.state.endpoints[0]) == 1
 
 
 @pytest.mark.parametrize(("load", "seconds"), [(0.4, [5, 10]), (0.8, [2, 4, 6, 8, 10])])
