--- a/gannetweir/placement/ready_endpoints.py
+++ b/gannetweir/placement/ready_endpoints.py
@@ -33,7 +33,7 @@
         self._by_cell: dict[int, list[EndpointState]] = {}
         self._rankings: dict[int, list[EndpointState]] = {}
 
-    def _lists_of(self, endpoint: EndpointState) -> list[list[EndpointState]]:
+    def _lists_containing(self, endpoint: EndpointState) -> list[list[EndpointState]]:
         in_zone = self._by_zone.setdefault(endpoint.zone, [])
         in_cell = self._by_cell.setdefault(endpoint.cell, [])
         return [self.all, in_zone, in_cell]
@@ -41,13 +41,13 @@
     def add(self, endpoint: EndpointState) -> None:
         """Take in an endpoint that has become ready."""
         self._rankings.clear()
-        for endpoints in self._lists_of(endpoint):
+        for endpoints in self._lists_containing(endpoint):
             endpoints.append(endpoint)
 
     def remove(self, endpoint: EndpointState) -> None:
         """Take out an endpoint that is no longer ready."""
         self._rankings.clear()
-        for endpoints in self._lists_of(endpoint):
+        for endpoints in self._lists_containing(endpoint):
             endpoints.remove(endpoint)
 
     def ranking(self, group: int) -> list[EndpointState]:
@@ -64,12 +64,12 @@
         self, group: int, count: int, excluded: Container[EndpointState], zone: int | None = None
     ) -> list[EndpointState]:
         """Return the first few of a group's ranking that are not excluded, of one zone or of all."""
-        fitting = (
+        eligible = (
             endpoint
             for endpoint in self.ranking(group)
             if endpoint not in excluded and zone in (None, endpoint.zone)
         )
-        return list(islice(fitting, count))
+        return list(islice(eligible, count))
 
     def in_zone(self, zone: int) -> list[EndpointState]:
         """Return the ready endpoints of one zone."""
