--- a/gannetweir/placement/endpoint_state.py
+++ b/gannetweir/placement/endpoint_state.py
@@ -56,7 +56,7 @@
         """Whether the list calls it ready."""
         return self.status == EndpointStatus.READY
 
-    def may_be_sent_to(self, now_us: int) -> bool:
+    def accepts_attempts(self, now_us: int) -> bool:
         """Whether new attempts may go there: it is ready and not ejected."""
         return self.status == EndpointStatus.READY and self.ejected_until_us <= now_us
 
--- a/gannetweir/placement/group_placement.py
+++ b/gannetweir/placement/group_placement.py
@@ -38,10 +38,10 @@
         # The first of those that would do, though one more group is much for them.
         self.fallback: EndpointState | None = None
 
-    def probe_answered(self, endpoint: EndpointState, may_be_sent_to: bool) -> None:
+    def probe_answered(self, endpoint: EndpointState, accepts_attempts: bool) -> None:
         """Go on from the endpoint whose probe has been answered, or past it."""
         self.awaited_endpoint = None
-        if may_be_sent_to:
+        if accepts_attempts:
             self.reported_endpoint = endpoint
             self.examined.remove(endpoint)
 
@@ -144,7 +144,7 @@
         """Yield those that may be sent to and have not been examined by the time they come up."""
         warming_up, all_are_warming_up = self._slow_start.warming_up, self._slow_start.all_are_warming_up
         for endpoint in order.sequence:
-            if endpoint in search.examined or not endpoint.may_be_sent_to(now_us):
+            if endpoint in search.examined or not endpoint.accepts_attempts(now_us):
                 continue
             if all_are_warming_up or endpoint not in warming_up or endpoint in order.permitted:
                 yield endpoint
@@ -204,13 +204,13 @@
         """Forget the search of a request that is placed, finished or gone."""
         self.searches.pop(request_id, None)
 
-    def probe_answered(self, endpoint: EndpointState, may_be_sent_to: bool) -> Iterator[int]:
+    def probe_answered(self, endpoint: EndpointState, accepts_attempts: bool) -> Iterator[int]:
         """Yield the requests that waited for an endpoint's report, each when its search can go on."""
         waiting = [
             waiting_id for waiting_id, search in self.searches.items() if search.awaited_endpoint is endpoint
         ]
         for request_id in waiting:
-            self.searches[request_id].probe_answered(endpoint, may_be_sent_to)
+            self.searches[request_id].probe_answered(endpoint, accepts_attempts)
             yield request_id
 
     def overdue_requests(self, now_us: int) -> list[int]:
--- a/gannetweir/placement/probe_results.py
+++ b/gannetweir/placement/probe_results.py
@@ -57,13 +57,13 @@
                 self._rebalancing.relieve(endpoint, now_us)
         elif self._is_unreachable(event) and self._ejection.eject(endpoint, now_us):
             self._migrate_all(endpoint)
-        may_be_sent_to = endpoint.may_be_sent_to(now_us)
-        if is_sample and may_be_sent_to:
+        accepts_attempts = endpoint.accepts_attempts(now_us)
+        if is_sample and accepts_attempts:
             # An answer without a report counts as a sample, or a round would never end.
             self._packing.complete_sample(endpoint, now_us)
         elif is_sample:
             self._packing.sample_failed(now_us)
-        for request_id in self._group_placement.probe_answered(endpoint, may_be_sent_to):
+        for request_id in self._group_placement.probe_answered(endpoint, accepts_attempts):
             self._dispatch.proceed(request_id, self._requests[request_id], now_us)
 
     @staticmethod
