--- a/gannetweir/placement/balancer.py
+++ b/gannetweir/placement/balancer.py
@@ -138,13 +138,13 @@
         self.endpoint_polling.repoll(now_us)
         if packing.target is None or (self.slow_start.permits and not context.settings.groups_enabled):
             packing.start_sample(now_us)
-        self._probing.probe_ahead(now_us)
+        self._probing.probe_stale_endpoints(now_us)
         if context.prefers_own_zone:  # where crossings are free, nobody's connections are walked through
             self._rebalancing.return_to_own_zone(now_us)
 
     def _retry(self, now_us: int) -> None:
         """Go on with the requests whose wait for a report or whose backoff is over."""
-        self._probing.probe_ahead(now_us)
+        self._probing.probe_stale_endpoints(now_us)
         waiting = self.packing.release_waiting()
         waiting += self.group_placement.overdue_requests(now_us)
         waiting += self.retry_policy.release_due(now_us)
--- a/gannetweir/placement/load_probing.py
+++ b/gannetweir/placement/load_probing.py
@@ -36,7 +36,7 @@
         endpoint.probed_us = now_us
         self._context.actions.append(ProbeLoad(endpoint.endpoint_id))
 
-    def probe_ahead(self, now_us: int) -> None:
+    def probe_stale_endpoints(self, now_us: int) -> None:
         """Probe the endpoints of own connections whose last probe is old.
 
         What resumed at an endpoint, or came while its reports were old, may overload it unseen.
@@ -81,9 +81,9 @@
             delay_us = event.value * MICROSECONDS_A_MILLISECOND
             objectives_us = self._context.settings.message_latency_objectives_us
             if delay_us >= min(objectives_us, default=DEFAULT_LATENCY_OBJECTIVE_US):
-                self._message_was_delayed(endpoint, now_us)
+                self._handle_delayed_message(endpoint, now_us)
 
-    def _message_was_delayed(self, endpoint: EndpointState, now_us: int) -> None:
+    def _handle_delayed_message(self, endpoint: EndpointState, now_us: int) -> None:
         is_within_limit = endpoint.has_report and endpoint.load < self._load_limit.value
         if is_within_limit and now_us - endpoint.reported_us < DELAYED_MESSAGE_REPORT_US:
             self._load_limit.note_delayed_message()
