--- a/gannetweir/placement/admission.py
+++ b/gannetweir/placement/admission.py
@@ -42,10 +42,10 @@
 
     def admits(self, request: PendingRequest, is_retry: bool, now_us: int) -> bool:
         """Count an arrival, and decide whether it goes on; one that does is taken for accepted at first."""
-        remaining = math.exp((self._updated_us - now_us) / THROTTLE_MEMORY_US)
+        decay = math.exp((self._updated_us - now_us) / THROTTLE_MEMORY_US)
         self._updated_us = now_us
-        self.recent_arrivals = self.recent_arrivals * remaining + 1.0
-        self.recent_accepted = self.recent_accepted * remaining
+        self.recent_arrivals = self.recent_arrivals * decay + 1.0
+        self.recent_accepted = self.recent_accepted * decay
         is_rejected = now_us < self._enforced_until_us and self._draws_rejection(request, is_retry)
         if is_rejected:
             text = f"{self.recent_accepted:.1f} of {self.recent_arrivals:.1f} arrivals stand"
@@ -53,7 +53,7 @@
         else:
             # Where most set-ups fail, clients' retries would keep the throttle on; at last one passes.
             self._enforced_until_us = now_us + THROTTLE_MAX_US
-        self.recent_accepted += 1.0  # taken back by `withdraw` where it is not set up
+        self.recent_accepted += 1.0  # taken back by `remove_accepted` where it is not set up
         return not is_rejected
 
     def _draws_rejection(self, request: PendingRequest, is_retry: bool) -> bool:
@@ -68,7 +68,7 @@
             allowed += ARRIVAL_ALLOWANCE
         return context.rng.random() < 1.0 - allowed / arrivals
 
-    def withdraw(self) -> None:
+    def remove_accepted(self) -> None:
         """Take back one accepted request: it was not set up."""
         self.recent_accepted = max(0.0, self.recent_accepted - 1.0)
 
@@ -91,11 +91,11 @@
         """The load above which connections are migrated off."""
         return self.value + LOAD_LIMIT_RESERVE
 
-    def note_delayed_message(self) -> None:
+    def record_delayed_message(self) -> None:
         """A message was late at an endpoint within the limit: the limit is too high."""
         self._has_delayed_messages = True
 
-    def note_shed_load(self) -> None:
+    def record_shed_load(self) -> None:
         """A request was refused for want of capacity: the limit may be too low."""
         self._has_shed_load = True
 
--- a/gannetweir/placement/arrival_placement.py
+++ b/gannetweir/placement/arrival_placement.py
@@ -51,7 +51,7 @@
         if max_setups and endpoint is not None and self._requests.setups_at(endpoint) >= max_setups:
             free = [other for other in self._ready if self._requests.setups_at(other) < max_setups]
             endpoint = self._uniform_draw.draw(free, request.attempted_endpoints, now_us)
-        self._uniform_draw.note_placement(endpoint)
+        self._uniform_draw.record_placement(endpoint)
         if packing.target is None:
             packing.start_sample(now_us)
         return endpoint
--- a/gannetweir/placement/attempt_dispatch.py
+++ b/gannetweir/placement/attempt_dispatch.py
@@ -59,7 +59,7 @@
             self._start_attempt(request_id, request, endpoint, now_us)
             return
         if endpoint is not None or request.group:
-            self._load_limit.note_shed_load()
+            self._load_limit.record_shed_load()
             self._context.write_log("overload", f"mean {self._state.reports.mean_load:.2f}", now_us)
         self.finish(request_id, request)
 
@@ -97,7 +97,7 @@
         settings = self._context.settings
         del self._state.requests[request_id]
         if request.attempts == 0:
-            self._throttle.withdraw()
+            self._throttle.remove_accepted()
         # Drawn in any case, so that equal seeds decide alike.
         retry_after_us = int(settings.max_retry_after_us * self._context.rng.uniform(*RETRY_AFTER_SHARE))
         if not self._retry_policy.is_retryable(request):
--- a/gannetweir/placement/load_probing.py
+++ b/gannetweir/placement/load_probing.py
@@ -86,6 +86,6 @@
     def _handle_delayed_message(self, endpoint: EndpointState, now_us: int) -> None:
         is_within_limit = endpoint.has_report and endpoint.load < self._load_limit.value
         if is_within_limit and now_us - endpoint.reported_us < DELAYED_MESSAGE_REPORT_US:
-            self._load_limit.note_delayed_message()
+            self._load_limit.record_delayed_message()
         if self._context.probes_load and now_us - endpoint.probed_us > DELAYED_MESSAGE_PROBE_US:
             self._probing.probe(endpoint, now_us)
--- a/gannetweir/placement/packing.py
+++ b/gannetweir/placement/packing.py
@@ -63,7 +63,7 @@
         """Forget who answered a sample last."""
         self.last_reporter = []
 
-    def note_placement(self, endpoint: EndpointState | None) -> None:
+    def record_placement(self, endpoint: EndpointState | None) -> None:
         """Forget the last reporter once something has been placed there: its report is used up."""
         if endpoint in self.last_reporter:
             self.last_reporter = []
--- a/gannetweir/placement/request_lifecycle.py
+++ b/gannetweir/placement/request_lifecycle.py
@@ -141,7 +141,7 @@
             return
         self._retry_policy.attempt_failed(event.status)
         if request.attempts == 1:
-            self._throttle.withdraw()
+            self._throttle.remove_accepted()
         if event.status in (AttemptStatus.TIMEOUT, AttemptStatus.CONNECT_FAILED):
             self._ejection.eject(endpoint, now_us)
 
