--- a/gannetweir/placement/context.py
+++ b/gannetweir/placement/context.py
@@ -52,9 +52,9 @@
         """Decide by these settings from now on."""
         self.settings = settings
         self.highest_priority_weight = max(each.priority_weight for each in settings.classes) or 1.0
-        names = settings.load_report_fields if settings.load_report_source != "none" else []
-        self.connections_field = names.index("concurrent") if "concurrent" in names else -1
-        self.load_field = names.index("x0") if "x0" in names else -1
+        field_names = settings.load_report_fields if settings.load_report_source != "none" else []
+        self.connections_field = field_names.index("concurrent") if "concurrent" in field_names else -1
+        self.load_field = field_names.index("x0") if "x0" in field_names else -1
         self.reports_load = self.load_field >= 0
         self.probes_load = settings.load_probes_enabled and self.connections_field >= 0
         self.prefers_own_zone = settings.cross_zone_cost > 0 and len(settings.zone_names) > 1
--- a/gannetweir/placement/load_model.py
+++ b/gannetweir/placement/load_model.py
@@ -39,14 +39,14 @@
 
     def additional_load(self, endpoint: EndpointState, size: float) -> float:
         """Return what a connection of this size adds to an endpoint's load, by what the others make there."""
-        has_own = endpoint.connections >= MIN_OWN_CONNECTIONS and endpoint.load > 0.0
-        connections = endpoint.connections if has_own else self._reports.total_connections
-        load = endpoint.load if has_own else self._reports.total_load
+        has_own_report = endpoint.connections >= MIN_OWN_CONNECTIONS and endpoint.load > 0.0
+        connections = endpoint.connections if has_own_report else self._reports.total_connections
+        load = endpoint.load if has_own_report else self._reports.total_load
         if load <= 0.0 or connections <= 0.0:
             return size * LOAD_WITHOUT_REPORTS
         groups = 0
         if self._context.settings.groups_enabled:  # part of the load is the groups'
-            groups = len(self._requests.groups_at(endpoint) if has_own else self._reports.endpoints)
+            groups = len(self._requests.groups_at(endpoint) if has_own_report else self._reports.endpoints)
         return size * (load / (connections + GROUP_COST * groups))
 
     def count_placement(
@@ -54,14 +54,14 @@
     ) -> None:
         """Add a placement to the endpoint's load: until the next report it is known to nobody else."""
         size = self.relative_size(request)
-        is_group_paid = (
+        is_group_cost_included = (
             request.group == 0
             or self._requests.group_peers_at(request_id, endpoint) > 0
             or endpoint is request.previous_endpoint
         )
-        if not is_group_paid:
+        if not is_group_cost_included:
             size += GROUP_COST
-        self._forget_old_placements(endpoint, now_us)
+        self._expire_placements(endpoint, now_us)
         endpoint.recent_placements.append((now_us, size))
         if endpoint.has_report:
             load = endpoint.load + self.additional_load(endpoint, size)
@@ -70,7 +70,7 @@
     def record_report(self, endpoint: EndpointState, connections: float, load: float, now_us: int) -> None:
         """Enter a report; it is a second or two old when it is read: what came since is put on top of it."""
         self._reports.record(endpoint, connections, load)
-        self._forget_old_placements(endpoint, now_us)
+        self._expire_placements(endpoint, now_us)
         sizes = [size for _, size in endpoint.recent_placements]
         # One that counts fewer than this relay alone has there is older than those, whatever its age.
         uncounted = int(self._requests.established_at(endpoint) - connections - len(sizes))
@@ -84,7 +84,7 @@
             self._reports.record(endpoint, connections + len(sizes), load)
 
     @staticmethod
-    def _forget_old_placements(endpoint: EndpointState, now_us: int) -> None:
+    def _expire_placements(endpoint: EndpointState, now_us: int) -> None:
         endpoint.recent_placements = [
             placement for placement in endpoint.recent_placements if now_us - placement[0] < REPORT_DELAY_US
         ]
--- a/gannetweir/placement/load_reports.py
+++ b/gannetweir/placement/load_reports.py
@@ -32,12 +32,12 @@
         return self.total_load / len(self.endpoints) if self.endpoints else 0.0
 
     def connections_at_full_load(
-        self, excluded: Container[EndpointState], least_load: float
+        self, excluded: Container[EndpointState], min_load: float
     ) -> dict[int, float]:
         """Return the connections that load an endpoint of each machine type fully.
 
         By the reports of those not excluded, or of all where these are all. A type's mean load counts as
-        `least_load` or more: near zero it says nothing of the capacity.
+        `min_load` or more: near zero it says nothing of the capacity.
         """
         by_type: dict[int, list[EndpointState]] = {}
         reporting = [endpoint for endpoint in self.endpoints if endpoint not in excluded]
@@ -47,7 +47,7 @@
         for machine_type, endpoints in by_type.items():
             connections = sum(endpoint.connections for endpoint in endpoints)
             load = sum(endpoint.load for endpoint in endpoints)
-            capacities[machine_type] = connections / max(load, least_load * len(endpoints))
+            capacities[machine_type] = connections / max(load, min_load * len(endpoints))
         return capacities
 
     def record(self, endpoint: EndpointState, connections: float, load: float) -> None:
--- a/gannetweir/placement/rebalancing.py
+++ b/gannetweir/placement/rebalancing.py
@@ -53,7 +53,7 @@
         excess = excess_share * sum(request.load_hint for _, request in established)
         # Most load is in a few heavy connections: moving those ends the excess with the fewest migrations.
         for request_id, request in sorted(established, key=lambda pair: -pair[1].load_hint):
-            if self._would_overload_the_mean(endpoint, request):
+            if self._would_overload_mean_endpoint(endpoint, request):
                 continue
             chance = excess / request.load_hint if request.load_hint else excess_share
             if self._context.rng.random() < chance:
@@ -64,7 +64,7 @@
         requests = ((request_id, self._requests[request_id]) for request_id in endpoint.request_ids)
         return [(request_id, request) for request_id, request in requests if request.is_established]
 
-    def _would_overload_the_mean(self, endpoint: EndpointState, request: PendingRequest) -> bool:
+    def _would_overload_mean_endpoint(self, endpoint: EndpointState, request: PendingRequest) -> bool:
         """Whether a connection would only wander. Where all are past the limit, migrations lose it."""
         mean_load = self._reports.mean_load
         if mean_load > self._load_limit.value:
--- a/gannetweir/placement/slow_start.py
+++ b/gannetweir/placement/slow_start.py
@@ -41,8 +41,8 @@
         age_us = now_us - endpoint.started_us
         if not endpoint.started_us or age_us >= settings.slow_start_window_us:
             return 1.0
-        least = settings.slow_start_min_share
-        return least + (1.0 - least) * max(0.0, age_us / settings.slow_start_window_us)
+        min_share = settings.slow_start_min_share
+        return min_share + (1.0 - min_share) * max(0.0, age_us / settings.slow_start_window_us)
 
     def add(self, endpoint: EndpointState, now_us: int) -> None:
         """Take note of a ready endpoint; it needs permits while it is warming up."""
@@ -70,15 +70,15 @@
         self.warming_up = {
             endpoint: None for endpoint in self.warming_up if self.capacity_share(endpoint, now_us) < 1.0
         }
-        least_load = MIN_REPORTED_LOAD if self._context.reports_load else LOAD_WITHOUT_REPORTS
-        capacities = self._reports.connections_at_full_load(self.warming_up, least_load)
+        min_load = MIN_REPORTED_LOAD if self._context.reports_load else LOAD_WITHOUT_REPORTS
+        capacities = self._reports.connections_at_full_load(self.warming_up, min_load)
         # Of a type that nobody reports, the slowest counts: the mean of all would let it be overloaded.
-        least_capacity = min(capacities.values(), default=0.0)
+        min_capacity = min(capacities.values(), default=0.0)
         ended = self.ended_connections + PRIOR_ENDED_CONNECTIONS
         end_rate = ended / (self.connection_time_us + PRIOR_CONNECTION_TIME_US)
         budget_rate = BUDGET_SHARE * settings.overload_multiple / settings.relay_count * end_rate
         for endpoint in self.warming_up:
-            capacity = capacities.get(endpoint.machine_type, least_capacity)
+            capacity = capacities.get(endpoint.machine_type, min_capacity)
             rate = budget_rate * self.capacity_share(endpoint, now_us) * capacity
             # Rounded by chance, as most rates are far below one a tick.
             count = int(min(MAX_PERMITS_A_TICK, rate * TICK_INTERVAL_US + rng.random()))
