--- a/gannetweir/placement/balancer.py
+++ b/gannetweir/placement/balancer.py
@@ -145,9 +145,9 @@
     def _retry(self, now_us: int) -> None:
         """Go on with the requests whose wait for a report or whose backoff is over."""
         self._probing.probe_stale_endpoints(now_us)
-        waiting = self.packing.release_waiting()
+        waiting = self.packing.take_waiting_requests()
         waiting += self.group_placement.overdue_requests(now_us)
-        waiting += self.retry_policy.release_due(now_us)
+        waiting += self.retry_policy.take_due_retries(now_us)
         for request_id in waiting:
             self._resume(request_id, now_us)
 
--- a/gannetweir/placement/packing.py
+++ b/gannetweir/placement/packing.py
@@ -205,7 +205,7 @@
         else:
             self.start_sample(now_us)
 
-    def release_waiting(self) -> list[int]:
+    def take_waiting_requests(self) -> list[int]:
         """Return the requests that wait for a sample, which do so no longer."""
         waiting, self._waiting_request_ids = self._waiting_request_ids, []
         return waiting
--- a/gannetweir/placement/request_lifecycle.py
+++ b/gannetweir/placement/request_lifecycle.py
@@ -146,13 +146,13 @@
             self._ejection.eject(endpoint, now_us)
 
     def _retry_or_finish(self, event: AttemptEnded, request: PendingRequest, now_us: int) -> None:
-        if self._retry_policy.stops_after(event.status):
+        if self._retry_policy.is_final_failure(event.status):
             self._dispatch.finish(event.request_id, request)
             return
         wait_us = self._retry_policy.backoff_us(request, now_us)
         if not wait_us:
             self._dispatch.proceed(event.request_id, request, now_us)
         elif 0 < wait_us < request.deadline_us - now_us:
-            self._retry_policy.retry_after(event.request_id, wait_us, now_us)
+            self._retry_policy.schedule_retry(event.request_id, wait_us, now_us)
         else:  # no time is left for it: answered at once
             self._dispatch.finish(event.request_id, request)
--- a/gannetweir/placement/retry_policy.py
+++ b/gannetweir/placement/retry_policy.py
@@ -79,7 +79,7 @@
         if status == AttemptStatus.TIMEOUT:
             self._timeout_doublings = min(MAX_TIMEOUT_DOUBLINGS, self._timeout_doublings + 1)
 
-    def stops_after(self, status: int) -> bool:
+    def is_final_failure(self, status: int) -> bool:
         """Whether a request ends with a failed attempt: by its kind, or because most attempts fail."""
         if status in (AttemptStatus.NOT_STARTED, AttemptStatus.CANCELLED):
             return True
@@ -91,12 +91,12 @@
             request.attempts, request.attempt_started_us, now_us, self._context.rng.random
         )
 
-    def retry_after(self, request_id: int, wait_us: int, now_us: int) -> None:
+    def schedule_retry(self, request_id: int, wait_us: int, now_us: int) -> None:
         """Make a request's next attempt due after its backoff."""
         self.retry_due_us[request_id] = now_us + wait_us
         self._context.set_timer(RETRY_TIMER, wait_us)
 
-    def release_due(self, now_us: int) -> list[int]:
+    def take_due_retries(self, now_us: int) -> list[int]:
         """Return the requests whose backoff is over, and forget it."""
         due = [request_id for request_id, due_us in self.retry_due_us.items() if due_us <= now_us]
         self.retry_due_us = {
