--- a/gannetweir/placement/admission.py
+++ b/gannetweir/placement/admission.py
@@ -9,9 +9,11 @@
 from gannetweir.placement.load_model import GROUP_COST, LoadModel
 from gannetweir.placement.pending_request import PendingRequest
 
-THROTTLE_MEMORY_US = 4e6  # time in which what is remembered fades to 1/e: a few times a client's patience
-THROTTLE_MAX_US = (
-    3 * THROTTLE_MEMORY_US
+THROTTLE_TIME_CONSTANT_US = (
+    4e6  # time in which what is remembered fades to 1/e: a few times a client's patience
+)
+MAX_TIME_WITHOUT_ADMISSION_US = (
+    3 * THROTTLE_TIME_CONSTANT_US
 )  # after as long without one, an arrival is admitted whatever the chance
 # Arrivals that pass before the throttle judges; each of many relays lets as many pass.
 ARRIVAL_ALLOWANCE = 2.0
@@ -21,16 +23,16 @@
 INITIAL_LOAD_LIMIT = 0.8  # of an endpoint's capacity, until measured delays and refusals have moved it
 MIN_LOAD_LIMIT = 0.6
 MAX_LOAD_LIMIT = 0.9
-LOAD_LIMIT_DECREASE = 0.02  # a tick with late messages: twice as fast down as up
-LOAD_LIMIT_INCREASE = 0.01  # a tick with refusals and none late
+LOAD_LIMIT_DECREASE_PER_TICK = 0.02  # a tick with late messages: twice as fast down as up
+LOAD_LIMIT_INCREASE_PER_TICK = 0.01  # a tick with refusals and none late
 LOAD_LIMIT_RESERVE = 0.1  # of capacity: kept for the highest priority; past it, load is migrated off
-UNREPORTED_GROUP_PLACEMENTS = 4  # of groups at an endpoint without a report: all would go there unseen
+MAX_UNREPORTED_GROUP_PLACEMENTS = 4  # of groups at an endpoint without a report: all would go there unseen
 
 
 class AdmissionThrottle:
     """Rejects a share of the arrivals while far more come than are accepted.
 
-    Owns the recent arrivals and accepted ones, both fading with `THROTTLE_MEMORY_US`.
+    Owns the recent arrivals and accepted ones, both fading with `THROTTLE_TIME_CONSTANT_US`.
     """
 
     def __init__(self, context: PlacementContext, now_us: int) -> None:
@@ -42,7 +44,7 @@
 
     def admits(self, request: PendingRequest, is_retry: bool, now_us: int) -> bool:
         """Count an arrival, and decide whether it goes on; one that does is taken for accepted at first."""
-        decay = math.exp((self._updated_us - now_us) / THROTTLE_MEMORY_US)
+        decay = math.exp((self._updated_us - now_us) / THROTTLE_TIME_CONSTANT_US)
         self._updated_us = now_us
         self.recent_arrivals = self.recent_arrivals * decay + 1.0
         self.recent_accepted = self.recent_accepted * decay
@@ -52,7 +54,7 @@
             self._context.write_log("throttle", text, now_us)
         else:
             # Where most set-ups fail, clients' retries would keep the throttle on; at last one passes.
-            self._enforced_until_us = now_us + THROTTLE_MAX_US
+            self._enforced_until_us = now_us + MAX_TIME_WITHOUT_ADMISSION_US
         self.recent_accepted += 1.0  # taken back by `remove_accepted` where it is not set up
         return not is_rejected
 
@@ -103,9 +105,9 @@
         """Move the limit by what was noticed since the last tick."""
         step = 0.0
         if self._has_delayed_messages:
-            step = -LOAD_LIMIT_DECREASE
+            step = -LOAD_LIMIT_DECREASE_PER_TICK
         elif self._has_shed_load:
-            step = LOAD_LIMIT_INCREASE
+            step = LOAD_LIMIT_INCREASE_PER_TICK
         self.value = min(MAX_LOAD_LIMIT, max(MIN_LOAD_LIMIT, self.value + step))
         self._has_delayed_messages = False
         self._has_shed_load = False
@@ -114,7 +116,7 @@
         """Whether an endpoint has no capacity for a request of this priority and size."""
         context = self._context
         if not context.reports_load or not endpoint.has_report:
-            return request.group > 0 and len(endpoint.recent_placements) >= UNREPORTED_GROUP_PLACEMENTS
+            return request.group > 0 and len(endpoint.recent_placements) >= MAX_UNREPORTED_GROUP_PLACEMENTS
         priority = request.request_class.priority_weight / context.highest_priority_weight
         limit = self.value - 0.5 * LOAD_LIMIT_RESERVE * (1.0 - priority)
         if endpoint is request.previous_endpoint:  # its reports still count the connection
--- a/gannetweir/placement/attempt_dispatch.py
+++ b/gannetweir/placement/attempt_dispatch.py
@@ -15,7 +15,7 @@
 from gannetweir.placement.settings import IdempotencyScope
 
 # Of the longest Retry-After: were it shorter, the clients that are rejected would keep a rush going.
-RETRY_AFTER_SHARE = 0.5, 1.0
+RETRY_AFTER_RANGE = 0.5, 1.0
 
 
 class AttemptDispatch:
@@ -99,7 +99,7 @@
         if request.attempts == 0:
             self._throttle.remove_accepted()
         # Drawn in any case, so that equal seeds decide alike.
-        retry_after_us = int(settings.max_retry_after_us * self._context.rng.uniform(*RETRY_AFTER_SHARE))
+        retry_after_us = int(settings.max_retry_after_us * self._context.rng.uniform(*RETRY_AFTER_RANGE))
         if not self._retry_policy.is_retryable(request):
             self._context.actions.append(FailRequest(request_id))
             return
--- a/gannetweir/placement/endpoint_polling.py
+++ b/gannetweir/placement/endpoint_polling.py
@@ -5,7 +5,9 @@
 from gannetweir.placement.actions import WatchEndpoints
 from gannetweir.placement.context import POLL_TIMER, PlacementContext
 
-RELAY_SPREAD_US = 100_000  # how far apart the relays' first polls lie on average, so as not to come at once
+FIRST_POLL_SPREAD_PER_RELAY_US = (
+    100_000  # how far apart the relays' first polls lie on average, so as not to come at once
+)
 FIRST_BACKOFF_US = 350_000  # before the second poll, then doubled
 MAX_BACKOFF_DOUBLINGS = 4  # 5.6 s: more would never pass the limit on a round
 MAX_ROUND_US = 3_100_000  # from poll to poll at most: two rounds fit the 6 s in which a change is due
@@ -29,7 +31,9 @@
         settings = self._context.settings
         if not settings.polls_endpoint_list:
             return
-        spread_us = min(settings.poll_interval_us / 4, RELAY_SPREAD_US * settings.relay_count, MAX_ROUND_US)
+        spread_us = min(
+            settings.poll_interval_us / 4, FIRST_POLL_SPREAD_PER_RELAY_US * settings.relay_count, MAX_ROUND_US
+        )
         self._context.set_timer(POLL_TIMER, int(spread_us * self._context.rng.random()) + 1)
 
     def poll(self, now_us: int) -> None:
--- a/gannetweir/placement/group_placement.py
+++ b/gannetweir/placement/group_placement.py
@@ -18,8 +18,8 @@
 GROUP_ENDPOINTS = 2  # that a group belongs to: one takes it, the second what the first has no capacity for
 MAX_CANDIDATES = 8  # examined for one arrival; a group's ranking is fixed, so none is examined twice
 OWN_ZONE_LOAD_LIMIT = 0.7  # up to which a group gets an endpoint in the own zone beside those it belongs to
-MAX_SETUPS = 5  # under way at one endpoint from this relay
-MAX_SETUPS_AFTER_WAIT = 10  # for a request that has waited as long as it may
+MAX_SETUPS_PER_ENDPOINT = 5  # under way at one endpoint from this relay
+MAX_SETUPS_PER_ENDPOINT_AFTER_WAIT = 10  # for a request that has waited as long as it may
 # Reports of the first candidates have to be this recent: they are those that many arrivals of a group go to.
 FIRST_REPORT_FRESHNESS_US = REPORT_FRESHNESS_US // 10
 FIRST_CANDIDATES = 4
@@ -187,7 +187,7 @@
     def _is_at_setup_limit(
         self, endpoint: EndpointState, request: PendingRequest, has_wait_expired: bool
     ) -> bool:
-        default = MAX_SETUPS_AFTER_WAIT if has_wait_expired else MAX_SETUPS
+        default = MAX_SETUPS_PER_ENDPOINT_AFTER_WAIT if has_wait_expired else MAX_SETUPS_PER_ENDPOINT
         max_setups = request.request_class.max_setups_per_endpoint or default
         return self._requests.setups_at(endpoint) >= max_setups
 
--- a/gannetweir/placement/load_model.py
+++ b/gannetweir/placement/load_model.py
@@ -7,8 +7,8 @@
 from gannetweir.placement.pending_request import PendingRequest
 
 GROUP_COST = 3.0  # mean connection loads that an endpoint pays for each group of which it has any
-MIN_OWN_CONNECTIONS = 3.0  # that an endpoint reports, for its own report to tell what one adds
-LOAD_WITHOUT_REPORTS = 0.05  # of capacity, that a mean connection adds where nothing is known
+MIN_REPORTED_CONNECTIONS = 3.0  # that an endpoint reports, for its own report to tell what one adds
+DEFAULT_CONNECTION_LOAD = 0.05  # of capacity, that a mean connection adds where nothing is known
 REPORT_DELAY_US = 1_300_000  # a report's age when it is read: its period and its delay
 REPROBE_DELAY_US = TICK_INTERVAL_US // 4  # after a report that is older than own connections
 
@@ -39,11 +39,11 @@
 
     def additional_load(self, endpoint: EndpointState, size: float) -> float:
         """Return what a connection of this size adds to an endpoint's load, by what the others make there."""
-        has_own_report = endpoint.connections >= MIN_OWN_CONNECTIONS and endpoint.load > 0.0
+        has_own_report = endpoint.connections >= MIN_REPORTED_CONNECTIONS and endpoint.load > 0.0
         connections = endpoint.connections if has_own_report else self._reports.total_connections
         load = endpoint.load if has_own_report else self._reports.total_load
         if load <= 0.0 or connections <= 0.0:
-            return size * LOAD_WITHOUT_REPORTS
+            return size * DEFAULT_CONNECTION_LOAD
         groups = 0
         if self._context.settings.groups_enabled:  # part of the load is the groups'
             groups = len(self._requests.groups_at(endpoint) if has_own_report else self._reports.endpoints)
--- a/gannetweir/placement/load_probing.py
+++ b/gannetweir/placement/load_probing.py
@@ -11,16 +11,18 @@
 from gannetweir.placement.events import ConnectionMetric, MetricKind
 
 # How old a probe of an endpoint that holds own connections may be, in `REPORT_FRESHNESS_US`.
-MAX_AGE_WITHOUT_REPORT = 1
-MAX_AGE_AT_HIGH_LOAD = 2
-MAX_AGE_AT_LOW_LOAD = 5
-HIGH_LOAD = 0.7  # of the load limit, from which an endpoint is probed more often
-RELAYS_A_PROBE = 4  # relays that hold connections at an endpoint share its probes: each probes less often
-MAX_SHARING = 4  # times less often, at most: an overload has to be seen in a few seconds
-DEFAULT_LATENCY_OBJECTIVE_US = 1e5  # for a message, where no class of messages states one
-DELAYED_MESSAGE_REPORT_US = 4 * REPORT_FRESHNESS_US  # age up to which a report makes a late message count
-DELAYED_MESSAGE_PROBE_US = 2 * REPORT_FRESHNESS_US  # between two probes that late messages lead to
-MICROSECONDS_A_MILLISECOND = 1000
+MAX_PROBE_AGE_WITHOUT_REPORT = 1
+MAX_PROBE_AGE_AT_HIGH_LOAD = 2
+MAX_PROBE_AGE_AT_LOW_LOAD = 5
+HIGH_LOAD_SHARE = 0.7  # of the load limit, from which an endpoint is probed more often
+RELAYS_PER_PROBE = 4  # relays that hold connections at an endpoint share its probes: each probes less often
+MAX_PROBE_INTERVAL_FACTOR = 4  # times less often, at most: an overload has to be seen in a few seconds
+DEFAULT_MESSAGE_LATENCY_OBJECTIVE_US = 1e5  # for a message, where no class of messages states one
+DELAYED_MESSAGE_MAX_REPORT_AGE_US = (
+    4 * REPORT_FRESHNESS_US
+)  # age up to which a report makes a late message count
+DELAYED_MESSAGE_PROBE_INTERVAL_US = 2 * REPORT_FRESHNESS_US  # between two probes that late messages lead to
+MICROSECONDS_PER_MILLISECOND = 1000
 
 
 class LoadProbing:
@@ -49,12 +51,16 @@
 
     def _interval_us(self, endpoint: EndpointState) -> int:
         if not endpoint.has_report:
-            return MAX_AGE_WITHOUT_REPORT * REPORT_FRESHNESS_US
+            return MAX_PROBE_AGE_WITHOUT_REPORT * REPORT_FRESHNESS_US
         limit = self._load_limit.value
-        age = MAX_AGE_AT_HIGH_LOAD if endpoint.load > HIGH_LOAD * limit else MAX_AGE_AT_LOW_LOAD
+        age = (
+            MAX_PROBE_AGE_AT_HIGH_LOAD
+            if endpoint.load > HIGH_LOAD_SHARE * limit
+            else MAX_PROBE_AGE_AT_LOW_LOAD
+        )
         if endpoint.load < limit:
             relays = min(self._context.settings.relay_count, endpoint.connections / len(endpoint.request_ids))
-            age *= int(min(MAX_SHARING, max(1, relays / RELAYS_A_PROBE)))
+            age *= int(min(MAX_PROBE_INTERVAL_FACTOR, max(1, relays / RELAYS_PER_PROBE)))
         return age * REPORT_FRESHNESS_US
 
 
@@ -78,14 +84,14 @@
         if event.kind == MetricKind.LOAD:
             request.load_hint = max(0.0, event.value)
         elif event.kind == MetricKind.MESSAGE_DELAY:
-            delay_us = event.value * MICROSECONDS_A_MILLISECOND
+            delay_us = event.value * MICROSECONDS_PER_MILLISECOND
             objectives_us = self._context.settings.message_latency_objectives_us
-            if delay_us >= min(objectives_us, default=DEFAULT_LATENCY_OBJECTIVE_US):
+            if delay_us >= min(objectives_us, default=DEFAULT_MESSAGE_LATENCY_OBJECTIVE_US):
                 self._handle_delayed_message(endpoint, now_us)
 
     def _handle_delayed_message(self, endpoint: EndpointState, now_us: int) -> None:
         is_within_limit = endpoint.has_report and endpoint.load < self._load_limit.value
-        if is_within_limit and now_us - endpoint.reported_us < DELAYED_MESSAGE_REPORT_US:
+        if is_within_limit and now_us - endpoint.reported_us < DELAYED_MESSAGE_MAX_REPORT_AGE_US:
             self._load_limit.record_delayed_message()
-        if self._context.probes_load and now_us - endpoint.probed_us > DELAYED_MESSAGE_PROBE_US:
+        if self._context.probes_load and now_us - endpoint.probed_us > DELAYED_MESSAGE_PROBE_INTERVAL_US:
             self._probing.probe(endpoint, now_us)
--- a/gannetweir/placement/load_reports.py
+++ b/gannetweir/placement/load_reports.py
@@ -6,7 +6,7 @@
 
 from gannetweir.placement.endpoint_state import EndpointState
 
-MEMORY_US = 20_000_000  # reports older than this no longer describe the fleet
+REPORT_RETENTION_US = 20_000_000  # reports older than this no longer describe the fleet
 
 
 class LoadReportTable:
@@ -72,7 +72,7 @@
         endpoint.has_report = False
 
     def expire(self, now_us: int) -> None:
-        """Forget the oldest entry if its report is older than `MEMORY_US`."""
+        """Forget the oldest entry if its report is older than `REPORT_RETENTION_US`."""
         endpoint = next(iter(self.endpoints), None)
-        if endpoint is not None and endpoint.reported_us < now_us - MEMORY_US:
+        if endpoint is not None and endpoint.reported_us < now_us - REPORT_RETENTION_US:
             self.discard(endpoint)
--- a/gannetweir/placement/outlier_ejection.py
+++ b/gannetweir/placement/outlier_ejection.py
@@ -9,8 +9,8 @@
 
 MAX_EJECTED_DIVISOR = 3  # at most a third is ejected: many at once have a shared cause (store, overload)
 BASE_EJECTION_US = 500_000  # doubled with each ejection in a row
-MAX_DOUBLINGS = 5  # 16 s: an endpoint that has recovered is not left idle for longer
-JITTER = 0.75, 1.25  # of the ejection's time, so that the relays do not return all at once
+MAX_EJECTION_DOUBLINGS = 5  # 16 s: an endpoint that has recovered is not left idle for longer
+EJECTION_JITTER = 0.75, 1.25  # of the ejection's time, so that the relays do not return all at once
 
 
 class OutlierEjection:
@@ -37,9 +37,9 @@
         if MAX_EJECTED_DIVISOR * (ejected + 1) > len(self._ready):
             self._context.write_log("shared cause", f"{ejected} servers set aside, no more", now_us)
             return False
-        endpoint.ejection_count = min(endpoint.ejection_count + 1, MAX_DOUBLINGS)
+        endpoint.ejection_count = min(endpoint.ejection_count + 1, MAX_EJECTION_DOUBLINGS)
         backoff_us = BASE_EJECTION_US << endpoint.ejection_count
-        endpoint.ejected_until_us = now_us + int(backoff_us * self._context.rng.uniform(*JITTER))
+        endpoint.ejected_until_us = now_us + int(backoff_us * self._context.rng.uniform(*EJECTION_JITTER))
         self._on_ejected(endpoint)
         text = f"strike {endpoint.ejection_count}, {ejected + 1} in all"
         self._context.write_log("set aside", text, now_us)
--- a/gannetweir/placement/packing.py
+++ b/gannetweir/placement/packing.py
@@ -15,9 +15,9 @@
 from gannetweir.placement.endpoint_state import EndpointState
 from gannetweir.placement.slow_start import SlowStart
 
-MAX_DRAWS = 12  # random numbers for one uniform draw, where most may not be sent to
-MAX_SAMPLES = 3  # reports read, at most, before an above-average endpoint is taken all the same
-MIN_LOAD_SHARE = 0.05  # of the mean load, above which a load tells an endpoint's capacity
+MAX_DRAW_TRIES = 12  # random numbers for one uniform draw, where most may not be sent to
+MAX_SAMPLES_PER_ROUND = 3  # reports read, at most, before an above-average endpoint is taken all the same
+MIN_SHARE_OF_MEAN_LOAD = 0.05  # of the mean load, above which a load tells an endpoint's capacity
 
 
 class UniformDraw:
@@ -40,7 +40,7 @@
             return None
         rng, warming_up = self._context.rng, self._slow_start.warming_up
         all_are_warming_up = self._slow_start.all_are_warming_up
-        for _ in range(MAX_DRAWS):
+        for _ in range(MAX_DRAW_TRIES):
             endpoint = candidates[int(rng.random() * len(candidates))]
             if (
                 endpoint.ejected_until_us <= now_us
@@ -107,7 +107,7 @@
             return
         context, ready, draw = self._context, self._ready_endpoints, self._uniform_draw.draw
         own_zone: list[EndpointState] = []
-        if context.prefers_own_zone and self._sample_count < MAX_SAMPLES - 1:
+        if context.prefers_own_zone and self._sample_count < MAX_SAMPLES_PER_ROUND - 1:
             own_zone = ready.in_zone(context.settings.zone)
         endpoint = None
         # A permit is for an arrival: where all have groups, a sample ahead for none would use it up.
@@ -143,7 +143,7 @@
     def _mean_connections_for(self, endpoint: EndpointState) -> float:
         """Return W/n, or where endpoints are unequal the count that loads this one as the mean one."""
         mean_load = self._reports.mean_load
-        shows_capacity = endpoint.connections > 0.0 and endpoint.load > MIN_LOAD_SHARE * mean_load
+        shows_capacity = endpoint.connections > 0.0 and endpoint.load > MIN_SHARE_OF_MEAN_LOAD * mean_load
         if self._context.reports_load and shows_capacity:
             return endpoint.connections * mean_load / endpoint.load
         if self._context.probes_load:
@@ -156,7 +156,7 @@
         if not fill and self._compares_samples():
             compared = (self._fallback or endpoint, endpoint)
             self._fallback = min(compared, key=lambda other: (other.load, other.connections))
-            if self._sample_count < MAX_SAMPLES:
+            if self._sample_count < MAX_SAMPLES_PER_ROUND:
                 self.start_sample(now_us)
                 return
             endpoint = self._fallback
--- a/gannetweir/placement/retry_policy.py
+++ b/gannetweir/placement/retry_policy.py
@@ -8,9 +8,9 @@
 from gannetweir.placement.settings import Idempotency, IdempotencyScope
 
 MAX_TIMEOUT_DOUBLINGS = 3  # eight latency objectives outlast clients, who give up after four to six
-FAILURE_SHARE_MEMORY = 8  # attempts: the weight of the latest is one in as many
-MAX_FAILURE_SHARE_TO_TIME_OUT = 0.4  # above it, each attempt gets all the time that is left
-MAX_FAILURE_SHARE_TO_RETRY = 0.5  # above it, more attempts only add to the load
+FAILURE_SHARE_WINDOW = 8  # attempts: the weight of the latest is one in as many
+MAX_FAILURE_SHARE_FOR_SHORT_TIMEOUTS = 0.4  # above it, each attempt gets all the time that is left
+MAX_FAILURE_SHARE_FOR_RETRIES = 0.5  # above it, more attempts only add to the load
 
 
 class RetryPolicy:
@@ -63,19 +63,19 @@
         timeout_us = int(request.request_class.latency_objective_us) << doublings
         is_last = request.attempts + 1 >= self._max_attempts(request) or timeout_us * 2 > remaining_us
         # Where most fail by time-outs, a slow store is behind the endpoints: it is not asked again and again.
-        if is_last or self.failure_share > MAX_FAILURE_SHARE_TO_TIME_OUT:
+        if is_last or self.failure_share > MAX_FAILURE_SHARE_FOR_SHORT_TIMEOUTS:
             timeout_us = remaining_us
         return max(1, timeout_us)
 
     def attempt_succeeded(self, request: PendingRequest, elapsed_us: int) -> None:
         """Fit the time-outs to the time that a set-up has taken, and count it."""
-        self.failure_share -= self.failure_share / FAILURE_SHARE_MEMORY
+        self.failure_share -= self.failure_share / FAILURE_SHARE_WINDOW
         objectives = int(2 * elapsed_us / max(1.0, request.request_class.latency_objective_us))
         self._timeout_doublings = min(MAX_TIMEOUT_DOUBLINGS, objectives.bit_length())
 
     def attempt_failed(self, status: int) -> None:
         """Count a failed attempt; after a time-out, the next ones get more time."""
-        self.failure_share += (1.0 - self.failure_share) / FAILURE_SHARE_MEMORY
+        self.failure_share += (1.0 - self.failure_share) / FAILURE_SHARE_WINDOW
         if status == AttemptStatus.TIMEOUT:
             self._timeout_doublings = min(MAX_TIMEOUT_DOUBLINGS, self._timeout_doublings + 1)
 
@@ -83,7 +83,7 @@
         """Whether a request ends with a failed attempt: by its kind, or because most attempts fail."""
         if status in (AttemptStatus.NOT_STARTED, AttemptStatus.CANCELLED):
             return True
-        return self.failure_share > MAX_FAILURE_SHARE_TO_RETRY
+        return self.failure_share > MAX_FAILURE_SHARE_FOR_RETRIES
 
     def backoff_us(self, request: PendingRequest, now_us: int) -> int:
         """Return how long the next attempt of a request has to wait."""
--- a/gannetweir/placement/slow_start.py
+++ b/gannetweir/placement/slow_start.py
@@ -9,10 +9,10 @@
 # Ends and time as if seen already: until it has been measured, a connection's life counts as a long one.
 PRIOR_ENDED_CONNECTIONS = 0.1
 PRIOR_CONNECTION_TIME_US = 4e6
-MAX_PERMITS_A_TICK = 1e3  # for one endpoint: bounds the memory where lives are very short
+MAX_PERMITS_PER_TICK = 1e3  # for one endpoint: bounds the memory where lives are very short
 # A type's mean load counts as this or more: near zero it says nothing of the capacity.
 MIN_REPORTED_LOAD = 0.3
-LOAD_WITHOUT_REPORTS = 1.0  # where reports carry no load, the connections seen count as a full load
+ASSUMED_LOAD_WITHOUT_REPORTS = 1.0  # where reports carry no load, the connections seen count as a full load
 
 
 class SlowStart:
@@ -70,7 +70,7 @@
         self.warming_up = {
             endpoint: None for endpoint in self.warming_up if self.capacity_share(endpoint, now_us) < 1.0
         }
-        min_load = MIN_REPORTED_LOAD if self._context.reports_load else LOAD_WITHOUT_REPORTS
+        min_load = MIN_REPORTED_LOAD if self._context.reports_load else ASSUMED_LOAD_WITHOUT_REPORTS
         capacities = self._reports.connections_at_full_load(self.warming_up, min_load)
         # Of a type that nobody reports, the slowest counts: the mean of all would let it be overloaded.
         min_capacity = min(capacities.values(), default=0.0)
@@ -81,7 +81,7 @@
             capacity = capacities.get(endpoint.machine_type, min_capacity)
             rate = budget_rate * self.capacity_share(endpoint, now_us) * capacity
             # Rounded by chance, as most rates are far below one a tick.
-            count = int(min(MAX_PERMITS_A_TICK, rate * TICK_INTERVAL_US + rng.random()))
+            count = int(min(MAX_PERMITS_PER_TICK, rate * TICK_INTERVAL_US + rng.random()))
             self.permits.extend([endpoint] * count)
 
     def use_permit(self) -> EndpointState:
