--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -402,9 +402,9 @@
         run.wait_us(100_000)
 
 
-@pytest.mark.parametrize("hundred", range(4))
-def test_the_invariants_hold_for_events_in_any_order(hundred: int) -> None:
-    for seed in range(100 * hundred, 100 * hundred + 100):
+@pytest.mark.parametrize("batch", range(4))
+def test_the_invariants_hold_for_events_in_any_order(batch: int) -> None:
+    for seed in range(100 * batch, 100 * batch + 100):
         run = RandomRun(seed)
         try:
             play(run)
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -27,7 +27,7 @@
 from tests.test_client_left import list_two_endpoints
 from tests.test_descriptors import TIMEOUT_S, RelayProcess
 
-LINE = r"OPEN 0a 0b c=plain,d=300\r\n"
+FIRST_LINE = r"OPEN 0a 0b c=plain,d=300\r\n"
 MARGIN_MS = 40  # the relay answers so long before its client gives up
 
 
@@ -50,7 +50,7 @@
     """A client that has sent its first line but for the last byte, each byte in a segment of its own."""
     client = await harness.connect_client()
     connection = await connection_awaiting_its_first_line(harness)
-    raw = LINE.encode().decode("unicode_escape").encode()
+    raw = FIRST_LINE.encode().decode("unicode_escape").encode()
     for count, byte in enumerate(raw[:-1], 1):
         client.sock.send(bytes([byte]))
         await harness.wait_until(lambda count=count: len(connection.protocol.lines.partial_line) == count)  # type: ignore[misc]
@@ -79,7 +79,7 @@
 
 async def answer_is_read_before_timers(harness: RelayHarness) -> None:
     client = await harness.connect_client()
-    client.send(LINE)
+    client.send(FIRST_LINE)
     server = await harness.accept_upstream()
     await server.expect("OPEN 0a")
     # past the client's deadline, before the timers have run
@@ -96,7 +96,7 @@
 async def answer_after_the_final_answer(harness: RelayHarness) -> None:
     for answer in (r"UP late\r\n", r"UP la"):
         client = await harness.connect_client()
-        client.send(LINE)
+        client.send(FIRST_LINE)
         server = await harness.accept_upstream()
         await server.expect("OPEN 0a")
         server.send(answer[:2])  # half of its answer is in
@@ -133,7 +133,7 @@
     assert (counts["attempts_started"], counts["served"], counts["attempts.timeout"]) == (4, 1, 2)
 
 
-PLAYS: list[Callable[[RelayHarness], Awaitable[None]]] = [
+SCENARIOS: list[Callable[[RelayHarness], Awaitable[None]]] = [
     last_byte_in_time,
     last_byte_after_the_timeout,
     answer_is_read_before_timers,
@@ -143,18 +143,18 @@
 
 
 @pytest.mark.anyio
-@pytest.mark.parametrize("play", PLAYS)
+@pytest.mark.parametrize("scenario", SCENARIOS)
 async def test_on_sockets(
-    play: Callable[[RelayHarness], Awaitable[None]], capsys: pytest.CaptureFixture[str]
+    scenario: Callable[[RelayHarness], Awaitable[None]], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    await run_scenario(RelayHarness(SHORT_TIMES), play, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES), scenario, capsys)
 
 
 @pytest.fixture
-def fleet(tmp_path: Path) -> Iterator[RelayProcess]:
-    fleet = RelayProcess(tmp_path, 256, 256)
-    yield fleet
-    fleet.end()
+def relay_process(tmp_path: Path) -> Iterator[RelayProcess]:
+    relay_process = RelayProcess(tmp_path, 256, 256)
+    yield relay_process
+    relay_process.end()
 
 
 def connections_in_time_wait(port: int) -> int:
@@ -163,25 +163,25 @@
     return sum(row[1].endswith(f":{port:04X}") and row[3] == "06" for row in rows)
 
 
-def test_a_relay_starts_at_once_on_the_address_of_a_killed_one(fleet: RelayProcess) -> None:
-    fleet.establish(b"01")
-    answered = fleet.client(b"OPEN 0a 0b c=none,d=2000\r\n")
+def test_a_relay_starts_at_once_on_the_address_of_a_killed_one(relay_process: RelayProcess) -> None:
+    relay_process.establish(b"01")
+    answered = relay_process.client(b"OPEN 0a 0b c=none,d=2000\r\n")
     while answered.recv(100):
         pass
     answered.close()  # the relay ended it first, so its side waits in TIME_WAIT
-    for say in (b"", b"OPEN 0b 0b c=pl", b"PING\r\n"):
-        fleet.client(say)
+    for data in (b"", b"OPEN 0b 0b c=pl", b"PING\r\n"):
+        relay_process.client(data)
     for _ in range(50):
-        fleet.client(b"OPEN 0c 0b c=pl")  # some accepted, some still in the queue
-    fleet.process.kill()
-    fleet.process.wait(TIMEOUT_S)
+        relay_process.client(b"OPEN 0c 0b c=pl")  # some accepted, some still in the queue
+    relay_process.process.kill()
+    relay_process.process.wait(TIMEOUT_S)
     end = time.monotonic() + TIMEOUT_S
-    while not connections_in_time_wait(fleet.listen_address[1]):
+    while not connections_in_time_wait(relay_process.listen_address[1]):
         assert time.monotonic() < end
-    fleet.start()
-    front = fleet.client(b"PING\r\n")
-    assert front.recv(100) == b"PONG\r\n"
-    fleet.establish(b"02")
+    relay_process.start()
+    client = relay_process.client(b"PING\r\n")
+    assert client.recv(100) == b"PONG\r\n"
+    relay_process.establish(b"02")
 
 
 @settings(max_examples=15, deadline=None)
@@ -195,7 +195,7 @@
     raw = b"".join(lines)
     ends = sorted({min(cut, len(raw)) for cut in cuts} | {len(raw)})
 
-    async def passes(sender: Peer, receiver: Peer) -> None:
+    async def send_and_compare(sender: Peer, receiver: Peer) -> None:
         start, got = 0, b""
         for end in ends:
             sender.sock.send(raw[start:end])
@@ -207,13 +207,13 @@
                 got += receiver.sock.recv(65536)
         assert got == raw
 
-    async def play() -> None:
+    async def scenario() -> None:
         harness = RelayHarness(SHORT_TIMES)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(harness.relay.run)
             client, server = await established_client(harness)
-            await passes(client, server)
-            await passes(server, client)
+            await send_and_compare(client, server)
+            await send_and_compare(server, client)
             tasks.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(scenario)
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -20,20 +20,20 @@
         "slow_start_min_share": 0.3,
         "overload_multiple": 4.0,
     } | changes
-    g = BalancerDriver(8, seed=seed, starts=starts, relay_count=RELAYS, groups_enabled=True, **settings)
-    for node in g.balancer.state.endpoints.values():
-        n = number_of(node)
-        node.machine_type = FAST if n % 2 else SLOW
+    driver = BalancerDriver(8, seed=seed, starts=starts, relay_count=RELAYS, groups_enabled=True, **settings)
+    for endpoint in driver.balancer.state.endpoints.values():
+        n = number_of(endpoint)
+        endpoint.machine_type = FAST if n % 2 else SLOW
         if n not in starts:
-            g.balancer.state.reports.record(node, 21.0 if n % 2 else 9.0, 0.5)
-    return g
+            driver.balancer.state.reports.record(endpoint, 21.0 if n % 2 else 9.0, 0.5)
+    return driver
 
 
-def count_permits(g: BalancerDriver, server: int, ticks: int) -> int:
+def count_permits(driver: BalancerDriver, number: int, ticks: int) -> int:
     count = 0
     for _ in range(ticks):
-        g.balancer.slow_start.grant_permits(g.now)
-        count += sum(node.endpoint_id == server for node in g.balancer.slow_start.permits)
+        driver.balancer.slow_start.grant_permits(driver.now)
+        count += sum(endpoint.endpoint_id == number for endpoint in driver.balancer.slow_start.permits)
     return count
 
 
@@ -44,68 +44,70 @@
 
 
 @pytest.mark.parametrize(
-    ("day", "seed", "life_s"),
+    ("day", "seed", "lifetime_s"),
     [
         ("roll", 3, 15.0),  # a slow backend was sent what the mean one bears
         ("throng", 19, 40.0),  # relays that had measured no life yet took it for a quarter of what it was
     ],
 )
-def test_no_warming_endpoint_is_overloaded(day: str, seed: int, life_s: float) -> None:
-    world = simulate_day(day, fleet_plan(seed, RELAYS, 24, life_s * SECOND))
-    assert not world.checker.violations, world.checker.violations[:3]
-    assert 0 < world.checker.counts["cold_share"] <= 100
+def test_no_warming_endpoint_is_overloaded(day: str, seed: int, lifetime_s: float) -> None:
+    simulation = simulate_day(day, fleet_plan(seed, RELAYS, 24, lifetime_s * SECOND))
+    assert not simulation.checker.violations, simulation.checker.violations[:3]
+    assert 0 < simulation.checker.counts["cold_share"] <= 100
 
 
 def test_a_warming_endpoint_is_judged_by_the_warm_ones_of_its_machine_type() -> None:
-    fresh = {0: 95 * SECOND, 1: 95 * SECOND}
+    starts = {0: 95 * SECOND, 1: 95 * SECOND}
     slow, fast = (
-        count_permits(relay_with_warming_endpoints(1, fresh), server, 4000) for server in (SLOW, FAST)
+        count_permits(relay_with_warming_endpoints(1, starts), number, 4000) for number in (SLOW, FAST)
     )
     assert 0 < slow < fast * 9 / 21 * 1.3
 
 
 def test_a_machine_type_without_a_warm_endpoint_is_taken_for_the_slowest() -> None:
-    g = relay_with_warming_endpoints(1, dict.fromkeys((0, 2, 4, 6), 95 * SECOND))
+    driver = relay_with_warming_endpoints(1, dict.fromkeys((0, 2, 4, 6), 95 * SECOND))
     for n in (3, 5, 7):
-        g.balancer.state.endpoints[n].machine_type = n  # 42 connections each at full load, but one
-    g.balancer.state.reports.record(g.balancer.state.endpoints[7], 5.0, 0.5)
+        driver.balancer.state.endpoints[n].machine_type = n  # 42 connections each at full load, but one
+    driver.balancer.state.reports.record(driver.balancer.state.endpoints[7], 5.0, 0.5)
     other = relay_with_warming_endpoints(1, dict.fromkeys((0, 2, 4, 6), 95 * SECOND))
-    assert 0 < count_permits(g, 0, 4000) < 0.5 * count_permits(other, 0, 4000)
+    assert 0 < count_permits(driver, 0, 4000) < 0.5 * count_permits(other, 0, 4000)
 
 
 def test_relays_that_have_measured_no_lifetime_grant_what_long_lifetimes_allow() -> None:
-    capacity, life_s, warmth = 18.0, 40.0, 0.3
-    given = (
+    capacity, lifetime_s, capacity_share = 18.0, 40.0, 0.3
+    granted = (
         sum(
             count_permits(relay_with_warming_endpoints(seed, {0: 100 * SECOND}), 0, 40)
             for seed in range(RELAYS)
         )
         / 40
     )
-    assert 0 < given <= 4.0 * warmth * capacity / life_s
+    assert 0 < granted <= 4.0 * capacity_share * capacity / lifetime_s
 
 
 def test_a_fill_ends_where_its_endpoint_restarts() -> None:
-    g = BalancerDriver(4, relay_count=1, slow_start_window_us=30 * SECOND)
-    g.arrive()
-    draw = g.balancer.packing
-    target = draw.target = g.balancer.state.endpoints[2]
-    draw.remaining_fill, draw.sampled_us = 5, g.now
-    g.handle(EndpointListUpdate(UpdateKind.DELTA, 2, [EndpointEntry(2, started_us=g.now)]))
-    draw.target, draw.remaining_fill = target, 5
-    g.arrive()
-    assert g.started_attempts[-1].endpoint_id != 2
+    driver = BalancerDriver(4, relay_count=1, slow_start_window_us=30 * SECOND)
+    driver.arrive()
+    packing = driver.balancer.packing
+    target = packing.target = driver.balancer.state.endpoints[2]
+    packing.remaining_fill, packing.sampled_us = 5, driver.now
+    driver.handle(EndpointListUpdate(UpdateKind.DELTA, 2, [EndpointEntry(2, started_us=driver.now)]))
+    packing.target, packing.remaining_fill = target, 5
+    driver.arrive()
+    assert driver.started_attempts[-1].endpoint_id != 2
 
 
 def test_a_sample_from_before_a_restart_places_nothing_there() -> None:
     """Each of many relays may hold one such draw: together they would spend the cold one's budget."""
     for seed in range(20):
-        g = BalancerDriver(4, seed=seed, load_probes_enabled=False, load_report_source="none", relay_count=50)
-        target = g.balancer.packing.target
+        driver = BalancerDriver(
+            4, seed=seed, load_probes_enabled=False, load_report_source="none", relay_count=50
+        )
+        target = driver.balancer.packing.target
         assert target is not None
-        g.change_status(
-            number_of(target), EndpointStatus.READY, g.now
+        driver.change_status(
+            number_of(target), EndpointStatus.READY, driver.now
         )  # it starts anew without having left the list
         for _ in range(8):
-            g.arrive()
-        assert target.endpoint_id not in [send.endpoint_id for send in g.started_attempts]
+            driver.arrive()
+        assert target.endpoint_id not in [started.endpoint_id for started in driver.started_attempts]
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -17,34 +17,34 @@
 def test_places_exactly_by_the_papers_rule(seed: int) -> None:
     """Equal servers, fresh reports, one gateway: a draw gets ceil(W/n) + 1 - x, or one if not below W/n."""
     rng = random.Random(seed)
-    g = BalancerDriver(5, seed=seed, load_report_fields=["concurrent"])
+    driver = BalancerDriver(5, seed=seed, load_report_fields=["concurrent"])
     counts = {n: rng.randrange(0, 12) for n in range(5)}
-    g.loads.update({n: (float(c), 0.0) for n, c in counts.items()})
+    driver.loads.update({n: (float(c), 0.0) for n, c in counts.items()})
     for n in range(5):  # the table knows every server
-        g.handle(LoadProbeResult(n, AttemptStatus.OK, 1000, (float(counts[n]),)))
-    g.loads = {n: (float(c), 0.0) for n, c in counts.items()}
-    left, target = 0, -1
-    g.balancer.packing.target = None  # what was drawn before the table was complete does not count
+        driver.handle(LoadProbeResult(n, AttemptStatus.OK, 1000, (float(counts[n]),)))
+    driver.loads = {n: (float(c), 0.0) for n, c in counts.items()}
+    remaining, target = 0, -1
+    driver.balancer.packing.target = None  # what was drawn before the table was complete does not count
     for _ in range(60):
-        before = len(g.started_attempts)
-        g.loads = {n: (float(c), 0.0) for n, c in counts.items()}
-        for node in g.balancer.state.ready_endpoints.all:
-            node.recent_placements.clear()  # these reports count what was just placed
-        g.arrive()
-        assert len(g.started_attempts) == before + 1
-        chosen = number_of(g.started_attempts[-1])
-        if left == 0:
+        before = len(driver.started_attempts)
+        driver.loads = {n: (float(c), 0.0) for n, c in counts.items()}
+        for endpoint in driver.balancer.state.ready_endpoints.all:
+            endpoint.recent_placements.clear()  # these reports count what was just placed
+        driver.arrive()
+        assert len(driver.started_attempts) == before + 1
+        chosen = number_of(driver.started_attempts[-1])
+        if remaining == 0:
             mean = sum(counts.values()) / 5
             x = counts[chosen]
-            left, target = (math.ceil(mean) + 1 - x if x < mean else 1), chosen
+            remaining, target = (math.ceil(mean) + 1 - x if x < mean else 1), chosen
         assert chosen == target
-        left -= 1
+        remaining -= 1
         counts[chosen] += 1
-        if left == 0:  # the draw that follows is made from the counts as they now are
-            g.balancer.packing.target = None
+        if remaining == 0:  # the draw that follows is made from the counts as they now are
+            driver.balancer.packing.target = None
             for n in range(5):
-                g.balancer.state.endpoints[n].recent_placements.clear()
-                g.handle(LoadProbeResult(n, AttemptStatus.OK, 1000, (float(counts[n]),)))
+                driver.balancer.state.endpoints[n].recent_placements.clear()
+                driver.handle(LoadProbeResult(n, AttemptStatus.OK, 1000, (float(counts[n]),)))
 
 
 @pytest.mark.parametrize(
@@ -52,132 +52,132 @@
     [(10.0, 10.0, 1), (11.0, 10.0, 1), (9.0, 10.0, 2), (4.0, 10.0, 7), (9.5, 10.0, 1), (9.0, 9.25, 2)],
 )
 def test_fill_at_the_mean_and_with_ceilings(x: float, mean: float, fill: int) -> None:
-    g = BalancerDriver(2, load_report_fields=["concurrent"])
-    b = g.balancer
-    node, other = b.state.endpoints[0], b.state.endpoints[1]
-    b.state.reports.record(node, x, 0.0)
-    b.state.reports.record(other, 2 * mean - x, 0.0)
-    assert max(1, b.packing.fill_size(node)) == fill
+    driver = BalancerDriver(2, load_report_fields=["concurrent"])
+    balancer = driver.balancer
+    endpoint, other = balancer.state.endpoints[0], balancer.state.endpoints[1]
+    balancer.state.reports.record(endpoint, x, 0.0)
+    balancer.state.reports.record(other, 2 * mean - x, 0.0)
+    assert max(1, balancer.packing.fill_size(endpoint)) == fill
 
 
 def test_unequal_servers_are_filled_to_equal_load() -> None:
     """Count 10 at a quarter of the mean load has room for far more than the mean count."""
-    g = BalancerDriver(2)
-    b = g.balancer
-    b.state.reports.record(b.state.endpoints[0], 10.0, 0.2)
-    b.state.reports.record(b.state.endpoints[1], 10.0, 0.6)
-    assert b.packing.fill_size(b.state.endpoints[0]) == math.ceil(10 * 0.4 / 0.2) + 1 - 10
-    assert b.packing.fill_size(b.state.endpoints[1]) == 0
+    driver = BalancerDriver(2)
+    balancer = driver.balancer
+    balancer.state.reports.record(balancer.state.endpoints[0], 10.0, 0.2)
+    balancer.state.reports.record(balancer.state.endpoints[1], 10.0, 0.6)
+    assert balancer.packing.fill_size(balancer.state.endpoints[0]) == math.ceil(10 * 0.4 / 0.2) + 1 - 10
+    assert balancer.packing.fill_size(balancer.state.endpoints[1]) == 0
 
 
 def test_no_load_near_zero_divides() -> None:
-    g = BalancerDriver(2)
-    b = g.balancer
-    b.state.reports.record(b.state.endpoints[0], 1.0, 0.0)
-    b.state.reports.record(b.state.endpoints[1], 9.0, 0.6)
-    assert b.packing.fill_size(b.state.endpoints[0]) == 5
+    driver = BalancerDriver(2)
+    balancer = driver.balancer
+    balancer.state.reports.record(balancer.state.endpoints[0], 1.0, 0.0)
+    balancer.state.reports.record(balancer.state.endpoints[1], 9.0, 0.6)
+    assert balancer.packing.fill_size(balancer.state.endpoints[0]) == 5
 
 
 def test_many_relays_share_a_fill() -> None:
-    g = BalancerDriver(2, relay_count=20, load_report_fields=["concurrent"])
-    b = g.balancer
-    b.state.reports.record(b.state.endpoints[0], 0.0, 0.0)
-    b.state.reports.record(b.state.endpoints[1], 40.0, 0.0)
-    fills = [b.packing.fill_size(b.state.endpoints[0]) for _ in range(200)]
+    driver = BalancerDriver(2, relay_count=20, load_report_fields=["concurrent"])
+    balancer = driver.balancer
+    balancer.state.reports.record(balancer.state.endpoints[0], 0.0, 0.0)
+    balancer.state.reports.record(balancer.state.endpoints[1], 40.0, 0.0)
+    fills = [balancer.packing.fill_size(balancer.state.endpoints[0]) for _ in range(200)]
     assert 1.8 < sum(fills) / 200 < 2.5  # 21 over ten gateways a server
 
 
 def test_the_sample_is_repeated_only_with_many_relays_or_known_loads() -> None:
     """Otherwise an above-average draw gets its one arrival, as the paper has it."""
     share = {}
-    for gateways, names in ((1, ["concurrent"]), (40, ["concurrent"]), (1, ["concurrent", "x0"])):
+    for relays, names in ((1, ["concurrent"]), (40, ["concurrent"]), (1, ["concurrent", "x0"])):
         hits = 0
         for seed in range(120):
-            g = BalancerDriver(4, seed=seed, relay_count=gateways, load_report_fields=names)
-            g.loads = {0: (4.0, 0.2), 1: (12.0, 0.6), 2: (12.0, 0.6), 3: (12.0, 0.6)}
-            for n in g.loads:
-                g.handle(LoadProbeResult(n, AttemptStatus.OK, 1000, g.loads[n]))
-            g.balancer.packing.target = None
-            g.arrive()
-            hits += g.started_attempts[-1].endpoint_id == 0
-        share[gateways, len(names)] = hits / 120
+            driver = BalancerDriver(4, seed=seed, relay_count=relays, load_report_fields=names)
+            driver.loads = {0: (4.0, 0.2), 1: (12.0, 0.6), 2: (12.0, 0.6), 3: (12.0, 0.6)}
+            for n in driver.loads:
+                driver.handle(LoadProbeResult(n, AttemptStatus.OK, 1000, driver.loads[n]))
+            driver.balancer.packing.target = None
+            driver.arrive()
+            hits += driver.started_attempts[-1].endpoint_id == 0
+        share[relays, len(names)] = hits / 120
     assert 0.1 < share[1, 1] < 0.4
     assert share[40, 1] > 0.45
     assert share[1, 2] > 0.45
 
 
 def test_the_own_zone_is_sampled_first_only_where_crossing_costs() -> None:
-    for fee, low, high in ((0.03, 0.9, 1.0), (0.0, 0.15, 0.4)):
+    for cost, low, high in ((0.03, 0.9, 1.0), (0.0, 0.15, 0.4)):
         hits = 0
         for seed in range(100):
-            g = BalancerDriver(
+            driver = BalancerDriver(
                 8,
                 seed=seed,
                 places={n: n % 4 for n in range(8)},
                 zone=1,
-                cross_zone_cost=fee,
+                cross_zone_cost=cost,
                 zone_names=["a", "b", "c", "d"],
             )
-            g.balancer.packing.target = None
-            first = number_of(actions_of(g.arrive(), ProbeLoad)[0])
+            driver.balancer.packing.target = None
+            first = number_of(actions_of(driver.arrive(), ProbeLoad)[0])
             hits += first % 4 == 1
         assert low <= hits / 100 <= high
 
 
 def test_a_recent_report_is_used_at_once_and_a_stale_target_is_probed_again() -> None:
-    g = BalancerDriver(4)
-    probes = len(actions_of(g.all_actions, ProbeLoad))
-    first = g.balancer.packing.target
+    driver = BalancerDriver(4)
+    probes = len(actions_of(driver.all_actions, ProbeLoad))
+    first = driver.balancer.packing.target
     assert first is not None
-    actions = g.arrive()
-    assert [send.endpoint_id for send in actions_of(actions, StartAttempt)] == [first.endpoint_id]
+    actions = driver.arrive()
+    assert [started.endpoint_id for started in actions_of(actions, StartAttempt)] == [first.endpoint_id]
     assert not actions_of(actions, SetTimer)  # nothing was held
-    g.advance(3 * SECOND)
-    target = g.balancer.packing.target
+    driver.advance(3 * SECOND)
+    target = driver.balancer.packing.target
     assert target is not None
-    g.silent_endpoints = {0, 1, 2, 3}
-    actions = g.arrive()
+    driver.silent_endpoints = {0, 1, 2, 3}
+    actions = driver.arrive()
     assert not actions_of(actions, StartAttempt)
     assert actions_of(actions, ProbeLoad)[0].endpoint_id == target.endpoint_id
-    g.silent_endpoints = set()
-    actions = g.handle(LoadProbeResult(target.endpoint_id, AttemptStatus.OK, 1000, (10.0, 0.5)))
+    driver.silent_endpoints = set()
+    actions = driver.handle(LoadProbeResult(target.endpoint_id, AttemptStatus.OK, 1000, (10.0, 0.5)))
     assert actions_of(actions, StartAttempt)
-    assert len(actions_of(g.all_actions, ProbeLoad)) > probes
+    assert len(actions_of(driver.all_actions, ProbeLoad)) > probes
 
 
 def test_an_unanswered_sample_delays_an_arrival_only_for_part_of_its_latency_objective() -> None:
-    g = BalancerDriver(4)
-    g.silent_endpoints = {0, 1, 2, 3}
-    g.advance(3 * SECOND)
-    timer = actions_of(g.arrive(), SetTimer)[-1]
+    driver = BalancerDriver(4)
+    driver.silent_endpoints = {0, 1, 2, 3}
+    driver.advance(3 * SECOND)
+    timer = actions_of(driver.arrive(), SetTimer)[-1]
     assert timer.after_us <= 100_000
-    g.advance(timer.after_us)
-    assert actions_of(g.handle(TimerExpired(timer.token)), StartAttempt)
+    driver.advance(timer.after_us)
+    assert actions_of(driver.handle(TimerExpired(timer.token)), StartAttempt)
 
 
 def test_answers_without_a_report_end_the_round() -> None:
     """In their first second servers answer probes with no report; draws once went on for ever then."""
-    g = BalancerDriver(4, relay_count=40)
-    g.silent_endpoints = {0, 1, 2, 3}
-    g.balancer.packing.target = None
-    pending = actions_of(g.arrive(), ProbeLoad)
-    looks = len(pending)
-    while pending and looks < 50:
-        more = g.handle(LoadProbeResult(pending.pop().endpoint_id, AttemptStatus.OK, 1000, ()))
-        pending += actions_of(more, ProbeLoad)
-        looks += len(actions_of(more, ProbeLoad))
-    assert looks < 10
-    assert len(g.started_attempts) == 1
-
-
-@pytest.mark.parametrize("bad", [(math.nan, 0.5), (math.inf, 0.5), (3.0, math.nan), (3.0,), ()])
-def test_odd_reports_do_no_harm(bad: tuple[float, ...]) -> None:
-    g = BalancerDriver(3)
-    g.handle(LoadProbeResult(0, AttemptStatus.OK, 1000, bad))
-    g.handle(LoadProbeResult("nobody", AttemptStatus.OK, 1000, (1.0, 0.1)))
-    assert math.isfinite(g.balancer.state.reports.total_connections)
-    assert math.isfinite(g.balancer.state.reports.total_load)
-    assert actions_of(g.arrive(), StartAttempt)
+    driver = BalancerDriver(4, relay_count=40)
+    driver.silent_endpoints = {0, 1, 2, 3}
+    driver.balancer.packing.target = None
+    pending = actions_of(driver.arrive(), ProbeLoad)
+    probe_count = len(pending)
+    while pending and probe_count < 50:
+        actions_after = driver.handle(LoadProbeResult(pending.pop().endpoint_id, AttemptStatus.OK, 1000, ()))
+        pending += actions_of(actions_after, ProbeLoad)
+        probe_count += len(actions_of(actions_after, ProbeLoad))
+    assert probe_count < 10
+    assert len(driver.started_attempts) == 1
+
+
+@pytest.mark.parametrize("load_report", [(math.nan, 0.5), (math.inf, 0.5), (3.0, math.nan), (3.0,), ()])
+def test_odd_reports_do_no_harm(load_report: tuple[float, ...]) -> None:
+    driver = BalancerDriver(3)
+    driver.handle(LoadProbeResult(0, AttemptStatus.OK, 1000, load_report))
+    driver.handle(LoadProbeResult("nobody", AttemptStatus.OK, 1000, (1.0, 0.1)))
+    assert math.isfinite(driver.balancer.state.reports.total_connections)
+    assert math.isfinite(driver.balancer.state.reports.total_load)
+    assert actions_of(driver.arrive(), StartAttempt)
 
 
 @pytest.mark.parametrize("text", ["concurrent=1e300,x0=0.5", "concurrent=3,x0=-1e308", "concurrent=3,x0=nan"])
@@ -185,8 +185,8 @@
     names = ["concurrent", "x0"]
     assert parse_load_report("concurrent=3,x0=0.5", names) == (3.0, 0.5)
     assert parse_load_report(text, names) == ()
-    call = UpstreamConnection(b"", names, Limits())
-    assert call.feed(b"UP r\r\nLOAD 7\r\nLOAD 1e300\r\n")[1:] == [
+    connection = UpstreamConnection(b"", names, Limits())
+    assert connection.feed(b"UP r\r\nLOAD 7\r\nLOAD 1e300\r\n")[1:] == [
         EndpointLine(b"LOAD 7\r\n", False),
         LoadReported(7.0),
         EndpointLine(b"LOAD 1e300\r\n", False),
@@ -194,29 +194,30 @@
 
 
 def test_works_without_probes_or_reports() -> None:
-    g = BalancerDriver(4, load_probes_enabled=False, load_report_source="none")
+    driver = BalancerDriver(4, load_probes_enabled=False, load_report_source="none")
     for _ in range(40):
-        assert len(actions_of(g.arrive(), StartAttempt)) == 1
-    counts = [sum(s.endpoint_id == n for s in g.started_attempts) for n in range(4)]
+        assert len(actions_of(driver.arrive(), StartAttempt)) == 1
+    counts = [sum(s.endpoint_id == n for s in driver.started_attempts) for n in range(4)]
     assert min(counts) >= 5
 
 
 def test_a_waiting_arrival_goes_to_the_last_reporter() -> None:
     """Unprobed draws found hung servers; the last one that answered is not hung."""
     for seed in range(20):
-        g = BalancerDriver(8, seed=seed)
-        last = g.balancer.uniform_draw.last_reporter[0]
-        g.silent_endpoints = set(range(8))
-        g.advance(3 * SECOND)
-        timer = actions_of(g.arrive(), SetTimer)[-1]
-        g.advance(timer.after_us)
+        driver = BalancerDriver(8, seed=seed)
+        last = driver.balancer.uniform_draw.last_reporter[0]
+        driver.silent_endpoints = set(range(8))
+        driver.advance(3 * SECOND)
+        timer = actions_of(driver.arrive(), SetTimer)[-1]
+        driver.advance(timer.after_us)
         assert [
-            send.endpoint_id for send in actions_of(g.handle(TimerExpired(timer.token)), StartAttempt)
+            started.endpoint_id
+            for started in actions_of(driver.handle(TimerExpired(timer.token)), StartAttempt)
         ] == [last.endpoint_id]
 
 
 def test_a_wait_for_a_report_leaves_half_of_a_short_time_budget() -> None:
-    g = BalancerDriver(4)
-    g.silent_endpoints = {0, 1, 2, 3}
-    g.advance(3 * SECOND)
-    assert actions_of(g.arrive(time_budget_us=60_000), SetTimer)[-1].after_us <= 30_000
+    driver = BalancerDriver(4)
+    driver.silent_endpoints = {0, 1, 2, 3}
+    driver.advance(3 * SECOND)
+    assert actions_of(driver.arrive(time_budget_us=60_000), SetTimer)[-1].after_us <= 30_000
