--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -163,7 +163,7 @@
     return sum(row[1].endswith(f":{port:04X}") and row[3] == "06" for row in rows)
 
 
-def test_a_relay_starts_at_once_on_the_address_of_a_killed_one(relay_process: RelayProcess) -> None:
+def test_a_relay_starts_at_once_on_the_address_of_a_killed_relay(relay_process: RelayProcess) -> None:
     relay_process.establish(b"01")
     answered = relay_process.client(b"OPEN 0a 0b c=none,d=2000\r\n")
     while answered.recv(100):
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -37,7 +37,7 @@
     return count
 
 
-def test_the_bound_is_that_of_the_rule() -> None:
+def test_the_bound_follows_the_slow_start_rule() -> None:
     cold = SlowStartBudget(0, full_setups_per_s=20.0, min_share=0.1, window_us=10 * SECOND)
     assert cold.setups_allowed(0) == pytest.approx(3.0 + 2.0 * 3.0**0.5 + 2.0)
     assert cold.setups_allowed(10 * SECOND) == pytest.approx(30.0 + 2.0 * 30.0**0.5 + 2.0)
@@ -56,7 +56,7 @@
     assert 0 < simulation.checker.counts["cold_share"] <= 100
 
 
-def test_a_warming_endpoint_is_judged_by_the_warm_ones_of_its_machine_type() -> None:
+def test_a_warming_endpoint_gets_the_capacity_of_warm_ones_of_its_machine_type() -> None:
     starts = {0: 95 * SECOND, 1: 95 * SECOND}
     slow, fast = (
         count_permits(relay_with_warming_endpoints(1, starts), number, 4000) for number in (SLOW, FAST)
@@ -64,7 +64,7 @@
     assert 0 < slow < fast * 9 / 21 * 1.3
 
 
-def test_a_machine_type_without_a_warm_endpoint_is_taken_for_the_slowest() -> None:
+def test_a_machine_type_without_a_warm_endpoint_counts_as_the_slowest() -> None:
     driver = relay_with_warming_endpoints(1, dict.fromkeys((0, 2, 4, 6), 95 * SECOND))
     for n in (3, 5, 7):
         driver.balancer.state.endpoints[n].machine_type = n  # 42 connections each at full load, but one
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -51,7 +51,7 @@
     assert len(set(first_endpoints)) > 1  # groups do not all begin at the same one
 
 
-def test_without_shared_work_a_group_says_nothing() -> None:
+def test_groups_are_ignored_where_they_are_disabled() -> None:
     grouped, ungrouped = BalancerDriver(6), BalancerDriver(6)
     assert [place_in_group(grouped, n % 2) for n in range(12)] == [
         place_in_group(ungrouped, 0) for _ in range(12)
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(("load", "zone"), [(0.3, 0), (0.75, 1)])
-def test_a_group_gets_an_endpoint_in_the_own_zone_only_where_its_cost_fits(load: float, zone: int) -> None:
+def test_a_group_gets_an_endpoint_in_the_relays_zone_only_where_its_cost_fits(load: float, zone: int) -> None:
     driver = relay_with_groups(**ZONES)
     driver.handle(ConnectionResumed(77, 0, 0, 5, 0, 0, 3))
     driver.loads = {n: (10.0, load if n % 2 == 0 else 0.3) for n in range(6)}
@@ -103,7 +103,7 @@
                 )
 
 
-def test_a_group_is_new_elsewhere_only_where_its_whole_cost_fits() -> None:
+def test_a_group_is_placed_on_a_further_endpoint_only_where_its_full_cost_fits() -> None:
     driver = relay_with_groups()
     order = [number_of(endpoint) for endpoint in driver.balancer.state.ready_endpoints.ranking(5)]
     driver.loads = {order[0]: (30.0, 0.85), order[1]: (30.0, 0.82), order[2]: (10.0, 0.7)}
@@ -116,7 +116,7 @@
     )  # where there is no such server, the first with room for the connection
 
 
-def test_groups_that_begin_at_one_endpoint_go_on_to_different_ones() -> None:
+def test_groups_with_the_same_first_endpoint_have_different_second_ones() -> None:
     """Their order was a crc, which is linear: from a full server all of its groups went to the same next."""
     order = relay_with_groups().balancer.state.ready_endpoints.ranking
     seconds_by_first: dict[object, set[object]] = {}
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("end", ["answer", "hold", "leave"])
-def test_a_walk_ends_with_its_arrival(end: str) -> None:
+def test_a_search_ends_with_its_request(end: str) -> None:
     driver = relay_with_groups()
     driver.silent_endpoints = set(range(6))
     driver.advance(2 * SECOND)
@@ -180,7 +180,7 @@
     assert len(driver.started_attempts) == (0 if end == "leave" else 3)
 
 
-def test_set_ups_that_come_together_are_spread_and_wait_a_little() -> None:
+def test_simultaneous_set_ups_are_spread_and_wait_briefly() -> None:
     """A relay's clients came back within half a second and were all set up at one server, in vain."""
     driver = relay_with_groups()
     driver.loads = dict.fromkeys(range(6), (10.0, 0.05))
@@ -195,7 +195,7 @@
     assert len(driver.started_attempts) == 32
 
 
-def test_a_search_goes_on_past_full_endpoints_and_rejects_where_all_are() -> None:
+def test_a_search_skips_full_endpoints_and_rejects_where_all_are_full() -> None:
     driver = relay_with_groups()
     for free in (*range(6), None):
         driver.advance(2 * SECOND)
@@ -229,7 +229,7 @@
     assert 5 in [started.endpoint_id for started in driver.started_attempts]
 
 
-def test_the_budget_of_a_warming_endpoint_is_judged_by_warm_ones() -> None:
+def test_the_budget_of_a_warming_endpoint_derives_from_warm_ones() -> None:
     """Its load is told over what it can do now: counted into the mean, it made its own budget smaller."""
     granted = []
     for report in ((1.0, 0.05), (4.0, 1.2)):
@@ -271,7 +271,7 @@
         assert driver.balancer.state.endpoints[first].load < 0.77
 
 
-def relay_with_crossing_connections(load: float, seed: int, **changes: object) -> BalancerDriver:
+def relay_with_cross_zone_connections(load: float, seed: int, **changes: object) -> BalancerDriver:
     """Ten connections that cross zones, and the servers of the own zone at this load."""
     driver = relay_with_groups(seed, **{**ZONES, **changes})
     driver.loads = dict.fromkeys(range(6), (10.0, load))
@@ -291,17 +291,17 @@
 
 
 @pytest.mark.parametrize(("load", "moved"), [(0.3, True), (0.79, False)])
-def test_crossing_connections_migrate_to_the_own_zone_one_by_one_within_capacity(
+def test_cross_zone_connections_migrate_to_the_relays_zone_one_by_one_within_capacity(
     load: float, moved: bool
 ) -> None:
     for seed in range(10):
-        found = migrations_by_second(relay_with_crossing_connections(load, seed), 4)
+        found = migrations_by_second(relay_with_cross_zone_connections(load, seed), 4)
         assert (max(found) == 1) if moved else not any(found)
 
 
-def test_nothing_migrates_where_crossing_is_free_or_the_own_zone_is_warming_up_or_unreported() -> None:
-    free = relay_with_crossing_connections(0.3, 1, cross_zone_cost=0.0)
-    warming_up = relay_with_crossing_connections(0.3, 1, starts=dict.fromkeys((0, 2, 4), 99 * SECOND))
+def test_nothing_migrates_where_crossing_is_free_or_the_relays_zone_is_warming_up_or_unreported() -> None:
+    free = relay_with_cross_zone_connections(0.3, 1, cross_zone_cost=0.0)
+    warming_up = relay_with_cross_zone_connections(0.3, 1, starts=dict.fromkeys((0, 2, 4), 99 * SECOND))
     unreported = relay_with_groups(**ZONES)
     unreported.silent_endpoints = set(range(6))
     for request_id in range(70, 80):
@@ -310,7 +310,7 @@
         assert not any(migrations_by_second(driver, 3))
 
 
-def test_connections_in_the_own_zone_do_not_migrate() -> None:
+def test_connections_in_the_relays_zone_do_not_migrate() -> None:
     driver = relay_with_groups(**ZONES)
     for request_id in range(70, 80):
         driver.handle(ConnectionResumed(request_id, 0, 0, 5, 0, 0, 2))
@@ -318,10 +318,10 @@
 
 
 @pytest.mark.parametrize("load", [0.45, 0.56, 0.6])
-def test_a_connection_migrated_to_the_own_zone_is_placed_there_when_it_returns(load: float) -> None:
+def test_a_connection_migrated_to_the_relays_zone_is_placed_there_when_it_returns(load: float) -> None:
     """Between the load for a new group and the limit it moved home, was sent back across, and moved again."""
     for seed in range(10):
-        driver = relay_with_crossing_connections(load, seed)
+        driver = relay_with_cross_zone_connections(load, seed)
         driver.loads |= {1: (30.0, 0.3), 3: (10.0, 0.3), 5: (10.0, 0.3)}  # where it stands there is room
         for _ in range(6):
             driver.advance(SECOND)
@@ -333,7 +333,7 @@
                 break
 
 
-def test_a_return_to_the_own_zone_without_a_group_pays_for_none() -> None:
+def test_a_return_to_the_relays_zone_without_a_group_adds_no_group_cost() -> None:
     driver = BalancerDriver(6, **ZONES)
     driver.loads = dict.fromkeys(range(6), (10.0, 0.62))
     for request_id in range(70, 80):
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -60,7 +60,7 @@
     assert max(1, balancer.packing.fill_size(endpoint)) == fill
 
 
-def test_unequal_servers_are_filled_to_equal_load() -> None:
+def test_unequal_endpoints_are_filled_to_equal_load() -> None:
     """Count 10 at a quarter of the mean load has room for far more than the mean count."""
     driver = BalancerDriver(2)
     balancer = driver.balancer
@@ -70,7 +70,7 @@
     assert balancer.packing.fill_size(balancer.state.endpoints[1]) == 0
 
 
-def test_no_load_near_zero_divides() -> None:
+def test_a_load_near_zero_is_not_a_divisor() -> None:
     driver = BalancerDriver(2)
     balancer = driver.balancer
     balancer.state.reports.record(balancer.state.endpoints[0], 1.0, 0.0)
@@ -106,7 +106,7 @@
     assert share[1, 2] > 0.45
 
 
-def test_the_own_zone_is_sampled_first_only_where_crossing_costs() -> None:
+def test_the_relays_zone_is_sampled_first_only_where_crossing_zones_costs() -> None:
     for cost, low, high in ((0.03, 0.9, 1.0), (0.0, 0.15, 0.4)):
         hits = 0
         for seed in range(100):
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize("load_report", [(math.nan, 0.5), (math.inf, 0.5), (3.0, math.nan), (3.0,), ()])
-def test_odd_reports_do_no_harm(load_report: tuple[float, ...]) -> None:
+def test_malformed_reports_are_ignored(load_report: tuple[float, ...]) -> None:
     driver = BalancerDriver(3)
     driver.handle(LoadProbeResult(0, AttemptStatus.OK, 1000, load_report))
     driver.handle(LoadProbeResult("nobody", AttemptStatus.OK, 1000, (1.0, 0.1)))
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("text", ["concurrent=1e300,x0=0.5", "concurrent=3,x0=-1e308", "concurrent=3,x0=nan"])
-def test_an_absurd_report_is_none_and_drowns_no_sum(text: str) -> None:
+def test_an_absurd_report_is_discarded(text: str) -> None:
     names = ["concurrent", "x0"]
     assert parse_load_report("concurrent=3,x0=0.5", names) == (3.0, 0.5)
     assert parse_load_report(text, names) == ()
--- a/tests/test_refresh.py
+++ b/tests/test_refresh.py
@@ -34,7 +34,7 @@
         driver.handle(ConnectionResumed(request_id, 0, 0, 0, 0, 0, number))
 
 
-def test_a_report_from_before_a_connection_resumed_is_forgotten() -> None:
+def test_a_report_from_before_a_connection_resumed_is_discarded() -> None:
     driver = BalancerDriver(1)
     assert driver.balancer.state.endpoints[0].has_report
     resume(driver, 0, 77)
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(("count", "recorded"), [(0.0, 4.0), (1.0, 4.0), (4.0, 4.0), (9.0, 9.0)])
-def test_a_report_that_counts_too_few_is_older_than_its_connections(count: float, recorded: float) -> None:
+def test_a_report_that_counts_too_few_connections_is_corrected(count: float, recorded: float) -> None:
     driver = BalancerDriver(1)
     resume(driver, 0, 71, 72, 73, 74)
     driver.balancer.state.endpoints[0].probed_us = driver.now
@@ -58,7 +58,7 @@
     )  # not only once a second
 
 
-def test_what_was_placed_since_a_report_is_put_on_top_of_it() -> None:
+def test_placements_since_a_report_are_added_to_it() -> None:
     """Reports are a second old when read: clients that came back together all went to one empty server."""
     driver = BalancerDriver(2, load_report_fields=["concurrent", "x0"])
     driver.loads = {0: (0.0, 0.0), 1: (0.0, 0.0)}
@@ -115,7 +115,7 @@
     assert migrated > 10
 
 
-def test_the_heaviest_that_fit_elsewhere_migrate_and_no_more_than_the_excess() -> None:
+def test_the_heaviest_connections_that_fit_elsewhere_migrate_up_to_the_excess() -> None:
     migrated: list[int] = []
     for seed in range(20):
         driver = BalancerDriver(4, seed=seed)
@@ -136,7 +136,7 @@
     assert migrated.count(78) == 20
 
 
-def test_a_request_attempted_at_every_endpoint_is_answered_at_once() -> None:
+def test_a_request_attempted_at_every_endpoint_is_rejected_at_once() -> None:
     driver = BalancerDriver(2, max_attempts=6)
     actions = driver.arrive()
     for _ in range(2):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -60,7 +60,7 @@
         AttemptStatus.RESET,
     ],
 )
-def test_repeatable_goes_elsewhere_after_any_failure(status: int) -> None:
+def test_a_repeatable_request_is_retried_elsewhere_after_any_failure(status: int) -> None:
     driver = BalancerDriver(4)
     driver.arrive()
     first = driver.started_attempts[-1]
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("status", MAY_HAVE_EXECUTED)
-def test_once_is_failed_after_an_attempt_that_may_have_run(status: int) -> None:
+def test_a_once_request_fails_after_an_attempt_that_may_have_executed(status: int) -> None:
     driver = BalancerDriver(4, classes=[ONCE])
     driver.arrive()
     actions = driver.end(driver.started_attempts[-1], status)
@@ -79,14 +79,14 @@
 
 
 @pytest.mark.parametrize("status", [AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED])
-def test_once_is_sent_again_after_an_attempt_that_never_ran(status: int) -> None:
+def test_a_once_request_is_retried_after_an_attempt_that_was_not_executed(status: int) -> None:
     driver = BalancerDriver(4, classes=[ONCE])
     driver.arrive()
     assert actions_of(driver.end(driver.started_attempts[-1], status), StartAttempt)
 
 
 @pytest.mark.parametrize("scope", ["zone", "cell"])
-def test_keyed_repeats_stay_in_their_group_and_window(scope: str) -> None:
+def test_by_key_retries_stay_in_their_scope_and_window(scope: str) -> None:
     groups = {n: n % 3 for n in range(12)}
     for seed in range(20):
         driver = BalancerDriver(12, seed=seed, classes=[by_key_class(scope)], places=groups, cells=groups)
@@ -99,7 +99,7 @@
         assert actions_of(driver.end(driver.started_attempts[-1], AttemptStatus.TIMEOUT), FailRequest)
 
 
-def test_keyed_by_all_goes_anywhere_within_its_window_and_may_be_refused() -> None:
+def test_by_key_retries_of_scope_all_go_anywhere_in_their_window_and_are_rejected_after_it() -> None:
     driver = BalancerDriver(4, classes=[by_key_class("all")])
     driver.arrive()
     assert actions_of(driver.end(driver.started_attempts[-1], AttemptStatus.TIMEOUT), StartAttempt)
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize(("after", "retried"), [(740_000, True), (760_000, False)])
-def test_a_keyed_repeat_that_could_arrive_after_its_window_is_not_sent(after: int, retried: bool) -> None:
+def test_a_by_key_retry_that_could_arrive_after_its_window_is_not_started(after: int, retried: bool) -> None:
     driver = BalancerDriver(
         4, classes=[by_key_class("all")]
     )  # remembered for a second; a connect may take a quarter of one
@@ -120,7 +120,7 @@
     )
 
 
-def test_moot_and_spent_budgets_end_the_request_at_once() -> None:
+def test_an_unstarted_attempt_or_a_spent_time_budget_ends_the_request_at_once() -> None:
     driver = BalancerDriver(4)
     driver.arrive()
     assert actions_of(driver.end(driver.started_attempts[-1], AttemptStatus.NOT_STARTED), RejectRequest)
@@ -132,20 +132,20 @@
     assert not actions_of(actions, StartAttempt)
 
 
-def test_attempts_are_counted() -> None:
+def test_attempts_are_limited() -> None:
     driver = BalancerDriver(30, max_attempts=2)
     driver.arrive()
     assert actions_of(driver.end(driver.started_attempts[-1], AttemptStatus.FULL), StartAttempt)
     assert actions_of(driver.end(driver.started_attempts[-1], AttemptStatus.FULL), RejectRequest)
 
 
-def test_the_last_attempt_lasts_until_the_client_gives_up() -> None:
+def test_the_last_attempt_lasts_until_the_deadline() -> None:
     driver = BalancerDriver(4, max_attempts=1)
     driver.arrive(time_budget_us=900_000)
     assert driver.started_attempts[-1].timeout_us == 900_000
 
 
-def test_a_set_up_is_given_more_time_after_time_outs_and_as_much_as_the_last_one_needed() -> None:
+def test_timeouts_grow_after_a_timeout_and_follow_the_duration_of_the_last_set_up() -> None:
     driver, timeouts = BalancerDriver(servers=12, max_attempts=6), []
     driver.balancer.throttle.recent_accepted = 10.0  # others stand: the throttle is not what is asked here
 
@@ -169,7 +169,7 @@
     assert timeouts == [1, 2, 2, 1, 4]
 
 
-def test_the_time_of_a_set_up_is_doubled_thrice_at_most() -> None:
+def test_the_timeout_of_a_set_up_doubles_three_times_at_most() -> None:
     driver = BalancerDriver(servers=16, max_attempts=6)
     driver.arrive(time_budget_us=100 * SECOND)
     for _ in range(4):
@@ -179,7 +179,7 @@
     assert started.timeout_us == 8 * driver.balancer.context.settings.classes[0].latency_objective_us
 
 
-def test_empty_fleet_and_unfit_fleet_answer_at_once() -> None:
+def test_requests_are_rejected_at_once_where_no_endpoint_is_ready() -> None:
     driver = BalancerDriver(0, load_probes_enabled=False)
     assert actions_of(driver.arrive(), RejectRequest)
     driver = BalancerDriver(1)
@@ -216,7 +216,7 @@
     assert [n.endpoint_id for n in driver.balancer.state.ready_endpoints.all] == [0]
 
 
-def test_the_list_is_asked_for_with_jitter_and_asked_again_later_after_each_failure() -> None:
+def test_the_list_is_polled_with_jitter_and_with_backoff_after_failures() -> None:
     first = {
         actions_of(BalancerDriver(2, seed=seed, polls_endpoint_list=True).all_actions, SetTimer)[1].after_us
         for seed in range(20)
@@ -236,7 +236,7 @@
     assert not actions_of(driver.handle(TimerExpired(2)), WatchEndpoints)  # subscribed: no call more
 
 
-def test_a_pushed_list_is_not_asked_for() -> None:
+def test_a_pushed_list_is_not_polled() -> None:
     driver = BalancerDriver(2)
     for _ in range(5):
         driver.advance(SECOND)
@@ -276,7 +276,7 @@
     return total
 
 
-def test_a_warming_endpoint_gets_what_its_budget_allows_whatever_the_rush() -> None:
+def test_a_warming_endpoint_stays_within_its_budget_at_any_arrival_rate() -> None:
     """It reads empty, and every gateway would fill it; clients cut off by a deploy pushed successors over."""
     budget = 5 * 3.0 * 0.4 * 2  # seconds, multiple, warmth reached, connections a second
     assert 0 < attempts_at_warming_endpoint(40, 2) < budget
@@ -303,7 +303,7 @@
     assert {s.endpoint_id for s in driver.started_attempts} == {0, 1}
 
 
-def test_a_fleet_that_is_warming_up_altogether_is_used() -> None:
+def test_a_fleet_that_is_entirely_warming_up_is_used() -> None:
     driver = BalancerDriver(3, starts=dict.fromkeys(range(3), 100 * SECOND - 1))
     assert actions_of(driver.arrive(), StartAttempt)
 
@@ -348,7 +348,7 @@
     assert driver.ejected_endpoints() == [first.endpoint_id]
 
 
-def test_a_probe_that_is_reset_migrates_nobody() -> None:
+def test_a_probe_that_is_reset_migrates_no_connection() -> None:
     """A connection was reset on its way: all that stood at that server was once moved for it."""
     driver = BalancerDriver(6)
     for _ in range(20):
@@ -361,7 +361,7 @@
     assert not driver.ejected_endpoints()
 
 
-def test_failures_everywhere_blame_no_more_than_a_third() -> None:
+def test_failures_everywhere_eject_no_more_than_a_third() -> None:
     driver = BalancerDriver(9)
     for number in range(9):
         driver.handle(LoadProbeResult(number, AttemptStatus.TIMEOUT, 500_000))
@@ -413,7 +413,7 @@
     assert 15 < started_count < max_started  # of 200; it was 141
 
 
-def test_the_throttle_lets_go_once_set_ups_stand() -> None:
+def test_the_throttle_ends_once_set_ups_succeed() -> None:
     rejected = 0
     for seed in range(20):
         driver = BalancerDriver(30, seed=seed)
@@ -427,14 +427,14 @@
     assert rejected < 20 * 20  # of 20 * 50: for less than 10 s on average
 
 
-def test_the_first_arrival_passes_though_its_client_comes_again() -> None:
+def test_the_first_arrival_is_admitted_even_as_a_retry() -> None:
     assert all(
         actions_of(BalancerDriver(4, seed=seed).arrive(flags=RequestFlag.CLIENT_RETRY), StartAttempt)
         for seed in range(30)
     )
 
 
-def test_a_rush_in_a_healthy_fleet_is_not_throttled() -> None:
+def test_a_surge_in_a_healthy_fleet_is_not_throttled() -> None:
     """Attempts that have no outcome yet once counted as failed."""
     driver = BalancerDriver(6)
     driver.loads = dict.fromkeys(range(6), (10.0, 0.2))  # what is placed in the rush still fits
@@ -515,7 +515,7 @@
     )
 
 
-def test_handed_over_connections_count_and_late_or_unknown_ids_do_not() -> None:
+def test_resumed_connections_count_and_outdated_or_unknown_ids_are_ignored() -> None:
     driver = BalancerDriver(2)
     driver.handle(ConnectionResumed(77, 0, 0, 0, 0, 0, 1))
     assert 77 in driver.balancer.state.endpoints[1].request_ids
@@ -533,7 +533,7 @@
         assert driver.handle(event) == []
 
 
-def test_same_events_same_actions() -> None:
+def test_equal_events_give_equal_actions() -> None:
     def run() -> list[Action]:
         driver = BalancerDriver(8, seed=5, relay_count=9)
         for _ in range(100):
@@ -550,7 +550,9 @@
 
 @profile(max_examples=150, deadline=None, derandomize=True)
 @given(EVENTS, st.sampled_from(["repeatable", "once", "all", "zone", "cell"]), st.booleans())
-def test_random_legal_days_break_no_rule(steps: list[tuple[int, int, int]], kind: str, probes: bool) -> None:
+def test_random_legal_events_break_no_rule(
+    steps: list[tuple[int, int, int]], kind: str, probes: bool
+) -> None:
     """One final answer in time, no double effect, nothing to draining servers, one attempt at a time."""
     request_class = {"repeatable": REPEATABLE, "once": ONCE}.get(kind) or by_key_class(kind)
     locations = {n: n % 2 for n in range(6)}
@@ -676,7 +678,7 @@
     )  # a fault of its own ends it, with no other server
 
 
-def test_ways_that_fail_are_no_sign_of_overload() -> None:
+def test_failed_addresses_are_no_sign_of_overload() -> None:
     driver = BalancerDriver(8, max_attempts=6)
     for _ in range(8):
         driver.arrive()
