--- a/gannetweir/placement/arrival_placement.py
+++ b/gannetweir/placement/arrival_placement.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint for an arrival without a group: the target of PACKING, or a sample's."""
+"""The choice of an endpoint for a request without a group: the target of PACKING, or a sampled endpoint."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ArrivalPlacement:
-    """Chooses by the state of others; it has none of its own."""
+    """Chooses endpoints by the state of other parts; has no state itself."""
 
     def __init__(
         self,
@@ -31,9 +31,10 @@
         self._packing = packing
 
     def choose(self, request_id: int, request: PendingRequest, now_us: int) -> Choice:
-        """Choose an endpoint, or defer the choice while a sample is out and the request may wait."""
+        """Return an endpoint or None, or a deferral while a sample is in flight and the request may wait."""
         if self._ready and all(endpoint in request.attempted_endpoints for endpoint in self._ready):
-            return None  # no draw could name one; waiting for it would probe the same ones over and over
+            # No draw can succeed, and waiting would probe the same endpoints repeatedly.
+            return None
         packing = self._packing
         target = packing.target
         is_stale = packing.is_stale(now_us)
@@ -59,11 +60,11 @@
     def _is_ineligible(
         self, target: EndpointState, request: PendingRequest, is_stale: bool, now_us: int
     ) -> bool:
-        """Whether the request may not go to the target."""
+        """Whether the request may not be placed on the target."""
         if target.ejected_until_us > now_us or target in request.attempted_endpoints:
             return True
         if target not in self._slow_start.warming_up:
             return False
-        # One heavy connection would spend the budget of an endpoint that is warming up.
+        # A single heavy connection would use up the budget of an endpoint that is warming up.
         is_heavy = request.load_hint > self._load_model.mean_load_hint
         return is_stale or is_heavy or self._packing.remaining_fill > 1
--- a/gannetweir/placement/balancer.py
+++ b/gannetweir/placement/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: composes the parts of placement and hands each event to the one that takes it."""
+"""The balancer: composes the parts of placement and passes each event to the part that handles it."""
 
 from __future__ import annotations
 
@@ -42,9 +42,9 @@
 
 
 class Balancer:
-    """One relay's decisions: pure, no clock, no input or output.
+    """Makes the placement decisions of one relay.
 
-    Equal seeds and events give equal actions.
+    Reads no clock and does no input or output: equal settings, seeds and events give equal actions.
     """
 
     def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
@@ -78,21 +78,21 @@
         self._first_actions = self._start()
 
     def _start(self) -> list[Action]:
-        """Set the first timers, at this relay's own phase; the first event returns them with its actions."""
+        """Set the first timers, at an offset of this relay; the first event returns them with its actions."""
         self.context.set_timer(TICK_TIMER, self.context.rng.randrange(TICK_INTERVAL_US) + 1)
         self.endpoint_polling.start()
         return self.context.actions
 
     def configure(self, settings: Settings) -> None:
-        """Decide by these settings from now on. What is known of endpoints and connections stays."""
+        """Apply new settings to all later decisions; the state of endpoints and connections is kept."""
         self.context.configure(settings)
 
     def expect_no_returns(self) -> None:
-        """Take the connections that return for those of other relays, which no report counts."""
+        """Treat returning connections as those of other relays, which no load report counts yet."""
         self.group_placement.expect_no_returns()
 
     def handle(self, event: Event, now_us: int) -> list[Action]:
-        """Take one event, return the actions in the order in which they are to be carried out."""
+        """Handle one event and return the actions, in the order in which they have to be carried out."""
         context = self.context
         context.actions = self._first_actions
         self._first_actions = []
@@ -115,7 +115,7 @@
                 self._lifecycle.resumed(event, now_us)
             case EndpointListUpdate():
                 self._updates.apply(event, now_us)
-            case _:  # a message of another relay: they share nothing here
+            case _:  # a message of another relay: balancers share no state
                 pass
         return context.actions
 
@@ -128,7 +128,7 @@
             self._retry(now_us)
 
     def _tick(self, now_us: int) -> None:
-        """Do the upkeep of every second."""
+        """Run the periodic maintenance, once per `TICK_INTERVAL_US`."""
         context, packing = self.context, self.packing
         context.set_timer(TICK_TIMER, TICK_INTERVAL_US)
         self.state.reports.expire(now_us)
@@ -139,11 +139,11 @@
         if packing.target is None or (self.slow_start.permits and not context.settings.groups_enabled):
             packing.start_sample(now_us)
         self._probing.probe_stale_endpoints(now_us)
-        if context.prefers_own_zone:  # where crossings are free, nobody's connections are walked through
+        if context.prefers_own_zone:  # free crossings need no pass over all connections
             self._rebalancing.return_to_own_zone(now_us)
 
     def _retry(self, now_us: int) -> None:
-        """Go on with the requests whose wait for a report or whose backoff is over."""
+        """Resume the requests whose wait for a load report or whose backoff has ended."""
         self._probing.probe_stale_endpoints(now_us)
         waiting = self.packing.take_waiting_requests()
         waiting += self.group_placement.overdue_requests(now_us)
--- a/gannetweir/placement/group_placement.py
+++ b/gannetweir/placement/group_placement.py
@@ -1,7 +1,8 @@
-"""The candidate search for an arrival of a group.
+"""The candidate search for a request of a group.
 
-Connections of one group share work: each endpoint that holds any of a group pays for the group once. So a
-group belongs to the first few endpoints of its ranking, the same at every relay, and goes on from there.
+The connections of a group share work: each endpoint that holds any of them pays the group's cost once. A
+group therefore belongs to the first few endpoints of its ranking, which is the same at every relay. Where
+those have no capacity, the search continues down the ranking.
 """
 
 from __future__ import annotations
@@ -15,31 +16,33 @@
 from gannetweir.placement.pending_request import PendingRequest
 from gannetweir.placement.slow_start import SlowStart
 
-GROUP_ENDPOINTS = 2  # that a group belongs to: one takes it, the second what the first has no capacity for
-MAX_CANDIDATES = 8  # examined for one arrival; a group's ranking is fixed, so none is examined twice
-OWN_ZONE_LOAD_LIMIT = 0.7  # up to which a group gets an endpoint in the own zone beside those it belongs to
-MAX_SETUPS_PER_ENDPOINT = 5  # under way at one endpoint from this relay
-MAX_SETUPS_PER_ENDPOINT_AFTER_WAIT = 10  # for a request that has waited as long as it may
-# Reports of the first candidates have to be this recent: they are those that many arrivals of a group go to.
+# Endpoints that a group belongs to: the second takes what the first has no capacity for.
+GROUP_ENDPOINTS = 2
+# Candidates examined for one request. A group's ranking is fixed, so none is examined twice.
+MAX_CANDIDATES = 8
+# Up to this load, a group is placed on an endpoint of this relay's zone in addition to those it belongs to.
+OWN_ZONE_LOAD_LIMIT = 0.7
+MAX_SETUPS_PER_ENDPOINT = 5  # set-ups in flight from this relay
+MAX_SETUPS_PER_ENDPOINT_AFTER_WAIT = 10  # for a request whose wait has expired
+# The first candidates need a more recent report: most requests of a group are placed there.
 FIRST_REPORT_FRESHNESS_US = REPORT_FRESHNESS_US // 10
 FIRST_CANDIDATES = 4
-RETURN_PERIOD_US = (
-    5 * REPORT_FRESHNESS_US
-)  # after the start, in which returned connections are counted elsewhere
+# After a relay starts, load reports still count returning connections at their previous endpoint for so long.
+RETURN_PERIOD_US = 5 * REPORT_FRESHNESS_US
 
 
 class CandidateSearch:
-    """The candidates for one arrival of a group so far, in their order."""
+    """The state of the candidate search for one request of a group."""
 
     def __init__(self, attempted: list[EndpointState]) -> None:
-        self.examined = list(attempted)  # in this search, or attempted before
-        self.awaited_endpoint: EndpointState | None = None  # its probe is out
-        self.reported_endpoint: EndpointState | None = None  # its probe has been answered
-        # The first of those that would do, though one more group is much for them.
+        self.examined = list(attempted)  # in order; includes endpoints attempted before
+        self.awaited_endpoint: EndpointState | None = None  # its load probe is in flight
+        self.reported_endpoint: EndpointState | None = None  # its load probe has been answered
+        # The first candidate with capacity for the connection but not for the cost of one more group.
         self.fallback: EndpointState | None = None
 
     def probe_answered(self, endpoint: EndpointState, accepts_attempts: bool) -> None:
-        """Go on from the endpoint whose probe has been answered, or past it."""
+        """Continue with the endpoint whose load probe has ended, or past it if it accepts no attempts."""
         self.awaited_endpoint = None
         if accepts_attempts:
             self.reported_endpoint = endpoint
@@ -47,7 +50,7 @@
 
 
 class _CandidateOrder:
-    """The order in which the endpoints come into question for a group, at one moment."""
+    """The order in which endpoints are considered for a group, at one moment."""
 
     def __init__(
         self,
@@ -57,15 +60,15 @@
         first_ranked: list[EndpointState],
         sequence: Iterator[EndpointState],
     ) -> None:
-        self.permitted = permitted  # may be used though they are warming up
-        self.in_own_zone = in_own_zone  # the first of the own zone in the group's ranking, or none
-        self.holders = holders  # how many of the group are at each of its endpoints
-        self.first_ranked = first_ranked  # those that the group belongs to
+        self.permitted = permitted  # eligible although they are warming up
+        self.in_own_zone = in_own_zone  # the first of this relay's zone in the ranking, or none
+        self.holders = holders  # the number of the group's requests by endpoint
+        self.first_ranked = first_ranked  # the endpoints that the group belongs to
         self.sequence = sequence
 
 
 class GroupPlacement:
-    """The searches of the requests that are waiting for a candidate's report. Owns them, by request id."""
+    """Places the requests of groups. Owns the searches that await a load report, by request id."""
 
     def __init__(
         self,
@@ -86,11 +89,14 @@
         self.searches: dict[int, CandidateSearch] = {}
 
     def expect_no_returns(self) -> None:
-        """Take returned connections for those of other relays, which no report need count any more."""
+        """Treat returning connections as those of other relays: no load report counts them yet."""
         self._relay_started_us = 0
 
     def choose(self, request_id: int, request: PendingRequest, now_us: int) -> Choice:
-        """Go on with the search of a request: an endpoint, none, or a deferral for a candidate's report."""
+        """Continue the search for a request.
+
+        Returns an endpoint, None if there is none, or a deferral while a candidate's load report is awaited.
+        """
         search = self.searches.setdefault(request_id, CandidateSearch(request.attempted_endpoints))
         order = self._candidate_order(search, request.group)
         has_wait_expired = request.has_wait_expired(now_us)
@@ -106,7 +112,7 @@
             elif not self._load_limit.is_exceeded(endpoint, request):
                 if self._is_within_limit(endpoint, request, order):
                     return endpoint
-                # Never the extra endpoint in the own zone: it would be one more to pay for.
+                # The extra endpoint in this relay's zone is no fallback: it would add the group's cost again.
                 if endpoint in order.first_ranked or endpoint not in order.in_own_zone:
                     search.fallback = search.fallback or endpoint
         if reached_setup_limit and not has_wait_expired and search.fallback is None:
@@ -116,7 +122,7 @@
         return search.fallback if search.fallback and search.fallback.is_ready else None
 
     def _candidate_order(self, search: CandidateSearch, group: int) -> _CandidateOrder:
-        """Order the endpoints: permits, holders, the own zone, those the group belongs to, the rest."""
+        """Order the endpoints: permits, holders, this relay's zone, the group's own, its further ranking."""
         ready, warming_up = self._ready_endpoints, self._slow_start.warming_up
         own_zone, prefers_own_zone = self._context.settings.zone, self._context.prefers_own_zone
         holders = self._requests.group_endpoints(group)
@@ -141,7 +147,7 @@
     def _eligible(
         self, order: _CandidateOrder, search: CandidateSearch, now_us: int
     ) -> Iterator[EndpointState]:
-        """Yield those that may be sent to and have not been examined by the time they come up."""
+        """Yield endpoints in order that accept attempts and have not been examined at their turn."""
         warming_up, all_are_warming_up = self._slow_start.warming_up, self._slow_start.all_are_warming_up
         for endpoint in order.sequence:
             if endpoint in search.examined or not endpoint.accepts_attempts(now_us):
@@ -152,7 +158,7 @@
     def _examine(
         self, endpoint: EndpointState, request: PendingRequest, search: CandidateSearch, now_us: int
     ) -> None:
-        """Enter a candidate as examined, and use a permit where it takes one."""
+        """Record a candidate as examined, and use a permit if the candidate needs one."""
         search.examined.append(endpoint)
         is_warming_up = endpoint in self._slow_start.warming_up
         has_just_started = now_us - self._relay_started_us < RETURN_PERIOD_US
@@ -178,7 +184,7 @@
     def _await_report(
         self, endpoint: EndpointState, request: PendingRequest, search: CandidateSearch, now_us: int
     ) -> None:
-        """Hold the request until the candidate's report comes; one probe serves all that wait for it."""
+        """Hold the request for the candidate's load report; all requests that wait for it share one probe."""
         self._context.start_report_wait(request, now_us)
         if all(other.awaited_endpoint is not endpoint for other in self.searches.values()):
             self._probe(endpoint, now_us)
@@ -194,18 +200,18 @@
     def _is_within_limit(
         self, endpoint: EndpointState, request: PendingRequest, order: _CandidateOrder
     ) -> bool:
-        """Whether the group is paid for there already, or its cost stays within the limit."""
+        """Whether the endpoint pays the group's cost already, or stays within its limit with that cost."""
         if endpoint in order.holders or endpoint in self._slow_start.warming_up:
             return True
         limit = OWN_ZONE_LOAD_LIMIT if endpoint in order.in_own_zone else self._load_limit.value
         return self._load_limit.load_with(endpoint, request) < limit
 
     def end_search(self, request_id: int) -> None:
-        """Forget the search of a request that is placed, finished or gone."""
+        """Discard the search of a request that was placed, finished or abandoned."""
         self.searches.pop(request_id, None)
 
     def probe_answered(self, endpoint: EndpointState, accepts_attempts: bool) -> Iterator[int]:
-        """Yield the requests that waited for an endpoint's report, each when its search can go on."""
+        """Yield the requests that waited for an endpoint's report, each when its search can continue."""
         waiting = [
             waiting_id for waiting_id, search in self.searches.items() if search.awaited_endpoint is endpoint
         ]
@@ -214,7 +220,7 @@
             yield request_id
 
     def overdue_requests(self, now_us: int) -> list[int]:
-        """Return the requests whose search has waited as long as it may."""
+        """Return the requests whose search has reached its wait deadline."""
         return [
             waiting_id
             for waiting_id in self.searches
--- a/gannetweir/placement/packing.py
+++ b/gannetweir/placement/packing.py
@@ -1,9 +1,9 @@
 """PACKING, from "The Power of Filling in Balanced Allocations" (Los, Sauerwald, Sylvester), section 3.2.
 
 Each round samples a uniform bin i. With x_i its load and W/n the mean load, it places one ball where
-x_i >= W/n, and else fills the bin to ceil(W/n) + 1. Here a bin is an endpoint, and its load the open
-connections that it reports. The sample is taken ahead of the arrivals: its answer names the target, and
-the fill is the number of arrivals that go there.
+x_i >= W/n, and otherwise fills the bin to ceil(W/n) + 1. Here a bin is an endpoint, and its load is the
+number of open connections that the endpoint reports. The sample is taken ahead of the arrivals: its answer
+determines the target, and the fill is the number of arrivals that are placed there.
 """
 
 from __future__ import annotations
@@ -15,26 +15,30 @@
 from gannetweir.placement.endpoint_state import EndpointState
 from gannetweir.placement.slow_start import SlowStart
 
-MAX_DRAW_TRIES = 12  # random numbers for one uniform draw, where most may not be sent to
-MAX_SAMPLES_PER_ROUND = 3  # reports read, at most, before an above-average endpoint is taken all the same
-MIN_SHARE_OF_MEAN_LOAD = 0.05  # of the mean load, above which a load tells an endpoint's capacity
+# Random numbers per uniform draw. A draw fails when all of them select endpoints that are not eligible.
+MAX_DRAW_TRIES = 12
+# Load reports read in one round before an above-average endpoint becomes the target.
+MAX_SAMPLES_PER_ROUND = 3
+# An endpoint's load indicates its capacity only above this share of the mean load.
+MIN_SHARE_OF_MEAN_LOAD = 0.05
 
 
 class UniformDraw:
-    """Draws one endpoint uniformly. Owns who answered a sample last."""
+    """Draws one endpoint uniformly. Owns the endpoint that answered a sample last."""
 
     def __init__(self, context: PlacementContext, state: FleetState, slow_start: SlowStart) -> None:
         self._context = context
         self._ready = state.ready_endpoints.all
         self._slow_start = slow_start
-        self.last_reporter: list[EndpointState] = []  # none or one
+        self.last_reporter: list[EndpointState] = []  # at most one endpoint
 
     def draw(
         self, candidates: list[EndpointState], excluded: Container[EndpointState], now_us: int
     ) -> EndpointState | None:
-        """Draw from those candidates that may be sent to, or none where no draw finds one.
+        """Return a random eligible candidate, or None if no try selects one.
 
-        Endpoints that are warming up are left to their permits, unless all are warming up.
+        Endpoints that are ejected or excluded are not eligible. Endpoints that are warming up are placed on
+        by permits only, unless all are warming up.
         """
         if not candidates:
             return None
@@ -51,29 +55,32 @@
         return None
 
     def draw_without_sample(self, excluded: Container[EndpointState], now_us: int) -> EndpointState | None:
-        """Draw where no sample came in time: of all, one may be hung; the last reporter is not."""
+        """Draw an endpoint when no sample was answered in time.
+
+        The last reporter is preferred: any other endpoint may be hung.
+        """
         endpoint = self.draw(self.last_reporter, excluded, now_us)
         return endpoint or self.draw(self._ready, excluded, now_us)
 
     def set_last_reporter(self, endpoint: EndpointState) -> None:
-        """Remember who answered a sample last."""
+        """Record the endpoint that answered a sample last."""
         self.last_reporter = [endpoint]
 
     def forget_last_reporter(self) -> None:
-        """Forget who answered a sample last."""
+        """Discard the last reporter."""
         self.last_reporter = []
 
     def record_placement(self, endpoint: EndpointState | None) -> None:
-        """Forget the last reporter once something has been placed there: its report is used up."""
+        """Discard the last reporter once a request was placed there: its report is used up."""
         if endpoint in self.last_reporter:
             self.last_reporter = []
 
 
 class Packing:
-    """The sample under way, the target that the last one named, and what is left of its fill.
+    """The sample in flight, the target that the last sample determined, and the rest of its fill.
 
-    Owns these and the requests that wait for a sample. `probe` asks an endpoint for its load; `resume`
-    goes on with a request that has waited.
+    Owns these and the requests that wait for a sample. `probe` sends a load probe to an endpoint; `resume`
+    continues a request that has waited.
     """
 
     def __init__(
@@ -95,14 +102,17 @@
         self._resume = resume
         self.target: EndpointState | None = None
         self.remaining_fill = 0
-        self.sampled_us = 0  # when the target was named
-        self._sampled_endpoint: EndpointState | None = None  # the one sampled, while its probe is out
-        self._sample_count = 0  # of the round under way
-        self._fallback: EndpointState | None = None  # the lowest of this round's above-average ones
+        self.sampled_us = 0  # time of the sample that determined the target
+        self._sampled_endpoint: EndpointState | None = None  # None while no sample is in flight
+        self._sample_count = 0  # in the current round
+        self._fallback: EndpointState | None = None  # the least loaded above-average endpoint of this round
         self._waiting_request_ids: list[int] = []
 
     def start_sample(self, now_us: int) -> None:
-        """Begin a sample, unless one is under way: by a permit, in the own zone, or anywhere."""
+        """Start a sample, unless one is in flight.
+
+        The endpoint comes from a permit, or else is drawn from this relay's zone, or else from all zones.
+        """
         if self._sampled_endpoint is not None:
             return
         context, ready, draw = self._context, self._ready_endpoints, self._uniform_draw.draw
@@ -110,7 +120,8 @@
         if context.prefers_own_zone and self._sample_count < MAX_SAMPLES_PER_ROUND - 1:
             own_zone = ready.in_zone(context.settings.zone)
         endpoint = None
-        # A permit is for an arrival: where all have groups, a sample ahead for none would use it up.
+        # A permit is meant for one arrival. Where arrivals have groups, a sample that is taken ahead of the
+        # arrivals would use up the permit and place nothing.
         if self._slow_start.permits and (self._waiting_request_ids or not context.settings.groups_enabled):
             endpoint = self._slow_start.use_permit()
         endpoint = endpoint or draw(own_zone, (), now_us) or draw(ready.all, (), now_us)
@@ -133,15 +144,17 @@
             return 0
         is_unreported = self._context.probes_load and not endpoint.has_report
         if endpoint in self._slow_start.warming_up or is_unreported:
-            return 1  # all relays' fills would overload a warming one, and one without a report may be full
-        # About relays/endpoints of all relays fill the same endpoint: take this one's share of the fill.
+            # The fills of all relays together would overload an endpoint that is warming up, and an endpoint
+            # without a report may be full.
+            return 1
+        # On average relays/endpoints relays fill the same endpoint. Return this relay's share of the fill.
         relays_per_endpoint = self._context.settings.relay_count / max(1, len(self._ready_endpoints.all))
         fill = math.ceil(mean) + 1 - endpoint.connections
-        rounding = self._context.rng.random()  # drawn in any case, so that equal seeds decide alike
+        rounding = self._context.rng.random()  # drawn even if unused, to keep the order of random draws
         return max(1, int(fill / relays_per_endpoint + rounding if relays_per_endpoint > 1.0 else fill))
 
     def _mean_connections_for(self, endpoint: EndpointState) -> float:
-        """Return W/n, or where endpoints are unequal the count that loads this one as the mean one."""
+        """Return W/n, or with unequal capacities the connections that bring an endpoint to the mean load."""
         mean_load = self._reports.mean_load
         shows_capacity = endpoint.connections > 0.0 and endpoint.load > MIN_SHARE_OF_MEAN_LOAD * mean_load
         if self._context.reports_load and shows_capacity:
@@ -151,7 +164,7 @@
         return len(self._requests) / max(1, len(self._ready_endpoints.all))
 
     def complete_sample(self, endpoint: EndpointState, now_us: int) -> None:
-        """Take the sampled endpoint for the target, or sample another if this one is not below the mean."""
+        """Make the sampled endpoint the target, or sample another if this one is not below the mean."""
         fill = self.fill_size(endpoint)
         if not fill and self._compares_samples():
             compared = (self._fallback or endpoint, endpoint)
@@ -169,35 +182,36 @@
             self._resume(self._waiting_request_ids.pop(0), now_us)
 
     def _compares_samples(self) -> bool:
-        """Whether the paper's single ball on an above-average bin is bettered by more samples.
+        """Whether more samples are better than the single ball that the paper places on an above-average bin.
 
-        It is where other relays place too, or where loads differ for reasons that a count does not show.
+        They are where other relays place connections too, or where loads differ for reasons that connection
+        counts do not show.
         """
         has_loads = self._context.reports_load and len(self._reports.endpoints) > 1
         return self._context.settings.relay_count > 1 or has_loads
 
     def is_stale(self, now_us: int) -> bool:
-        """Whether there is no target, or its report no longer decides."""
+        """Whether there is no target or its load report is too old to decide by."""
         return self.target is None or now_us - self.sampled_us > REPORT_FRESHNESS_US
 
     def use_fill(self, endpoint: EndpointState | None) -> None:
-        """Count one arrival of the fill; the target ends with its last one."""
+        """Count one arrival against the fill; the last one clears the target."""
         self.target = endpoint if self.remaining_fill > 1 else None
         self.remaining_fill -= 1
 
     def end_fill(self, endpoint: EndpointState) -> None:
-        """Place nothing more at an endpoint before it has been drawn again."""
+        """Place nothing more on an endpoint until it is sampled again."""
         if self.target is endpoint:
             self.target = None
         if self._fallback is endpoint:
             self._fallback = None
 
     def clear_target(self) -> None:
-        """Give the target up."""
+        """Discard the target."""
         self.target = None
 
     def await_sample(self, request_id: int, stale: EndpointState | None, now_us: int) -> None:
-        """Let a request wait for a sample: of the target whose report is stale, or of a new draw."""
+        """Make a request wait for a sample: of the target whose report is stale, or of a new draw."""
         self._waiting_request_ids.append(request_id)
         if stale is not None and self._sampled_endpoint is None:
             self.target = None
@@ -206,18 +220,18 @@
             self.start_sample(now_us)
 
     def take_waiting_requests(self) -> list[int]:
-        """Return the requests that wait for a sample, which do so no longer."""
+        """Return the requests that wait for a sample and remove them from the queue."""
         waiting, self._waiting_request_ids = self._waiting_request_ids, []
         return waiting
 
     def probe_answered(self, endpoint: EndpointState) -> bool:
-        """Note an answer to a probe, and say whether it is that of the sample."""
+        """Handle the end of a load probe; return whether the probe was the sample in flight."""
         if endpoint is not self._sampled_endpoint:
             return False
         self._sampled_endpoint = None
         return True
 
     def sample_failed(self, now_us: int) -> None:
-        """Sample again, where it is needed: the sampled endpoint can't be sent to."""
+        """Start another sample if one is needed: the sampled endpoint accepts no attempts."""
         if self._waiting_request_ids or self.target is None:
             self.start_sample(now_us)
