--- a/gannetweir/placement/load_probing.py
+++ b/gannetweir/placement/load_probing.py
@@ -1,4 +1,4 @@
-"""Load probes: health checks that read an endpoint's load, ahead of need and where messages are late."""
+"""Load probes: health checks that read an endpoint's load, regularly and where messages are delayed."""
 
 from __future__ import annotations
 
@@ -10,23 +10,26 @@
 from gannetweir.placement.endpoint_state import EndpointState
 from gannetweir.placement.events import ConnectionMetric, MetricKind
 
-# How old a probe of an endpoint that holds own connections may be, in `REPORT_FRESHNESS_US`.
+# Maximum age of the last probe of an endpoint with connections of this relay, in `REPORT_FRESHNESS_US`.
 MAX_PROBE_AGE_WITHOUT_REPORT = 1
 MAX_PROBE_AGE_AT_HIGH_LOAD = 2
 MAX_PROBE_AGE_AT_LOW_LOAD = 5
-HIGH_LOAD_SHARE = 0.7  # of the load limit, from which an endpoint is probed more often
-RELAYS_PER_PROBE = 4  # relays that hold connections at an endpoint share its probes: each probes less often
-MAX_PROBE_INTERVAL_FACTOR = 4  # times less often, at most: an overload has to be seen in a few seconds
-DEFAULT_MESSAGE_LATENCY_OBJECTIVE_US = 1e5  # for a message, where no class of messages states one
-DELAYED_MESSAGE_MAX_REPORT_AGE_US = (
-    4 * REPORT_FRESHNESS_US
-)  # age up to which a report makes a late message count
-DELAYED_MESSAGE_PROBE_INTERVAL_US = 2 * REPORT_FRESHNESS_US  # between two probes that late messages lead to
+# Endpoints above this share of the load limit are probed more often.
+HIGH_LOAD_SHARE = 0.7
+# The relays with connections at an endpoint share the probing: each of them probes less often.
+RELAYS_PER_PROBE = 4
+# Sharing extends the interval by no more than this: an overload has to be detected within a few seconds.
+MAX_PROBE_INTERVAL_FACTOR = 4
+DEFAULT_MESSAGE_LATENCY_OBJECTIVE_US = 1e5  # used if no class of messages states one
+# A delayed message counts only if the load report of its endpoint is at most this old.
+DELAYED_MESSAGE_MAX_REPORT_AGE_US = 4 * REPORT_FRESHNESS_US
+# Minimum interval between two probes caused by delayed messages.
+DELAYED_MESSAGE_PROBE_INTERVAL_US = 2 * REPORT_FRESHNESS_US
 MICROSECONDS_PER_MILLISECOND = 1000
 
 
 class LoadProbing:
-    """Sends load probes. The only writer of `probed_us` but for reports that are known to be old."""
+    """Sends load probes. The only writer of `probed_us`, except where a report is known to be outdated."""
 
     def __init__(self, context: PlacementContext, state: FleetState, load_limit: LoadLimit) -> None:
         self._context = context
@@ -34,14 +37,15 @@
         self._load_limit = load_limit
 
     def probe(self, endpoint: EndpointState, now_us: int) -> None:
-        """Probe one endpoint."""
+        """Send a load probe to an endpoint."""
         endpoint.probed_us = now_us
         self._context.actions.append(ProbeLoad(endpoint.endpoint_id))
 
     def probe_stale_endpoints(self, now_us: int) -> None:
-        """Probe the endpoints of own connections whose last probe is old.
+        """Probe the endpoints with connections of this relay whose last probe is too old.
 
-        What resumed at an endpoint, or came while its reports were old, may overload it unseen.
+        Connections that resumed at an endpoint, or were placed while its reports were old, may overload it
+        undetected.
         """
         if not self._context.probes_load:
             return
@@ -65,7 +69,7 @@
 
 
 class ConnectionMetrics:
-    """Takes in the measurements. It has no state of its own."""
+    """Handles the measurements of open connections; has no state itself."""
 
     def __init__(
         self, context: PlacementContext, state: FleetState, load_limit: LoadLimit, probing: LoadProbing
@@ -76,7 +80,7 @@
         self._probing = probing
 
     def connection_measured(self, event: ConnectionMetric, now_us: int) -> None:
-        """Take in the load of an open connection, or how long a message takes at its endpoint."""
+        """Handle the load of an open connection, or the delay of a message at its endpoint."""
         endpoint = self._state.endpoints.get(event.endpoint_id)
         request = self._state.requests.get(event.request_id)
         if endpoint is None or request is None or not math.isfinite(event.value):
--- a/gannetweir/placement/load_reports.py
+++ b/gannetweir/placement/load_reports.py
@@ -6,14 +6,14 @@
 
 from gannetweir.placement.endpoint_state import EndpointState
 
-REPORT_RETENTION_US = 20_000_000  # reports older than this no longer describe the fleet
+REPORT_RETENTION_US = 20_000_000  # older reports no longer describe the fleet
 
 
 class LoadReportTable:
-    """The endpoints with a report, oldest first; the sums are kept up by increments.
+    """The endpoints with a load report, oldest first, with sums that are updated incrementally.
 
     Owns the sums, and `has_report`, `connections` and `load` of the endpoints. In the terms of the paper's
-    section 3.2 `total_connections` is W, and `mean_connections` is W/n.
+    section 3.2, `total_connections` is W and `mean_connections` is W/n.
     """
 
     def __init__(self) -> None:
@@ -23,21 +23,22 @@
 
     @property
     def mean_connections(self) -> float:
-        """The mean number of connections of an endpoint."""
+        """The mean number of connections per endpoint."""
         return self.total_connections / len(self.endpoints) if self.endpoints else 0.0
 
     @property
     def mean_load(self) -> float:
-        """The mean load over capacity."""
+        """The mean load, as a share of capacity."""
         return self.total_load / len(self.endpoints) if self.endpoints else 0.0
 
     def connections_at_full_load(
         self, excluded: Container[EndpointState], min_load: float
     ) -> dict[int, float]:
-        """Return the connections that load an endpoint of each machine type fully.
+        """Return the number of connections that fully load an endpoint, by machine type.
 
-        By the reports of those not excluded, or of all where these are all. A type's mean load counts as
-        `min_load` or more: near zero it says nothing of the capacity.
+        Only the reports of endpoints that are not excluded count, or all reports if every endpoint is
+        excluded. The mean load of a type counts as at least `min_load`: a load near zero does not indicate
+        the capacity.
         """
         by_type: dict[int, list[EndpointState]] = {}
         reporting = [endpoint for endpoint in self.endpoints if endpoint not in excluded]
@@ -51,7 +52,7 @@
         return capacities
 
     def record(self, endpoint: EndpointState, connections: float, load: float) -> None:
-        """Put new figures in; the entry becomes the newest."""
+        """Record new figures of an endpoint; its entry becomes the newest."""
         self.discard(endpoint)
         self.endpoints[endpoint] = None
         endpoint.has_report = True
@@ -61,18 +62,18 @@
         self.total_load += load
 
     def discard(self, endpoint: EndpointState) -> None:
-        """Forget one endpoint's figures."""
+        """Discard an endpoint's figures."""
         if endpoint in self.endpoints:
             del self.endpoints[endpoint]
             self.total_connections -= endpoint.connections
             self.total_load -= endpoint.load
-        if not self.endpoints:  # rounding must not outlive the entries
+        if not self.endpoints:  # rounding errors must not remain in the sums
             self.total_connections = 0.0
             self.total_load = 0.0
         endpoint.has_report = False
 
     def expire(self, now_us: int) -> None:
-        """Forget the oldest entry if its report is older than `REPORT_RETENTION_US`."""
+        """Discard the oldest entry if its report is older than `REPORT_RETENTION_US`."""
         endpoint = next(iter(self.endpoints), None)
         if endpoint is not None and endpoint.reported_us < now_us - REPORT_RETENTION_US:
             self.discard(endpoint)
--- a/gannetweir/placement/outlier_ejection.py
+++ b/gannetweir/placement/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: endpoints that time out or can't be reached get no requests for a while."""
+"""Outlier ejection: endpoints that time out or cannot be reached get no requests for a limited time."""
 
 from __future__ import annotations
 
@@ -7,16 +7,18 @@
 from gannetweir.placement.context import FleetState, PlacementContext
 from gannetweir.placement.endpoint_state import EndpointState
 
-MAX_EJECTED_DIVISOR = 3  # at most a third is ejected: many at once have a shared cause (store, overload)
-BASE_EJECTION_US = 500_000  # doubled with each ejection in a row
-MAX_EJECTION_DOUBLINGS = 5  # 16 s: an endpoint that has recovered is not left idle for longer
-EJECTION_JITTER = 0.75, 1.25  # of the ejection's time, so that the relays do not return all at once
+# At most a third of the endpoints is ejected: many failures at once have a shared cause (store, overload).
+MAX_EJECTED_DIVISOR = 3
+BASE_EJECTION_US = 500_000  # doubled with each consecutive ejection
+MAX_EJECTION_DOUBLINGS = 5  # 16 s; longer ejections would leave recovered endpoints idle
+# Range of the factor on an ejection's duration. It spreads the relays' first requests after an ejection.
+EJECTION_JITTER = 0.75, 1.25
 
 
 class OutlierEjection:
-    """Ejects endpoints by the evidence of time-outs: a hung endpoint's load report looks ordinary.
+    """Ejects endpoints that time out: the load report of a hung endpoint looks ordinary.
 
-    The only writer of `ejected_until_us` and `ejection_count`, but for the restart of an endpoint.
+    The only writer of `ejected_until_us` and `ejection_count`, except for the restart of an endpoint.
     """
 
     def __init__(
@@ -30,7 +32,7 @@
         self._on_ejected = on_ejected
 
     def eject(self, endpoint: EndpointState, now_us: int) -> bool:
-        """Eject an endpoint with growing backoff, and say whether it is ejected now."""
+        """Eject an endpoint with exponential backoff; return whether it is ejected now."""
         if not endpoint.is_ready or endpoint.ejected_until_us > now_us:
             return endpoint.ejected_until_us > now_us
         ejected = sum(other.ejected_until_us > now_us for other in self._ready)
@@ -46,5 +48,5 @@
         return True
 
     def succeeded(self, endpoint: EndpointState) -> None:
-        """Begin a new row of ejections: a connection has been established there."""
+        """Reset the consecutive ejections of an endpoint: a connection has been established there."""
         endpoint.ejection_count = 0
--- a/gannetweir/placement/probe_results.py
+++ b/gannetweir/placement/probe_results.py
@@ -1,4 +1,4 @@
-"""The answers to load probes, and what follows from them."""
+"""The results of load probes, and the decisions that they lead to."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ProbeResults:
-    """Takes in the reports. The only writer of `reported_us` but for an endpoint's restart."""
+    """Handles load reports. The only writer of `reported_us`, except for the restart of an endpoint."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self._dispatch = dispatch
 
     def probe_ended(self, event: LoadProbeResult, now_us: int) -> None:
-        """Take in a report, or eject an endpoint that does not answer; go on with all that waited for it."""
+        """Record a report or eject an unreachable endpoint, then resume the requests that waited for it."""
         endpoint = self._endpoints.get(event.endpoint_id)
         if endpoint is None:
             return
@@ -59,7 +59,7 @@
             self._migrate_all(endpoint)
         accepts_attempts = endpoint.accepts_attempts(now_us)
         if is_sample and accepts_attempts:
-            # An answer without a report counts as a sample, or a round would never end.
+            # An answer without a report completes the sample as well; otherwise a round would never end.
             self._packing.complete_sample(endpoint, now_us)
         elif is_sample:
             self._packing.sample_failed(now_us)
--- a/gannetweir/placement/rebalancing.py
+++ b/gannetweir/placement/rebalancing.py
@@ -1,4 +1,4 @@
-"""Rebalancing: migration of connections off overloaded endpoints, and back into the own zone."""
+"""Rebalancing: migration of connections off overloaded endpoints, and back into this relay's zone."""
 
 from __future__ import annotations
 
@@ -13,15 +13,19 @@
 from gannetweir.placement.pending_request import PendingRequest
 from gannetweir.placement.slow_start import SlowStart
 
-RELIEF_INTERVAL_US = (
-    2 * REPORT_FRESHNESS_US
-)  # between two reliefs of one endpoint: its report has to show the first
-ZONE_REPORT_FRESHNESS_US = 2 * REPORT_FRESHNESS_US  # age of a report that decides on a return to the own zone
-ZONE_RETURN_SHARE = 0.1  # of the connections that cross zones, how many return in a tick
+# Minimum interval between two reliefs of an endpoint: its report has to reflect the first one.
+RELIEF_INTERVAL_US = 2 * REPORT_FRESHNESS_US
+# Maximum age of a report that decides on a migration into this relay's zone.
+ZONE_REPORT_FRESHNESS_US = 2 * REPORT_FRESHNESS_US
+# Share of the connections to other zones that is migrated back per tick, as an expected value.
+ZONE_RETURN_SHARE = 0.1
 
 
 class Rebalancing:
-    """Chooses the connections to migrate. The only writer of `migrated_us` but for an endpoint's restart."""
+    """Chooses the connections to migrate.
+
+    The only writer of `migrated_us`, except for the restart of an endpoint.
+    """
 
     def __init__(
         self,
@@ -42,7 +46,10 @@
         self._probe = probe
 
     def relieve(self, endpoint: EndpointState, now_us: int) -> None:
-        """Migrate this relay's part of the excess off an endpoint: past its capacity it serves nobody."""
+        """Migrate this relay's part of the excess load off an endpoint that exceeds its limit.
+
+        An endpoint that is loaded beyond its capacity serves no connection.
+        """
         if endpoint.load <= self._load_limit.relief_load or not endpoint.request_ids:
             return
         if now_us - endpoint.migrated_us < RELIEF_INTERVAL_US:
@@ -51,7 +58,7 @@
         excess_share = 1.0 - self._load_limit.value / endpoint.load
         established = self._established_at(endpoint)
         excess = excess_share * sum(request.load_hint for _, request in established)
-        # Most load is in a few heavy connections: moving those ends the excess with the fewest migrations.
+        # A few heavy connections carry most of the load: migrating them first needs the fewest migrations.
         for request_id, request in sorted(established, key=lambda pair: -pair[1].load_hint):
             if self._would_overload_mean_endpoint(endpoint, request):
                 continue
@@ -65,7 +72,11 @@
         return [(request_id, request) for request_id, request in requests if request.is_established]
 
     def _would_overload_mean_endpoint(self, endpoint: EndpointState, request: PendingRequest) -> bool:
-        """Whether a connection would only wander. Where all are past the limit, migrations lose it."""
+        """Whether the connection would load a mean endpoint as much as its present one.
+
+        Such a connection would migrate repeatedly. Where the mean load exceeds the limit, it is migrated
+        anyway, as migrations then shed load.
+        """
         mean_load = self._reports.mean_load
         if mean_load > self._load_limit.value:
             return False
@@ -73,7 +84,7 @@
         return mean_load + self._load_model.additional_load(endpoint, size) >= endpoint.load
 
     def return_to_own_zone(self, now_us: int) -> None:
-        """Migrate, by chance, one connection that crosses zones: a crossing costs as long as it stands."""
+        """Migrate a random cross-zone connection, by chance: crossings cost as long as they are open."""
         own_zone, rng = self._context.settings.zone, self._context.rng
         crossing = [
             (request_id, request)
