--- a/gannetweir/placement/attempt_dispatch.py
+++ b/gannetweir/placement/attempt_dispatch.py
@@ -14,12 +14,12 @@
 from gannetweir.placement.retry_policy import RetryPolicy
 from gannetweir.placement.settings import IdempotencyScope
 
-# Of the longest Retry-After: were it shorter, the clients that are rejected would keep a rush going.
+# Retry-After as shares of its maximum. Shorter values let rejected clients sustain a surge of requests.
 RETRY_AFTER_RANGE = 0.5, 1.0
 
 
 class AttemptDispatch:
-    """Carries out what the others decide on a request. It has no state of its own."""
+    """Carries out the decisions of other parts on a request; has no state itself."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._group_placement = group_placement
 
     def resume(self, request_id: int, now_us: int) -> None:
-        """Go on with a request that has waited, if it is still pending."""
+        """Continue a request that has waited, if it is still pending."""
         request = self._state.requests.get(request_id)
         if request is not None:
             self.proceed(request_id, request, now_us)
@@ -93,12 +93,12 @@
         self._context.actions.append(StartAttempt(request_id, endpoint.endpoint_id, timeout_us))
 
     def finish(self, request_id: int, request: PendingRequest) -> None:
-        """Give a request its final answer: rejected where a repeat is known to do no harm, else failed."""
+        """Give a request its final answer: rejected if a retry is known to be harmless, otherwise failed."""
         settings = self._context.settings
         del self._state.requests[request_id]
         if request.attempts == 0:
             self._throttle.remove_accepted()
-        # Drawn in any case, so that equal seeds decide alike.
+        # Drawn even if unused, to keep the order of random draws.
         retry_after_us = int(settings.max_retry_after_us * self._context.rng.uniform(*RETRY_AFTER_RANGE))
         if not self._retry_policy.is_retryable(request):
             self._context.actions.append(FailRequest(request_id))
--- a/gannetweir/placement/endpoint_polling.py
+++ b/gannetweir/placement/endpoint_polling.py
@@ -1,22 +1,22 @@
-"""When the endpoint list is polled, and the backoff after polls that failed."""
+"""The schedule of polls for the endpoint list, and the backoff after failed polls."""
 
 from __future__ import annotations
 
 from gannetweir.placement.actions import WatchEndpoints
 from gannetweir.placement.context import POLL_TIMER, PlacementContext
 
-FIRST_POLL_SPREAD_PER_RELAY_US = (
-    100_000  # how far apart the relays' first polls lie on average, so as not to come at once
-)
-FIRST_BACKOFF_US = 350_000  # before the second poll, then doubled
-MAX_BACKOFF_DOUBLINGS = 4  # 5.6 s: more would never pass the limit on a round
-MAX_ROUND_US = 3_100_000  # from poll to poll at most: two rounds fit the 6 s in which a change is due
+# Mean interval between the first polls of any two relays, so that they do not poll at once.
+FIRST_POLL_SPREAD_PER_RELAY_US = 100_000
+FIRST_BACKOFF_US = 350_000  # first wait; each failure doubles it
+MAX_BACKOFF_DOUBLINGS = 4  # 5.6 s, which already exceeds `MAX_ROUND_US`
+# Longest interval from poll to poll: two of them fit the 6 s within which a change has to be applied.
+MAX_ROUND_US = 3_100_000
 
 
 class EndpointPolling:
-    """Polls for the endpoint list until a subscription stands, where the list has to be asked for.
+    """Polls for the endpoint list until it is subscribed to, where the list is not pushed.
 
-    Owns whether the list is subscribed to, and the poll under way.
+    Owns the state of the subscription and the poll in flight.
     """
 
     def __init__(self, context: PlacementContext) -> None:
@@ -24,10 +24,10 @@
         self.is_subscribed = not context.settings.polls_endpoint_list
         self._is_polling = False
         self._polled_us = 0
-        self._failures = 0  # polls in a row that failed
+        self._failures = 0  # consecutive failed polls
 
     def start(self) -> None:
-        """Set the timer of the first poll, at this relay's own time."""
+        """Set the timer of the first poll, at a random offset of this relay."""
         settings = self._context.settings
         if not settings.polls_endpoint_list:
             return
@@ -37,7 +37,10 @@
         self._context.set_timer(POLL_TIMER, int(spread_us * self._context.rng.random()) + 1)
 
     def poll(self, now_us: int) -> None:
-        """Subscribe where nothing is subscribed to. An answer that never comes does not end the polling."""
+        """Poll for the list unless it is subscribed to or a poll is in flight.
+
+        A poll without an answer counts as in flight for two rounds only.
+        """
         if self.is_subscribed or (self._is_polling and now_us - self._polled_us < 2 * MAX_ROUND_US):
             return
         self._is_polling = True
@@ -45,19 +48,19 @@
         self._context.actions.append(WatchEndpoints(1))
 
     def repoll(self, now_us: int) -> None:
-        """Poll anew where the answer to a poll has not come."""
+        """Poll again if a poll was not answered."""
         if self._is_polling:
             self.poll(now_us)
 
     def succeeded(self) -> None:
-        """A list or a change has come: where a poll was under way, it was its answer."""
+        """Handle a received list or change: if a poll was in flight, this is its answer."""
         if self._is_polling:
             self.is_subscribed = True
             self._is_polling = False
             self._failures = 0
 
     def failed(self, now_us: int) -> None:
-        """Poll again later, after a longer backoff each time, up to the limit on a round."""
+        """Schedule the next poll, with exponential backoff up to `MAX_ROUND_US`."""
         settings = self._context.settings
         since_poll_us = now_us - self._polled_us if self._is_polling else 0
         wait_us = min(
--- a/gannetweir/placement/endpoint_updates.py
+++ b/gannetweir/placement/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list: who is ready, who is draining or gone, who has started anew."""
+"""Updates of the endpoint list: which endpoints are ready, draining or removed, and which have restarted."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EndpointUpdates:
-    """Applies updates of the list. The only writer of the endpoints by id, their status and location."""
+    """Applies updates of the endpoint list. The only writer of endpoints by id, their status and location."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._polling = polling
 
     def apply(self, update: EndpointListUpdate, now_us: int) -> None:
-        """Apply a complete list or changes to it; after a poll that failed, the old list stays."""
+        """Apply a complete list or changes to it; a failed poll leaves the list unchanged."""
         if update.kind == UpdateKind.FAILED:
             self._polling.failed(now_us)
             return
@@ -57,7 +57,7 @@
         endpoint = self._endpoints.setdefault(entry.endpoint_id, EndpointState(entry))
         if entry.started_us != endpoint.started_us:
             self._reports.discard(endpoint)
-            self._packing.end_fill(endpoint)  # a draw from before the start knew a warm one
+            self._packing.end_fill(endpoint)  # the draw assumed an endpoint that was not warming up
             endpoint.restart(entry.started_us)
         if entry.state != EndpointStatus.READY:
             self._withdraw(endpoint, entry.state)
@@ -70,7 +70,7 @@
         self._slow_start.add(endpoint, now_us)
 
     def _withdraw(self, endpoint: EndpointState, status: int) -> None:
-        """Send nothing new to an endpoint that is draining or gone, whatever grace is stated."""
+        """Allow no new attempts at an endpoint that is draining or removed, whatever its grace period."""
         if endpoint.is_ready:
             self._ready_endpoints.remove(endpoint)
             self._uniform_draw.forget_last_reporter()
--- a/gannetweir/placement/request_lifecycle.py
+++ b/gannetweir/placement/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: arrival, attempts and their outcomes, the established connection, the end."""
+"""The lifecycle of a request: arrival, attempts and their outcomes, the established connection, the end."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class RequestLifecycle:
-    """Takes the events of requests and connections. Adds to and removes from the pending requests."""
+    """Handles the events of requests and connections. Adds and removes pending requests."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         return self._requests.setdefault(event.request_id, request)
 
     def arrived(self, event: RequestArrived, now_us: int) -> None:
-        """Place a request, or finish it where the throttle rejects it."""
+        """Place a request, or finish it if the throttle rejects it."""
         request = self._add(event, now_us + event.time_budget_us)
         is_retry = event.flags & RequestFlag.CLIENT_RETRY > 0
         if self._throttle.admits(request, is_retry, now_us):
@@ -74,7 +74,10 @@
             self._dispatch.finish(event.request_id, request)
 
     def resumed(self, event: ConnectionResumed, now_us: int) -> None:
-        """Take over a connection that was open when this relay started: then no relay was before it."""
+        """Take over a connection that was open when this relay started.
+
+        Where connections resume, no earlier process of this relay has clients that would return.
+        """
         endpoint = self._state.endpoints.get(event.endpoint_id)
         request = self._add(event, now_us)
         request.is_established = True
@@ -83,12 +86,12 @@
         self._group_placement.expect_no_returns()
         if endpoint is not None:
             endpoint.request_ids[event.request_id] = None
-            self._state.reports.discard(endpoint)  # a report from before it came does not count it
+            self._state.reports.discard(endpoint)  # an earlier report does not count the connection
             endpoint.probed_us = 0
             self._packing.end_fill(endpoint)
 
     def established(self, event: ConnectionEstablished, now_us: int) -> None:
-        """Count a set-up's success; endpoints that failed the same request are at fault after all."""
+        """Record the success of a set-up, and eject the endpoints that failed the same request before."""
         request = self._requests.get(event.request_id)
         if request is None or request.is_established or request.endpoint is None:
             return
@@ -100,14 +103,14 @@
         self._retry_policy.attempt_succeeded(request, event.elapsed_us)
 
     def client_disconnected(self, event: ClientDisconnected) -> None:
-        """Forget a request whose client has left."""
+        """Discard a request whose client has disconnected."""
         request = self._requests.pop(event.request_id, None)
         self._group_placement.end_search(event.request_id)
         if request is not None and request.endpoint is not None:
             request.endpoint.request_ids.pop(event.request_id, None)
 
     def attempt_ended(self, event: AttemptEnded, now_us: int) -> None:
-        """Close a connection that was established, or go on with a request whose attempt has failed."""
+        """Close an established connection, or continue a request whose attempt has failed."""
         request = self._requests.get(event.request_id)
         if request is None or event.attempt != request.attempts - 1:
             return
@@ -123,8 +126,8 @@
             request.executed_endpoint = endpoint
             request.execution_started_us = request.attempt_started_us
         self._attribute_failure(event, request, endpoint, now_us)
-        self._packing.end_fill(endpoint)  # a new draw places the next attempt
-        if event.address_fault:  # it may be tried again, by another address
+        self._packing.end_fill(endpoint)  # the next attempt needs a new draw
+        if event.address_fault:  # the endpoint may be attempted again, at another address
             request.attempted_endpoints = [
                 other for other in request.attempted_endpoints if other is not endpoint
             ]
@@ -136,7 +139,8 @@
         if event.address_fault:
             return
         if event.status in (AttemptStatus.ERROR, AttemptStatus.RESET):
-            # So endpoints end what they can't use of a client's: at fault only once another has taken it.
+            # Endpoints also end a request this way because of its content. The endpoint is at fault only if
+            # another endpoint accepts the same request.
             request.suspect_endpoints.append(endpoint)
             return
         self._retry_policy.attempt_failed(event.status)
@@ -154,5 +158,5 @@
             self._dispatch.proceed(event.request_id, request, now_us)
         elif 0 < wait_us < request.deadline_us - now_us:
             self._retry_policy.schedule_retry(event.request_id, wait_us, now_us)
-        else:  # no time is left for it: answered at once
+        else:  # the deadline leaves no time for the backoff
             self._dispatch.finish(event.request_id, request)
