--- a/gannetweir/placement/__init__.py
+++ b/gannetweir/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Every placement decision: an event and the time in, actions out. No I/O, no clock."""
+"""All placement decisions: takes an event and the time, returns actions. No I/O, no clock."""
--- a/gannetweir/placement/actions.py
+++ b/gannetweir/placement/actions.py
@@ -1,4 +1,4 @@
-"""The actions that a balancer answers with, carried out by the engine in their order.
+"""The actions that a balancer returns; the engine carries them out in order.
 
 Times are integer microseconds.
 """
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Start the request's next attempt; a time-out of 0 lasts until the client disconnects."""
+    """Start the request's next attempt; a timeout of 0 means none while the client is connected."""
 
     request_id: int
     endpoint_id: EndpointId
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: not served, and a repeat does no harm; Retry-After 0 states no time."""
+    """Final answer: not served, and a retry is harmless; a Retry-After of 0 states no time."""
 
     request_id: int
     retry_after_us: int
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: not served, and it may have been executed."""
+    """Final answer: not served, and the request may have been executed."""
 
     request_id: int
 
@@ -43,14 +43,14 @@
 
 @dataclass(slots=True)
 class MigrateConnection:
-    """End an open connection in an orderly way; its client returns and is placed anew."""
+    """Close an open connection gracefully; its client returns and is placed again."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `TimerExpired` with this token."""
+    """Request a `TimerExpired` with this token."""
 
     token: int
     after_us: int
--- a/gannetweir/placement/context.py
+++ b/gannetweir/placement/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one balancer share: settings, random numbers, actions, and the state of the fleet."""
+"""What the parts of a balancer share: settings, random numbers, actions, and the state of the fleet."""
 
 from __future__ import annotations
 
@@ -13,33 +13,34 @@
 from gannetweir.placement.ready_endpoints import ReadyEndpoints
 from gannetweir.placement.settings import Settings
 
-# The tokens of the timers that a balancer sets.
+# Tokens of the timers that a balancer sets.
 TICK_TIMER = 1
 POLL_TIMER = 2
 RETRY_TIMER = 3
 
-TICK_INTERVAL_US = 1_000_000  # between two ticks of upkeep; nothing in a tick must be noticed sooner
-REPORT_FRESHNESS_US = (
-    1_000_000  # age up to which a report decides: reports are up to about a second old when read
-)
-LOG_REPEAT_INTERVAL_US = 10_000_000  # a kind of log line is written at most this often, to stay readable
+# Interval of the periodic maintenance, of which nothing is more urgent.
+TICK_INTERVAL_US = 1_000_000
+# Decisions use load reports up to this age; a report is up to about one second old when it is read.
+REPORT_FRESHNESS_US = 1_000_000
+# Minimum interval between log lines of one kind, to keep the log readable.
+LOG_REPEAT_INTERVAL_US = 10_000_000
 
 
 class Deferral(Enum):
-    """Why an endpoint has not been chosen yet."""
+    """Why the choice of an endpoint is deferred."""
 
     AWAITING_REPORT = "the request is held until a load report comes, or its wait is over"
 
 
-# An endpoint, word that the choice comes later, or none: nowhere may the request go.
+# The selected endpoint, a deferral of the choice, or None if the request may not be placed on any endpoint.
 Choice = EndpointState | Deferral | None
 
 
 class PlacementContext:
-    """The settings in force, the one source of random numbers, and the actions to return.
+    """The settings in force, the only source of random numbers, and the actions to return.
 
-    Settings are replaced as a whole by `configure`; the parts read them from here at each decision. The order
-    of draws from `rng` and of `actions` is part of what a balancer does: recorded runs hold it to both.
+    `configure` replaces all settings at once; the parts read them from here at each decision. The order of
+    draws from `rng` and the order of `actions` are part of the behaviour: recorded runs are compared by both.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -49,7 +50,7 @@
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
-        """Decide by these settings from now on."""
+        """Apply these settings to all later decisions."""
         self.settings = settings
         self.highest_priority_weight = max(each.priority_weight for each in settings.classes) or 1.0
         field_names = settings.load_report_fields if settings.load_report_source != "none" else []
@@ -60,11 +61,11 @@
         self.prefers_own_zone = settings.cross_zone_cost > 0 and len(settings.zone_names) > 1
 
     def set_timer(self, token: int, after_us: int) -> None:
-        """Ask for a `TimerExpired` with this token."""
+        """Request a `TimerExpired` with this token."""
         self.actions.append(SetTimer(token, after_us))
 
     def start_report_wait(self, request: PendingRequest, now_us: int) -> None:
-        """Let a request wait for a load report, once, and set the timer at which it goes on without one."""
+        """Set the deadline of the wait for a load report and its timer. A request waits only once."""
         if request.wait_deadline_us:
             return
         max_wait_us = int(request.request_class.latency_objective_us / 3)
@@ -72,7 +73,7 @@
         self.set_timer(RETRY_TIMER, request.wait_deadline_us - now_us)
 
     def write_log(self, kind: str, text: str, now_us: int) -> None:
-        """Write a line, unless one of its kind was written within `LOG_REPEAT_INTERVAL_US`."""
+        """Write a log line, unless one of its kind was written within `LOG_REPEAT_INTERVAL_US`."""
         last_us = self._last_logged_us.get(kind)
         if last_us is not None and now_us - last_us < LOG_REPEAT_INTERVAL_US:
             return
@@ -81,7 +82,7 @@
 
 
 class FleetState:
-    """What a relay remembers of the fleet and of its own requests; each record has its own writers."""
+    """A relay's knowledge of the fleet and its own requests; each record states its writers."""
 
     def __init__(self) -> None:
         self.endpoints: dict[EndpointId, EndpointState] = {}  # all ever listed; `EndpointUpdates` writes it
--- a/gannetweir/placement/endpoint_state.py
+++ b/gannetweir/placement/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What a relay remembers of one endpoint."""
+"""The state that a relay keeps for one endpoint."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class EndpointState:
-    """What this relay knows of one endpoint.
+    """The state that this relay keeps for one endpoint.
 
-    Written by `EndpointUpdates` (identity and status), `LoadReportTable` (the report), `LoadModel` (what came
-    since), `ProbeResults` and `LoadProbing` (their times), `OutlierEjection` (the ejection), `Rebalancing`
-    (`migrated_us`), and by `AttemptDispatch` and `RequestLifecycle` (`request_ids`).
+    Written by `EndpointUpdates` (identity and status), `LoadReportTable` (the report), `LoadModel` (recent
+    placements), `ProbeResults` and `LoadProbing` (times of reports and probes), `OutlierEjection` (the
+    ejection), `Rebalancing` (`migrated_us`), and by `AttemptDispatch` and `RequestLifecycle` (`request_ids`).
 
-    A plain class, as a dataclass of so many fields costs 2 ms at each start.
+    A plain class, as a dataclass with this many fields adds 2 ms to each start of the process.
     """
 
     __slots__ = (
@@ -38,36 +38,36 @@
     )
 
     def __init__(self, entry: EndpointEntry) -> None:
-        """Make the state of an endpoint that is new to the list, before `EndpointUpdates` calls it ready."""
+        """Create the state of a newly listed endpoint, which is not ready until `EndpointUpdates` says so."""
         self.endpoint_id: EndpointId = entry.endpoint_id
         self.zone = entry.zone
         self.cell = entry.cell
-        self.machine_type = entry.machine_type  # capacities differ from type to type
+        self.machine_type = entry.machine_type  # endpoints of one type have equal capacity
         self.ranking_key = zlib.crc32(str(entry.endpoint_id).encode())  # the same at every relay
         self.status: int = EndpointStatus.REMOVED
-        # Own attempts and connections; a dict, as a set that keeps its order.
+        # Attempts and connections of this relay; a dict serves as an ordered set.
         self.request_ids: dict[int, None] = {}
-        # Placements that the next report may not know: when, and their size in mean connections.
+        # Placements that the next report may not count: time, and size relative to the mean connection.
         self.recent_placements: list[tuple[int, float]] = []
         self.restart(entry.started_us)
 
     @property
     def is_ready(self) -> bool:
-        """Whether the list calls it ready."""
+        """Whether the endpoint list states that it is ready."""
         return self.status == EndpointStatus.READY
 
     def accepts_attempts(self, now_us: int) -> bool:
-        """Whether new attempts may go there: it is ready and not ejected."""
+        """Whether new attempts are allowed: the endpoint is ready and not ejected."""
         return self.status == EndpointStatus.READY and self.ejected_until_us <= now_us
 
     def restart(self, started_us: int) -> None:
-        """Forget what was known of the process before this one. Own requests and placements stay."""
-        self.started_us = started_us  # 0: not known
-        self.has_report = False  # whether `connections` and `load` are from a report
-        self.connections = 0.0  # open ones, own placements since the report included
-        self.load = 0.0  # over capacity, likewise: at 1 the endpoint is full
-        self.reported_us = 0  # when the last report came
-        self.probed_us = 0  # when the last probe went out
-        self.migrated_us = 0  # when connections were last migrated off it
+        """Discard the state of the previous process; this relay's requests and placements are kept."""
+        self.started_us = started_us  # 0 if unknown
+        self.has_report = False  # whether `connections` and `load` come from a report
+        self.connections = 0.0  # open connections, including placements of this relay since the report
+        self.load = 0.0  # share of capacity (1 is full), including those placements
+        self.reported_us = 0  # time of the last report
+        self.probed_us = 0  # time of the last probe
+        self.migrated_us = 0  # time of the last migration of connections off the endpoint
         self.ejected_until_us = 0
-        self.ejection_count = 0  # in a row; an established connection ends the row
+        self.ejection_count = 0  # consecutive ejections; an established connection resets the count
--- a/gannetweir/placement/events.py
+++ b/gannetweir/placement/events.py
@@ -1,7 +1,8 @@
-"""The events that a balancer is given: list updates, requests, outcomes of attempts, load reports, timers.
+"""The events that a balancer handles: list updates, requests, outcomes of attempts, load reports, timers.
 
-Times are integer microseconds. Endpoint ids are opaque hashable values, request ids integers; both come back
-unchanged in the actions. Field order is the order of the simulator's wire records, which `wire.py` relies on.
+Times are integer microseconds. Endpoint ids are opaque hashable values, request ids are integers; the
+actions return both unchanged. The order of the fields is that of the simulator's wire records, on which
+`wire.py` relies.
 """
 
 from __future__ import annotations
@@ -15,23 +16,23 @@
 
 
 class AttemptStatus(IntEnum):
-    """How an attempt or a load probe ended. The values are those of the simulator's wire."""
+    """How an attempt or a load probe ended. The values are those of the simulator's protocol."""
 
     OK = 10
     ERROR = 20  # the endpoint answered with an error
-    FULL = 30  # the endpoint rejected it: nothing was executed
+    FULL = 30  # the endpoint rejected the attempt: nothing was executed
     TIMEOUT = 40
     CONNECT_FAILED = 50  # the request's last byte was never written
     RESET = 60
     CANCELLED = 70
-    NOT_STARTED = 80  # the relay could not begin it
+    NOT_STARTED = 80  # the relay could not start the attempt
 
 
 NOT_EXECUTED = frozenset({AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED})
 
 
 class EndpointStatus(IntEnum):
-    """The state of a listed endpoint. Only a ready one gets new attempts."""
+    """The state of a listed endpoint. Only a ready endpoint gets new attempts."""
 
     REMOVED = 0
     READY = 1
@@ -39,33 +40,33 @@
 
 
 class UpdateKind(IntEnum):
-    """What an update of the endpoint list is."""
+    """The kind of an update of the endpoint list."""
 
     SNAPSHOT = 0  # the complete list
-    FAILED = 1  # polling for the list has failed: no list
+    FAILED = 1  # the poll failed; the update has no entries
     DELTA = 2  # changes to the list
-    CACHED = 3  # a complete list that this process knew before, such as the one of its start
+    CACHED = 3  # a complete list from this process, such as its initial list
 
 
 class RequestFlag(IntEnum):
-    """Bits of a request's flags."""
+    """Bits of the flags of a request."""
 
     LOAD_HINT_VALID = 1
-    CLIENT_RETRY = 2  # the client marks this as its own retry
+    CLIENT_RETRY = 2  # the client marks the request as its own retry
     MID_FLOW = 8
-    RETURNED = 16  # its connection was broken or migrated
+    RETURNED = 16  # the client's previous connection was broken or migrated
 
 
 class MetricKind(IntEnum):
-    """What a measurement of an open connection is of."""
+    """The quantity that a measurement of an open connection states."""
 
     LOAD = 1
-    MESSAGE_DELAY = 2  # in milliseconds
+    MESSAGE_DELAY = 2  # milliseconds
 
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """One line of the endpoint list."""
+    """An entry of the endpoint list."""
 
     endpoint_id: EndpointId
     zone: int = 0
@@ -78,7 +79,7 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """A complete list, changes to it, or a poll that failed; `kind` is an `UpdateKind`."""
+    """A complete list, changes to it, or a failed poll; `kind` is an `UpdateKind`."""
 
     kind: int
     version: int
@@ -87,7 +88,7 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client asks for a connection; one final answer is owed. `flags` are bits of `RequestFlag`."""
+    """A client requests a connection and awaits one final answer. `flags` are bits of `RequestFlag`."""
 
     request_id: int
     class_index: int = 0
@@ -101,7 +102,7 @@
 
 @dataclass(slots=True)
 class ConnectionResumed:
-    """A connection that was already open through this relay when it started."""
+    """A connection that was open through this relay when the relay started."""
 
     request_id: int
     load_hint: int
@@ -126,7 +127,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended; `closed` says that the request did too.
+    """An attempt ended; `closed` states that the request ended as well.
 
     `status` is an `AttemptStatus`; `load_report` follows `Settings.load_report_fields`.
     """
@@ -143,14 +144,14 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has disconnected; nothing more is owed."""
+    """The client has disconnected; it needs no further answer."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class LoadProbeResult:
-    """The answer to one load probe, or its absence; `status` is an `AttemptStatus`."""
+    """The result of a load probe, answered or not; `status` is an `AttemptStatus`."""
 
     endpoint_id: EndpointId
     status: int
@@ -171,14 +172,14 @@
 
 @dataclass(slots=True)
 class TimerExpired:
-    """A timer that the balancer set has fallen due."""
+    """A timer that the balancer set has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class PeerMessage:
-    """Bytes from another relay; balancers share nothing here, so they are ignored."""
+    """A message from another relay. Balancers share no state, so it is ignored."""
 
     sender: int
     data: bytes
--- a/gannetweir/placement/ready_endpoints.py
+++ b/gannetweir/placement/ready_endpoints.py
@@ -11,10 +11,10 @@
 
 
 def rendezvous_rank(group: int, ranking_key: int) -> int:
-    """Return the rank of an endpoint in a group's ranking, the same at every relay.
+    """Return the rank of an endpoint in a group's ranking, which is the same at every relay.
 
-    A crc of both is linear: groups that began at one endpoint then went on to the same next one, and a few
-    endpoints came first for many groups. This mixes (splitmix64; the numbers are its own).
+    A CRC of both values is linear: groups with the same first endpoint also had the same second one, and a
+    few endpoints came first for many groups. This is the mixing function of splitmix64, with its constants.
     """
     mixed = (group + ranking_key * 0x9E3779B97F4A7C15) & _UINT64_MASK
     mixed = ((mixed ^ mixed >> 30) * 0xBF58476D1CE4E5B9) & _UINT64_MASK
@@ -23,9 +23,9 @@
 
 
 class ReadyEndpoints:
-    """The endpoints that the list calls ready, kept up by `EndpointUpdates`."""
+    """The endpoints that are ready by the endpoint list; `EndpointUpdates` keeps them up to date."""
 
-    MAX_RANKINGS = 256  # groups whose ranking is cached: 2 MB of references where there are 1,024 endpoints
+    MAX_RANKINGS = 256  # groups with a cached ranking; 2 MB of references for 1,024 endpoints
 
     def __init__(self) -> None:
         self.all: list[EndpointState] = []
@@ -39,19 +39,19 @@
         return [self.all, in_zone, in_cell]
 
     def add(self, endpoint: EndpointState) -> None:
-        """Take in an endpoint that has become ready."""
+        """Add an endpoint that has become ready."""
         self._rankings.clear()
         for endpoints in self._lists_containing(endpoint):
             endpoints.append(endpoint)
 
     def remove(self, endpoint: EndpointState) -> None:
-        """Take out an endpoint that is no longer ready."""
+        """Remove an endpoint that is no longer ready."""
         self._rankings.clear()
         for endpoints in self._lists_containing(endpoint):
             endpoints.remove(endpoint)
 
     def ranking(self, group: int) -> list[EndpointState]:
-        """Return a group's ranking of the ready endpoints; sorted once for each list of them."""
+        """Return a group's ranking of the ready endpoints; it is cached until these change."""
         ranking = self._rankings.get(group)
         if ranking is None:
             while len(self._rankings) >= self.MAX_RANKINGS:
@@ -63,7 +63,7 @@
     def highest_ranked(
         self, group: int, count: int, excluded: Container[EndpointState], zone: int | None = None
     ) -> list[EndpointState]:
-        """Return the first few of a group's ranking that are not excluded, of one zone or of all."""
+        """Return the first `count` endpoints of a group's ranking that are not excluded, of `zone` or any."""
         eligible = (
             endpoint
             for endpoint in self.ranking(group)
