--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -1,4 +1,4 @@
-"""What cold backends are sent by a whole fleet: N + 2 roots of N + 2 set-ups, N being what they bear then."""
+"""All relays together place at most N + 2 sqrt(N) + 2 set-ups on a warming endpoint with capacity for N."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 
 
 def relay_with_warming_endpoints(seed: int, starts: dict[int, int], **changes: object) -> BalancerDriver:
-    """One relay of twenty: slow and fast servers that are loaded alike, some of them just started."""
+    """A relay in a fleet of twenty, with slow and fast endpoints of equal load, some just started."""
     settings: dict[str, Any] = {
         "slow_start_window_us": 2300 * SECOND,
         "slow_start_min_share": 0.3,
@@ -46,8 +46,8 @@
 @pytest.mark.parametrize(
     ("day", "seed", "lifetime_s"),
     [
-        ("roll", 3, 15.0),  # a slow backend was sent what the mean one bears
-        ("throng", 19, 40.0),  # relays that had measured no life yet took it for a quarter of what it was
+        ("roll", 3, 15.0),  # a slow endpoint was given the budget of a mean one
+        ("throng", 19, 40.0),  # relays without measurements assumed a quarter of the lifetime
     ],
 )
 def test_no_warming_endpoint_is_overloaded(day: str, seed: int, lifetime_s: float) -> None:
@@ -67,7 +67,7 @@
 def test_a_machine_type_without_a_warm_endpoint_counts_as_the_slowest() -> None:
     driver = relay_with_warming_endpoints(1, dict.fromkeys((0, 2, 4, 6), 95 * SECOND))
     for n in (3, 5, 7):
-        driver.balancer.state.endpoints[n].machine_type = n  # 42 connections each at full load, but one
+        driver.balancer.state.endpoints[n].machine_type = n  # full at 42 connections, except endpoint 7
     driver.balancer.state.reports.record(driver.balancer.state.endpoints[7], 5.0, 0.5)
     other = relay_with_warming_endpoints(1, dict.fromkeys((0, 2, 4, 6), 95 * SECOND))
     assert 0 < count_permits(driver, 0, 4000) < 0.5 * count_permits(other, 0, 4000)
@@ -98,16 +98,15 @@
 
 
 def test_a_sample_from_before_a_restart_places_nothing_there() -> None:
-    """Each of many relays may hold one such draw: together they would spend the cold one's budget."""
+    """Each of many relays may hold one such sample: together they would exceed the budget of the endpoint."""
     for seed in range(20):
         driver = BalancerDriver(
             4, seed=seed, load_probes_enabled=False, load_report_source="none", relay_count=50
         )
         target = driver.balancer.packing.target
         assert target is not None
-        driver.change_status(
-            number_of(target), EndpointStatus.READY, driver.now
-        )  # it starts anew without having left the list
+        # The endpoint restarts without leaving the list.
+        driver.change_status(number_of(target), EndpointStatus.READY, driver.now)
         for _ in range(8):
             driver.arrive()
         assert target.endpoint_id not in [started.endpoint_id for started in driver.started_attempts]
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""Connections of one group share work at a server, so a group is kept together while it fits."""
+"""Connections of one group share work at an endpoint, so a group is kept together while it fits."""
 
 from typing import Any
 
@@ -28,14 +28,14 @@
 
 
 def relay_with_groups(seed: int = 1, **changes: object) -> BalancerDriver:
-    """Servers with room for a group more."""
+    """A relay whose endpoints have capacity for one more group."""
     driver = BalancerDriver(6, seed=seed, groups_enabled=True, **changes)  # type: ignore[arg-type]
     driver.loads = dict.fromkeys(range(6), (10.0, 0.3))
     return driver
 
 
 def place_in_group(driver: BalancerDriver, group: int) -> int:
-    driver.advance(2 * SECOND)  # no fill is left from the arrival before
+    driver.advance(2 * SECOND)  # the fill of the previous arrival has ended
     driver.arrive(group=group)
     driver.establish(driver.started_attempts[-1])
     return number_of(driver.started_attempts[-1])
@@ -48,7 +48,7 @@
         found = {place_in_group(driver, group) for driver in drivers for _ in range(3)}
         assert len(found) == 1
         first_endpoints += found
-    assert len(set(first_endpoints)) > 1  # groups do not all begin at the same one
+    assert len(set(first_endpoints)) > 1  # groups have different first endpoints
 
 
 def test_groups_are_ignored_where_they_are_disabled() -> None:
@@ -67,7 +67,7 @@
     driver.loads[first_endpoint] = (40.0, load)
     other = place_in_group(driver, 1)
     assert (other == first_endpoint) is stays
-    if not stays:  # from now on both hold it
+    if not stays:  # both endpoints hold the group now
         driver.loads[first_endpoint] = (10.0, 0.3)
         assert place_in_group(driver, 1) in (first_endpoint, other)
 
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("load", [0.3, 0.6])
 def test_a_group_belongs_to_the_same_two_endpoints_in_every_zone_once_capacity_is_short(load: float) -> None:
-    """Each zone had its own place for every group: 26 places that were paid for became 150 in a release."""
+    """With separate endpoints per zone for each group, 26 group costs became 150 in a release."""
     for group in range(1, 13):
         ranked = [
             number_of(endpoint)
@@ -93,7 +93,7 @@
             driver.loads = dict.fromkeys(range(6), (10.0, load))
             found = place_in_group(driver, group)
             own = [n for n in ranked if n % 2 == zone]
-            if load > 0.5:  # a group more would be too much for any
+            if load > 0.5:  # no endpoint has capacity for one more group
                 assert found in (own or ranked)
             else:
                 assert found == next(
@@ -108,16 +108,15 @@
     order = [number_of(endpoint) for endpoint in driver.balancer.state.ready_endpoints.ranking(5)]
     driver.loads = {order[0]: (30.0, 0.85), order[1]: (30.0, 0.82), order[2]: (10.0, 0.7)}
     driver.loads |= dict.fromkeys(order[3:], (10.0, 0.3))
-    assert place_in_group(driver, 5) == order[3]  # the third has room for a connection, not for a group more
+    assert place_in_group(driver, 5) == order[3]  # the third fits a connection only
     driver = relay_with_groups()
     driver.loads = {n: (30.0, 0.85 if n in order[:2] else 0.75) for n in range(6)}
-    assert (
-        place_in_group(driver, 5) == order[2]
-    )  # where there is no such server, the first with room for the connection
+    # Where no endpoint fits the full cost, the first one that fits the connection is used.
+    assert place_in_group(driver, 5) == order[2]
 
 
 def test_groups_with_the_same_first_endpoint_have_different_second_ones() -> None:
-    """Their order was a crc, which is linear: from a full server all of its groups went to the same next."""
+    """The ranking was a CRC, which is linear: all groups of a full endpoint moved on to the same next one."""
     order = relay_with_groups().balancer.state.ready_endpoints.ranking
     seconds_by_first: dict[object, set[object]] = {}
     for group in range(1, 60):
@@ -128,7 +127,7 @@
 
 
 def test_examining_a_candidate_does_not_sort_the_endpoints(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Every look sorted all servers; now a group's order is made once for each list of them."""
+    """Each examination sorted all endpoints; now a group's ranking is sorted once per list of endpoints."""
     driver = relay_with_groups()
     ranked_groups: list[int] = []
 
@@ -170,7 +169,7 @@
     if end == "answer":
         for number in range(6):
             driver.handle(LoadProbeResult(number, AttemptStatus.OK, 1000, (10.0, 0.2)))
-    elif end == "hold":  # no answer in time: they go to what was drawn, unprobed
+    elif end == "hold":  # the requests are placed without a report
         driver.advance(SECOND)
         driver.handle(TimerExpired(3))
     else:
@@ -181,14 +180,14 @@
 
 
 def test_simultaneous_set_ups_are_spread_and_wait_briefly() -> None:
-    """A relay's clients came back within half a second and were all set up at one server, in vain."""
+    """A relay's clients returned within half a second; all set-ups at a single endpoint failed."""
     driver = relay_with_groups()
     driver.loads = dict.fromkeys(range(6), (10.0, 0.05))
     driver.advance(2 * SECOND)
     for _ in range(32):
         driver.arrive(group=3)
     counts = [sum(started.endpoint_id == n for started in driver.started_attempts) for n in range(6)]
-    assert counts == [5] * 6  # not one more at any, and two wait
+    assert counts == [5] * 6  # five set-ups per endpoint; two requests wait
     driver.establish(driver.started_attempts[0])
     driver.advance(200_000)
     driver.handle(TimerExpired(3))
@@ -210,7 +209,7 @@
 
 
 def test_a_permit_of_a_warming_endpoint_waits_for_an_arrival() -> None:
-    """Turns went to draws no arrival with a group uses: a server stood empty for 12 s after it started."""
+    """Permits were used for draws that no arrival with a group uses: an endpoint stayed empty for 12 s."""
     driver = relay_with_groups(
         starts={5: 95 * SECOND},
         slow_start_window_us=230 * SECOND,
@@ -219,10 +218,8 @@
     )
     for n in range(20):
         driver.advance(SECOND)
-        driver.balancer.slow_start.connection_time_us, driver.balancer.slow_start.ended_connections = (
-            0.0,
-            0,
-        )  # connections are short: a turn every few seconds
+        # Connections are short: one permit every few seconds.
+        driver.balancer.slow_start.connection_time_us, driver.balancer.slow_start.ended_connections = 0.0, 0
         driver.handle(TimerExpired(1))
         assert len(driver.balancer.slow_start.permits) < 2
         driver.arrive(group=77 + n)
@@ -230,7 +227,7 @@
 
 
 def test_the_budget_of_a_warming_endpoint_derives_from_warm_ones() -> None:
-    """Its load is told over what it can do now: counted into the mean, it made its own budget smaller."""
+    """A warming endpoint reports its load relative to its present capacity, which reduced its own budget."""
     granted = []
     for report in ((1.0, 0.05), (4.0, 1.2)):
         driver = relay_with_groups(
@@ -260,29 +257,29 @@
 def test_a_returned_connection_is_not_counted_twice_at_its_previous_endpoint(
     flags: int, age: int, same: bool
 ) -> None:
-    """After a restart the report at its server still holds the connection that it comes back for."""
+    """After a relay restarts, an endpoint's report still counts the connections that return."""
     driver = relay_with_groups()
     first = place_in_group(relay_with_groups(), 7)
-    driver.loads = dict.fromkeys(range(6), (20.0, 0.6)) | {first: (20.0, 0.72)}  # a group more is much there
+    driver.loads = dict.fromkeys(range(6), (20.0, 0.6)) | {first: (20.0, 0.72)}  # no capacity for a new group
     driver.advance(age * SECOND)
     driver.arrive(group=7, flags=flags)
     assert ([started.endpoint_id for started in driver.started_attempts] == [first]) == same
-    if same:  # nor does it make the server look fuller to the next of its group
+    if same:  # the connection does not add to the endpoint's load either
         assert driver.balancer.state.endpoints[first].load < 0.77
 
 
 def relay_with_cross_zone_connections(load: float, seed: int, **changes: object) -> BalancerDriver:
-    """Ten connections that cross zones, and the servers of the own zone at this load."""
+    """A relay with ten cross-zone connections, whose zone has endpoints with this load."""
     driver = relay_with_groups(seed, **{**ZONES, **changes})
     driver.loads = dict.fromkeys(range(6), (10.0, load))
     for request_id in range(70, 80):
         driver.handle(ConnectionResumed(request_id, 0, 0, 5, 0, 0, 1))
-    driver.advance(3 * SECOND)  # what was heard before is too old to move by
+    driver.advance(3 * SECOND)  # earlier reports are too old to migrate by
     return driver
 
 
 def migrations_by_second(driver: BalancerDriver, seconds: int) -> list[int]:
-    """How many moves each second brought."""
+    """The number of migrations in each second."""
     found = []
     for _ in range(seconds):
         driver.advance(SECOND)
@@ -319,10 +316,11 @@
 
 @pytest.mark.parametrize("load", [0.45, 0.56, 0.6])
 def test_a_connection_migrated_to_the_relays_zone_is_placed_there_when_it_returns(load: float) -> None:
-    """Between the load for a new group and the limit it moved home, was sent back across, and moved again."""
+    """Between the load limit for a new group and the load limit, connections migrated back and forth."""
     for seed in range(10):
         driver = relay_with_cross_zone_connections(load, seed)
-        driver.loads |= {1: (30.0, 0.3), 3: (10.0, 0.3), 5: (10.0, 0.3)}  # where it stands there is room
+        # The present endpoints of the connections have capacity.
+        driver.loads |= {1: (30.0, 0.3), 3: (10.0, 0.3), 5: (10.0, 0.3)}
         for _ in range(6):
             driver.advance(SECOND)
             if moved := actions_of(driver.handle(TimerExpired(TICK_TIMER)), MigrateConnection):
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -1,4 +1,4 @@
-"""The ordinary path is the paper's rule, and each departure from it stays where it belongs."""
+"""PACKING follows the paper's rule, and each exception to the rule applies only in its own case."""
 
 import math
 import random
@@ -15,21 +15,21 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_places_exactly_by_the_papers_rule(seed: int) -> None:
-    """Equal servers, fresh reports, one gateway: a draw gets ceil(W/n) + 1 - x, or one if not below W/n."""
+    """Equal endpoints, fresh reports, one relay: a draw gets ceil(W/n) + 1 - x, or one if not below W/n."""
     rng = random.Random(seed)
     driver = BalancerDriver(5, seed=seed, load_report_fields=["concurrent"])
     counts = {n: rng.randrange(0, 12) for n in range(5)}
     driver.loads.update({n: (float(c), 0.0) for n, c in counts.items()})
-    for n in range(5):  # the table knows every server
+    for n in range(5):  # every endpoint has a report
         driver.handle(LoadProbeResult(n, AttemptStatus.OK, 1000, (float(counts[n]),)))
     driver.loads = {n: (float(c), 0.0) for n, c in counts.items()}
     remaining, target = 0, -1
-    driver.balancer.packing.target = None  # what was drawn before the table was complete does not count
+    driver.balancer.packing.target = None  # discards the draw that preceded the reports
     for _ in range(60):
         before = len(driver.started_attempts)
         driver.loads = {n: (float(c), 0.0) for n, c in counts.items()}
         for endpoint in driver.balancer.state.ready_endpoints.all:
-            endpoint.recent_placements.clear()  # these reports count what was just placed
+            endpoint.recent_placements.clear()  # the reports below count the recent placements
         driver.arrive()
         assert len(driver.started_attempts) == before + 1
         chosen = number_of(driver.started_attempts[-1])
@@ -40,7 +40,7 @@
         assert chosen == target
         remaining -= 1
         counts[chosen] += 1
-        if remaining == 0:  # the draw that follows is made from the counts as they now are
+        if remaining == 0:  # the next draw uses the current counts
             driver.balancer.packing.target = None
             for n in range(5):
                 driver.balancer.state.endpoints[n].recent_placements.clear()
@@ -61,7 +61,7 @@
 
 
 def test_unequal_endpoints_are_filled_to_equal_load() -> None:
-    """Count 10 at a quarter of the mean load has room for far more than the mean count."""
+    """An endpoint with 10 connections at half the mean load is filled to twice the mean count."""
     driver = BalancerDriver(2)
     balancer = driver.balancer
     balancer.state.reports.record(balancer.state.endpoints[0], 10.0, 0.2)
@@ -84,11 +84,11 @@
     balancer.state.reports.record(balancer.state.endpoints[0], 0.0, 0.0)
     balancer.state.reports.record(balancer.state.endpoints[1], 40.0, 0.0)
     fills = [balancer.packing.fill_size(balancer.state.endpoints[0]) for _ in range(200)]
-    assert 1.8 < sum(fills) / 200 < 2.5  # 21 over ten gateways a server
+    assert 1.8 < sum(fills) / 200 < 2.5  # 21 arrivals shared by ten relays per endpoint
 
 
 def test_the_sample_is_repeated_only_with_many_relays_or_known_loads() -> None:
-    """Otherwise an above-average draw gets its one arrival, as the paper has it."""
+    """Otherwise an above-average draw gets its one arrival, as in the paper."""
     share = {}
     for relays, names in ((1, ["concurrent"]), (40, ["concurrent"]), (1, ["concurrent", "x0"])):
         hits = 0
@@ -131,7 +131,7 @@
     assert first is not None
     actions = driver.arrive()
     assert [started.endpoint_id for started in actions_of(actions, StartAttempt)] == [first.endpoint_id]
-    assert not actions_of(actions, SetTimer)  # nothing was held
+    assert not actions_of(actions, SetTimer)  # no request waits
     driver.advance(3 * SECOND)
     target = driver.balancer.packing.target
     assert target is not None
@@ -156,7 +156,7 @@
 
 
 def test_answers_without_a_report_end_the_round() -> None:
-    """In their first second servers answer probes with no report; draws once went on for ever then."""
+    """In their first second endpoints answer probes without a report, which led to endless draws."""
     driver = BalancerDriver(4, relay_count=40)
     driver.silent_endpoints = {0, 1, 2, 3}
     driver.balancer.packing.target = None
@@ -202,7 +202,7 @@
 
 
 def test_a_waiting_arrival_goes_to_the_last_reporter() -> None:
-    """Unprobed draws found hung servers; the last one that answered is not hung."""
+    """Draws without a probe selected hung endpoints; the endpoint that answered last is not hung."""
     for seed in range(20):
         driver = BalancerDriver(8, seed=seed)
         last = driver.balancer.uniform_draw.last_reporter[0]
--- a/tests/test_refresh.py
+++ b/tests/test_refresh.py
@@ -1,4 +1,4 @@
-"""What keeps the table true where arrivals are few: reports forgotten, passed over, or asked for again."""
+"""Load reports stay accurate where arrivals are few: reports are discarded, corrected or requested again."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 def probed_in(driver: BalancerDriver, seconds: int) -> list[tuple[int, EndpointId]]:
-    """The probes that upkeep leads to, by second."""
+    """The probes of the periodic maintenance, with the second of each."""
     found = []
     for second in range(1, seconds + 1):
         driver.advance(SECOND)
@@ -53,19 +53,18 @@
     assert (driver.balancer.state.endpoints[0].load > 0.1) is (count < 4.0)
     driver.loads[0] = (count, 0.1)
     driver.advance(SECOND // 4)
-    assert bool(actions_of(driver.handle(TimerExpired(3)), ProbeLoad)) is (
-        count < 4.0
-    )  # not only once a second
+    # The next probe does not wait for the tick of the next second.
+    assert bool(actions_of(driver.handle(TimerExpired(3)), ProbeLoad)) is (count < 4.0)
 
 
 def test_placements_since_a_report_are_added_to_it() -> None:
-    """Reports are a second old when read: clients that came back together all went to one empty server."""
+    """Reports are a second old when read: clients that returned together all went to one empty endpoint."""
     driver = BalancerDriver(2, load_report_fields=["concurrent", "x0"])
     driver.loads = {0: (0.0, 0.0), 1: (0.0, 0.0)}
     for _ in range(12):
         driver.arrive()
     assert 3 <= sum(started.endpoint_id == 0 for started in driver.started_attempts) <= 9
-    driver.advance(2 * SECOND)  # by now a report counts them
+    driver.advance(2 * SECOND)  # a report counts the placements by then
     driver.handle(LoadProbeResult(0, AttemptStatus.OK, 1000, (6.0, 0.3)))
     assert (driver.balancer.state.endpoints[0].connections, driver.balancer.state.endpoints[0].load) == (
         6.0,
@@ -89,10 +88,8 @@
     resume(driver, 0, 77)
     driver.handle(LoadProbeResult(0, AttemptStatus.OK, 1000, driver.loads[0]))
     packing = driver.balancer.packing
-    packing.target, packing.remaining_fill = (
-        driver.balancer.state.endpoints[1],
-        99,
-    )  # no draw of its own meanwhile
+    # A large fill prevents samples during the test.
+    packing.target, packing.remaining_fill = driver.balancer.state.endpoints[1], 99
     driver.balancer.state.endpoints[0].probed_us = driver.now
     assert [second for second, number in probed_in(driver, 10) if number == 0] == seconds
 
@@ -120,9 +117,8 @@
     for seed in range(20):
         driver = BalancerDriver(4, seed=seed)
         resume(driver, 0, *range(70, 80))
-        for request_id in range(
-            70, 80
-        ):  # 79 would overload any other server as well, 78 is most of what can go
+        # Connection 79 would overload any other endpoint as well; 78 is most of the load that can migrate.
+        for request_id in range(70, 80):
             load = {79: 3_000_000.0, 78: 300_000.0}.get(request_id, 10_000.0)
             driver.handle(ConnectionMetric(request_id, 0, 0, MetricKind.LOAD, load))
         driver.advance(SECOND)
@@ -158,6 +154,6 @@
     )
     driver.balancer.state.endpoints[0].probed_us = driver.now
     assert sum(number == 0 for _, number in probed_in(driver, 10)) == count
-    driver.loads[0] = (10.0, 0.9)  # past the limit each must know, to move its share
+    driver.loads[0] = (10.0, 0.9)  # above the limit, each relay needs reports to migrate its share
     driver.handle(LoadProbeResult(0, AttemptStatus.OK, 1000, driver.loads[0]))
     assert sum(number == 0 for _, number in probed_in(driver, 10)) >= 4
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, each outcome, and the departures that failures call for."""
+"""The idempotency rules, each outcome of an attempt, and the responses to failures."""
 
 import math
 import random
@@ -109,9 +109,8 @@
 
 @pytest.mark.parametrize(("after", "retried"), [(740_000, True), (760_000, False)])
 def test_a_by_key_retry_that_could_arrive_after_its_window_is_not_started(after: int, retried: bool) -> None:
-    driver = BalancerDriver(
-        4, classes=[by_key_class("all")]
-    )  # remembered for a second; a connect may take a quarter of one
+    # A key is remembered for one second; a connect may take a quarter of a second.
+    driver = BalancerDriver(4, classes=[by_key_class("all")])
     driver.arrive()
     driver.advance(after)
     assert (
@@ -147,7 +146,7 @@
 
 def test_timeouts_grow_after_a_timeout_and_follow_the_duration_of_the_last_set_up() -> None:
     driver, timeouts = BalancerDriver(servers=12, max_attempts=6), []
-    driver.balancer.throttle.recent_accepted = 10.0  # others stand: the throttle is not what is asked here
+    driver.balancer.throttle.recent_accepted = 10.0  # keeps the throttle from rejecting
 
     objective_us = driver.balancer.context.settings.classes[0].latency_objective_us
 
@@ -157,8 +156,8 @@
         return started
 
     driver.end(first(), AttemptStatus.TIMEOUT)
-    driver.end(first(), AttemptStatus.FULL)  # full tells no time
-    driver.establish(first())  # in 10 ms
+    driver.end(first(), AttemptStatus.FULL)  # a full endpoint says nothing about the duration of a set-up
+    driver.establish(first())  # 10 ms
     last = first()
     driver.handle(
         ConnectionEstablished(
@@ -174,7 +173,8 @@
     driver.arrive(time_budget_us=100 * SECOND)
     for _ in range(4):
         driver.end(driver.started_attempts[-1], AttemptStatus.TIMEOUT)
-    driver.balancer.retry_policy.failure_share = 0.0  # by which a set-up would have all the time that is left
+    # A high failure share would give the set-up all the remaining time.
+    driver.balancer.retry_policy.failure_share = 0.0
     (started,) = actions_of(driver.arrive(time_budget_us=100 * SECOND), StartAttempt)
     assert started.timeout_us == 8 * driver.balancer.context.settings.classes[0].latency_objective_us
 
@@ -195,7 +195,8 @@
 
 @pytest.mark.parametrize("state", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
 def test_nothing_goes_to_a_draining_or_removed_endpoint(state: int) -> None:
-    driver = BalancerDriver(3, seed=2)  # one with which the draws after the 50th send name all
+    # With this seed, the draws after the 50th attempt select every endpoint.
+    driver = BalancerDriver(3, seed=2)
     driver.change_status(1, state)
     for _ in range(50):
         driver.arrive()
@@ -233,7 +234,7 @@
     assert waits[-1] > 4 * waits[0]
     driver.handle(TimerExpired(2))
     driver.handle(EndpointListUpdate(UpdateKind.DELTA, 2, []))
-    assert not actions_of(driver.handle(TimerExpired(2)), WatchEndpoints)  # subscribed: no call more
+    assert not actions_of(driver.handle(TimerExpired(2)), WatchEndpoints)  # subscribed: no further poll
 
 
 def test_a_pushed_list_is_not_polled() -> None:
@@ -245,9 +246,9 @@
 
 
 def attempts_at_warming_endpoint(relays: int, per_second: int, **request: int) -> int:
-    """Sends in 5 s to one just-started, empty server among ten, whose connections live 10 s, by all gateways.
+    """Attempts of all relays in 5 s at one just started, empty endpoint of ten; connections last 10 s.
 
-    Ten connections make half a load, so the server is full at 20: two a second at full warmth.
+    Ten connections are half a load, so the endpoint is full at 20: two a second at full capacity.
     """
     total = 0
     for seed in range(relays):
@@ -277,8 +278,8 @@
 
 
 def test_a_warming_endpoint_stays_within_its_budget_at_any_arrival_rate() -> None:
-    """It reads empty, and every gateway would fill it; clients cut off by a deploy pushed successors over."""
-    budget = 5 * 3.0 * 0.4 * 2  # seconds, multiple, warmth reached, connections a second
+    """Every relay would fill a new, empty endpoint: clients that returned in a deploy overloaded one."""
+    budget = 5 * 3.0 * 0.4 * 2  # seconds, multiple, capacity share, connections per second
     assert 0 < attempts_at_warming_endpoint(40, 2) < budget
     assert 0 < attempts_at_warming_endpoint(40, 40, flags=RequestFlag.RETURNED) < budget
 
@@ -333,7 +334,7 @@
 
 @pytest.mark.parametrize("status", [AttemptStatus.ERROR, AttemptStatus.RESET])
 def test_an_endpoint_is_at_fault_for_an_error_only_once_another_serves_that_request(status: int) -> None:
-    """Lines of bad clients can pass for good ones here and be turned away there: no server is at fault."""
+    """A relay may accept a malformed first line that endpoints reject: then no endpoint is at fault."""
     driver = BalancerDriver(6)
     driver.arrive()
     while driver.started_attempts[-1].request_id in driver.balancer.state.requests:
@@ -349,7 +350,7 @@
 
 
 def test_a_probe_that_is_reset_migrates_no_connection() -> None:
-    """A connection was reset on its way: all that stood at that server was once moved for it."""
+    """A reset on the path to an endpoint caused the migration of all connections there."""
     driver = BalancerDriver(6)
     for _ in range(20):
         driver.arrive()
@@ -370,13 +371,13 @@
 
 
 def time_out_attempts(driver: BalancerDriver) -> None:
-    """Every attempt for the last request times out."""
+    """Let every attempt of the last request time out."""
     while driver.started_attempts[-1].request_id in driver.balancer.state.requests:
         driver.end(driver.started_attempts[-1], AttemptStatus.TIMEOUT)
 
 
 def test_most_set_ups_failing_means_one_long_attempt_and_throttling() -> None:
-    """A slow store was kept slow by short time-outs and their retries."""
+    """Short timeouts and the retries after them kept a slow store slow."""
     driver = BalancerDriver(30)
     for _ in range(12):
         driver.arrive()
@@ -395,36 +396,36 @@
             assert driver.started_attempts[-1].timeout_us == 2 * SECOND
             driver.end(driver.started_attempts[-1], AttemptStatus.TIMEOUT)
     assert rejected > 350
-    assert len(driver.started_attempts) > before  # a few go on
+    assert len(driver.started_attempts) > before  # a few requests are admitted
 
 
 @pytest.mark.parametrize(("flags", "max_started"), [(0, 100), (RequestFlag.CLIENT_RETRY, 60)])
 def test_each_of_many_relays_adds_little_to_a_slow_store_though_it_sees_few_arrivals(
     flags: int, max_started: int
 ) -> None:
-    """Three a memory passed at each of 200 relays, which kept a slow store at several times its rate."""
+    """Each of 200 relays admitted three arrivals per time constant: several times the rate of the store."""
     started_count = 0
     for seed in range(5):
         driver = BalancerDriver(30, seed=seed, relay_count=200)
-        for n in range(40):  # 1.25 a second, all in vain
+        for n in range(40):  # 1.25 arrivals per second, all of which fail
             started_count += bool(actions_of(driver.arrive(flags=flags * (n % 10 < 7)), StartAttempt))
             time_out_attempts(driver)
             driver.advance(800_000)
-    assert 15 < started_count < max_started  # of 200; it was 141
+    assert 15 < started_count < max_started  # 200 arrivals, of which a relay with the fault started 141
 
 
 def test_the_throttle_ends_once_set_ups_succeed() -> None:
     rejected = 0
     for seed in range(20):
         driver = BalancerDriver(30, seed=seed)
-        for n in range(60):  # for 5 s none stands, then all do
+        for n in range(60):  # set-ups fail for 5 s, then all succeed
             if actions_of(driver.arrive(flags=RequestFlag.CLIENT_RETRY), StartAttempt):
                 driver.establish(driver.started_attempts[-1]) if n >= 10 else time_out_attempts(driver)
             else:
                 rejected += n >= 10
             driver.advance(SECOND // 2)
         assert not [r for _ in range(10) for r in actions_of(driver.arrive(), RejectRequest)]
-    assert rejected < 20 * 20  # of 20 * 50: for less than 10 s on average
+    assert rejected < 20 * 20  # 20 * 50 arrivals: the throttle lasts less than 10 s on average
 
 
 def test_the_first_arrival_is_admitted_even_as_a_retry() -> None:
@@ -435,9 +436,9 @@
 
 
 def test_a_surge_in_a_healthy_fleet_is_not_throttled() -> None:
-    """Attempts that have no outcome yet once counted as failed."""
+    """Attempts without an outcome were counted as failed."""
     driver = BalancerDriver(6)
-    driver.loads = dict.fromkeys(range(6), (10.0, 0.2))  # what is placed in the rush still fits
+    driver.loads = dict.fromkeys(range(6), (10.0, 0.2))  # the endpoints have capacity for the surge
     for n in range(6):
         driver.handle(LoadProbeResult(n, AttemptStatus.OK, 1000, driver.loads[n]))
     for _ in range(40):
@@ -445,7 +446,7 @@
 
 
 def test_the_first_arrivals_are_not_throttled_while_they_wait_for_a_sample() -> None:
-    """Held arrivals count as asked but not yet as sent: the second of a relay's day was refused by chance."""
+    """Waiting requests counted as arrivals but not as accepted: the second could be rejected by chance."""
     for seed in range(20):
         driver = BalancerDriver(6, seed=seed)
         driver.silent_endpoints = set(range(6))
@@ -488,9 +489,10 @@
     assert {migration.request_id for migration in migrated} <= set(
         driver.balancer.state.endpoints[1].request_ids
     )
+    # The second report follows within the interval between two reliefs.
     assert not actions_of(
         driver.handle(LoadProbeResult(1, AttemptStatus.OK, 900, (15.0, 1.8))), MigrateConnection
-    )  # paced
+    )
 
 
 def test_a_late_message_leads_to_a_probe_of_its_endpoint() -> None:
@@ -553,18 +555,17 @@
 def test_random_legal_events_break_no_rule(
     steps: list[tuple[int, int, int]], kind: str, probes: bool
 ) -> None:
-    """One final answer in time, no double effect, nothing to draining servers, one attempt at a time."""
+    """A single final answer in time, no double execution, no overlap, no attempt at a draining endpoint."""
     request_class = {"repeatable": REPEATABLE, "once": ONCE}.get(kind) or by_key_class(kind)
     locations = {n: n % 2 for n in range(6)}
     driver = BalancerDriver(
         6, classes=[request_class], places=locations, cells=locations, load_probes_enabled=probes
     )
     state = dict.fromkeys(range(6), EndpointStatus.READY)
-    deadlines: dict[int, int] = {}  # request: deadline
+    deadlines: dict[int, int] = {}  # requests without an answer
     in_flight: dict[int, StartAttempt] = {}
-    executed: dict[
-        int, tuple[int, int]
-    ] = {}  # request: server and time of the first attempt that may have run
+    # By request: the endpoint and the start of the first attempt that may have been executed.
+    executed: dict[int, tuple[int, int]] = {}
     started_us: dict[int, int] = {}
     timers: list[tuple[int, int]] = []
 
@@ -579,7 +580,7 @@
                 assert a.timeout_us > 0
                 if a.request_id in executed and kind != "repeatable":
                     number, at = executed[a.request_id]
-                    # it may take a connect's time to get there
+                    # The attempt may arrive after a full connect timeout.
                     assert kind != "once"
                     assert (
                         driver.now + driver.balancer.context.settings.connect_timeout_us - at
@@ -645,7 +646,7 @@
             if request_id not in in_flight:
                 check(driver.handle(ClientDisconnected(request_id)))
                 del deadlines[request_id]
-    for _ in range(60):  # every time-out runs out: all that was owed has been answered by then
+    for _ in range(60):  # all timeouts expire, after which every request has its answer
         advance_to(driver.now + SECOND // 10)
         for request_id in [
             r for r, started in in_flight.items() if driver.now >= started_us[r] + started.timeout_us
@@ -657,7 +658,7 @@
 
 
 def end_with_address_fault(driver: BalancerDriver, started: StartAttempt, status: int) -> list[Action]:
-    """The attempt failed by the way there, not by the server."""
+    """End an attempt by a fault of the address, not of the endpoint."""
     attempt = driver.attempts[started.request_id]
     return driver.handle(
         AttemptEnded(started.request_id, attempt, status, 0, started.endpoint_id, 10_000, (), True)
@@ -670,12 +671,11 @@
     for status in (AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.RESET):
         actions = end_with_address_fault(driver, driver.started_attempts[-1], status)
         (retried,) = actions_of(actions, StartAttempt)
-        # the same server by another way, and no longer than a first attempt: the next may be needed as well
+        # The same endpoint at another address, with the timeout of a first attempt: others may follow.
         assert retried.endpoint_id == driver.started_attempts[0].endpoint_id
         assert retried.timeout_us == driver.started_attempts[0].timeout_us == 500_000
-    assert actions_of(
-        driver.end(driver.started_attempts[-1], AttemptStatus.TIMEOUT), RejectRequest
-    )  # a fault of its own ends it, with no other server
+    # A fault of the only endpoint ends the request.
+    assert actions_of(driver.end(driver.started_attempts[-1], AttemptStatus.TIMEOUT), RejectRequest)
 
 
 def test_failed_addresses_are_no_sign_of_overload() -> None:
@@ -687,4 +687,5 @@
         assert not driver.ejected_endpoints()
         driver.establish(driver.started_attempts[-1])
     assert driver.balancer.throttle.recent_accepted > 7.9
-    assert not actions_of(driver.all_actions, RejectRequest)  # all were set up: nothing is throttled
+    # Every set-up succeeded, so nothing is throttled.
+    assert not actions_of(driver.all_actions, RejectRequest)
