--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -1,5 +1,6 @@
-"""The engine under events in a random order, outdated ones too: its invariants hold whatever crosses. A seed
-is a run that can be repeated.
+"""The engine under events in a random order, outdated ones included: its invariants hold in every order.
+
+Each seed is a reproducible run.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
     for weight, (idempotency, scope) in enumerate(IDEMPOTENCIES, 1)
 ]
 LIMITS = Limits(connect_timeout_us=400_000).with_drain_before_kill(2_000_000)
-ANSWER_SLACK_US = 45_000  # the timer for a missing answer falls due 5 ms after the balancer's deadline
+ANSWER_SLACK_US = 45_000  # the timer for a missing answer expires 5 ms after the balancer's deadline
 MAX_ATTEMPTS = 4
 STEPS_BEFORE_DRAIN = 251
 STEPS_OF_DRAIN = 49
@@ -57,7 +58,7 @@
 
 @dataclass
 class ExpectedRequest:
-    """What the run expects of one request."""
+    """The expected state of one request."""
 
     request_class: RequestClass
     deadline_us: int
@@ -70,7 +71,7 @@
     answer: str = ""
     ended: bool = False
     executed_endpoint_id: EndpointId = None
-    endpoint_started_us: int = 0  # when the attempt in flight began
+    endpoint_started_us: int = 0  # start time of the endpoint when the attempt started
 
     def end_attempt(self, may_have_executed: bool) -> None:
         assert self.in_flight is not None
@@ -82,7 +83,7 @@
 
 
 class RandomRun:
-    """Draws what happens next, and checks each command of the engine against the invariants."""
+    """Draws the next step, and checks each command of the engine against the invariants."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -105,7 +106,7 @@
         self.version = 1
         self.requests: dict[int, ExpectedRequest] = {}
         self.probes: list[EndpointId] = []
-        self.closed_attempts: list[tuple[int, int]] = []  # reports on these come too late
+        self.closed_attempts: list[tuple[int, int]] = []  # later events of these attempts are outdated
         self.exited = False
         self.steps_done = 0
         membership = MembershipUpdate(1, True, [self.listed(endpoint_id) for endpoint_id in self.entries])
@@ -132,7 +133,7 @@
         endpoint_id = self.random.choice([*self.entries, "nobody"]) if self.random.random() < 0.1 else ""
         deadline_us = self.now_us + (60_000_000 if endpoint_id else budget_us)
         request_id = self.engine.last_request_id + 1
-        # the engine's commands are checked later, so the record may be there before its call
+        # The engine's commands are checked after the call, so the record can be added before it.
         self.requests[request_id] = ExpectedRequest(
             self.settings.classes[number], deadline_us, bool(endpoint_id)
         )
@@ -169,7 +170,7 @@
             self.engine.upstream_ended(request_id, attempt, status, (), reset, self.now_us)
 
     def check_unwritten_attempt(self, request: ExpectedRequest, command: OpenUpstream) -> None:
-        """What is not written yet has been closed at an endpoint that drains, or that has started anew."""
+        """An attempt with an unwritten first line has been closed if its endpoint drains or restarted."""
         if not request.first_line_written and not request.resumed:
             assert self.accepts_requests(command.endpoint_id)
             assert request.endpoint_started_us == self.started_us(command.endpoint_id)
@@ -282,7 +283,7 @@
         self.steps_done += 1
 
     def steps(self) -> list[Callable[[], None]]:
-        """What may happen next, each as often as it is likely."""
+        """The possible next steps, each repeated by its relative frequency."""
         return (
             [self.open_request] * 5
             + [self.advance_attempt] * 12
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -1,5 +1,5 @@
-"""The protocol byte by byte and turn by turn: first lines in single bytes, answers after their deadline, a
-start on the address of a killed relay, and any split of the bytes that are forwarded.
+"""The protocol byte by byte: first lines in single bytes, answers after the deadline, a start on the address
+of a killed relay, and any split of the forwarded bytes.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 from tests.test_descriptors import TIMEOUT_S, RelayProcess
 
 FIRST_LINE = r"OPEN 0a 0b c=plain,d=300\r\n"
-MARGIN_MS = 40  # the relay answers so long before its client gives up
+MARGIN_MS = 40  # between the relay's final answer and the deadline of the client
 
 
 def advance_clocks(harness: RelayHarness, seconds: float) -> None:
-    """Advance the clock of the relay and that of its event loop."""
+    """Advance the relay's clock and that of its event loop."""
     loop = asyncio.get_running_loop()
     now = loop.time
     loop.time = lambda: now() + seconds  # type: ignore[method-assign]
@@ -47,7 +47,7 @@
 
 
 async def first_line_but_its_last_byte(harness: RelayHarness) -> Peer:
-    """A client that has sent its first line but for the last byte, each byte in a segment of its own."""
+    """A client that has sent all but the last byte of its first line, each byte in its own segment."""
     client = await harness.connect_client()
     connection = await connection_awaiting_its_first_line(harness)
     raw = FIRST_LINE.encode().decode("unicode_escape").encode()
@@ -62,7 +62,7 @@
     advance_clocks(harness, 2.4)
     client.sock.send(b"\n")
     server = await harness.accept_upstream()
-    await server.expect(f"OPEN 0a 0b c=plain,d={300 - MARGIN_MS}")  # counted from that byte
+    await server.expect(f"OPEN 0a 0b c=plain,d={300 - MARGIN_MS}")  # the deadline counts from the last byte
     server.send(r"UP r1\r\n")
     await client.expect("UP r1")
     assert harness.relay.engine.counters.counts["attempts_started"] == 1
@@ -82,10 +82,10 @@
     client.send(FIRST_LINE)
     server = await harness.accept_upstream()
     await server.expect("OPEN 0a")
-    # past the client's deadline, before the timers have run
+    # The client's deadline has passed, but the timers have not run yet.
     harness.relay.runtime.clock.offset_ns += 400_000_000
     server.send(r"UP late\r\n")
-    await client.expect("UP late")  # the one final answer
+    await client.expect("UP late")  # the only final answer
     harness.relay.runtime.timers.wake.set()
     await harness.wait_until(lambda: harness.relay.engine.next_due() > harness.relay.runtime.clock())
     client.finish()
@@ -99,12 +99,12 @@
         client.send(FIRST_LINE)
         server = await harness.accept_upstream()
         await server.expect("OPEN 0a")
-        server.send(answer[:2])  # half of its answer is in
+        server.send(answer[:2])  # the first bytes of the answer
         harness.relay.runtime.clock.offset_ns += 400_000_000
         harness.relay.runtime.timers.wake.set()
         await client.expect("BUSY")
         await harness.wait_until(lambda: harness.relay.runtime.descriptor_count.open <= 1)
-        with contextlib.suppress(ConnectionError):  # it may know of its end by now
+        with contextlib.suppress(ConnectionError):  # the connection may be closed already
             server.send(answer[2:])
         await client.expect("end")
         assert await server.next_line() in ("end", "reset")
@@ -112,7 +112,7 @@
 
 
 async def answer_of_an_attempt_that_timed_out(harness: RelayHarness) -> None:
-    await harness.connect_client()  # it runs by now
+    await harness.connect_client()  # the relay is running after this
     list_two_endpoints(harness)
     for ident, answer in (("0a", r"UP r2\r\n"), ("0b", r"BUSY\r\n")):
         client = await harness.connect_client()
@@ -121,10 +121,10 @@
         await timed_out.expect(f"OPEN {ident}")
         harness.relay.runtime.clock.offset_ns += 600_000_000  # the attempt has timed out
         harness.relay.runtime.timers.wake.set()
-        timed_out.send(r"UP late\r\n")  # in the same turn of the event loop
+        timed_out.send(r"UP late\r\n")  # in the same iteration of the event loop
         retried = await harness.accept_upstream()
         await retried.expect(f"OPEN {ident}")
-        assert await timed_out.next_line() in ("end", "reset")  # before the second has answered
+        assert await timed_out.next_line() in ("end", "reset")  # precedes the answer of the second attempt
         retried.send(answer)
         await client.expect(answer[:4].strip())
         client.finish()
@@ -158,7 +158,7 @@
 
 
 def connections_in_time_wait(port: int) -> int:
-    """Connections at this port that wait in TIME_WAIT."""
+    """The number of connections at this port in the state TIME_WAIT."""
     rows = [row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     return sum(row[1].endswith(f":{port:04X}") and row[3] == "06" for row in rows)
 
@@ -168,11 +168,11 @@
     answered = relay_process.client(b"OPEN 0a 0b c=none,d=2000\r\n")
     while answered.recv(100):
         pass
-    answered.close()  # the relay ended it first, so its side waits in TIME_WAIT
+    answered.close()  # the relay closed the connection first, so TIME_WAIT is on its side
     for data in (b"", b"OPEN 0b 0b c=pl", b"PING\r\n"):
         relay_process.client(data)
     for _ in range(50):
-        relay_process.client(b"OPEN 0c 0b c=pl")  # some accepted, some still in the queue
+        relay_process.client(b"OPEN 0c 0b c=pl")  # some accepted, some still in the backlog
     relay_process.process.kill()
     relay_process.process.wait(TIMEOUT_S)
     end = time.monotonic() + TIMEOUT_S
