--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -46,7 +46,7 @@
     return connection
 
 
-async def first_line_but_its_last_byte(harness: RelayHarness) -> Peer:
+async def first_line_without_its_last_byte(harness: RelayHarness) -> Peer:
     """A client that has sent all but the last byte of its first line, each byte in its own segment."""
     client = await harness.connect_client()
     connection = await connection_awaiting_its_first_line(harness)
@@ -58,7 +58,7 @@
 
 
 async def last_byte_in_time(harness: RelayHarness) -> None:
-    client = await first_line_but_its_last_byte(harness)
+    client = await first_line_without_its_last_byte(harness)
     advance_clocks(harness, 2.4)
     client.sock.send(b"\n")
     server = await harness.accept_upstream()
@@ -69,7 +69,7 @@
 
 
 async def last_byte_after_the_timeout(harness: RelayHarness) -> None:
-    client = await first_line_but_its_last_byte(harness)
+    client = await first_line_without_its_last_byte(harness)
     advance_clocks(harness, 2.7)
     await client.expect("ERR")
     client.sock.send(b"\n")
@@ -114,16 +114,16 @@
 async def answer_of_an_attempt_that_timed_out(harness: RelayHarness) -> None:
     await harness.connect_client()  # the relay is running after this
     list_two_endpoints(harness)
-    for ident, answer in (("0a", r"UP r2\r\n"), ("0b", r"BUSY\r\n")):
+    for client_id, answer in (("0a", r"UP r2\r\n"), ("0b", r"BUSY\r\n")):
         client = await harness.connect_client()
-        client.send(rf"OPEN {ident} 0b c=plain,d=2000\r\n")
+        client.send(rf"OPEN {client_id} 0b c=plain,d=2000\r\n")
         timed_out = await harness.accept_upstream()
-        await timed_out.expect(f"OPEN {ident}")
+        await timed_out.expect(f"OPEN {client_id}")
         harness.relay.runtime.clock.offset_ns += 600_000_000  # the attempt has timed out
         harness.relay.runtime.timers.wake.set()
         timed_out.send(r"UP late\r\n")  # in the same iteration of the event loop
         retried = await harness.accept_upstream()
-        await retried.expect(f"OPEN {ident}")
+        await retried.expect(f"OPEN {client_id}")
         assert await timed_out.next_line() in ("end", "reset")  # precedes the answer of the second attempt
         retried.send(answer)
         await client.expect(answer[:4].strip())
