--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -665,7 +665,7 @@
     )
 
 
-def test_an_address_fault_changes_neither_time_outs_nor_the_endpoint() -> None:
+def test_an_address_fault_changes_neither_timeouts_nor_the_endpoint() -> None:
     driver = BalancerDriver(1, max_attempts=6, classes=[RequestClass("r", 500_000, idempotency="repeatable")])
     driver.arrive()
     for status in (AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.RESET):
