--- a/gannetweir/placement/admission.py
+++ b/gannetweir/placement/admission.py
@@ -17,7 +17,7 @@
 ARRIVAL_ALLOWANCE = 2.0
 # The same for a client's own retry. It is lower, as a retry indicates a failure at this or another relay.
 RETRY_ALLOWANCE = 0.5
-# A retry counts as one arrival less this when the retry itself is judged.
+# When a retry itself is judged, it counts as one arrival minus this discount.
 RETRY_DISCOUNT = 0.5
 
 # Load limits are shares of capacity. Message delays and rejections adjust the limit within these bounds.
@@ -50,7 +50,7 @@
     def admits(self, request: PendingRequest, is_retry: bool, now_us: int) -> bool:
         """Count an arrival and return whether it is admitted.
 
-        An admitted arrival counts as accepted until `remove_accepted` corrects the count.
+        Each arrival counts as accepted until `remove_accepted` corrects the count.
         """
         decay = math.exp((self._updated_us - now_us) / THROTTLE_TIME_CONSTANT_US)
         self._updated_us = now_us
@@ -63,7 +63,7 @@
         else:
             # While most set-ups fail, clients' retries would keep the throttle in force; this admits one.
             self._enforced_until_us = now_us + MAX_TIME_WITHOUT_ADMISSION_US
-        self.recent_accepted += 1.0  # `remove_accepted` undoes this if the set-up fails
+        self.recent_accepted += 1.0  # `remove_accepted` undoes this if the request is not set up
         return not is_rejected
 
     def _draws_rejection(self, request: PendingRequest, is_retry: bool) -> bool:
@@ -79,7 +79,7 @@
         return context.rng.random() < 1.0 - allowed / arrivals
 
     def remove_accepted(self) -> None:
-        """Uncount one accepted request whose set-up failed."""
+        """Remove one request from the accepted ones: it was rejected or its set-up failed."""
         self.recent_accepted = max(0.0, self.recent_accepted - 1.0)
 
 
--- a/gannetweir/placement/load_probing.py
+++ b/gannetweir/placement/load_probing.py
@@ -16,7 +16,8 @@
 MAX_PROBE_AGE_AT_LOW_LOAD = 5
 # Endpoints above this share of the load limit are probed more often.
 HIGH_LOAD_SHARE = 0.7
-# The relays with connections at an endpoint share the probing: each of them probes less often.
+# Relays with connections at an endpoint share its probing: for n of them, the interval is
+# n / RELAYS_PER_PROBE times as long.
 RELAYS_PER_PROBE = 4
 # Sharing extends the interval by no more than this: an overload has to be detected within a few seconds.
 MAX_PROBE_INTERVAL_FACTOR = 4
--- a/gannetweir/placement/rebalancing.py
+++ b/gannetweir/placement/rebalancing.py
@@ -17,7 +17,7 @@
 RELIEF_INTERVAL_US = 2 * REPORT_FRESHNESS_US
 # Maximum age of a report that decides on a migration into this relay's zone.
 ZONE_REPORT_FRESHNESS_US = 2 * REPORT_FRESHNESS_US
-# Share of the connections to other zones that is migrated back per tick, as an expected value.
+# Expected share of the cross-zone connections that return to this relay's zone per tick.
 ZONE_RETURN_SHARE = 0.1
 
 
--- a/gannetweir/placement/settings.py
+++ b/gannetweir/placement/settings.py
@@ -35,7 +35,7 @@
     deadline_us: int = 1_800_000
     priority_weight: float = 1.0
     idempotency: str = Idempotency.ONCE
-    idempotency_scope: str = IdempotencyScope.CELL  # for idempotency by key
+    idempotency_scope: str = IdempotencyScope.CELL  # used with idempotency by key
     idempotency_window_us: int = 0  # how long a key is remembered
     # Timing from the operators' routes. 0 or empty selects the default of the balancer.
     route: str = ""  # set by `routing`; empty in the platform's classes
@@ -44,7 +44,7 @@
     attempt_timeout_us: int = 0  # counted from the last byte of the first line
     max_attempts: int = 0
     retry_backoff_us: tuple[int, ...] = ()  # maximum before the second attempt, the third, ...
-    backoff_from_attempt_start: bool = False  # otherwise from its end
+    backoff_from_attempt_start: bool = False  # otherwise the backoff counts from its end
     full_jitter: bool = False  # uniform between 0 and the maximum
     # Whether another attempt may follow one that may have been executed, where `idempotency` allows it.
     retries_executed_attempts: bool = True
@@ -81,7 +81,7 @@
     zone: int = 0
     zone_names: list[str] = field(default_factory=list)
     machine_types: list[str] = field(default_factory=list)
-    polls_endpoint_list: bool = False  # the list is not pushed
+    polls_endpoint_list: bool = False  # whether the list has to be polled
     poll_interval_us: int = 10_000_000
     slow_start_min_share: float = 0.1
     slow_start_window_us: int = 30_000_000
