--- a/gannetweir/placement/arrival_placement.py
+++ b/gannetweir/placement/arrival_placement.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint for an arrival without a group: the target of PACKING, or a sample's."""
+"""The choice of an endpoint for a request without a group: the target of PACKING, or a sampled endpoint."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ArrivalPlacement:
-    """Chooses by the state of others; it has none of its own."""
+    """Chooses endpoints by the state of other parts; has no state itself."""
 
     def __init__(
         self,
@@ -31,18 +31,19 @@
         self._packing = packing
 
     def choose(self, request_id: int, request: PendingRequest, now_us: int) -> Choice:
-        """Choose an endpoint, or defer the choice while a sample is out and the request may wait."""
+        """Return an endpoint or None, or a deferral while a sample is in flight and the request may wait."""
         if self._ready and all(endpoint in request.attempted_endpoints for endpoint in self._ready):
-            return None  # no draw could name one; waiting for it would probe the same ones over and over
+            # No draw can succeed, and waiting would probe the same endpoints repeatedly.
+            return None
         packing = self._packing
         target = packing.target
         is_stale = packing.is_stale(now_us)
-        if target is not None and self._is_unfit(target, request, is_stale, now_us):
-            packing.drop_target()
+        if target is not None and self._is_ineligible(target, request, is_stale, now_us):
+            packing.clear_target()
             target = None
             is_stale = True
-        if is_stale and self._context.probes_load and not request.has_waited(now_us):
-            self._context.start_wait(request, now_us)
+        if is_stale and self._context.probes_load and not request.has_wait_expired(now_us):
+            self._context.start_report_wait(request, now_us)
             packing.await_sample(request_id, target, now_us)
             return Deferral.AWAITING_REPORT
         packing.use_fill(target)
@@ -51,17 +52,19 @@
         if max_setups and endpoint is not None and self._requests.setups_at(endpoint) >= max_setups:
             free = [other for other in self._ready if self._requests.setups_at(other) < max_setups]
             endpoint = self._uniform_draw.draw(free, request.attempted_endpoints, now_us)
-        self._uniform_draw.note_placement(endpoint)
+        self._uniform_draw.record_placement(endpoint)
         if packing.target is None:
-            packing.sample_ahead(now_us)
+            packing.start_sample(now_us)
         return endpoint
 
-    def _is_unfit(self, target: EndpointState, request: PendingRequest, is_stale: bool, now_us: int) -> bool:
-        """Whether the request may not go to the target."""
+    def _is_ineligible(
+        self, target: EndpointState, request: PendingRequest, is_stale: bool, now_us: int
+    ) -> bool:
+        """Whether the request may not be placed on the target."""
         if target.ejected_until_us > now_us or target in request.attempted_endpoints:
             return True
         if target not in self._slow_start.warming_up:
             return False
-        # One heavy connection would spend the budget of an endpoint that is warming up.
+        # A single heavy connection would use up the budget of an endpoint that is warming up.
         is_heavy = request.load_hint > self._load_model.mean_load_hint
         return is_stale or is_heavy or self._packing.remaining_fill > 1
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -1,5 +1,5 @@
-"""The protocol byte by byte and turn by turn: first lines in single bytes, answers after their deadline, a
-start on the address of a killed relay, and any split of the bytes that are forwarded.
+"""The protocol byte by byte: first lines in single bytes, answers after the deadline, a start on the address
+of a killed relay, and any split of the forwarded bytes.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 from tests.test_client_left import list_two_endpoints
 from tests.test_descriptors import TIMEOUT_S, RelayProcess
 
-LINE = r"OPEN 0a 0b c=plain,d=300\r\n"
-MARGIN_MS = 40  # the relay answers so long before its client gives up
+FIRST_LINE = r"OPEN 0a 0b c=plain,d=300\r\n"
+MARGIN_MS = 40  # between the relay's final answer and the deadline of the client
 
 
 def advance_clocks(harness: RelayHarness, seconds: float) -> None:
-    """Advance the clock of the relay and that of its event loop."""
+    """Advance the relay's clock and that of its event loop."""
     loop = asyncio.get_running_loop()
     now = loop.time
     loop.time = lambda: now() + seconds  # type: ignore[method-assign]
@@ -46,11 +46,11 @@
     return connection
 
 
-async def first_line_but_its_last_byte(harness: RelayHarness) -> Peer:
-    """A client that has sent its first line but for the last byte, each byte in a segment of its own."""
+async def first_line_without_its_last_byte(harness: RelayHarness) -> Peer:
+    """A client that has sent all but the last byte of its first line, each byte in its own segment."""
     client = await harness.connect_client()
     connection = await connection_awaiting_its_first_line(harness)
-    raw = LINE.encode().decode("unicode_escape").encode()
+    raw = FIRST_LINE.encode().decode("unicode_escape").encode()
     for count, byte in enumerate(raw[:-1], 1):
         client.sock.send(bytes([byte]))
         await harness.wait_until(lambda count=count: len(connection.protocol.lines.partial_line) == count)  # type: ignore[misc]
@@ -58,18 +58,18 @@
 
 
 async def last_byte_in_time(harness: RelayHarness) -> None:
-    client = await first_line_but_its_last_byte(harness)
+    client = await first_line_without_its_last_byte(harness)
     advance_clocks(harness, 2.4)
     client.sock.send(b"\n")
     server = await harness.accept_upstream()
-    await server.expect(f"OPEN 0a 0b c=plain,d={300 - MARGIN_MS}")  # counted from that byte
+    await server.expect(f"OPEN 0a 0b c=plain,d={300 - MARGIN_MS}")  # the deadline counts from the last byte
     server.send(r"UP r1\r\n")
     await client.expect("UP r1")
     assert harness.relay.engine.counters.counts["attempts_started"] == 1
 
 
 async def last_byte_after_the_timeout(harness: RelayHarness) -> None:
-    client = await first_line_but_its_last_byte(harness)
+    client = await first_line_without_its_last_byte(harness)
     advance_clocks(harness, 2.7)
     await client.expect("ERR")
     client.sock.send(b"\n")
@@ -79,13 +79,13 @@
 
 async def answer_is_read_before_timers(harness: RelayHarness) -> None:
     client = await harness.connect_client()
-    client.send(LINE)
+    client.send(FIRST_LINE)
     server = await harness.accept_upstream()
     await server.expect("OPEN 0a")
-    # past the client's deadline, before the timers have run
+    # The client's deadline has passed, but the timers have not run yet.
     harness.relay.runtime.clock.offset_ns += 400_000_000
     server.send(r"UP late\r\n")
-    await client.expect("UP late")  # the one final answer
+    await client.expect("UP late")  # the only final answer
     harness.relay.runtime.timers.wake.set()
     await harness.wait_until(lambda: harness.relay.engine.next_due() > harness.relay.runtime.clock())
     client.finish()
@@ -96,15 +96,15 @@
 async def answer_after_the_final_answer(harness: RelayHarness) -> None:
     for answer in (r"UP late\r\n", r"UP la"):
         client = await harness.connect_client()
-        client.send(LINE)
+        client.send(FIRST_LINE)
         server = await harness.accept_upstream()
         await server.expect("OPEN 0a")
-        server.send(answer[:2])  # half of its answer is in
+        server.send(answer[:2])  # the first bytes of the answer
         harness.relay.runtime.clock.offset_ns += 400_000_000
         harness.relay.runtime.timers.wake.set()
         await client.expect("BUSY")
         await harness.wait_until(lambda: harness.relay.runtime.descriptor_count.open <= 1)
-        with contextlib.suppress(ConnectionError):  # it may know of its end by now
+        with contextlib.suppress(ConnectionError):  # the connection may be closed already
             server.send(answer[2:])
         await client.expect("end")
         assert await server.next_line() in ("end", "reset")
@@ -112,19 +112,19 @@
 
 
 async def answer_of_an_attempt_that_timed_out(harness: RelayHarness) -> None:
-    await harness.connect_client()  # it runs by now
+    await harness.connect_client()  # the relay is running after this
     list_two_endpoints(harness)
-    for ident, answer in (("0a", r"UP r2\r\n"), ("0b", r"BUSY\r\n")):
+    for client_id, answer in (("0a", r"UP r2\r\n"), ("0b", r"BUSY\r\n")):
         client = await harness.connect_client()
-        client.send(rf"OPEN {ident} 0b c=plain,d=2000\r\n")
+        client.send(rf"OPEN {client_id} 0b c=plain,d=2000\r\n")
         timed_out = await harness.accept_upstream()
-        await timed_out.expect(f"OPEN {ident}")
+        await timed_out.expect(f"OPEN {client_id}")
         harness.relay.runtime.clock.offset_ns += 600_000_000  # the attempt has timed out
         harness.relay.runtime.timers.wake.set()
-        timed_out.send(r"UP late\r\n")  # in the same turn of the event loop
+        timed_out.send(r"UP late\r\n")  # in the same iteration of the event loop
         retried = await harness.accept_upstream()
-        await retried.expect(f"OPEN {ident}")
-        assert await timed_out.next_line() in ("end", "reset")  # before the second has answered
+        await retried.expect(f"OPEN {client_id}")
+        assert await timed_out.next_line() in ("end", "reset")  # precedes the answer of the second attempt
         retried.send(answer)
         await client.expect(answer[:4].strip())
         client.finish()
@@ -133,7 +133,7 @@
     assert (counts["attempts_started"], counts["served"], counts["attempts.timeout"]) == (4, 1, 2)
 
 
-PLAYS: list[Callable[[RelayHarness], Awaitable[None]]] = [
+SCENARIOS: list[Callable[[RelayHarness], Awaitable[None]]] = [
     last_byte_in_time,
     last_byte_after_the_timeout,
     answer_is_read_before_timers,
@@ -143,45 +143,45 @@
 
 
 @pytest.mark.anyio
-@pytest.mark.parametrize("play", PLAYS)
+@pytest.mark.parametrize("scenario", SCENARIOS)
 async def test_on_sockets(
-    play: Callable[[RelayHarness], Awaitable[None]], capsys: pytest.CaptureFixture[str]
+    scenario: Callable[[RelayHarness], Awaitable[None]], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    await run_scenario(RelayHarness(SHORT_TIMES), play, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES), scenario, capsys)
 
 
 @pytest.fixture
-def fleet(tmp_path: Path) -> Iterator[RelayProcess]:
-    fleet = RelayProcess(tmp_path, 256, 256)
-    yield fleet
-    fleet.end()
+def relay_process(tmp_path: Path) -> Iterator[RelayProcess]:
+    relay_process = RelayProcess(tmp_path, 256, 256)
+    yield relay_process
+    relay_process.end()
 
 
 def connections_in_time_wait(port: int) -> int:
-    """Connections at this port that wait in TIME_WAIT."""
+    """The number of connections at this port in the state TIME_WAIT."""
     rows = [row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     return sum(row[1].endswith(f":{port:04X}") and row[3] == "06" for row in rows)
 
 
-def test_a_relay_starts_at_once_on_the_address_of_a_killed_one(fleet: RelayProcess) -> None:
-    fleet.establish(b"01")
-    answered = fleet.client(b"OPEN 0a 0b c=none,d=2000\r\n")
+def test_a_relay_starts_at_once_on_the_address_of_a_killed_relay(relay_process: RelayProcess) -> None:
+    relay_process.establish(b"01")
+    answered = relay_process.client(b"OPEN 0a 0b c=none,d=2000\r\n")
     while answered.recv(100):
         pass
-    answered.close()  # the relay ended it first, so its side waits in TIME_WAIT
-    for say in (b"", b"OPEN 0b 0b c=pl", b"PING\r\n"):
-        fleet.client(say)
+    answered.close()  # the relay closed the connection first, so TIME_WAIT is on its side
+    for data in (b"", b"OPEN 0b 0b c=pl", b"PING\r\n"):
+        relay_process.client(data)
     for _ in range(50):
-        fleet.client(b"OPEN 0c 0b c=pl")  # some accepted, some still in the queue
-    fleet.process.kill()
-    fleet.process.wait(TIMEOUT_S)
+        relay_process.client(b"OPEN 0c 0b c=pl")  # some accepted, some still in the backlog
+    relay_process.process.kill()
+    relay_process.process.wait(TIMEOUT_S)
     end = time.monotonic() + TIMEOUT_S
-    while not connections_in_time_wait(fleet.listen_address[1]):
+    while not connections_in_time_wait(relay_process.listen_address[1]):
         assert time.monotonic() < end
-    fleet.start()
-    front = fleet.client(b"PING\r\n")
-    assert front.recv(100) == b"PONG\r\n"
-    fleet.establish(b"02")
+    relay_process.start()
+    client = relay_process.client(b"PING\r\n")
+    assert client.recv(100) == b"PONG\r\n"
+    relay_process.establish(b"02")
 
 
 @settings(max_examples=15, deadline=None)
@@ -195,7 +195,7 @@
     raw = b"".join(lines)
     ends = sorted({min(cut, len(raw)) for cut in cuts} | {len(raw)})
 
-    async def passes(sender: Peer, receiver: Peer) -> None:
+    async def send_and_compare(sender: Peer, receiver: Peer) -> None:
         start, got = 0, b""
         for end in ends:
             sender.sock.send(raw[start:end])
@@ -207,13 +207,13 @@
                 got += receiver.sock.recv(65536)
         assert got == raw
 
-    async def play() -> None:
+    async def scenario() -> None:
         harness = RelayHarness(SHORT_TIMES)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(harness.relay.run)
             client, server = await established_client(harness)
-            await passes(client, server)
-            await passes(server, client)
+            await send_and_compare(client, server)
+            await send_and_compare(server, client)
             tasks.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(scenario)
