--- a/gannetweir/net/client_connection.py
+++ b/gannetweir/net/client_connection.py
@@ -173,7 +173,7 @@
     async def _forward_remaining_lines(self) -> None:
         """The client ended in good order: what its endpoint still sends is forwarded, for a short while."""
         if self.upstream is not None:
-            self.context.descriptor_budget.note_client_ended(self)
+            self.context.descriptor_budget.record_client_ended(self)
             with anyio.move_on_after(self.limits.linger_us / 1e6):
                 await self.upstream.finished.wait()
             self.upstream.close()
@@ -181,7 +181,7 @@
     def _handle_event(self, event: ClientEvent) -> None:
         if isinstance(event, PingReceived):
             self.has_pinged = True
-            self.context.descriptor_budget.note_ping(self)
+            self.context.descriptor_budget.record_ping_answered(self)
             self.client.write(self.protocol.ping_answer(self.context.engine.is_ready()))
         elif isinstance(event, RequestOpened):
             self.first_line = event.first_line
@@ -243,21 +243,21 @@
     def start_forwarding(self) -> None:
         """Write the endpoint's answer, then forward the lines that came early."""
         self.client.write(self.established_line)
-        self._note_answer(served=True)
+        self._record_answer(served=True)
         for event in self.protocol.establish():
             self._handle_event(event)
 
     def end_rejected(self, retry_after_us: int) -> None:
         """Answer that trying again is harmless, and end."""
         self._finish(self.protocol.end_rejected(retry_after_us))
-        self._note_answer(served=False)
+        self._record_answer(served=False)
 
     def end_failed(self) -> None:
         """Answer that nothing is promised, and end."""
         self._finish(self.protocol.end_failed())
-        self._note_answer(served=False)
+        self._record_answer(served=False)
 
-    def _note_answer(self, served: bool) -> None:
+    def _record_answer(self, served: bool) -> None:
         self.context.engine.guard.final_answer_written(self.request_id, served, self.context.clock())
 
     def end_migrated(self) -> None:
@@ -280,7 +280,7 @@
         if last_line:
             self.client.write(last_line)
         self.client.finish()
-        self.context.descriptor_budget.note_final_answer(self)
+        self.context.descriptor_budget.record_final_answer(self)
         self.scope.deadline = anyio.current_time() + self.limits.linger_us / 1e6
 
     def write_to_client(self, line: bytes) -> None:
--- a/gannetweir/net/client_registry.py
+++ b/gannetweir/net/client_registry.py
@@ -37,7 +37,7 @@
             if has_capacity:
                 self.open_count += 1
                 client = ClientConnectionDriver(runtime, self, transport)
-                runtime.descriptor_budget.note_accepted(client)
+                runtime.descriptor_budget.record_accepted(client)
                 runtime.spawn(client.run)
             else:
                 runtime.engine.counters.add("connections_rejected")
@@ -49,7 +49,7 @@
         executed; where another client's open request has the same id, this one fails without the engine.
         """
         runtime = self.runtime
-        runtime.descriptor_budget.note_request(client)
+        runtime.descriptor_budget.record_request(client)
         client.request_id = runtime.engine.request_opened(
             first_line.request, first_line.current_endpoint, runtime.clock(), first_line.client_id
         )
--- a/gannetweir/net/descriptors.py
+++ b/gannetweir/net/descriptors.py
@@ -65,28 +65,28 @@
         self.address_races: dict[Evictable, None] = {}  # each adds and removes itself
         self.awaiting_first_line: dict[EvictableConnection, None] = {}
         self.ping_answered: dict[EvictableConnection, None] = {}  # some of those that await their first line
-        self.finally_answered: dict[EvictableConnection, None] = {}  # their remaining input is discarded
+        self.final_answer_sent: dict[EvictableConnection, None] = {}  # their remaining input is discarded
         self.client_ended: dict[EvictableConnection, None] = {}  # the endpoint may still send lines
 
-    def note_accepted(self, connection: EvictableConnection) -> None:
+    def record_accepted(self, connection: EvictableConnection) -> None:
         """It was accepted and owes its first line."""
         self.awaiting_first_line[connection] = None
 
-    def note_ping(self, connection: EvictableConnection) -> None:
+    def record_ping_answered(self, connection: EvictableConnection) -> None:
         """It has had the answer to a ping."""
         self.ping_answered[connection] = None
 
-    def note_request(self, connection: EvictableConnection) -> None:
+    def record_request(self, connection: EvictableConnection) -> None:
         """Its first line is in: it can't be evicted until it is answered."""
         self.awaiting_first_line.pop(connection, None)
         self.ping_answered.pop(connection, None)
 
-    def note_final_answer(self, connection: EvictableConnection) -> None:
+    def record_final_answer(self, connection: EvictableConnection) -> None:
         """It has had its final answer; the rest of what it sends is discarded."""
-        self.note_request(connection)
-        self.finally_answered[connection] = None
+        self.record_request(connection)
+        self.final_answer_sent[connection] = None
 
-    def note_client_ended(self, connection: EvictableConnection) -> None:
+    def record_client_ended(self, connection: EvictableConnection) -> None:
         """Its client has ended it."""
         self.client_ended[connection] = None
 
@@ -95,7 +95,7 @@
         for group in (
             self.awaiting_first_line,
             self.ping_answered,
-            self.finally_answered,
+            self.final_answer_sent,
             self.client_ended,
         ):
             group.pop(connection, None)
@@ -140,11 +140,11 @@
         and in a crowd all would lose their place just before. The latest go, though none that was accepted
         just now, since most clients write at once.
         """
-        yield from list(self.finally_answered)
+        yield from list(self.final_answer_sent)
         yield from list(self.ping_answered)
-        settled_before_s = anyio.current_time() - self.current_limits().eviction_grace_us / 1e6
+        accepted_before_s = anyio.current_time() - self.current_limits().eviction_grace_us / 1e6
         awaiting = list(self.awaiting_first_line)
-        yield from (client for client in reversed(awaiting) if client.accepted_at_s < settled_before_s)
+        yield from (client for client in reversed(awaiting) if client.accepted_at_s < accepted_before_s)
         yield from awaiting
 
 
--- a/gannetweir/net/signals.py
+++ b/gannetweir/net/signals.py
@@ -28,7 +28,7 @@
         self.arrived = anyio.Event()
         self.call_soon = _call_soon_from_handler()
 
-    def note(self, number: int, _frame: FrameType | None) -> None:
+    def record(self, number: int, _frame: FrameType | None) -> None:
         """The signal handler. It runs between any two steps of the program, so it only notes the kind and
         wakes the loop, also if that is asleep.
         """
@@ -66,10 +66,10 @@
     The handlers before are put back at the end.
     """
     queue = SignalQueue()
-    before = {number: signal.signal(number, queue.note) for number in HANDLED_SIGNALS}
+    previous_handlers = {number: signal.signal(number, queue.record) for number in HANDLED_SIGNALS}
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
     try:
         yield queue
     finally:
-        for number, handler in before.items():
+        for number, handler in previous_handlers.items():
             signal.signal(number, handler)
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -225,14 +225,14 @@
 
 def report_answers_twice() -> None:
     """Some clients have two final answers, as the relay's own guard is told."""
-    note_answer = ClientConnectionDriver._note_answer
+    record_answer = ClientConnectionDriver._record_answer
 
     def faulty(self: ClientConnectionDriver, served: bool) -> None:
-        note_answer(self, served)
+        record_answer(self, served)
         if is_hit(self.request_id):
-            note_answer(self, served)
+            record_answer(self, served)
 
-    ClientConnectionDriver._note_answer = faulty  # type: ignore[method-assign]
+    ClientConnectionDriver._record_answer = faulty  # type: ignore[method-assign]
 
 
 def overload_started_last() -> None:
