--- a/gannetweir/net/client_connection.py
+++ b/gannetweir/net/client_connection.py
@@ -30,7 +30,7 @@
 class ClientContext(UpstreamContext, Protocol):
     """What a client's connection needs of the relay, beside what its upstream connections do."""
 
-    def log(self, text: str, **about: object) -> None:
+    def log(self, text: str, **fields: object) -> None:
         """Write one log line and what it is about."""
 
 
@@ -143,7 +143,7 @@
             self._feed(self.client.read_available())  # it may have come in this very moment
         if self._awaits_first_line():
             self.context.engine.counters.add("first_line_timeouts")
-            self.close_before_request(too_late=not self.has_pinged)
+            self.close_before_request(timed_out=not self.has_pinged)
 
     def _awaits_first_line(self) -> bool:
         return self.protocol.phase is ClientPhase.AWAITING_FIRST_LINE
@@ -213,13 +213,13 @@
         if self.upstream is not None:
             self.upstream.close()
 
-    def close_before_request(self, too_late: bool = False) -> None:
+    def close_before_request(self, timed_out: bool = False) -> None:
         """Accept no first line any more. One may be on its way: so this end is never without an answer, and
-        the close waits until what comes has been read. `too_late`: the client's time for it is over.
+        the close waits until what comes has been read. `timed_out`: the client's time for it is over.
         """
         if not self._awaits_first_line():
             return
-        if too_late:
+        if timed_out:
             self._finish(self.protocol.end_failed())
         else:
             self._finish(self.protocol.end_rejected(self.limits.rejection_retry_after_us))
--- a/gannetweir/net/dialer.py
+++ b/gannetweir/net/dialer.py
@@ -21,7 +21,7 @@
 from gannetweir.net.connecting import connect_endpoint
 from gannetweir.net.errors import LocalResourceError
 from gannetweir.net.ports import RaceContext
-from gannetweir.net.sockets import socket_to
+from gannetweir.net.sockets import socket_for_address
 from gannetweir.net.transport import DescriptorCount, Transport
 
 
@@ -44,7 +44,7 @@
         self.descriptor_count = descriptor_count
         self.transports: dict[Address, Transport] = {}
         self.winner: tuple[Transport, Address] | None = None
-        self.group: anyio.abc.TaskGroup | None = None
+        self.task_group: anyio.abc.TaskGroup | None = None
         self.stopped = False
 
     async def connect(self) -> tuple[Transport, Address]:
@@ -55,13 +55,13 @@
             self.context.address_races[self] = None
         is_complete = False
         try:
-            async with anyio.create_task_group() as self.group:
-                self._carry_out(self.race.start(self.context.clock()))
+            async with anyio.create_task_group() as self.task_group:
+                self._execute(self.race.start(self.context.clock()))
             is_complete = self.winner is not None and not self.stopped
         finally:
-            self.group = None
+            self.task_group = None
             self.context.address_races.pop(self, None)
-            self._carry_out(self.race.cancel(self.context.clock()))
+            self._execute(self.race.cancel(self.context.clock()))
             for transport in self.transports.values():
                 if not is_complete or self.winner is None or transport is not self.winner[0]:
                     transport.close()
@@ -72,27 +72,27 @@
     def stop(self) -> None:
         """Stop the race now: every connect is closed when this returns."""
         self.stopped = True
-        self._carry_out(self.race.cancel(self.context.clock()))
+        self._execute(self.race.cancel(self.context.clock()))
         self._cancel_tasks()
 
     def evict(self) -> bool:
         """Close all connects but the oldest, for their descriptors; False if there is only one."""
         actions = self.race.cancel_all_but_oldest()
-        self._carry_out(actions)
+        self._execute(actions)
         return bool(actions)
 
     def _cancel_tasks(self) -> None:
-        if self.group is not None:
-            self.group.cancel_scope.cancel()
+        if self.task_group is not None:
+            self.task_group.cancel_scope.cancel()
 
-    def _carry_out(self, actions: list[RaceAction]) -> None:
+    def _execute(self, actions: list[RaceAction]) -> None:
         for action in actions:
             match action:
                 case StartConnect():
-                    self._begin(action.address)
+                    self._start_connect(action.address)
                 case SetTimer():
-                    if self.group is not None:
-                        self.group.start_soon(self._wake, action.after_us)
+                    if self.task_group is not None:
+                        self.task_group.start_soon(self._fire_timer, action.after_us)
                 case CloseConnection():
                     self._close(action)
                 case RaceWon():
@@ -111,14 +111,14 @@
         if (transport := self.transports.pop(action.address, None)) is not None:
             transport.close()
 
-    def _begin(self, address: Address) -> None:
+    def _start_connect(self, address: Address) -> None:
         # capacity was made for the first connect of an attempt; a further one evicts nobody, and does not go
         # past the limit
-        is_further = len(self.race.started_us) > 1
-        if is_further and self.descriptor_count is not None and not self.context.has_capacity():
-            self._carry_out(self.race.cancel_all_but_oldest())
-        elif self.group is not None:
-            self.group.start_soon(self._connect_or_fail, address)
+        is_additional = len(self.race.started_us) > 1
+        if is_additional and self.descriptor_count is not None and not self.context.has_capacity():
+            self._execute(self.race.cancel_all_but_oldest())
+        elif self.task_group is not None:
+            self.task_group.start_soon(self._connect_or_fail, address)
 
     async def _connect_or_fail(self, address: Address) -> None:
         """One connect, and what the race makes of its outcome. Raises nothing of the socket's."""
@@ -130,9 +130,9 @@
             if address in self.race.started_us:  # it failed by itself
                 now_us = self.context.clock()
                 self.address_selector.record_connect_failure(self.endpoint, address, now_us)
-                self._carry_out(self.race.attempt_failed(address, now_us))
+                self._execute(self.race.attempt_failed(address, now_us))
             return
-        self._carry_out(self.race.attempt_connected(address, self.context.clock()))
+        self._execute(self.race.attempt_connected(address, self.context.clock()))
 
     async def _connect(self, address: Address) -> None:
         """One connect; an error of this machine says nothing of the address, and is waited out."""
@@ -149,8 +149,8 @@
             if address not in self.race.started_us:
                 raise OSError("given up meanwhile")
 
-        await connect_endpoint(lambda: socket_to(address), make_transport, retry_or_stop)
+        await connect_endpoint(lambda: socket_for_address(address), make_transport, retry_or_stop)
 
-    async def _wake(self, after_us: int) -> None:
+    async def _fire_timer(self, after_us: int) -> None:
         await anyio.sleep(after_us / 1e6)
-        self._carry_out(self.race.timer_expired(self.context.clock()))
+        self._execute(self.race.timer_expired(self.context.clock()))
--- a/gannetweir/net/listener.py
+++ b/gannetweir/net/listener.py
@@ -33,12 +33,12 @@
 
     Raises `OSError` where it can't be had within `LISTEN_TIMEOUT_S`.
     """
-    give_up = time.monotonic() + LISTEN_TIMEOUT_S
+    deadline_s = time.monotonic() + LISTEN_TIMEOUT_S
     while True:
         try:
             return open_listening_socket(address, limits)
         except OSError as error:
-            if error.errno not in _TRANSIENT_BIND_ERRORS or time.monotonic() >= give_up:
+            if error.errno not in _TRANSIENT_BIND_ERRORS or time.monotonic() >= deadline_s:
                 raise
         time.sleep(_LISTEN_RETRY_S)
 
--- a/gannetweir/net/load_probes.py
+++ b/gannetweir/net/load_probes.py
@@ -89,16 +89,16 @@
             self.transport = await connect_endpoint(
                 lambda: (tcp_socket(address[0]), address),
                 lambda sock: Transport(sock, limits, self.context.spawn),
-                self._delayed,
-                self._started,
+                self._handle_local_error,
+                self._handle_connect_started,
             )
         self.result = AttemptEnded(AttemptStatus.TIMEOUT)
         self.result = await _exchange(self.context, self.command.endpoint_id, self.transport)
 
-    def _delayed(self, _: LocalResourceError) -> None:
+    def _handle_local_error(self, _: LocalResourceError) -> None:
         self.result = AttemptEnded(AttemptStatus.NOT_STARTED)  # says nothing of the endpoint
 
-    def _started(self) -> None:
+    def _handle_connect_started(self) -> None:
         self.result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
 
 
@@ -122,7 +122,7 @@
         address_count = len(selector.states_by_endpoint.get(self.endpoint, ()))
         self.time_per_address_us = context.limits.load_probe_timeout_us / max(1, address_count)
         self.tried_addresses: list[Address] = []
-        self.question_sent_us = 0  # when the last question was sent, or its connect begun
+        self.request_sent_us = 0  # when the last question was sent, or its connect begun
         self.address: Address | None = None  # that the last question went to
         self.result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
 
@@ -130,7 +130,7 @@
         """The result, over the first address that answers. Raises nothing of the sockets'."""
         context, selector = self.context, self.selector
         while selector.ordered_addresses(self.endpoint, context.clock(), True, self.tried_addresses):
-            await self._ask_next()
+            await self._probe_next_address()
             if self.address is None:
                 return self.result  # none could be connected
             if self.result.status == AttemptStatus.NOT_STARTED:
@@ -138,25 +138,25 @@
             if self.result.status in (AttemptStatus.OK, AttemptStatus.ERROR):
                 now_us = context.clock()
                 selector.record_response(
-                    self.endpoint, self.address, now_us, max(1, context.clock() - self.question_sent_us)
+                    self.endpoint, self.address, now_us, max(1, context.clock() - self.request_sent_us)
                 )
                 return self.result
             selector.record_no_response(self.endpoint, self.address, context.clock())
             self.tried_addresses.append(self.address)
         return self.result
 
-    async def _ask_next(self) -> None:
+    async def _probe_next_address(self) -> None:
         from gannetweir.net.dialer import AddressRaceDriver  # only where an endpoint has several
 
         context = self.context
         transport: Transport | None = None
-        self.address, self.question_sent_us = None, context.clock()
+        self.address, self.request_sent_us = None, context.clock()
         try:
             with anyio.fail_after(self.time_per_address_us / 1e6):
                 race = self.selector.new_race(self.endpoint, context.clock(), True, self.tried_addresses)
                 driver = AddressRaceDriver(context, self.selector, self.endpoint, race, None)
                 transport, self.address = await driver.connect()
-                self.result, self.question_sent_us = AttemptEnded(AttemptStatus.TIMEOUT), context.clock()
+                self.result, self.request_sent_us = AttemptEnded(AttemptStatus.TIMEOUT), context.clock()
                 self.result = await _exchange(context, self.command.endpoint_id, transport)
         except (TimeoutError, OSError):
             pass  # the result says how far it came
--- a/gannetweir/net/ports.py
+++ b/gannetweir/net/ports.py
@@ -46,7 +46,7 @@
 class LoggingContext(DriverContext, Protocol):
     """What a driver needs that also reports to the people on call."""
 
-    def log(self, text: str, **about: object) -> None:
+    def log(self, text: str, **fields: object) -> None:
         """Write one log line and what it is about."""
 
 
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -37,7 +37,7 @@
     from gannetweir.observability.trace import Trace
 
 # How often a process that shares its listener looks whether it knows an endpoint, before it accepts.
-READY_POLL_S = 0.02
+READY_POLL_INTERVAL_S = 0.02
 
 
 class Relay:
@@ -165,7 +165,7 @@
     async def _accept_clients(self) -> None:
         # the other process, or the platform's queue, has better use for clients until an endpoint is known
         while self.listener.inherited and not self.engine.endpoint_list.has_ready_endpoint():
-            await anyio.sleep(READY_POLL_S)
+            await anyio.sleep(READY_POLL_INTERVAL_S)
         if not (self.engine.is_draining and self.listener.inherited):
             await self.listener.run()
 
@@ -211,11 +211,11 @@
     if log_form not in FORMS:
         raise ConfigError(f"--log: {log_form[:40]!r} is none of {', '.join(FORMS)}")
     relay = Relay(config, reread_config, log_form, traced)
-    give_up = time.monotonic() + LISTEN_TIMEOUT_S
+    deadline_s = time.monotonic() + LISTEN_TIMEOUT_S
     while not relay.started:
         try:
             anyio.run(relay.run)
         except OSError as error:  # the loop itself needs descriptors
-            if relay.started or not is_shortage(error) or time.monotonic() >= give_up:
+            if relay.started or not is_shortage(error) or time.monotonic() >= deadline_s:
                 raise
             time.sleep(MAX_BACKOFF_S)
--- a/gannetweir/net/sockets.py
+++ b/gannetweir/net/sockets.py
@@ -48,7 +48,7 @@
         raise
 
 
-def socket_to(address: Address) -> tuple[socket.socket, SocketName]:
+def socket_for_address(address: Address) -> tuple[socket.socket, SocketName]:
     """A non-blocking socket for an address of any family, and what to connect it to.
 
     Raises `OSError` where the interface of a link-local address is not there, and `LocalResourceError` where
--- a/gannetweir/net/transport.py
+++ b/gannetweir/net/transport.py
@@ -79,7 +79,7 @@
             await anyio.lowlevel.checkpoint()
         while (data := self.read_nowait()) is None:
             self.reads_without_waiting = 0
-            await self._readable()
+            await self._wait_readable()
         self.reads_without_waiting += 1
         is_full_read = len(data) == self.limits.max_read_bytes
         if is_full_read or self.reads_without_waiting > self.limits.max_consecutive_reads:
@@ -114,7 +114,7 @@
             try:
                 count = self.sock.recv_into(discard_buffer)
             except (BlockingIOError, InterruptedError):
-                await self._readable()
+                await self._wait_readable()
                 continue
             except OSError as error:
                 if not is_shortage(error):
@@ -124,7 +124,7 @@
             await anyio.lowlevel.checkpoint()
             return count
 
-    async def _readable(self) -> None:
+    async def _wait_readable(self) -> None:
         if self.hit_shortage:
             self.hit_shortage = False
             await anyio.sleep(SHORTAGE_RETRY_S)
