--- a/tests/failing_calls.py
+++ b/tests/failing_calls.py
@@ -19,33 +19,33 @@
         self.monkeypatch = monkeypatch
         self.remaining_errors: dict[str, deque[int]] = {}
 
-    def fail(self, call: str, errors: list[int], is_chosen: SocketPredicate = lambda sock: True) -> None:
+    def fail(self, call: str, errors: list[int], is_affected: SocketPredicate = lambda sock: True) -> None:
         """The next calls of this name on a chosen socket fail with these errors, then they work again."""
-        left = self.remaining_errors.setdefault(call, deque())
-        left.extend(errors)
-        real = getattr(socket.socket, call)
+        remaining = self.remaining_errors.setdefault(call, deque())
+        remaining.extend(errors)
+        original = getattr(socket.socket, call)
 
         def wrapped(sock: socket.socket, *args: object) -> object:
-            if left and is_chosen(sock):
-                code = left.popleft()
+            if remaining and is_affected(sock):
+                code = remaining.popleft()
                 if call == "connect_ex":
                     return code
                 raise OSError(code, os.strerror(code))
-            return real(sock, *args)
+            return original(sock, *args)
 
         self.monkeypatch.setattr(socket.socket, call, wrapped)
 
     def fail_new_sockets(self, errors: list[int]) -> None:
         """The next sockets can't be made."""
-        left = self.remaining_errors.setdefault("socket", deque())
-        left.extend(errors)
-        real: Callable[..., None] = socket.socket.__init__
+        remaining = self.remaining_errors.setdefault("socket", deque())
+        remaining.extend(errors)
+        original: Callable[..., None] = socket.socket.__init__
 
         def wrapped(sock: socket.socket, *args: object, **named: object) -> None:
-            if left and named.get("fileno") is None and len(args) < 4:
-                code = left.popleft()
+            if remaining and named.get("fileno") is None and len(args) < 4:
+                code = remaining.popleft()
                 raise OSError(code, os.strerror(code))
-            real(sock, *args, **named)
+            original(sock, *args, **named)
 
         self.monkeypatch.setattr(socket.socket, "__init__", wrapped)
 
@@ -53,22 +53,22 @@
 def is_connected_to_port(port: int) -> SocketPredicate:
     """Sockets whose peer is at this port."""
 
-    def chosen(sock: socket.socket) -> bool:
+    def matches(sock: socket.socket) -> bool:
         try:
             return bool(sock.getpeername()[1] == port)
         except (OSError, IndexError):
             return False
 
-    return chosen
+    return matches
 
 
 def is_connected_at_port(port: int) -> SocketPredicate:
     """Sockets that are bound to this port and connected: a relay's side of its clients' connections."""
 
-    def chosen(sock: socket.socket) -> bool:
+    def matches(sock: socket.socket) -> bool:
         try:
             return bool(sock.getsockname()[1] == port and sock.getpeername())
         except (OSError, IndexError):
             return False
 
-    return chosen
+    return matches
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -36,11 +36,11 @@
 ATTEMPT_DELAY_S = 4.0  # after a client has left; far beyond what a busy machine explains
 LINE_DELAY_S = 6.0  # in place of at most a second; the stand-ins of a busy machine are late as well
 UNDISTURBED_BACKENDS = "b6", "b7", "b8"  # by the faults of the test that runs all broken relays
-START_DELAY_S = 4.0  # then the process ends without having served
+EXIT_DELAY_S = 4.0  # then the process ends without having served
 CRASH_EXIT_CODE = 3
 
 
-def is_hit(request_id: int) -> bool:
+def is_affected(request_id: int) -> bool:
     """Is this one of the requests that are treated wrongly?"""
     return request_id % FAULT_INTERVAL == 0
 
@@ -50,7 +50,7 @@
     start_forwarding = ClientConnectionDriver.start_forwarding
 
     def faulty(self: ClientConnectionDriver) -> None:
-        if is_hit(self.request_id):
+        if is_affected(self.request_id):
             self.protocol.establish()
         else:
             start_forwarding(self)
@@ -63,7 +63,7 @@
     open_upstream = ClientConnectionDriver.open_upstream
 
     def faulty(self: ClientConnectionDriver, command: OpenUpstream) -> None:
-        if is_hit(self.request_id):
+        if is_affected(self.request_id):
             self.client.write(b"UP made-up\r\n")
         open_upstream(self, command)
 
@@ -76,7 +76,7 @@
 
     async def faulty_read(self: UpstreamDriver) -> bool:
         command = self.command
-        if command.attempt == 0 and is_hit(command.request_id):
+        if command.attempt == 0 and is_affected(command.request_id):
             self.end_reported = True
             ended = self.context.engine.upstream_ended
             attempt = command.request_id, command.attempt
@@ -101,7 +101,7 @@
     read = UpstreamDriver._read
 
     async def faulty_read(self: UpstreamDriver) -> bool:
-        if self.command.attempt == 0 and is_hit(self.command.request_id):
+        if self.command.attempt == 0 and is_affected(self.command.request_id):
             return True
         return await read(self)
 
@@ -128,8 +128,8 @@
     dispatch = PlacementDispatcher.dispatch
 
     def faulty_dispatch(self: PlacementDispatcher, event: Event) -> None:
-        is_news = isinstance(event, EndpointListUpdate) and event.kind != UpdateKind.CACHED
-        if not is_news:
+        is_membership_change = isinstance(event, EndpointListUpdate) and event.kind != UpdateKind.CACHED
+        if not is_membership_change:
             dispatch(self, event)
 
     EndpointList.accepts_requests = accept_all  # type: ignore[method-assign]
@@ -148,7 +148,7 @@
     report_disconnect = ClientConnectionDriver._report_disconnect
     last_commands: list[OpenUpstream] = []  # for a client that leaves before its own first attempt
 
-    def remember(self: ClientConnectionDriver, command: OpenUpstream) -> None:
+    def record_command(self: ClientConnectionDriver, command: OpenUpstream) -> None:
         last_commands[:] = [command]
         open_upstream(self, command)
 
@@ -158,7 +158,7 @@
             self.context.spawn(partial(attempt_later, self, last_commands[0]))
         report_disconnect(self, reset)
 
-    ClientConnectionDriver.open_upstream = remember  # type: ignore[method-assign]
+    ClientConnectionDriver.open_upstream = record_command  # type: ignore[method-assign]
     ClientConnectionDriver._report_disconnect = faulty  # type: ignore[method-assign]
 
 
@@ -229,7 +229,7 @@
 
     def faulty(self: ClientConnectionDriver, served: bool) -> None:
         record_answer(self, served)
-        if is_hit(self.request_id):
+        if is_affected(self.request_id):
             record_answer(self, served)
 
     ClientConnectionDriver._record_answer = faulty  # type: ignore[method-assign]
@@ -270,7 +270,7 @@
     """Break one rule, then serve."""
     rule = sys.argv.pop(1)
     if rule == "start":
-        time.sleep(START_DELAY_S)
+        time.sleep(EXIT_DELAY_S)
         return 0
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1})
     FAULTS[rule]()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -41,11 +41,11 @@
     peak = [0]
     add = harness.relay.runtime.descriptor_count.add
 
-    def seen(count: int) -> None:
+    def add_and_track(count: int) -> None:
         add(count)
         peak[0] = max(peak[0], harness.relay.runtime.descriptor_count.open)
 
-    harness.relay.runtime.descriptor_count.add = seen  # type: ignore[method-assign]
+    harness.relay.runtime.descriptor_count.add = add_and_track  # type: ignore[method-assign]
     return peak
 
 
@@ -58,7 +58,7 @@
         malformed.sock.send(b"y" * 400_000)
 
 
-async def with_requests_of_their_own(harness: RelayHarness) -> None:
+async def waiting_clients_send_requests(harness: RelayHarness) -> None:
     """Neither has been read yet, and both are one too many."""
     late = [await harness.connect_client() for _ in range(2)]
     await harness.wait_until(lambda: harness.relay.clients.open_count == 2)
@@ -66,7 +66,7 @@
         client.send(OPEN_LINE % f"1{n}")
 
 
-async def client_ended_while_the_endpoint_goes_on(harness: RelayHarness) -> None:
+async def client_ended_before_endpoint(harness: RelayHarness) -> None:
     client, _ = await established_client(harness, "1a")
     client.finish()
     await harness.wait_until(lambda: not harness.relay.engine.requests)
@@ -74,7 +74,7 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize(
-    "crowd", [answered_and_sending, with_requests_of_their_own, client_ended_while_the_endpoint_goes_on]
+    "crowd", [answered_and_sending, waiting_clients_send_requests, client_ended_before_endpoint]
 )
 async def test_attempts_use_no_reserved_descriptor(
     crowd: Callable[[RelayHarness], Any], capsys: pytest.CaptureFixture[str]
@@ -108,7 +108,7 @@
 class RelayProcess:
     """One relay as a program, held to few descriptors, before a discovery that is down."""
 
-    def __init__(self, folder: Path, configured_sockets: int, allowed: int) -> None:
+    def __init__(self, folder: Path, configured_sockets: int, descriptor_limit: int) -> None:
         self.endpoint_listener, self.clients = listening_socket(), list[socket.socket]()
         self.discovery_listener = socket.socket()
         self.discovery_listener.bind(("127.0.0.1", 0))  # but does not listen: every call is refused
@@ -130,13 +130,13 @@
             },
         }
         (folder / "config.json").write_text(json.dumps(config))
-        self.folder, self.allowed = folder, allowed
+        self.folder, self.descriptor_limit = folder, descriptor_limit
         self.log = folder / "log"
         self.start()
 
     def start(self) -> None:
         """A new process with the same file, on the same addresses."""
-        allowed = self.allowed, self.allowed
+        descriptor_limit = self.descriptor_limit, self.descriptor_limit
         with self.log.open("a") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "gannetweir", "serve"],
@@ -147,10 +147,10 @@
                     "TMPDIR": str(self.folder),
                 },
                 stderr=log,
-                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, allowed),
+                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, descriptor_limit),
             )
 
-    def client(self, say: bytes = b"") -> socket.socket:
+    def client(self, first_bytes: bytes = b"") -> socket.socket:
         """One that has said so much and goes on waiting."""
         while True:
             try:
@@ -158,7 +158,7 @@
                 break
             except ConnectionRefusedError:
                 assert self.process.poll() is None, self.log.read_text()
-        sock.sendall(say)
+        sock.sendall(first_bytes)
         self.clients.append(sock)
         return sock
 
@@ -170,10 +170,10 @@
             assert select.select([listener], [], [], left)[0], f"nobody came: {self.log.read_text()}"
             sock = listener.accept()[0]
             sock.settimeout(TIMEOUT_S)
-            said = sock.recv(4096)
-            if said.startswith(prefix):
+            received = sock.recv(4096)
+            if received.startswith(prefix):
                 return sock
-            assert said in (b"STATS\r\n", b""), said
+            assert received in (b"STATS\r\n", b""), received
             sock.close()
 
     def establish(self, client_id: bytes) -> tuple[socket.socket, socket.socket]:
@@ -219,16 +219,16 @@
     relay.client(b"OPEN 0a 0b c=none,d=2000\r\n").recv(100)
 
 
-def of_each_kind(relay: RelayProcess) -> None:
+def every_kind(relay: RelayProcess) -> None:
     for kind in (silent, pinged, mid_line, answered):
         kind(relay)
 
 
-@pytest.mark.parametrize("kind", [silent, pinged, mid_line, answered, of_each_kind])
+@pytest.mark.parametrize("kind", [silent, pinged, mid_line, answered, every_kind])
 def test_the_watch_and_a_request_connect_in_a_crowd(
     relay: RelayProcess, kind: Callable[[RelayProcess], None]
 ) -> None:
-    standing = relay.establish(b"01")
+    established = relay.establish(b"01")
     for _ in range(2 * SOCKETS):
         kind(relay)
     callers = [socket.create_connection(relay.admin_address, TIMEOUT_S) for _ in range(8)]
@@ -237,8 +237,8 @@
     for _ in range(SOCKETS):
         kind(relay)
     relay.establish(b"02")
-    standing[0].sendall(b"still here\r\n")
-    assert standing[1].recv(100) == b"still here\r\n"
+    established[0].sendall(b"still here\r\n")
+    assert established[1].recv(100) == b"still here\r\n"
     assert relay.open_descriptors() <= SOCKETS
     for sock in (watch, *callers):
         sock.close()
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -96,9 +96,9 @@
         self.call_ends_us, self.call_succeeds = NEVER, False
         membership = MembershipUpdate(1, True, [listed("b1"), listed("b2")])
         self.engine = e.Engine(settings(**(values | changes)), LIMITS, seed, membership, now_us)
-        self.carry_out_commands()
+        self.execute_commands()
 
-    def carry_out_commands(self) -> None:
+    def execute_commands(self) -> None:
         commands = self.engine.commands
         while commands:
             command = commands.popleft()
@@ -118,16 +118,16 @@
                     self.engine.endpoint_watch_failed("failed", self.now_us)
             else:
                 self.engine.advance(self.now_us)
-            self.carry_out_commands()
+            self.execute_commands()
         self.now_us = until_us
 
     def open_watch(self) -> None:
         """Answer the call, so that the watch is open."""
         self.engine.endpoint_update_received(MembershipUpdate(1, False), self.now_us)
         self.call_ends_us = NEVER
-        self.carry_out_commands()
+        self.execute_commands()
 
-    def knows_of_the_drain(self) -> bool:
+    def has_applied_drain(self) -> bool:
         endpoint = self.engine.balancer.state.endpoints["b1"]
         return (
             not self.engine.endpoint_list.accepts_requests("b1")
@@ -139,8 +139,8 @@
     rng: random.Random, reachable_us: int, begin_us: int, **changes: object
 ) -> RelayModel:
     """A relay whose watch is open at `begin`; discovery is unreachable from then until `reachable_us`."""
-    slow = rng.choice([50_000, SECOND, LIMITS.endpoint_watch_response_timeout_us - 20_000])
-    discovery = DiscoveryModel(rng, 0, slow)
+    max_answer_us = rng.choice([50_000, SECOND, LIMITS.endpoint_watch_response_timeout_us - 20_000])
+    discovery = DiscoveryModel(rng, 0, max_answer_us)
     relay = RelayModel(rng.getrandbits(32), discovery, begin_us - 5 * SECOND, **changes)
     relay.run(begin_us)
     relay.open_watch()
@@ -169,17 +169,17 @@
     )
     relay.call_succeeds = False
     relay.run(begin + unreachable_us + CHANGE_IN_FORCE_US)
-    assert relay.knows_of_the_drain(), (watch_loss, unreachable_us / SECOND, poll_interval_us / SECOND)
+    assert relay.has_applied_drain(), (watch_loss, unreachable_us / SECOND, poll_interval_us / SECOND)
 
 
 @pytest.mark.parametrize("poll_interval_us", [SECOND, 10 * SECOND, 3_600 * SECOND])
 def test_a_new_relay_applies_a_drain_within_6_s(poll_interval_us: int) -> None:
     for seed in range(50):
         rng, begin = random.Random(seed), 1_700_000_000 * SECOND
-        there = DiscoveryModel(rng, 0, LIMITS.endpoint_watch_response_timeout_us, b1_drains=True)
-        relay = RelayModel(seed, there, begin, poll_interval_us=poll_interval_us)
+        draining_discovery = DiscoveryModel(rng, 0, LIMITS.endpoint_watch_response_timeout_us, b1_drains=True)
+        relay = RelayModel(seed, draining_discovery, begin, poll_interval_us=poll_interval_us)
         relay.run(begin + CHANGE_IN_FORCE_US)
-        assert relay.knows_of_the_drain()
+        assert relay.has_applied_drain()
 
 
 def test_the_timeouts_of_a_poll_add_up_to_less_than_6_s() -> None:
@@ -206,7 +206,7 @@
     relay.run(relay.call_ends_us - 1)
     assert len(calls) == 1
     relay.run(relay.now_us + 2)
-    assert relay.knows_of_the_drain()
+    assert relay.has_applied_drain()
 
 
 def test_200_relays_back_off_while_discovery_is_unreachable_and_return_spread() -> None:
@@ -258,7 +258,7 @@
     assert len(world.upstreams) == 5
 
 
-def test_a_list_that_a_reload_makes_polled_is_polled() -> None:
+def test_a_reload_to_polling_starts_polling() -> None:
     """The reload comes between two calls of a pushed list's watch: nobody else would open it again."""
     world = play(
         "discovery expect watch 41\ndiscovery close\ntime wait 0\ndiscovery expect watch 41\ndiscovery close",
@@ -322,9 +322,9 @@
     old.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
     await harness.wait_until(lambda: harness.relay.endpoint_watch.has_answered)
     harness.reload(discovery_address=SocketAddress(*new.getsockname()))
-    hung: list[Peer] = []
+    unanswered_watches: list[Peer] = []
     for count in range(3):  # no answer from the new one: the old one's updates still count
-        hung.append(await harness.accept_watch(new, 0))
+        unanswered_watches.append(await harness.accept_watch(new, 0))
         assert watch_failures(harness) == count
         old.send(chunk_of(40 + count, False, "Terminating" if count == 1 else "Ready"))
         await harness.wait_until(lambda seen=40 + count: harness.relay.engine.endpoint_list.version == seen)  # type: ignore[misc]
@@ -351,7 +351,7 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize(
-    ("crossing", "limits"),
+    ("scenario", "limits"),
     [
         (heartbeats_then_silence, {"endpoint_watch_silence_us": 60_000}),
         (incomplete_head, {"endpoint_watch_response_timeout_us": 60_000}),
@@ -362,6 +362,6 @@
     ids=lambda value: getattr(value, "__name__", ""),
 )
 async def test_on_sockets(
-    crossing: Scenario, limits: dict[str, int], capsys: pytest.CaptureFixture[str]
+    scenario: Scenario, limits: dict[str, int], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    await run_scenario(RelayHarness(SHORT_TIMES | limits), crossing, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES | limits), scenario, capsys)
--- a/tests/test_drivers_that_fail.py
+++ b/tests/test_drivers_that_fail.py
@@ -32,7 +32,7 @@
 )
 
 pytestmark = pytest.mark.anyio
-MINIMAL = {
+MINIMAL_CONFIG = {
     "name": "n0",
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:2",
@@ -41,7 +41,7 @@
 }
 
 
-def once(call: Callable[..., Any], error: BaseException) -> Callable[..., Any]:
+def raise_once(call: Callable[..., Any], error: BaseException) -> Callable[..., Any]:
     """A call that raises the first time."""
     pending = [error]
 
@@ -53,20 +53,22 @@
     return wrapped
 
 
-async def the_watch_is_opened_again(harness: RelayHarness) -> None:
+async def watch_is_reopened(harness: RelayHarness) -> None:
     engine = harness.relay.engine
     watcher = await harness.accept_watch(harness.discovery_listener, 1)
     watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
     await harness.wait_until(lambda: harness.relay.endpoint_watch.has_answered)
-    engine.endpoint_update_received = once(engine.endpoint_update_received, RuntimeError("a fault of ours"))
+    engine.endpoint_update_received = raise_once(
+        engine.endpoint_update_received, RuntimeError("a fault of ours")
+    )
     watcher.send(unchanged_update_chunk(7))
-    again = await harness.accept_watch(harness.discovery_listener, 1)
-    again.send(WATCH_RESPONSE_HEAD + unchanged_update_chunk(8))
+    new_watcher = await harness.accept_watch(harness.discovery_listener, 1)
+    new_watcher.send(WATCH_RESPONSE_HEAD + unchanged_update_chunk(8))
     await harness.wait_until(lambda: engine.endpoint_list.version == 8)
     assert engine.counters.counts.pop("driver_faults") == 1
 
 
-async def a_delayed_loop_is_no_failed_connect(harness: RelayHarness) -> None:
+async def delayed_loop_does_not_fail_connect(harness: RelayHarness) -> None:
     """The loop is held up between the command of an attempt and its first turn, for longer than a connect may
     take. Everything it waits for has come by then.
     """
@@ -75,7 +77,7 @@
     attempts: Any = relay.engine.attempts
     open_upstream = attempts.open
 
-    def opens_then_delays(*args: object) -> None:
+    def open_then_delay(*args: object) -> None:
         open_upstream(*args)
         attempts.open = open_upstream
         relay.runtime.spawn(delay_the_loop)
@@ -83,7 +85,7 @@
     async def delay_the_loop() -> None:
         time.sleep(0.3)
 
-    attempts.open = opens_then_delays
+    attempts.open = open_then_delay
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
     server = await harness.accept_upstream()
     await server.expect("OPEN 0a")
@@ -92,31 +94,31 @@
     assert relay.engine.counters.counts["attempts_started"] == 1
 
 
-async def test_a_watch_whose_driver_fails_is_opened_again(capsys: pytest.CaptureFixture[str]) -> None:
-    await run_scenario(RelayHarness(SHORT_TIMES), the_watch_is_opened_again, capsys)
+async def test_a_watch_is_reopened_after_its_driver_fails(capsys: pytest.CaptureFixture[str]) -> None:
+    await run_scenario(RelayHarness(SHORT_TIMES), watch_is_reopened, capsys)
 
 
 async def test_a_delayed_loop_reads_before_it_times_out(capsys: pytest.CaptureFixture[str]) -> None:
-    await run_scenario(RelayHarness(SHORT_TIMES), a_delayed_loop_is_no_failed_connect, capsys)
+    await run_scenario(RelayHarness(SHORT_TIMES), delayed_loop_does_not_fail_connect, capsys)
 
 
-def test_a_configuration_that_can_not_be_read_for_a_moment_is_read_all_the_same(
+def test_reading_the_configuration_is_retried_after_a_transient_error(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_bytes(orjson.dumps(MINIMAL))
+    path.write_bytes(orjson.dumps(MINIMAL_CONFIG))
     for code in (errno.ENFILE, errno.EMFILE, errno.EIO, errno.ENOMEM):
         with monkeypatch.context() as patch:
-            patch.setattr(Path, "read_bytes", once(Path.read_bytes, OSError(code, os.strerror(code))))
+            patch.setattr(Path, "read_bytes", raise_once(Path.read_bytes, OSError(code, os.strerror(code))))
             assert load_config({"RELAY_CONFIG": str(path)}).name == "n0"
 
 
-async def every_load_probe_ends(harness: RelayHarness) -> None:
+async def load_probes_fail(harness: RelayHarness) -> None:
     """Its driver fails, or its report's fields have changed meanwhile: no figure, and the next is asked."""
     await harness.connect_client()
     engine = harness.relay.engine
-    real = harness.relay.runtime.parse_endpoint_address
-    harness.relay.runtime.parse_endpoint_address = once(real, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
+    original = harness.relay.runtime.parse_endpoint_address
+    harness.relay.runtime.parse_endpoint_address = raise_once(original, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
     for number in (1, 2):
         engine.load_probes.start("b1")
         harness.relay.runtime.execute_commands()
@@ -130,34 +132,34 @@
     assert engine.counters.counts.pop("driver_faults") == 1
 
 
-async def test_every_probe_ends_whatever_fails_here(capsys: pytest.CaptureFixture[str]) -> None:
-    await run_scenario(RelayHarness(SHORT_TIMES), every_load_probe_ends, capsys)
+async def test_every_load_probe_ends_with_a_result(capsys: pytest.CaptureFixture[str]) -> None:
+    await run_scenario(RelayHarness(SHORT_TIMES), load_probes_fail, capsys)
 
 
-def test_a_loop_that_can_not_be_made_for_a_moment_is_made_later(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_creating_the_event_loop_is_retried_after_a_shortage(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = RelayHarness(SHORT_TIMES)
-    real = anyio.run
+    original = anyio.run
 
-    def ended_at_once(run: Callable[..., Any]) -> None:
+    def run_until_drained(run: Callable[..., Any]) -> None:
         async def serve_and_end() -> None:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(run)
                 await (await harness.connect_client()).expect("BUSY")
 
         harness.relay.engine.drain(harness.relay.runtime.clock())
-        real(serve_and_end)
+        original(serve_and_end)
 
-    monkeypatch.setattr(anyio, "run", once(ended_at_once, OSError(errno.ENFILE, "no descriptors")))
+    monkeypatch.setattr(anyio, "run", raise_once(run_until_drained, OSError(errno.ENFILE, "no descriptors")))
     monkeypatch.setattr(relay_module, "Relay", lambda *_: harness.relay)
     relay_module.serve(harness.config)
     assert harness.relay.started
 
 
-async def a_client_whose_driver_fails(harness: RelayHarness) -> None:
+async def client_driver_fails(harness: RelayHarness) -> None:
     """Its request is given back at once, its backend's side ends, and the guard tells that it was cut off."""
     client, server = await established_client(harness)
     (client_connection,) = harness.relay.clients.by_request.values()
-    client_connection.client.read = once(client_connection.client.read, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
+    client_connection.client.read = raise_once(client_connection.client.read, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
     client.send(r"one\r\ntwo\r\n")
     await server.expect("one")
     client.send(r"three\r\n")
@@ -172,11 +174,11 @@
     engine.guard.violations = 0  # the one that was meant
 
 
-async def test_a_client_whose_driver_fails_leaves_nothing_behind(capsys: pytest.CaptureFixture[str]) -> None:
-    await run_scenario(RelayHarness(SHORT_TIMES), a_client_whose_driver_fails, capsys)
+async def test_a_failed_client_driver_is_cleaned_up(capsys: pytest.CaptureFixture[str]) -> None:
+    await run_scenario(RelayHarness(SHORT_TIMES), client_driver_fails, capsys)
 
 
-def test_an_address_that_is_not_free_yet_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_listening_waits_until_the_address_is_free(monkeypatch: pytest.MonkeyPatch) -> None:
     """The process before still holds it; it ends while the new one waits."""
     with socket.socket() as other:
         other.bind(("127.0.0.1", 0))
@@ -184,17 +186,17 @@
         address = SocketAddress(*other.getsockname())
         delays: list[float] = []
 
-        def closes_meanwhile(seconds: float) -> None:
+        def close_other_listener(seconds: float) -> None:
             delays.append(seconds)
             other.close()
 
-        monkeypatch.setattr(time, "sleep", closes_meanwhile)
+        monkeypatch.setattr(time, "sleep", close_other_listener)
         with listener.open_listener(address, Limits()) as opened:
             assert opened.getsockname()[1] == address.port
             assert len(delays) == 1
 
 
-def test_an_address_that_is_never_free_is_an_error_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_listening_fails_if_the_address_stays_in_use(monkeypatch: pytest.MonkeyPatch) -> None:
     now = [100.0]
 
     def advance_time(seconds: float) -> None:
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -24,7 +24,14 @@
 pytestmark = pytest.mark.anyio
 FailingScenario = Callable[[RelayHarness, FailingCalls], Awaitable[None]]
 OPEN_LINE = r"OPEN {} 0b c=plain,d=2000\r\n"
-MOMENTARY_ERRORS = [errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EPROTO, errno.ENOMEM, errno.EMFILE]
+TRANSIENT_ACCEPT_ERRORS = [
+    errno.ECONNABORTED,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.EPROTO,
+    errno.ENOMEM,
+    errno.EMFILE,
+]
 NO_BUFFER_ERRORS = [errno.ENOBUFS, errno.ENOMEM]
 
 
@@ -43,31 +50,31 @@
     assert not any(calls.remaining_errors.values()), calls.remaining_errors  # each failure has happened
 
 
-async def queue_at_the_end(harness: RelayHarness, calls: FailingCalls) -> None:
+async def accept_queue_at_exit(harness: RelayHarness, calls: FailingCalls) -> None:
     """Requests wait in the listener's queue as the relay leaves, and accepts fail."""
-    relay, real = harness.relay, socket.socket.accept
+    relay, original = harness.relay, socket.socket.accept
     clients = [await harness.connect_client() for _ in range(3)]
 
-    def not_before_the_end(sock: socket.socket) -> tuple[socket.socket, object]:
+    def accept_only_when_exiting(sock: socket.socket) -> tuple[socket.socket, object]:
         if sock is relay.listener.sock and not relay.shutdown.is_exiting:
             raise BlockingIOError
-        return real(sock)
+        return original(sock)
 
-    calls.monkeypatch.setattr(socket.socket, "accept", not_before_the_end)
+    calls.monkeypatch.setattr(socket.socket, "accept", accept_only_when_exiting)
     clients += [await harness.connect_client() for _ in range(3)]
     for number, client in enumerate(clients):
         client.send(OPEN_LINE.format(f"a{number}"))
-    calls.fail("accept", MOMENTARY_ERRORS, lambda sock: relay.shutdown.is_exiting)
+    calls.fail("accept", TRANSIENT_ACCEPT_ERRORS, lambda sock: relay.shutdown.is_exiting)
     relay.runtime.run_engine_call(relay.engine.drain)
     for client in clients[3:]:
         await client.expect("BUSY")
         await client.expect("end")
 
 
-async def answers_that_can_not_be_sent_at_once(harness: RelayHarness, calls: FailingCalls) -> None:
+async def answers_delayed_by_shortage(harness: RelayHarness, calls: FailingCalls) -> None:
     """The answer, a line and MOVE: each send fails for a moment before it."""
-    mine = is_connected_at_port(harness.relay.runtime.config.listen_address.port)
-    calls.fail("send", NO_BUFFER_ERRORS, mine)
+    is_client_socket = is_connected_at_port(harness.relay.runtime.config.listen_address.port)
+    calls.fail("send", NO_BUFFER_ERRORS, is_client_socket)
     client, server = await established_client(harness)
     for error in NO_BUFFER_ERRORS:
         calls.remaining_errors["send"].append(error)
@@ -79,7 +86,7 @@
     await client.expect("end")
 
 
-async def first_lines_that_can_not_be_sent_at_once(harness: RelayHarness, calls: FailingCalls) -> None:
+async def first_lines_delayed_by_shortage(harness: RelayHarness, calls: FailingCalls) -> None:
     calls.fail("send", NO_BUFFER_ERRORS, is_connected_to_port(harness.endpoint_listener.getsockname()[1]))
     client, server = await established_client(harness)
     calls.remaining_errors["send"].append(errno.ENOBUFS)
@@ -87,7 +94,7 @@
     await server.expect("a line")
 
 
-async def reads_that_fail(harness: RelayHarness, calls: FailingCalls) -> None:
+async def reads_fail(harness: RelayHarness, calls: FailingCalls) -> None:
     calls.fail(
         "recv",
         [errno.ENOMEM, errno.ENOMEM],
@@ -99,23 +106,23 @@
     await client.expect("a line")
 
 
-async def no_socket_for_a_moment(harness: RelayHarness, calls: FailingCalls) -> None:
+async def short_socket_shortage(harness: RelayHarness, calls: FailingCalls) -> None:
     """A request is placed at its backend as if nothing had happened: no attempt is spent, nothing counted."""
     client = await harness.connect_client()
     calls.fail_new_sockets([errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE])
     client.send(OPEN_LINE.format("0a"))
-    await _is_served_by_the_first_attempt(harness, client)
+    await _expect_served_by_first_attempt(harness, client)
 
 
-async def no_connect_for_a_moment(harness: RelayHarness, calls: FailingCalls) -> None:
+async def short_connect_shortage(harness: RelayHarness, calls: FailingCalls) -> None:
     client = await harness.connect_client()
-    local = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EAGAIN]
-    calls.fail("connect_ex", local, lambda sock: True)
+    local_errors = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EAGAIN]
+    calls.fail("connect_ex", local_errors, lambda sock: True)
     client.send(OPEN_LINE.format("0a"))
-    await _is_served_by_the_first_attempt(harness, client)
+    await _expect_served_by_first_attempt(harness, client)
 
 
-async def _is_served_by_the_first_attempt(harness: RelayHarness, client: Peer) -> None:
+async def _expect_served_by_first_attempt(harness: RelayHarness, client: Peer) -> None:
     server = await harness.accept_upstream()
     await server.expect("OPEN 0a")
     server.send(r"UP r1\r\n")
@@ -125,7 +132,7 @@
     assert not counts["attempts.connect_failed"], counts
 
 
-async def no_socket_for_longer(harness: RelayHarness, calls: FailingCalls) -> None:
+async def long_socket_shortage(harness: RelayHarness, calls: FailingCalls) -> None:
     """A whole attempt passes without a socket: the backend is not set aside, and the next attempt serves."""
     watcher = await harness.accept_watch(harness.discovery_listener, 1)  # it takes none of the failures
     watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
@@ -142,7 +149,7 @@
     assert harness.relay.engine.balancer.state.endpoints["b1"].ejected_until_us == 0
 
 
-async def a_load_probe_without_a_socket(harness: RelayHarness, calls: FailingCalls) -> None:
+async def load_probe_without_socket(harness: RelayHarness, calls: FailingCalls) -> None:
     """Its result says nothing of the backend, whose clients stay."""
     watcher = await harness.accept_watch(harness.discovery_listener, 1)
     watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
@@ -158,34 +165,32 @@
     await client.expect("still here")
 
 
-async def test_all_in_the_queue_are_answered_at_the_end_though_accepts_fail(
+async def test_queued_clients_are_answered_at_exit_while_accepts_fail(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    await run_with_failing_calls(queue_at_the_end, monkeypatch, capsys)
+    await run_with_failing_calls(accept_queue_at_exit, monkeypatch, capsys)
 
 
-async def test_what_can_not_be_sent_for_a_moment_is_sent_later(
+async def test_sends_and_reads_are_retried_after_a_shortage(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    await run_with_failing_calls(answers_that_can_not_be_sent_at_once, monkeypatch, capsys)
-    await run_with_failing_calls(first_lines_that_can_not_be_sent_at_once, monkeypatch, capsys)
-    await run_with_failing_calls(reads_that_fail, monkeypatch, capsys)
+    await run_with_failing_calls(answers_delayed_by_shortage, monkeypatch, capsys)
+    await run_with_failing_calls(first_lines_delayed_by_shortage, monkeypatch, capsys)
+    await run_with_failing_calls(reads_fail, monkeypatch, capsys)
 
 
-async def test_an_error_of_this_machine_spends_no_attempt_and_blames_no_backend(
+async def test_a_local_error_uses_no_attempt_and_ejects_no_backend(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    await run_with_failing_calls(no_socket_for_a_moment, monkeypatch, capsys)
-    await run_with_failing_calls(no_connect_for_a_moment, monkeypatch, capsys)
+    await run_with_failing_calls(short_socket_shortage, monkeypatch, capsys)
+    await run_with_failing_calls(short_connect_shortage, monkeypatch, capsys)
 
 
-async def test_a_longer_shortage_blames_no_backend_either(
+async def test_a_long_shortage_ejects_no_backend(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    await run_with_failing_calls(no_socket_for_longer, monkeypatch, capsys)
-    await run_with_failing_calls(
-        a_load_probe_without_a_socket, monkeypatch, capsys, connect_timeout_us=100_000
-    )
+    await run_with_failing_calls(long_socket_shortage, monkeypatch, capsys)
+    await run_with_failing_calls(load_probe_without_socket, monkeypatch, capsys, connect_timeout_us=100_000)
 
 
 async def no_descriptors_and_no_buffers(harness: RelayHarness, calls: FailingCalls) -> None:
@@ -204,7 +209,7 @@
         await client.expect("end")
 
 
-async def test_an_evicted_client_is_answered_and_gives_its_descriptor_back_at_once(
+async def test_an_evicted_client_is_answered_and_its_descriptor_closed_at_once(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     await run_with_failing_calls(no_descriptors_and_no_buffers, monkeypatch, capsys, sockets=30)
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -36,11 +36,11 @@
     ]
 
 
-def told(watch: EndpointWatch, data: bytes, step: int) -> list[object]:
-    found: list[object] = list(watch.feed(HEAD))
+def feed_in_chunks(watch: EndpointWatch, data: bytes, step: int) -> list[object]:
+    events: list[object] = list(watch.feed(HEAD))
     for at in range(0, len(data), step):
-        found += watch.feed(chunk(data[at : at + step]))
-    return found
+        events += watch.feed(chunk(data[at : at + step]))
+    return events
 
 
 @pytest.mark.parametrize("step", [100, 8192])
@@ -48,43 +48,43 @@
 def test_a_complete_list_and_its_changes(layout: Any, step: int) -> None:
     watch = EndpointWatch("d:1", 0, settings(zone_names=["a"], machine_types=["m1"]), Limits())
     lists = [{"seq": 7, "whole": True, "hosts": hosts()}, {"seq": 8, "whole": False, "hosts": hosts("Gone")}]
-    whole, news = told(watch, b"".join(layout(data).encode() + b"\n" for data in lists), step)
-    assert isinstance(whole, MembershipUpdate)
-    assert isinstance(news, MembershipUpdate)
-    assert len({m.entry.endpoint_id for m in whole.endpoints}) == len(news.endpoints) == COUNT
+    complete, delta = feed_in_chunks(watch, b"".join(layout(data).encode() + b"\n" for data in lists), step)
+    assert isinstance(complete, MembershipUpdate)
+    assert isinstance(delta, MembershipUpdate)
+    assert len({m.entry.endpoint_id for m in complete.endpoints}) == len(delta.endpoints) == COUNT
     world = play("", backends=1)
-    world.engine.endpoint_update_received(whole, world.now_us)
+    world.engine.endpoint_update_received(complete, world.now_us)
     assert sum(map(world.engine.endpoint_list.accepts_requests, world.engine.endpoint_list.entries)) == COUNT
     world.play(
         "c1 send OPEN 0a 0b c=plain,d=2000\nc1/upstream expect OPEN*\nc1/upstream send UP r1\nc1 expect UP r1"
     )
-    world.engine.endpoint_update_received(news, world.now_us)
+    world.engine.endpoint_update_received(delta, world.now_us)
     assert not world.engine.endpoint_list.has_ready_endpoint()
     world.play("c1 send still here\nc1/upstream expect still here")
 
 
 @pytest.mark.parametrize(
-    ("spoilt", "limit", "reason"),
+    ("invalid_fields", "limit", "reason"),
     [
         ({"health": "Asleep"}, 4 << 20, "bad entry"),
         ({"born_ms": "x"}, 4 << 20, "bad figure"),
         ({}, 100_000, "line too long"),
     ],
 )
-def test_a_malformed_or_too_long_list_leaves_the_old_one(
-    spoilt: dict[str, Any], limit: int, reason: str
+def test_a_malformed_or_too_long_list_keeps_the_old_one(
+    invalid_fields: dict[str, Any], limit: int, reason: str
 ) -> None:
     watch = EndpointWatch(
         "d:1", 0, settings(zone_names=["a"], machine_types=["m1"]), Limits(endpoint_watch_line_bytes=limit)
     )
     listed = hosts()
-    listed[500] |= spoilt
+    listed[500] |= invalid_fields
     data = json.dumps({"seq": 7, "whole": True, "hosts": listed}).encode() + b"\n"
-    broken = told(watch, data, 8192)[0]
-    assert isinstance(broken, WatchFailed)
-    assert reason in broken.reason
+    failure = feed_in_chunks(watch, data, 8192)[0]
+    assert isinstance(failure, WatchFailed)
+    assert reason in failure.reason
     world = play("", backends=1)
-    world.engine.endpoint_watch_failed(broken.reason, world.now_us)
+    world.engine.endpoint_watch_failed(failure.reason, world.now_us)
     world.play(f"""
         time wait 0
         relay expect log endpoint watch: *{reason}*
@@ -92,15 +92,15 @@
         c1/upstream expect OPEN*""")
 
 
-def test_the_lab_has_no_cap_below() -> None:
+def test_the_lab_allows_lists_of_this_size() -> None:
     assert min(MAX_BACKENDS, MAX_RELAYS) >= COUNT
 
 
-def cost(servers: int) -> dict[str, float]:
+def event_costs(servers: int) -> dict[str, float]:
     """Processor time of the module's events, one kind at a time, least of three days."""
-    least: dict[str, float] = {}
-    for day in range(3):
-        g = BalancerDriver(
+    minimum: dict[str, float] = {}
+    for repetition in range(3):
+        driver = BalancerDriver(
             servers,
             seed=1,
             relay_count=COUNT,
@@ -109,30 +109,30 @@
             cross_zone_cost=0.1,
             places={n: n % 2 for n in range(servers)},
         )
-        g.loads = dict.fromkeys(range(servers), (10.0, 0.4))
-        spent = dict.fromkeys(("arrival", "tick", "held"), 0.0)
+        driver.loads = dict.fromkeys(range(servers), (10.0, 0.4))
+        elapsed = dict.fromkeys(("arrival", "tick", "held"), 0.0)
         for n in range(300):
-            g.advance(50_000)
-            began = time.process_time()
-            sent = actions_of(g.arrive(group=n % 30 + 1), StartAttempt)
-            spent["arrival"] += time.process_time() - began
+            driver.advance(50_000)
+            started = time.process_time()
+            sent = actions_of(driver.arrive(group=n % 30 + 1), StartAttempt)
+            elapsed["arrival"] += time.process_time() - started
             for send in sent:
-                g.establish(send)
+                driver.establish(send)
             for kind, token in (("tick", 1), ("held", 3)):
-                began = time.process_time()
-                g.handle(TimerExpired(token))
-                spent[kind] += time.process_time() - began
-        least = spent if not day else {kind: min(least[kind], spent[kind]) for kind in spent}
-    return least
+                started = time.process_time()
+                driver.handle(TimerExpired(token))
+                elapsed[kind] += time.process_time() - started
+        minimum = elapsed if not repetition else {kind: min(minimum[kind], elapsed[kind]) for kind in elapsed}
+    return minimum
 
 
-def test_an_event_costs_no_more_with_more_endpoints() -> None:
-    small, large = cost(64), cost(COUNT)
+def test_event_cost_grows_less_than_the_endpoint_count() -> None:
+    small, large = event_costs(64), event_costs(COUNT)
     # 16 times the backends; measured: 2.3 an arrival (an order is sorted once a group), 1.1 a tick or timer
     assert all(large[kind] < 6 * small[kind] for kind in small), (small, large)
 
 
-def test_the_known_list_is_not_walked_for_the_names_of_the_settings() -> None:
+def test_key_paths_do_not_iterate_the_known_list() -> None:
     class Known(dict[str, Any]):
         def items(self) -> Any:
             raise AssertionError("thousands of entries, for nothing")
@@ -140,10 +140,12 @@
     assert key_paths({"name": "n0", "known": Known(hosts=hosts())}) == {"", ".name", ".known"}
 
 
-def test_a_whole_list_makes_anew_only_the_entries_that_it_lacks(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_complete_list_copies_only_the_entries_that_it_removes(monkeypatch: pytest.MonkeyPatch) -> None:
     entries = [EndpointEntry(f"s{n}") for n in range(COUNT)]
-    pool = EndpointList()
-    pool.apply(MembershipUpdate(1, True, [ListedEndpoint(entry, "127.0.0.1:1") for entry in entries]), 0)
+    known_endpoints = EndpointList()
+    known_endpoints.apply(
+        MembershipUpdate(1, True, [ListedEndpoint(entry, "127.0.0.1:1") for entry in entries]), 0
+    )
     copied: list[object] = []
 
     def replace(entry: EndpointEntry, **changes: Any) -> EndpointEntry:
@@ -151,10 +153,12 @@
         return dataclasses.replace(entry, **changes)
 
     monkeypatch.setattr("gannetweir.membership.endpoint_list.replace", replace)
-    pool.apply(MembershipUpdate(2, True, [ListedEndpoint(entry, "127.0.0.1:1") for entry in entries[2:]]), 1)
+    known_endpoints.apply(
+        MembershipUpdate(2, True, [ListedEndpoint(entry, "127.0.0.1:1") for entry in entries[2:]]), 1
+    )
     assert copied == ["s0", "s1"]
-    assert list(pool.entries) == [entry.endpoint_id for entry in entries]
-    assert [pool.entries[f"s{n}"].state for n in range(3)] == [
+    assert list(known_endpoints.entries) == [entry.endpoint_id for entry in entries]
+    assert [known_endpoints.entries[f"s{n}"].state for n in range(3)] == [
         EndpointStatus.REMOVED,
         EndpointStatus.REMOVED,
         EndpointStatus.READY,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("module", sorted(PLACEMENT.glob("*.py")), ids=lambda module: module.stem)
-def test_each_module_of_placement_is_read_in_one_go(module: Path) -> None:
+def test_placement_modules_stay_within_the_size_limit(module: Path) -> None:
     lines = module.read_text().splitlines()
     assert sum(1 for line in lines if line.strip()) <= (150 if module.name == "balancer.py" else 250)
     assert max(map(len, lines)) <= 110
--- a/tests/test_reproductions.py
+++ b/tests/test_reproductions.py
@@ -35,37 +35,43 @@
     accepts_fail=0,
 )
 HOUR_S = 3600.0
-LEAST_STALL_US = 50_000  # shorter waits for a processor make no relay refuse
+MIN_STALL_US = 50_000  # shorter waits for a processor make no relay refuse
 # A line passes four loops, and an attempt has some 0.1 s to spare: four such delays use up most of it.
-LEAST_LOOP_DELAY_US = 20_000
-MOST_RUNS = 3  # where a busy machine leaves nothing to judge
-Course = Callable[[Soak], Awaitable[None]]
+MIN_LOOP_DELAY_US = 20_000
+MAX_RUNS = 3  # where a busy machine leaves nothing to judge
+SoakScenario = Callable[[Soak], Awaitable[None]]
 
 
 class Reproduction(Soak):
     """A run with one course of events in place of drawn faults."""
 
-    def __init__(self, plan: SoakPlan, folder: Path, course: Course) -> None:
+    def __init__(self, plan: SoakPlan, folder: Path, scenario: SoakScenario) -> None:
         super().__init__(plan, folder)
-        self.course = course
+        self.scenario = scenario
 
     async def inject(self, fault: Fault) -> None:
         """The course, whatever the fault."""
-        await self.course(self)
+        await self.scenario(self)
 
 
-async def nothing(_soak: Soak) -> None:
+async def no_faults(_soak: Soak) -> None:
     """Clients come, and the relay is told to end."""
 
 
-def play(folder: Path, course: Course, **changes: object) -> list[ClientObservation]:
+def run_soak(folder: Path, scenario: SoakScenario, **changes: object) -> list[ClientObservation]:
     """Play it; no rule may be broken. What the clients saw that asked before the relay was told to end."""
     plan = replace(PLAN, **changes)  # type: ignore[arg-type]
-    verdict = anyio.run(Reproduction(plan, folder, course).run, [Fault(FaultKind.SYSTEM_CALLS, 0.0, 0.0, 0)])
+    verdict = anyio.run(
+        Reproduction(plan, folder, scenario).run, [Fault(FaultKind.SYSTEM_CALLS, 0.0, 0.0, 0)]
+    )
     assert not verdict.findings, verdict.findings[:5]
     records = read_records(folder)
-    ended = max(life.asked_to_end_us for life in records if isinstance(life, ProcessLifetime))
-    return [saw for saw in records if isinstance(saw, ClientObservation) and saw.sent_us < ended - 1_000_000]
+    ended = max(process.asked_to_end_us for process in records if isinstance(process, ProcessLifetime))
+    return [
+        observed
+        for observed in records
+        if isinstance(observed, ClientObservation) and observed.sent_us < ended - 1_000_000
+    ]
 
 
 def was_undisturbed(evidence: Evidence, client: ClientObservation) -> bool:
@@ -74,13 +80,13 @@
     """
     from_us, until_us = client.sent_us - 1_000_000, client.answered_us
     processes = relay_name(0), proxy_name(0)
-    if any(evidence.run_queue_wait_us(from_us, until_us, name) >= LEAST_STALL_US for name in processes):
+    if any(evidence.run_queue_wait_us(from_us, until_us, name) >= MIN_STALL_US for name in processes):
         return False
-    return evidence.loop_delay_us(from_us, until_us) < LEAST_LOOP_DELAY_US
+    return evidence.loop_delay_us(from_us, until_us) < MIN_LOOP_DELAY_US
 
 
 @pytest.mark.parametrize("call", [Call.SOCKET, Call.CONNECT])
-def test_with_three_in_ten_failing_here_no_request_is_refused(call: Call, tmp_path: Path) -> None:
+def test_no_request_is_refused_while_30_percent_of_the_calls_fail(call: Call, tmp_path: Path) -> None:
     """None may be refused while the machine gives all processes their turns; else the run can't tell."""
 
     async def fail(soak: Soak) -> None:
@@ -90,11 +96,11 @@
         assert relay_shim.failed(call) > 50
         relay_shim.fail(call, 0)
 
-    for number in range(MOST_RUNS):
+    for number in range(MAX_RUNS):
         folder = tmp_path / f"run{number}"
-        seen = play(folder, fail, seconds=3.5)
-        assert sum(client.answer == "UP" for client in seen) > 300
-        refused = [client for client in seen if client.answer in ("BUSY", "ERR")]
+        observations = run_soak(folder, fail, seconds=3.5)
+        assert sum(client.answer == "UP" for client in observations) > 300
+        refused = [client for client in observations if client.answer in ("BUSY", "ERR")]
         evidence = Evidence(read_records(folder), PLAN, {})
         assert not [client for client in refused if was_undisturbed(evidence, client)]
         if not refused:
@@ -102,9 +108,9 @@
     pytest.fail(f"can't be judged: no processor in the time of {len(refused)} refused requests")
 
 
-def test_the_end_of_a_relay_loses_nothing_while_accepts_fail(tmp_path: Path) -> None:
-    seen = play(tmp_path, nothing, seconds=1.0, requests_per_s=300.0, accepts_fail=350)
-    assert sum(saw.answer == "UP" for saw in seen) > 100
+def test_a_relay_exits_without_losing_requests_while_accepts_fail(tmp_path: Path) -> None:
+    observations = run_soak(tmp_path, no_faults, seconds=1.0, requests_per_s=300.0, accepts_fail=350)
+    assert sum(observed.answer == "UP" for observed in observations) > 100
 
 
 @pytest.mark.parametrize("offset_s", [HOUR_S, -HOUR_S])
@@ -115,7 +121,7 @@
     goes to the one in its slow start: a sixth would without one.
     """
 
-    async def start_anew(soak: Soak) -> None:
+    async def restart_backend_and_relay(soak: Soak) -> None:
         killed_us = now_us()
         await soak.fleet.restart_backend("b0", 0.0, signal.SIGKILL)
         # else the ends of its clients' connections would be put down to the relay
@@ -129,13 +135,17 @@
         await soak.fleet.admit_clients(relay)
         relay.is_restarting = False
 
-    play(tmp_path, start_anew, seconds=3.0)
+    run_soak(tmp_path, restart_backend_and_relay, seconds=3.0)
     records = read_records(tmp_path)
     (start,) = [record for record in records if isinstance(record, BackendStart)]
-    (ready,) = [
-        life.ready_us
-        for life in records
-        if isinstance(life, ProcessLifetime) and life.started_us > start.at_us
+    (relay_ready_us,) = [
+        process.ready_us
+        for process in records
+        if isinstance(process, ProcessLifetime) and process.started_us > start.at_us
+    ]
+    arrivals_us = [
+        observed.arrived_us
+        for observed in records
+        if isinstance(observed, BackendObservation) and observed.backend == "b0"
     ]
-    came = [saw.arrived_us for saw in records if isinstance(saw, BackendObservation) and saw.backend == "b0"]
-    assert sum(start.at_us < at < ready + 1_000_000 for at in came) <= 5
+    assert sum(start.at_us < time_us < relay_ready_us + 1_000_000 for time_us in arrivals_us) <= 5
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -19,7 +19,7 @@
 FLOOD_SIZE = 1000  # more than the kernel buffers for a loop that is held up
 
 
-async def a_flood_and_then_sigterm(harness: RelayHarness) -> None:
+async def signal_flood_then_sigterm(harness: RelayHarness) -> None:
     client, server = await established_client(harness)
     for _ in range(FLOOD_SIZE):
         os.kill(os.getpid(), signal.SIGUSR1)
@@ -33,5 +33,5 @@
     harness.relay.print_counters = lambda: printed.append(1)  # type: ignore[method-assign]
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(harness.relay.run)
-        await a_flood_and_then_sigterm(harness)
+        await signal_flood_then_sigterm(harness)
     assert len(printed) >= 2  # once where it was asked for, and at the exit
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -45,7 +45,7 @@
     await client.expect("answer")
 
 
-async def ends_are_forwarded_in_kind(harness: RelayHarness) -> None:
+async def ends_and_resets_are_forwarded(harness: RelayHarness) -> None:
     for reset in (False, True):
         client, server = await established_client(harness)
         server.close(reset)
@@ -63,7 +63,7 @@
         await client.expect("end")
 
 
-async def half_a_first_line(harness: RelayHarness) -> None:
+async def partial_first_line(harness: RelayHarness) -> None:
     client = await harness.connect_client()
     client.send("OPEN 0a 0b c=pl")
     await client.expect("ERR")
@@ -94,13 +94,13 @@
 
 
 async def clients_are_evicted_in_order(harness: RelayHarness) -> None:
-    slow, asked, late = [await harness.connect_client() for _ in range(3)]  # room for one more
+    slow, pinged, late = [await harness.connect_client() for _ in range(3)]  # room for one more
     slow.send("OPEN 0a 0b c=pl")
-    asked.send(r"PING\r\n")
-    await asked.expect("PONG")
+    pinged.send(r"PING\r\n")
+    await pinged.expect("PONG")
     await anyio.sleep(0.03)
     latest = [await harness.connect_client() for _ in range(2)]
-    await asked.expect("BUSY 250")  # it has had what it came for
+    await pinged.expect("BUSY 250")  # it has had what it came for
     await anyio.sleep(0.03)
     latest.append(await harness.connect_client())
     await latest[1].expect("BUSY 250")
@@ -112,24 +112,24 @@
     assert not late.buffer
 
 
-async def megabytes_are_discarded(harness: RelayHarness) -> None:
+async def input_after_an_error_is_discarded(harness: RelayHarness) -> None:
     client, server = await established_client(harness)
     for raw in ("x" * 9000, r"OPEN 0c 0d c=none,d=2000\r\n"):
-        bad = await harness.connect_client()
-        bad.send(raw)
+        malformed = await harness.connect_client()
+        malformed.send(raw)
         with anyio.fail_after(DEADLINE_S):
             for _ in range(20):  # for longer than a connection lingers that has fallen silent
-                await anyio.wait_writable(bad.sock)
-                bad.sock.send(b"y" * 65536)
+                await anyio.wait_writable(malformed.sock)
+                malformed.sock.send(b"y" * 65536)
                 await anyio.sleep(0.005)
-        await bad.expect("ERR")  # no reset: what it sent has been read
-        await bad.expect("end")
-        bad.close()
+        await malformed.expect("ERR")  # no reset: what it sent has been read
+        await malformed.expect("end")
+        malformed.close()
     client.send(r"still here\r\n")
     await server.expect("still here")
 
 
-async def pings_without_end(harness: RelayHarness) -> None:
+async def too_many_pings(harness: RelayHarness) -> None:
     client = await harness.connect_client()
     client.send(r"PING\r\n" * 64)
     for _ in range(64):
@@ -138,7 +138,7 @@
     await client.expect("ERR")
 
 
-async def bytes_that_trickle(harness: RelayHarness) -> None:
+async def slow_partial_first_line(harness: RelayHarness) -> None:
     client = await harness.connect_client()
     for _ in range(4):
         client.send("O")
@@ -158,15 +158,15 @@
     old = await harness.accept_watch(harness.discovery_listener, 1)
     old.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
     await harness.wait_until(lambda: harness.relay.endpoint_watch.has_answered)
-    moved = [listening_socket(), listening_socket()]
-    harness.reload(discovery_address=SocketAddress(*moved[0].getsockname()))
-    silent = await harness.accept_watch(moved[0], 0)
+    new_listeners = [listening_socket(), listening_socket()]
+    harness.reload(discovery_address=SocketAddress(*new_listeners[0].getsockname()))
+    silent = await harness.accept_watch(new_listeners[0], 0)
     old.send(unchanged_update_chunk(7))  # the new one has not answered: the old one still counts
     await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 7)
     harness.reload(
-        discovery_address=SocketAddress(*moved[1].getsockname())
+        discovery_address=SocketAddress(*new_listeners[1].getsockname())
     )  # a second reload during the first
-    new = await harness.accept_watch(moved[1], 0)
+    new = await harness.accept_watch(new_listeners[1], 0)
     await silent.expect("end")
     old.close()  # as it does after a while; no failure, for the new one is under way
     await harness.wait_until(lambda: harness.relay.endpoint_watch.replaced_scope is None)
@@ -200,7 +200,7 @@
     await server.expect("end")
 
 
-async def a_ping_alone(harness: RelayHarness) -> None:
+async def ping_without_request(harness: RelayHarness) -> None:
     client = await harness.connect_client()
     client.send(r"PING\r\n")
     await client.expect("PONG")
@@ -208,7 +208,7 @@
     await client.expect("end")
 
 
-async def an_endpoint_that_refuses(harness: RelayHarness) -> None:
+async def endpoint_refuses_connections(harness: RelayHarness) -> None:
     harness.endpoint_listener.close()
     client = await harness.connect_client()
     client.send(r"OPEN 0a 0b c=plain,d=2000\r\n")
@@ -264,14 +264,14 @@
         await harness.wait_until(lambda: not new.engine.endpoint_list.is_offline("b1"))
         harness.relay.shutdown.drain()
         for n in range(8):  # the old one accepts none of these
-            again, _ = await established_client(harness, f"1{n}")
+            reconnected, _ = await established_client(harness, f"1{n}")
         await harness.wait_until(lambda: not new.handover.peers)
         assert new.engine.counters.counts["served"] >= 8
         new.shutdown.drain()
-        await again.expect("MOVE")
+        await reconnected.expect("MOVE")
 
 
-async def a_drain(harness: RelayHarness) -> None:
+async def drain_ends_connections(harness: RelayHarness) -> None:
     client, server = await established_client(harness)
     harness.relay.runtime.run_engine_call(harness.relay.engine.drain)
     await client.expect("MOVE")
@@ -308,23 +308,23 @@
     ("scenario", "limits"),
     [
         (lines_are_forwarded, {}),
-        (ends_are_forwarded_in_kind, {}),
+        (ends_and_resets_are_forwarded, {}),
         (malformed_first_lines, {}),
-        (half_a_first_line, {"first_line_timeout_us": 30_000}),
+        (partial_first_line, {"first_line_timeout_us": 30_000}),
         (pings, {}),
-        (a_ping_alone, {"first_line_timeout_us": 30_000}),
+        (ping_without_request, {"first_line_timeout_us": 30_000}),
         (a_heartbeat_confirms_the_endpoint_list, {}),
         (a_reload_changes_the_discovery_address, {}),
         (a_bad_configuration_changes_nothing, {}),
         (more_clients_than_descriptors, {"sockets": 30}),
         (clients_are_evicted_in_order, {"sockets": 30, "eviction_grace_us": 20_000}),
-        (megabytes_are_discarded, {}),
-        (pings_without_end, {}),
-        (bytes_that_trickle, {"first_line_timeout_us": 60_000}),
-        (an_endpoint_that_refuses, {}),
+        (input_after_an_error_is_discarded, {}),
+        (too_many_pings, {}),
+        (slow_partial_first_line, {"first_line_timeout_us": 60_000}),
+        (endpoint_refuses_connections, {}),
         (admin_calls, {}),
         (two_processes_of_one_relay, {}),
-        (a_drain, {}),
+        (drain_ends_connections, {}),
         (signals_print_and_drain, {}),
         (back_pressure_bounds_the_buffer, {}),
     ],
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -19,11 +19,11 @@
 # Sends itself a signal as a module is asked for: so it comes at that very point of the start.
 SIGNAL_AT_IMPORT = """
 import importlib.abc, os, runpy, sys
-class At(importlib.abc.MetaPathFinder):
+class SignalOnImport(importlib.abc.MetaPathFinder):
     def find_spec(self, name, path, target=None):
         if name == {module!r}:
             os.kill(os.getpid(), {number})
-sys.meta_path.insert(0, At())
+sys.meta_path.insert(0, SignalOnImport())
 sys.argv = ["gannetweir", "serve"]
 runpy.run_module("gannetweir", run_name="__main__")
 """
@@ -72,15 +72,15 @@
     code = 'import runpy, sys; sys.argv = ["g", "serve"]; runpy.run_module("gannetweir", run_name="__main__")'
     relay = start_relay(tmp_path, code, writer)
     os.close(writer)
-    at = json.loads((tmp_path / "config.json").read_text())["listen"].split(":")
+    listen_address = json.loads((tmp_path / "config.json").read_text())["listen"].split(":")
     for number in (0, signal.SIGHUP, signal.SIGUSR1):  # both have something to write
         relay.send_signal(number)
         for _ in range(400):
             with contextlib.suppress(ConnectionRefusedError):
-                front = socket.create_connection((at[0], int(at[1])))
-                front.sendall(b"PING\r\n")
-                assert front.recv(100) == b"ERR\r\n"  # it knows of no backend
-                front.close()
+                client = socket.create_connection((listen_address[0], int(listen_address[1])))
+                client.sendall(b"PING\r\n")
+                assert client.recv(100) == b"ERR\r\n"  # it knows of no backend
+                client.close()
                 break
             time.sleep(0.05)
         assert relay.poll() is None
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("name", ["balancer", "trace"])
-def test_run_is_one_process_that_no_early_signal_ends(tmp_path: Path, name: str) -> None:
+def test_the_run_command_is_one_process_that_ignores_early_signals(tmp_path: Path, name: str) -> None:
     python = tmp_path / ".venv/bin/python"
     python.parent.mkdir(parents=True)
     python.write_text("#!/bin/sh\necho $$\nexec grep SigIgn /proc/self/status\n")
