--- a/gannetweir/net/client_registry.py
+++ b/gannetweir/net/client_registry.py
@@ -1,4 +1,4 @@
-"""The clients that are connected now: accepted, found by their request, and removed at their end."""
+"""Registry of the connected clients: accepts them, finds them by request and removes them when they close."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class ClientRegistry:
-    """Owns the drivers of clients' connections. The engine's last command for a request removes its entry."""
+    """Owns the drivers of client connections.
+
+    The engine's last command for a request removes the request from `by_request`.
+    """
 
     def __init__(self, runtime: RelayRuntime) -> None:
         self.runtime = runtime
@@ -26,8 +29,8 @@
         self._removed = anyio.Event()
 
     def accept(self, sock: socket.socket) -> None:
-        """Serve a client that was accepted. One past the descriptor budget is answered at once and closed,
-        before the descriptors run out.
+        """Serve an accepted client. A client beyond the descriptor budget is rejected and closed at once, so
+        that the process does not run out of descriptors.
         """
         runtime = self.runtime
         with runtime.guarded():
@@ -45,8 +48,10 @@
                 transport.close_now(self.discard_buffer)
 
     def open_request(self, client: ClientConnectionDriver, first_line: FirstLine) -> None:
-        """A client's first line is in. Its request must be known here before the engine's commands are
-        executed; where another client's open request has the same id, this one fails without the engine.
+        """Open the request of a client whose first line was received.
+
+        The request is registered before the engine's commands are executed, because those refer to it. If
+        another client has an open request with the same id, the engine opens none and the client fails.
         """
         runtime = self.runtime
         runtime.descriptor_budget.record_request(client)
@@ -60,22 +65,24 @@
         runtime.execute_commands()
 
     def remove_client(self, client: ClientConnectionDriver) -> None:
-        """A client's connection is closed."""
+        """Remove a client whose connection is closed."""
         self.open_count -= 1
         self._removed.set()
         self.by_request.pop(client.request_id, None)
         self.runtime.descriptor_budget.remove(client)
 
     async def wait_all_removed(self) -> None:
-        """Return once no client is connected. Cancelling leaves those that are connected as they are."""
+        """Return once no client is connected. Cancellation does not affect the connected clients."""
         while self.open_count:
             self._removed = anyio.Event()
             await self._removed.wait()
 
 
 def class_indexes(settings: Settings) -> dict[str, int]:
-    """Indexes of the request classes by the names that clients use; a class that a route derives from
-    another has the same name, and is the route's to choose.
+    """Map the names of request classes, as clients send them, to their indexes.
+
+    A class that a route derives from another class has the same name and is left out, because only the route
+    selects it.
     """
     return {
         request_class.name: index
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -1,4 +1,4 @@
-"""One relay: composes the engine, its drivers and the task group that owns their tasks."""
+"""The relay process: composes the engine, its drivers and the task group that owns their tasks."""
 
 from __future__ import annotations
 
@@ -36,12 +36,16 @@
     from gannetweir.net.admin import AdminListener
     from gannetweir.observability.trace import Trace
 
-# How often a process that shares its listener looks whether it knows an endpoint, before it accepts.
+# Until an endpoint is ready, a process with an inherited listener checks at this interval and accepts
+# nothing.
 READY_POLL_INTERVAL_S = 0.02
 
 
 class Relay:
-    """Runs until SIGTERM and the drain after it. `reread_config` reads the configuration anew at SIGHUP."""
+    """A relay that runs until the drain that SIGTERM starts has ended.
+
+    `reread_config` returns the configuration to put into force at SIGHUP.
+    """
 
     def __init__(
         self,
@@ -69,11 +73,11 @@
         self.runtime.execute_command = CommandExecutor(
             self.runtime, self.clients, self.endpoint_watch, self.shutdown
         ).execute
-        self.listener: ClientListener  # from the time that the relay runs
-        self.started = False  # the loop runs
+        self.listener: ClientListener  # set by `run`
+        self.started = False  # True once the event loop runs
 
     def not_ready_reason(self) -> str:
-        """Why a client would not be served here now; empty if it would."""
+        """Return why a new client would not be served now, or an empty string if it would be served."""
         if self.engine.is_draining:
             return "draining"
         if not self.listener.accepting:
@@ -81,7 +85,7 @@
         return "" if self.engine.is_ready() else "no backend in use"
 
     def print_counters(self) -> None:
-        """Write one line to standard error: the counters and the figures of this moment."""
+        """Write the counters and the current gauges as one line to standard error."""
         descriptors = self.runtime.descriptor_count
         figures = {
             "clients": self.clients.open_count,
@@ -89,15 +93,15 @@
             "descriptors_peak": descriptors.peak,
         }
         line = self.engine.counters.to_json(**figures, **self.engine.current_figures())
-        with contextlib.suppress(OSError):  # nobody reads them any more: no reason to fail
+        with contextlib.suppress(OSError):  # a closed standard error must not stop the relay
             self.standard_error.write(f"{line}\n")
             self.standard_error.flush()
 
     async def run(self) -> None:
-        """Serve until the drain is over. Raises `OSError` where an address can't be listened on in time.
+        """Serve until the drain is over. Raises `OSError` if an address is not free for listening in time.
 
-        Cancelling closes the listeners, gives up this process's place in the shared folder and prints the
-        counters; clients' connections are closed by their own drivers.
+        On return and on cancellation the listeners are closed, this process is removed from the shared folder
+        and the counters are printed. The drivers close the client connections.
         """
         self.started = True
         inherited = self.runtime.config.inherited_listener_fd is not None
@@ -122,13 +126,13 @@
                 tasks.start_soon(admin.run)
             if self.handover.folder is not None:
                 tasks.start_soon(self.runtime.operator_overrides.poll)
-            self.runtime.execute_commands()  # what the engine has commanded since it was made
+            self.runtime.execute_commands()  # commands that the engine issued before the tasks could run
 
     def _open_admin_listener(self) -> AdminListener | None:
         address = self.runtime.config.admin_address
         if address is None:
             return None
-        from gannetweir.net.admin import AdminListener, RelayOperations  # only where there is one
+        from gannetweir.net.admin import AdminListener, RelayOperations  # loaded only if configured
 
         operations = RelayOperations(
             self.engine, self.not_ready_reason, self.runtime.operator_overrides.override_endpoint
@@ -139,7 +143,8 @@
         config = self.runtime.config
         if config.inherited_listener_fd is None:
             return open_listener(config.listen_address, config.limits)
-        # The platform holds this one and other processes share it: it is neither bound nor shut down here.
+        # The platform owns the inherited listener and other processes share it, so this process neither binds
+        # it nor shuts it down.
         sock = socket.socket(fileno=config.inherited_listener_fd)
         sock.setblocking(False)
         return sock
@@ -163,7 +168,8 @@
             self.runtime.run_engine_call(self.engine.advance)
 
     async def _accept_clients(self) -> None:
-        # the other process, or the platform's queue, has better use for clients until an endpoint is known
+        # Until an endpoint is ready, clients are better served by the other process, or wait in the shared
+        # accept queue.
         while self.listener.inherited and not self.engine.endpoint_list.has_ready_endpoint():
             await anyio.sleep(READY_POLL_INTERVAL_S)
         if not (self.engine.is_draining and self.listener.inherited):
@@ -192,7 +198,7 @@
 
 
 def _make_trace(config: Config) -> Trace:
-    from gannetweir.observability.trace import Trace  # only where it is switched on
+    from gannetweir.observability.trace import Trace  # loaded only if tracing is enabled
 
     return Trace(config.name, config.settings, standard_error())
 
@@ -203,19 +209,19 @@
     log_form: str = PLAIN,
     traced: bool = False,
 ) -> None:
-    """Run one relay in this process until it has drained. `log_form` is one of `logs.FORMS`; `traced` writes
-    all that placement hears and answers to standard error.
+    """Run one relay in this process until it has drained.
 
-    Raises `ConfigError` for another form, and `OSError` where an address can't be listened on in time.
+    `log_form` is one of `logs.FORMS`. `traced` writes every event and action of placement to standard error.
+    Raises `ConfigError` for an unknown log form, and `OSError` if an address is not free in time.
     """
     if log_form not in FORMS:
-        raise ConfigError(f"--log: {log_form[:40]!r} is none of {', '.join(FORMS)}")
+        raise ConfigError(f"--log: {log_form[:40]!r} is not one of {', '.join(FORMS)}")
     relay = Relay(config, reread_config, log_form, traced)
     deadline_s = time.monotonic() + LISTEN_TIMEOUT_S
     while not relay.started:
         try:
             anyio.run(relay.run)
-        except OSError as error:  # the loop itself needs descriptors
+        except OSError as error:  # creating the event loop fails while no descriptors are free
             if relay.started or not is_shortage(error) or time.monotonic() >= deadline_s:
                 raise
             time.sleep(MAX_BACKOFF_S)
--- a/gannetweir/net/runtime.py
+++ b/gannetweir/net/runtime.py
@@ -1,4 +1,4 @@
-"""What all drivers of one relay share: the engine, the configuration in force, tasks and descriptors."""
+"""State that all drivers of a relay share: the engine, the active configuration, tasks and descriptors."""
 
 from __future__ import annotations
 
@@ -22,21 +22,22 @@
 
 
 class Clock:
-    """The clock of a relay: microseconds of the machine's monotonic clock. Every deadline, wait and age is a
-    span of real time; the wall clock may be stepped. It is asked at the start alone, where nothing else says
-    how old a fleet is, and for the time stamps of log lines.
+    """The monotonic clock of a relay, in microseconds.
+
+    Deadlines, waits and ages are measured with this clock, because the wall clock may be stepped. The wall
+    clock is read only at startup, as the only source for the age of a fleet, and for timestamps of log lines.
     """
 
     def __init__(self) -> None:
         self.offset_ns = 0
 
     def __call__(self) -> int:
-        """Microseconds since a moment that is the same for the whole run."""
+        """Return microseconds since a reference point that is fixed for the whole run."""
         return (self.offset_ns + time.monotonic_ns()) // 1000
 
 
 class EngineTimers:
-    """Wakes the engine when its next timer is due. `sleep_until` is in microseconds of the relay's clock."""
+    """Advances the engine when its next timer is due. `sleep_until` is a time of the relay's clock."""
 
     def __init__(self, engine: Engine, clock: Callable[[], int]) -> None:
         self.engine, self.clock = engine, clock
@@ -44,7 +45,7 @@
         self.sleep_until = 0
 
     def reschedule(self) -> None:
-        """Wake the task if a timer has been set that is due before the one it sleeps for."""
+        """Wake the timer task if a timer is now due earlier than the one that the task sleeps for."""
         if self.engine.next_due() < self.sleep_until:
             self.wake.set()
 
@@ -59,7 +60,7 @@
 
 
 class RelayRuntime:
-    """Implements every protocol of `net.ports`. `config` is replaced as a whole, by a reload alone."""
+    """Implements every protocol of `net.ports`. Only a reload replaces `config`, always completely."""
 
     def __init__(self, config: Config, clock: Clock, engine: Engine, log: Log, handover: Handover) -> None:
         self.config, self.clock, self.engine, self.log, self.handover = config, clock, engine, log, handover
@@ -70,58 +71,59 @@
         )
         self.timers = EngineTimers(engine, clock)
         self.operator_overrides = OverridesSync(self, handover)
-        self.tasks: anyio.abc.TaskGroup  # from the time that the relay runs
-        self.execute_command: Callable[[Command], None]  # set by the relay that composes the drivers
+        self.tasks: anyio.abc.TaskGroup  # set when the relay starts to run
+        self.execute_command: Callable[[Command], None]  # set by `Relay`
 
     @property
     def settings(self) -> Settings:
-        """The platform's settings in force, with the operators' timing in them."""
+        """The active platform settings, including the timing that operators set."""
         return self.config.settings
 
     @property
     def limits(self) -> Limits:
-        """Every size, count and time in force."""
+        """The active limits."""
         return self.config.limits
 
     @property
     def discovery(self) -> SocketAddress:
-        """Where the endpoint list is watched."""
+        """Address of the discovery service whose endpoint list is watched."""
         return self.config.discovery_address
 
     @property
     def address_races(self) -> dict[Evictable, None]:
-        """Races between the addresses of an endpoint, oldest first."""
+        """Connection races between the addresses of an endpoint, oldest first."""
         return self.descriptor_budget.address_races
 
     def has_capacity(self) -> bool:
-        """Whether a descriptor is free for one more client or attempt."""
+        """Return whether a descriptor is free for another client or attempt."""
         return self.descriptor_budget.has_capacity()
 
     def apply_config(self, config: Config) -> None:
-        """From now on this configuration is in force for the drivers; the reload reports it to the engine."""
+        """Make this configuration the active one for the drivers. The caller reloads the engine itself."""
         self.config = config
         self.max_descriptors = max_descriptors(config.limits)
 
     def run_engine_call(self, call: Callable[[*Arguments, int], Result], *arguments: *Arguments) -> Result:
-        """Call the engine with the present time as the last argument, then execute what it commands."""
+        """Call the engine with the current time as the last argument, then execute its commands."""
         result = call(*arguments, self.clock())
         self.execute_commands()
         return result
 
     def notify_engine(self, call: Callable[[*Arguments, int], object], *arguments: *Arguments) -> None:
-        """The same for a call that never leads to a command."""
+        """Call the engine like `run_engine_call`, for a call that never produces commands."""
         call(*arguments, self.clock())
 
     def execute_commands(self) -> None:
-        """Do what the engine has commanded, in its order; what that leads to comes behind it."""
+        """Execute the engine's pending commands in order, including those that executing them adds."""
         commands = self.engine.commands
         while commands:
             self.execute_command(commands.popleft())
         self.timers.reschedule()
 
     def parse_endpoint_address(self, text: str) -> tuple[str, int]:
-        """Host and port of an endpoint. Raises `OSError` for what can't be connected to: to an attempt it is
-        a connection that failed.
+        """Return the host and port of an endpoint's address.
+
+        Raises `OSError` for an invalid address, so that an attempt treats it as a failed connection.
         """
         try:
             parsed = parse_socket_address(text, "dial")
@@ -130,7 +132,7 @@
         return parsed.host, parsed.port
 
     def spawn(self, run: Callable[[], Awaitable[object]]) -> None:
-        """Start a task in the relay's task group; a fault in it is logged and ends no other task."""
+        """Start a task in the relay's task group. An exception in it is logged and ends only that task."""
         self.tasks.start_soon(self._run_guarded, run)
 
     async def _run_guarded(self, run: Callable[[], Awaitable[object]]) -> None:
@@ -139,8 +141,8 @@
 
     @contextlib.contextmanager
     def guarded(self) -> Iterator[None]:
-        """A fault in one connection's driver, in one timer or in one signal must not end the relay: it is
-        counted and logged here. Cancelling passes through.
+        """Count and log any exception of the body, so that a fault in the driver of one connection, in one
+        timer or in one signal handler does not end the relay. Cancellation passes through.
         """
         try:
             yield
