--- a/gannetweir/net/client_connection.py
+++ b/gannetweir/net/client_connection.py
@@ -1,7 +1,7 @@
-"""The driver of one client's connection: reads the client and carries out what the engine commands for it.
+"""The driver of one client connection: reads the client and executes the engine's commands for it.
 
-The bytes mean what `proto.client_connection` says. The upstream connection that serves the client is a driver
-of its own; each attempt has another one.
+`proto.client_connection` parses and formats the bytes. Each attempt to serve the client has a separate
+upstream driver.
 """
 
 from __future__ import annotations
@@ -28,57 +28,58 @@
 
 
 class ClientContext(UpstreamContext, Protocol):
-    """What a client's connection needs of the relay, beside what its upstream connections do."""
+    """The parts of the relay that a client connection uses, beside those for its attempts."""
 
     def log(self, text: str, **fields: object) -> None:
-        """Write one log line and what it is about."""
+        """Write one log line with the given fields."""
 
 
 class ConnectedClients(Protocol):
-    """What a client's connection needs of the registry that owns it."""
+    """The parts of the client registry that a client connection uses."""
 
     @property
     def class_index_by_name(self) -> dict[str, int]:
-        """The request classes in force; a reload replaces them."""
+        """Indexes of the active request classes; a reload replaces them."""
 
     @property
     def discard_buffer(self) -> bytearray:
-        """Where bytes are read to that nobody wants; all connections share it."""
+        """Buffer for input that is discarded; all connections share it."""
 
     def open_request(self, client: ClientConnectionDriver, first_line: FirstLine) -> None:
-        """Give the client's request to the engine, and its number to the client."""
+        """Open the client's request in the engine and set `request_id` of the client."""
 
     def remove_client(self, client: ClientConnectionDriver) -> None:
-        """The connection is closed."""
+        """Remove a client whose connection is closed."""
 
 
 class ClientConnectionDriver:
-    """One client, from the accept to the close.
+    """Handles one client from accept to close.
 
-    One class of over 200 lines: each command's effect depends on the phase and on what the reader has seen,
-    so that parts would reach into one another's state. `run` reads and is the only task here. All else is
-    called by the command executor, by the upstream connection, or by the descriptor budget, and returns at
-    once.
+    The class is not split although it has over 200 lines: the effect of each command depends on the phase and
+    on the input read so far, so separate parts would access each other's state. `run` reads the client and is
+    the only task of this driver. The command executor, the upstream driver and the descriptor budget call the
+    other methods, which return without waiting.
     """
 
     def __init__(self, context: ClientContext, clients: ConnectedClients, client: Transport) -> None:
         self.context, self.clients, self.client = context, clients, client
         self.limits = context.limits
         self.protocol = ClientConnection(clients.class_index_by_name, self.limits)
-        self.request_id = 0  # 0: no request so far
+        self.request_id = 0  # 0 means no request
         self.first_line: FirstLine | None = None
-        self.upstream: UpstreamDriver | None = None  # the last attempt
-        self.established_line = b""  # the endpoint's answer, until the engine has it forwarded
+        self.upstream: UpstreamDriver | None = None  # the most recent attempt
+        self.established_line = b""  # the endpoint's answer, held until the engine commands forwarding
         self.has_pinged = False
         self.input_ended = False
         self.accepted_at_s = anyio.current_time()
-        self.scope = anyio.CancelScope()  # its deadline limits how long a connection lingers after its end
+        # The deadline of the scope limits how long the connection lingers after its final answer.
+        self.scope = anyio.CancelScope()
 
     async def run(self) -> None:
-        """Read the client until it ends, breaks, or has lingered long enough after its last answer.
+        """Read the client until it ends or breaks, or until the linger time after its final answer is over.
 
-        Raises nothing of the socket's. However this ends, by cancelling as well, the engine has heard of it,
-        the transport is closed and the registry has removed the client.
+        Socket errors are not raised. On return and on cancellation the engine has been notified, the
+        transport is closed and the registry has removed the client.
         """
         reset = False
         try:
@@ -96,7 +97,9 @@
             self._release()
 
     def _release(self) -> None:
-        """The end of this side. One that comes without an answer, by a fault here, is reported as well."""
+        """Close the client's side and remove the client. A client that is left without an answer because this
+        driver failed is reported to the engine as disconnected.
+        """
         engine = self.context.engine
         if self.request_id and self.protocol.phase in _OPEN_REQUEST_PHASES:
             self.protocol.phase = ClientPhase.ENDED
@@ -108,16 +111,18 @@
         self.clients.remove_client(self)
 
     def _report_disconnect(self, reset: bool) -> None:
-        """The client ended its side: no attempt begins for it any more."""
+        """Report that the client has disconnected, so that no further attempt starts for it."""
         self.protocol.phase = ClientPhase.ENDED
         engine = self.context.engine
         engine.guard.client_ended(self.request_id)
         self.context.run_engine_call(engine.client_disconnected, self.request_id, reset)
 
     def read_pending_input(self) -> None:
-        """Read what the client has sent by now, before an attempt for it begins. Its end may have come since
-        the loop last asked the kernel, which on a busy loop is long ago, or lie behind other bytes. What may
-        come before an answer is bounded, and so are these reads.
+        """Read all input that has arrived from the client, before an attempt for it starts.
+
+        The end of the connection may have arrived since the event loop last polled the kernel, which on a
+        busy loop is long ago, or may follow other bytes. The amount of input before an answer is bounded, and
+        so is the number of these reads.
         """
         while self.protocol.phase is ClientPhase.AWAITING_ANSWER:
             try:
@@ -133,14 +138,15 @@
                 self._report_disconnect(False)
 
     async def _await_first_line(self) -> None:
-        """Read until the first line is in, or the time for it is over and the client has its answer."""
+        """Read until the first line is received. A client that exceeds the time limit is answered."""
         with anyio.move_on_after(self.limits.first_line_timeout_us / 1e6):
             while self._awaits_first_line() and (data := await self.client.read()):
                 self._feed(data)
-                await self.client.wait_drained()  # one that pings without end has to read its answers
+                # A client that keeps pinging is not read further until it has read its answers.
+                await self.client.wait_drained()
             return
         if self._awaits_first_line():
-            self._feed(self.client.read_available())  # it may have come in this very moment
+            self._feed(self.client.read_available())  # the line may have arrived just as the time ran out
         if self._awaits_first_line():
             self.context.engine.counters.add("first_line_timeouts")
             self.close_before_request(timed_out=not self.has_pinged)
@@ -149,14 +155,15 @@
         return self.protocol.phase is ClientPhase.AWAITING_FIRST_LINE
 
     def _feed(self, data: bytes) -> None:
-        self.protocol.class_index_by_name = (
-            self.clients.class_index_by_name
-        )  # a reload may have replaced them
+        # A reload may have replaced the request classes.
+        self.protocol.class_index_by_name = self.clients.class_index_by_name
         for event in self.protocol.feed(data):
             self._handle_event(event)
 
     async def _read_until_end(self) -> bool:
-        """Forward what the client sends, then discard; False at its end. Raises `OSError` if it breaks."""
+        """Forward the client's input, and discard it after the final answer. Return False at the end of the
+        input. Raises `OSError` if the connection breaks.
+        """
         while self.protocol.phase is not ClientPhase.ENDED:
             if not (data := await self.client.read()):
                 return False
@@ -164,14 +171,15 @@
             await self.client.wait_drained()
             if self.upstream is not None and self.upstream.transport is not None:
                 await self.upstream.transport.wait_drained()
-        # It may be sending still, by megabytes: read on, for a while, so that it hears how this ended.
+        # The client may still be sending megabytes. Closing over unread input would reset the connection and
+        # lose the final answer, so the input is read and discarded for a limited time.
         last = anyio.current_time() + self.limits.discard_timeout_us / 1e6
         while await self.client.discard(self.clients.discard_buffer):
             self.scope.deadline = min(last, anyio.current_time() + self.limits.linger_us / 1e6)
         return False
 
     async def _forward_remaining_lines(self) -> None:
-        """The client ended in good order: what its endpoint still sends is forwarded, for a short while."""
+        """Forward the lines that the endpoint still sends, for a limited time after the client has ended."""
         if self.upstream is not None:
             self.context.descriptor_budget.record_client_ended(self)
             with anyio.move_on_after(self.limits.linger_us / 1e6):
@@ -197,25 +205,28 @@
         engine.counters.add("malformed")
         self.context.log("malformed", request=self.request_id, reason=event.reason)
         if self.request_id:
-            engine.guard.client_ended(self.request_id)  # what it sent ends the connection
+            engine.guard.client_ended(self.request_id)  # the client's malformed input ends the connection
             self.context.run_engine_call(engine.client_disconnected, self.request_id, True)
         self._finish(self.protocol.end_failed() if event.answer_owed else b"")
 
     def open_upstream(self, command: OpenUpstream) -> None:
-        """Start an attempt in a task of its own."""
+        """Start an attempt in a separate task."""
         assert self.first_line is not None
         line = self.first_line.for_endpoint(command.timeout_us)
         self.upstream = UpstreamDriver(self.context, self, command, line)
         self.context.spawn(self.upstream.run)
 
     def close_upstream(self) -> None:
-        """Close the attempt that is under way, if any."""
+        """Close the current attempt, if any."""
         if self.upstream is not None:
             self.upstream.close()
 
     def close_before_request(self, timed_out: bool = False) -> None:
-        """Accept no first line any more. One may be on its way: so this end is never without an answer, and
-        the close waits until what comes has been read. `timed_out`: the client's time for it is over.
+        """Reject the client if its first line has not been received; a client with a request is not affected.
+
+        A first line may be in flight, so the client always gets an answer, and the connection is closed only
+        after further input has been read. With `timed_out` the client fails because the time for its first
+        line is over.
         """
         if not self._awaits_first_line():
             return
@@ -225,14 +236,14 @@
             self._finish(self.protocol.end_rejected(self.limits.rejection_retry_after_us))
 
     def evict(self) -> None:
-        """Give all descriptors back now; a client without a request is rejected first."""
+        """Close all descriptors of the client at once. A client without a request is rejected first."""
         self.close_before_request()
         self.context.descriptor_budget.remove(self)
         self.close_upstream()
         self.client.close_now(self.clients.discard_buffer)
 
     def end_upstream(self, reset: bool) -> None:
-        """The client has ended: end the upstream connection in the same way."""
+        """End the upstream connection the way the client ended: with a reset or with a half-close."""
         if self.upstream is None:
             return
         if reset:
@@ -241,19 +252,19 @@
             self.upstream.finish()
 
     def start_forwarding(self) -> None:
-        """Write the endpoint's answer, then forward the lines that came early."""
+        """Write the endpoint's answer, then forward the lines that the client sent before it."""
         self.client.write(self.established_line)
         self._record_answer(served=True)
         for event in self.protocol.establish():
             self._handle_event(event)
 
     def end_rejected(self, retry_after_us: int) -> None:
-        """Answer that trying again is harmless, and end."""
+        """Answer that a retry is harmless, and end the connection."""
         self._finish(self.protocol.end_rejected(retry_after_us))
         self._record_answer(served=False)
 
     def end_failed(self) -> None:
-        """Answer that nothing is promised, and end."""
+        """Answer that the request failed, which promises nothing about a retry, and end the connection."""
         self._finish(self.protocol.end_failed())
         self._record_answer(served=False)
 
@@ -261,13 +272,13 @@
         self.context.engine.guard.final_answer_written(self.request_id, served, self.context.clock())
 
     def end_migrated(self) -> None:
-        """Send the client away with `MOVE`, then close both sides."""
+        """Send `MOVE` to the client, then end both sides."""
         self._finish(self.protocol.end_migrated())
         self.context.engine.guard.close_permitted(self.request_id)
         self.close_upstream()
 
     def end_as_upstream(self, reset: bool) -> None:
-        """The endpoint has ended: end the client's side in the same way."""
+        """End the client's side the way the endpoint ended: with a reset or in order."""
         self.protocol.phase = ClientPhase.ENDED
         self.context.engine.guard.close_permitted(self.request_id)
         if reset:
@@ -276,7 +287,7 @@
             self._finish(b"")
 
     def _finish(self, last_line: bytes) -> None:
-        """Write the last line, if any, and half-close; the client may linger to read it."""
+        """Write the last line, if any, and half-close. The client may linger to read the line."""
         if last_line:
             self.client.write(last_line)
         self.client.finish()
@@ -284,6 +295,6 @@
         self.scope.deadline = anyio.current_time() + self.limits.linger_us / 1e6
 
     def write_to_client(self, line: bytes) -> None:
-        """Forward a line of the endpoint's."""
+        """Forward a line from the endpoint."""
         if line:
             self.client.write(line)
--- a/gannetweir/net/command_execution.py
+++ b/gannetweir/net/command_execution.py
@@ -1,4 +1,4 @@
-"""The engine's commands, carried out by the drivers."""
+"""Executes the engine's commands by calling the drivers."""
 
 from __future__ import annotations
 
@@ -32,8 +32,10 @@
 
 
 class CommandExecutor:
-    """Dispatches each command by its type. A command for a client that has left is dropped: the end of
-    its connection is reported to the engine by its driver.
+    """Dispatches each command by its type.
+
+    A command for a client that has disconnected is ignored, since the client's driver reports the end of the
+    connection to the engine.
     """
 
     def __init__(
@@ -47,7 +49,7 @@
         self.endpoint_watch, self.shutdown = endpoint_watch, shutdown
 
     def execute(self, command: Command) -> None:
-        """Carry out one command. Returns at once; what takes time runs in a task of its own."""
+        """Execute one command without waiting. Operations that wait run in separate tasks."""
         match command:
             case OpenUpstream() | CloseUpstream() | StartForwarding():
                 client = self.clients.by_request.get(command.request_id)
--- a/gannetweir/net/configuration_reload.py
+++ b/gannetweir/net/configuration_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration for a running relay, and how a configuration is bounded by this machine."""
+"""Reload of the configuration in a running relay, and its adjustment to the limits of the machine."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 class ConfigurationReload:
-    """Puts a new configuration into force as a whole, or leaves the old one in force as a whole.
+    """Replaces the active configuration completely, or keeps the old one completely if the new one is
+    invalid.
 
-    `reread` returns the configuration as its files have it now; it raises `ConfigError` for one that is bad.
+    `reread` reads the configuration from its files. It raises `ConfigError` for an invalid configuration.
     """
 
     def __init__(
@@ -33,7 +34,7 @@
         self.reread = reread
 
     def reload(self) -> None:
-        """Read the configuration and put it into force. A bad one is counted, logged and changes nothing."""
+        """Read the configuration and activate it. An invalid one is counted, logged and ignored."""
         runtime = self.runtime
         old = runtime.config
         try:
@@ -47,7 +48,7 @@
             config, name=old.name, listen_address=old.listen_address, admin_address=old.admin_address
         )
         if in_force != config:
-            runtime.log("reload: another name, listen or admin address needs a restart; they stay")
+            runtime.log("reload: changes of name, listen address and admin address need a restart; ignored")
         self._apply(in_force)
         if config.discovery_address != old.discovery_address:
             self.endpoint_watch.change_discovery()
@@ -57,7 +58,7 @@
     def _apply(self, config: Config) -> None:
         engine = self.runtime.engine
         self.runtime.apply_config(config)
-        # a client whose first line is still to come is read by the new classes
+        # First lines that arrive from now on are parsed with the new request classes.
         self.clients.class_index_by_name = class_indexes(config.settings)
         admission = make_route_admission(config, engine.route_admission)
         self.runtime.run_engine_call(
@@ -68,12 +69,13 @@
 
 
 def make_route_admission(config: Config, current: RouteAdmission | None) -> RouteAdmission | None:
-    """The admission of the operators' routes, None without an operators' file. One that exists takes the new
-    rules and goes on: what it has counted still counts.
+    """Return the admission of the operators' routes, or None without an operators' file.
+
+    An existing admission gets the new rules and keeps its counters.
     """
     if config.routing_rules is None:
         return None
-    from gannetweir.routing.route_admission import RouteAdmission  # only where it is switched on
+    from gannetweir.routing.route_admission import RouteAdmission  # loaded only with an operators' file
 
     if current is None:
         return RouteAdmission(config.routing_rules, config.settings)
@@ -82,8 +84,9 @@
 
 
 def within_descriptor_limit(config: Config) -> Config:
-    """The same configuration, bounded by the descriptors that this process may have: what is reserved for the
-    watch and the probes must not lie beyond them.
+    """Return the configuration with `Limits.sockets` reduced to the descriptor limit of this process.
+
+    Otherwise the descriptors reserved for the watch and the load probes could lie beyond that limit.
     """
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if allowed == resource.RLIM_INFINITY or allowed >= config.limits.sockets:
--- a/gannetweir/net/descriptors.py
+++ b/gannetweir/net/descriptors.py
@@ -1,18 +1,18 @@
-"""The descriptor budget: who gives a descriptor back when none is free.
+"""The descriptor budget: decides which connection is evicted when no descriptor is free.
 
-Clients and their attempts share the descriptors that the limits leave them; the rest is reserved for the
-watch, the probes and the operators. Silent connections come by hundreds in a crowd and must not keep out the
-clients that do send requests, so they are evicted, in this order:
+Clients and their attempts share the descriptors that the limits leave for them. The rest is reserved for the
+endpoint watch, the load probes and the operators. Idle connections may arrive by the hundreds and must not
+keep out clients that send requests, so connections are evicted in this order:
 
-1. second connects of races between an endpoint's addresses, since one connect is left to each race;
-2. clients that have had their final answer, whose remaining input is only read to be discarded;
-3. clients that have had the answer to a ping;
-4. clients that owe their first line for longer than `Limits.eviction_grace_us`, the latest first;
-5. all others that owe their first line, the oldest first;
-6. for a request's attempt alone: clients that have ended, whose endpoint may still send lines.
+1. additional connects of races between the addresses of an endpoint, since each race keeps one connect;
+2. clients that were sent their final answer, whose remaining input is discarded;
+3. clients that were sent the answer to a ping;
+4. clients whose first line has been awaited for longer than `Limits.eviction_grace_us`, the newest first;
+5. all other clients whose first line is awaited, the oldest first;
+6. only for the attempt of a request: clients that have ended while their endpoint may still send lines.
 
-Up to the fifth a connection with unsent or unread bytes is passed over, unless a request's attempt finds no
-other. A request that waits for its answer or is established is never evicted.
+In steps 2 to 5 a connection with unsent or unread bytes is skipped, unless the attempt of a request finds no
+other. A client whose request awaits its answer or is established is never evicted.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class EvictableConnection(Protocol):
-    """What the budget needs of a client's connection."""
+    """The parts of a client connection that the budget uses."""
 
     @property
     def client(self) -> Transport:
@@ -39,18 +39,20 @@
 
     @property
     def accepted_at_s(self) -> float:
-        """When it was accepted, in seconds of the event loop's clock."""
+        """Time of the accept, in seconds of the event loop's clock."""
 
     def evict(self) -> None:
-        """Answer if an answer is owed, and give all descriptors back now."""
+        """Send the pending answer, if any, and close all descriptors at once."""
 
     def close_before_request(self) -> None:
-        """Reject it, if it has sent no request so far."""
+        """Reject the client if it has sent no request."""
 
 
 class DescriptorBudget:
-    """Decides whether a descriptor may be opened. Owns the groups of connections that may be evicted, by how
-    far each has come, the oldest first; the connections report their progress.
+    """Decides whether a descriptor may be opened, and evicts connections to free one.
+
+    Owns the groups of evictable connections, by their progress and oldest first. The connections report their
+    progress to the budget.
     """
 
     def __init__(
@@ -62,36 +64,36 @@
     ) -> None:
         self.descriptor_count, self.handover, self.counters = descriptor_count, handover, counters
         self.current_limits = current_limits
-        self.address_races: dict[Evictable, None] = {}  # each adds and removes itself
+        self.address_races: dict[Evictable, None] = {}  # each race adds and removes itself
         self.awaiting_first_line: dict[EvictableConnection, None] = {}
-        self.ping_answered: dict[EvictableConnection, None] = {}  # some of those that await their first line
-        self.final_answer_sent: dict[EvictableConnection, None] = {}  # their remaining input is discarded
+        self.ping_answered: dict[EvictableConnection, None] = {}  # a subset of `awaiting_first_line`
+        self.final_answer_sent: dict[EvictableConnection, None] = {}  # further input is discarded
         self.client_ended: dict[EvictableConnection, None] = {}  # the endpoint may still send lines
 
     def record_accepted(self, connection: EvictableConnection) -> None:
-        """It was accepted and owes its first line."""
+        """Record that a connection was accepted and its first line is awaited."""
         self.awaiting_first_line[connection] = None
 
     def record_ping_answered(self, connection: EvictableConnection) -> None:
-        """It has had the answer to a ping."""
+        """Record that a ping of the connection was answered."""
         self.ping_answered[connection] = None
 
     def record_request(self, connection: EvictableConnection) -> None:
-        """Its first line is in: it can't be evicted until it is answered."""
+        """Record that the first line was received: the connection can't be evicted until it is answered."""
         self.awaiting_first_line.pop(connection, None)
         self.ping_answered.pop(connection, None)
 
     def record_final_answer(self, connection: EvictableConnection) -> None:
-        """It has had its final answer; the rest of what it sends is discarded."""
+        """Record that the final answer was sent. Further input of the connection is discarded."""
         self.record_request(connection)
         self.final_answer_sent[connection] = None
 
     def record_client_ended(self, connection: EvictableConnection) -> None:
-        """Its client has ended it."""
+        """Record that the client has ended the connection."""
         self.client_ended[connection] = None
 
     def remove(self, connection: EvictableConnection) -> None:
-        """It is closed, or is being evicted."""
+        """Remove a connection that is closed or being evicted."""
         for group in (
             self.awaiting_first_line,
             self.ping_answered,
@@ -101,16 +103,18 @@
             group.pop(connection, None)
 
     def has_capacity(self) -> bool:
-        """Whether a descriptor is free for one more client or attempt."""
+        """Return whether a descriptor is free for another client or attempt."""
         limits, in_use = self.current_limits(), self.descriptor_count.open
-        if self.handover.peers:  # during an upgrade the limits hold for both processes together
+        if self.handover.peers:  # during an upgrade both processes together keep to the limits
             in_use += self.handover.count_peer_descriptors() + limits.reserved_sockets
         return in_use < limits.client_sockets
 
     def make_capacity(self, for_request: bool = False) -> bool:
-        """The same, and if none is free, one is evicted. `for_request`: a request's attempt is worth more
-        than any connection that was answered, has sent no request or has ended, whatever it still sends or
-        has to read; else it would use what is reserved for the watch and the probes.
+        """Return whether a descriptor is free, evicting a connection if necessary.
+
+        With `for_request`, the attempt of a request has priority over every connection that was answered, has
+        sent no request or has ended, even if that connection has unsent or unread bytes. Otherwise the
+        attempt would use a descriptor that is reserved for the watch and the load probes.
         """
         if self.has_capacity():
             return True
@@ -136,9 +140,12 @@
         connection.evict()
 
     def _eviction_order(self) -> Iterator[EvictableConnection]:
-        """Of those that still owe their first line not the oldest go first: true clients may take 2 s for it,
-        and in a crowd all would lose their place just before. The latest go, though none that was accepted
-        just now, since most clients write at once.
+        """Yield the evictable connections, the next one to evict first.
+
+        Among connections whose first line is awaited, the newest are evicted first. Real clients may take 2 s
+        to send their first line, and among many idle connections evicting the oldest would close all of them
+        just before that. Connections accepted within the grace period come last, because most clients write
+        at once.
         """
         yield from list(self.final_answer_sent)
         yield from list(self.ping_answered)
@@ -149,7 +156,9 @@
 
 
 def max_descriptors(limits: Limits) -> int:
-    """The most descriptors that clients and their attempts may hold at once, for the invariant guard: with
-    all that is reserved for others but the fixed ones.
+    """Return the upper bound for the descriptors of clients and their attempts that the invariant guard
+    checks.
+
+    The bound includes the reserved descriptors, except the fixed ones.
     """
     return max(limits.client_sockets, limits.sockets - limits.fixed_sockets)
--- a/gannetweir/net/listener.py
+++ b/gannetweir/net/listener.py
@@ -1,4 +1,4 @@
-"""The clients' listener: it is opened, accepts until it is stopped, and its queue is drained at the end."""
+"""The listener for clients: opens the socket, accepts until stopped, then drains the accept queue."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
 from gannetweir.net.ports import LoggingContext
 from gannetweir.net.sockets import accept_connection, open_listening_socket
 
-# At a start the address may be in use by another process, not be there yet, or the machine be short.
+# At startup another process may still use the address, the address may not be configured yet, or the machine
+# may be short of descriptors, buffers or memory.
 _TRANSIENT_BIND_ERRORS = SHORTAGE_ERRORS | {errno.EADDRINUSE, errno.EADDRNOTAVAIL}
-LISTEN_TIMEOUT_S = 8.0  # a relay is to be ready within 10 s
+LISTEN_TIMEOUT_S = 8.0  # a relay must be ready within 10 s
 _LISTEN_RETRY_S = 0.05
 
 
 def open_listener(address: SocketAddress, limits: Limits) -> socket.socket:
-    """A listener of this process's own. Blocks, before anything is served, for an address not free yet.
+    """Open a listening socket, blocking until the address is free. For use before anything is served.
 
-    Raises `OSError` where it can't be had within `LISTEN_TIMEOUT_S`.
+    Raises `OSError` if the address is not free within `LISTEN_TIMEOUT_S`.
     """
     deadline_s = time.monotonic() + LISTEN_TIMEOUT_S
     while True:
@@ -46,8 +47,8 @@
 class ClientListener:
     """Accepts clients and owns the listening socket.
 
-    An `inherited` socket is the platform's: other processes accept from it, too. `serve_client` is called
-    with each connection that is accepted, and must not raise.
+    An `inherited` socket belongs to the platform, and other processes accept from it as well. `serve_client`
+    is called with each accepted connection and must not raise.
     """
 
     def __init__(
@@ -60,20 +61,20 @@
         self.context, self.serve_client = context, serve_client
         self.sock, self.inherited = sock, inherited
         self.scope: anyio.CancelScope | None = None
-        self.stopped = anyio.Event()  # nothing is accepted any more
+        self.stopped = anyio.Event()  # set once accepting has stopped
 
     @property
     def accepting(self) -> bool:
-        """Whether clients are accepted now, or were until it was stopped."""
+        """Whether accepting has started. Stays True after it is stopped."""
         return self.scope is not None
 
     def stop(self) -> None:
-        """Accept nothing more. What is in the queue stays there."""
+        """Stop accepting. Connections in the accept queue stay there."""
         if self.scope is not None:
             self.scope.cancel()
 
     async def run(self) -> None:
-        """Accept until stopped. An accept that fails is counted, logged and made again after a backoff."""
+        """Accept until stopped. A failed accept is counted, logged and retried after a backoff."""
         with anyio.CancelScope() as self.scope:
             delays_s = backoff_delays_s()
             while True:
@@ -85,7 +86,7 @@
                     continue
                 delays_s = backoff_delays_s()
                 self.serve_client(sock)
-                await anyio.lowlevel.checkpoint()  # a rush must not keep the other tasks waiting
+                await anyio.lowlevel.checkpoint()  # a burst of connections must not starve the other tasks
         self.stopped.set()
 
     def _report_failure(self, error: OSError) -> None:
@@ -93,8 +94,9 @@
         self.context.log(f"accept: {error.strerror}")
 
     async def drain_accept_queue(self, within_s: float) -> None:
-        """Serve all that waits in the queue. An accept that fails says nothing of those behind it: it is made
-        again until the queue is empty, or the time is over.
+        """Serve the clients in the accept queue until the queue is empty or the time is over.
+
+        A failed accept says nothing about the connections behind it in the queue, so accepting continues.
         """
         with anyio.move_on_after(within_s):
             while True:
@@ -112,6 +114,6 @@
                 self.serve_client(sock)
 
     def close(self) -> None:
-        """Give the descriptor back. What is still in the queue of a socket of its own is reset."""
-        with contextlib.suppress(OSError):  # the descriptor is given back whatever close(2) says
+        """Close the socket. If no other process shares it, the connections in the accept queue are reset."""
+        with contextlib.suppress(OSError):  # close(2) releases the descriptor even if it reports an error
             self.sock.close()
--- a/gannetweir/net/shutdown.py
+++ b/gannetweir/net/shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a relay: the drain that SIGTERM begins, and the exit once the engine has drained."""
+"""Graceful shutdown of a relay: the drain that SIGTERM starts, and the exit once the engine has drained."""
 
 from __future__ import annotations
 
@@ -10,16 +10,18 @@
 
 
 class GracefulShutdown:
-    """Ends the relay without resetting clients. The engine decides when the drain is over."""
+    """Stops the relay without resetting clients. The engine decides when the drain is over."""
 
     def __init__(self, runtime: RelayRuntime, clients: ClientRegistry) -> None:
         self.runtime, self.clients = runtime, clients
-        self.listener: ClientListener  # from the time that the relay runs
+        self.listener: ClientListener  # set when the relay starts to run
         self.is_exiting = False
 
     def drain(self) -> None:
-        """Begin the drain. Where the platform holds the listener no client is lost by not accepting it here:
-        the process that replaces this one does. Elsewhere the front still sends clients for a while.
+        """Start the drain.
+
+        With an inherited listener this process stops accepting at once, because the replacing process accepts
+        from the same socket. Without one the front keeps sending clients for a while, so accepting continues.
         """
         is_replaced = self.runtime.config.inherited_listener_fd is not None
         if is_replaced:
@@ -27,19 +29,21 @@
         self.runtime.run_engine_call(lambda now_us: self.runtime.engine.drain(now_us, is_replaced))
 
     def begin_exit(self) -> None:
-        """The drain is over: no request is open, and the last answers are on their way."""
+        """Start the exit after the drain, when no request is open and the last answers have been written."""
         if not self.is_exiting:
             self.is_exiting = True
             self.runtime.spawn(self._exit)
 
     async def _exit(self) -> None:
-        """Reject the clients that have sent no request, those in the listener's queue as well, and cancel the
-        relay's tasks once all have closed or `Limits.linger_us` is over: to end the process at once would
-        reset them, and all that have not read their last answer.
+        """Reject the clients that have sent no request, including those in the accept queue, and cancel the
+        relay's tasks once all clients are closed or `Limits.linger_us` is over.
+
+        Ending the process at once would reset these clients and all clients that have not read their last
+        answer.
         """
         linger_s = self.runtime.limits.linger_us / 1e6
         with anyio.move_on_after(linger_s):
-            if not self.listener.inherited:  # else the queue is the next process's
+            if not self.listener.inherited:  # the next process serves the queue of an inherited listener
                 await self._close_listener(linger_s / 2)
             for client in list(self.runtime.descriptor_budget.awaiting_first_line):
                 client.close_before_request()
--- a/gannetweir/net/upstream_connection.py
+++ b/gannetweir/net/upstream_connection.py
@@ -1,6 +1,6 @@
-"""The driver of one upstream connection: one attempt of a request at one endpoint.
+"""The driver of one upstream connection: one attempt to serve a request at one endpoint.
 
-The bytes mean what `proto.upstream_connection` says.
+`proto.upstream_connection` parses the bytes.
 """
 
 from __future__ import annotations
@@ -38,71 +38,73 @@
 
 
 class RefreshableOverrides(Protocol):
-    """The operators' overrides that all processes of this relay share."""
+    """The operators' overrides, which all processes of one relay share."""
 
     def refresh(self) -> None:
-        """Apply what has changed; the engine may close attempts at endpoints that are offline now."""
+        """Apply changed overrides. The engine may close attempts at endpoints that are now offline."""
 
 
 class UpstreamContext(ConnectContext, Protocol):
-    """What an attempt needs of the relay: beside the way to an endpoint, a place for its descriptor."""
+    """The parts of the relay that an attempt uses to connect and to account for its descriptor."""
 
     @property
     def descriptor_count(self) -> DescriptorCount:
-        """Counts the descriptor that the attempt holds."""
+        """Counter of open descriptors, which includes the attempt's descriptor."""
 
     @property
     def descriptor_budget(self) -> DescriptorBudget:
-        """Makes room for that descriptor."""
+        """Budget that evicts connections when no descriptor is free."""
 
     @property
     def operator_overrides(self) -> RefreshableOverrides:
-        """Asked once more before the first byte is written."""
+        """The operators' overrides, refreshed before the first byte is written."""
 
     def notify_engine(self, call: Callable[[*Arguments, int], object], *arguments: *Arguments) -> None:
-        """Call the engine with the present time as the last argument, where no command can follow."""
+        """Call the engine with the current time as the last argument; the call must produce no commands."""
 
 
 class UpstreamOwner(Protocol):
-    """What an attempt needs of the client's connection that it serves."""
+    """The parts of a client connection that its attempt uses."""
 
-    established_line: bytes  # the attempt sets it before it notifies the engine
+    established_line: bytes  # set by the attempt before it notifies the engine
 
     @property
     def client(self) -> Transport:
-        """The client's side; the endpoint is read no faster than that is written."""
+        """The client's side. Its back-pressure limits how fast the endpoint is read."""
 
     def read_pending_input(self) -> None:
-        """Read what the client has sent by now; its end closes the attempt."""
+        """Read all input that has arrived from the client. The end of the input closes the attempt."""
 
     def write_to_client(self, line: bytes) -> None:
-        """Forward a line of the endpoint's."""
+        """Forward a line from the endpoint."""
 
 
 class UpstreamTransport:
-    """Brings up the transport of one attempt, to one address or to the first of several, and owns it.
+    """Connects and owns the transport of one attempt, to a single address or to the first of several.
 
-    `raise_if_closed` is called before each connect and after a race; it raises `OSError` for an attempt that
-    was closed meanwhile.
+    `raise_if_closed` is called before each connect and after a race. It raises `OSError` if the attempt has
+    been closed.
     """
 
     def __init__(
         self, context: UpstreamContext, command: OpenUpstream, raise_if_closed: Callable[[], None]
     ) -> None:
         self.context, self.command, self.raise_if_closed = context, command, raise_if_closed
-        self.transport: Transport | None = None  # from the first connect on; another one after a local error
-        self._race: AddressRaceDriver | None = None  # while addresses race
+        self.transport: Transport | None = None  # set by the first connect, replaced after a local error
+        self._race: AddressRaceDriver | None = None  # set while a connection race runs
 
     async def connect(self) -> Transport:
-        """The connected transport. Raises `OSError` if no address can be connected, or this is closed. What
-        is connecting when this is cancelled is closed.
+        """Connect and return the transport.
+
+        Raises `OSError` if no address can be connected or the attempt is closed. Cancellation closes the
+        connections that are being established.
         """
         if self.command.races_addresses:
             return await self._race_addresses()
         return await self._connect_address()
 
     def close(self, reset: bool = False) -> None:
-        """Close the transport now, with its race if addresses race; `reset`: the endpoint sees a reset."""
+        """Close the transport and stop a running race. With `reset` the endpoint receives a reset."""
         if self._race is not None:
             self._race.stop()
         if self.transport is None:
@@ -113,8 +115,8 @@
             self.transport.close()
 
     async def _race_addresses(self) -> Transport:
-        """Connect to the first of the endpoint's addresses that can be connected."""
-        from gannetweir.net.dialer import AddressRaceDriver  # only where an endpoint has several
+        """Race the endpoint's addresses and return the connection that is established first."""
+        from gannetweir.net.dialer import AddressRaceDriver  # loaded only for several addresses
 
         context, command = self.context, self.command
         selector = context.engine.address_selector
@@ -131,13 +133,15 @@
         return self.transport
 
     async def _connect_address(self) -> Transport:
-        """Connect to the one address that discovery reports. What fails on this machine is tried again until
-        the connect's time is over: it says nothing of the endpoint, which has not heard of this attempt.
+        """Connect to the single address that discovery reports.
+
+        A connect that fails for lack of a resource on this machine is retried until the connect timeout: the
+        endpoint has not received anything, so the error says nothing about the endpoint.
         """
         address = self.context.parse_endpoint_address(self.command.address)
 
         def open_socket() -> tuple[socket.socket, tuple[str, int]]:
-            self.raise_if_closed()  # it may have been closed in a pause
+            self.raise_if_closed()  # the attempt may have been closed during the backoff
             return tcp_socket(address[0]), address
 
         return await connect_endpoint(
@@ -150,7 +154,7 @@
         return self.transport
 
     def _report_local_error(self, error: LocalResourceError) -> None:
-        """No connect was begun, for want of something here."""
+        """Report that the connect could not start because this machine lacks a resource."""
         self.context.notify_engine(
             self.context.engine.upstream_connect_delayed,
             self.command.request_id,
@@ -159,16 +163,16 @@
         )
 
     def _report_connect_started(self) -> None:
-        """From here on what comes of it is the endpoint's doing, or the network's."""
+        """Report that the connect has started: later errors are those of the endpoint or of the network."""
         self.context.notify_engine(
             self.context.engine.upstream_connect_started, self.command.request_id, self.command.attempt
         )
 
 
 class UpstreamDriver:
-    """Connects to one endpoint, writes the client's first line, then forwards what comes.
+    """Connects to one endpoint, writes the client's first line and forwards the endpoint's lines.
 
-    `run` is the only task here; the client's connection calls all else.
+    `run` is the only task of this driver; the client connection calls the other methods.
     """
 
     def __init__(
@@ -177,15 +181,15 @@
         self.context, self.owner, self.command = context, owner, command
         self.protocol = UpstreamConnection(first_line, context.settings.load_report_fields, context.limits)
         self.connection = UpstreamTransport(context, command, self._raise_if_closed)
-        self.closed = False  # nothing that comes of it counts any more
-        self.end_reported = False  # the engine knows of its end, or ended it itself
+        self.closed = False  # later events of this attempt are ignored
+        self.end_reported = False  # the end was reported to the engine, or the engine ended the attempt
         self.finished = anyio.Event()
 
     async def run(self) -> None:
-        """Connect, write and read until the endpoint ends.
+        """Connect, write the first line and read until the endpoint ends the connection.
 
-        Raises nothing of the socket's. However this ends, by cancelling as well, the engine has heard of it
-        once, unless it closed the attempt first, and the transport is closed.
+        Socket errors are not raised. On return and on cancellation the transport is closed and the engine has
+        been notified of the end exactly once, unless the engine closed the attempt first.
         """
         reset = False
         try:
@@ -202,38 +206,40 @@
 
     @property
     def transport(self) -> Transport | None:
-        """The endpoint's side; None before the first connect."""
+        """The endpoint's side, or None before the first connect."""
         return self.connection.transport
 
     async def _connect(self) -> None:
-        """Connect and write the whole first line. Raises `OSError` if that fails or the attempt is closed."""
+        """Connect and write the first line. Raises `OSError` if that fails or the attempt is closed."""
         try:
-            self._raise_if_closed()  # its client's end can be read before this task has its first turn
-            # Here, where the descriptor is opened, not with the command: of many commands in one turn each
-            # would find the same capacity.
+            self._raise_if_closed()  # the end of the client may have been read before this task first runs
+            # Capacity is made here, where the descriptor is opened, and not when the command is executed:
+            # several commands executed in one turn of the loop would all find the same free descriptor.
             self.context.descriptor_budget.make_capacity(for_request=True)
             transport = await self.connection.connect()
-            self.context.operator_overrides.refresh()  # offline by now? Then this attempt is closed
+            # If the endpoint has been taken offline in another process, the refresh closes this attempt.
+            self.context.operator_overrides.refresh()
             await self._write_first_line(transport.sock)
         except anyio.ClosedResourceError:
-            raise OSError("closed here") from None
-        # it may set an earlier time-out, so it is reported as what leads to commands is
+            raise OSError("attempt closed locally") from None
+        # `run_engine_call` reschedules the timers, because the engine may set an earlier timeout.
         self.context.run_engine_call(
             self.context.engine.upstream_first_line_written, self.command.request_id, self.command.attempt
         )
 
     def _raise_if_closed(self) -> None:
-        """Nothing is connected or written for an attempt that was closed meanwhile: its client has left, or
-        the next attempt is under way. Raises `OSError` then. The client is read once more: its end may be
-        unread.
+        """Raise `OSError` if the attempt was closed, because the client has disconnected or the next attempt
+        has started. The client's pending input is read first, since its end may be unread.
         """
         if not self.closed:
             self.owner.read_pending_input()
         if self.closed:
-            raise OSError("closed here")
+            raise OSError("attempt closed locally")
 
     async def _write_first_line(self, sock: socket.socket) -> None:
-        """Written here, not by the transport: how far it got decides what the attempt may have executed."""
+        """Write the first line to the socket directly instead of through the transport, because the number of
+        bytes sent decides whether the endpoint may have executed the request.
+        """
         has_begun = False
         while self.protocol.unsent_first_line:
             self._raise_if_closed()
@@ -260,7 +266,7 @@
         )
 
     async def _read(self) -> bool:
-        """Read until the endpoint ends the connection; True if it did so by breaking it."""
+        """Read until the endpoint ends the connection. Return True if the connection broke."""
         assert self.transport is not None
         while True:
             try:
@@ -298,7 +304,7 @@
             self._report_end(self.protocol.connection_ended(), reset)
 
     def _report_end(self, event: AttemptEnded, reset: bool) -> None:
-        self.close()  # the descriptor is given back before the next attempt may start
+        self.close()  # the descriptor is closed before the next attempt may start
         self.context.run_engine_call(
             self.context.engine.upstream_ended,
             self.command.request_id,
@@ -309,18 +315,18 @@
         )
 
     def write_to_endpoint(self, line: bytes) -> None:
-        """Forward a line of the client's."""
+        """Forward a line from the client."""
         if self.transport is not None:
             self.transport.write(line)
 
     def finish(self) -> None:
-        """The client ended in good order: so does this side, while the endpoint may still send lines."""
+        """Half-close after the client has ended its side. The endpoint may still send lines."""
         self.end_reported = True
         if self.transport is not None:
             self.transport.finish()
 
     def close(self, reset: bool = False) -> None:
-        """Close the attempt now, with its race if addresses race; `reset`: the endpoint sees a reset."""
+        """Close the attempt and stop a running race. With `reset` the endpoint receives a reset."""
         self.closed = self.end_reported = True
         self.connection.close(reset)
         command = self.command
