--- a/gannetweir/net/connecting.py
+++ b/gannetweir/net/connecting.py
@@ -1,4 +1,4 @@
-"""A connection that is begun as soon as this machine can begin one."""
+"""Connecting to a peer with retries while this machine lacks a resource for it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def _ignore(*_: object) -> None:
-    """The default of both hooks."""
+    """Default callback that does nothing."""
 
 
 async def connect_endpoint(
@@ -24,14 +24,14 @@
     on_local_error: Callable[[LocalResourceError], None] = _ignore,
     on_started: Callable[[], None] = _ignore,
 ) -> Transport:
-    """Open a socket, make a transport of it and connect it.
+    """Open a socket, wrap it in a transport and connect it.
 
-    A `LocalResourceError` says nothing of the peer: `on_local_error` is called with it, and all is done again
-    after a backoff, until it succeeds or the caller's time is over. `on_started` is called once a connect has
-    left this machine.
+    A `LocalResourceError` says nothing about the peer. `on_local_error` is called with the error, and after a
+    backoff all steps are repeated until they succeed or the caller cancels. `on_started` is called once a
+    connect has left this machine.
 
-    Raises `OSError` if the connection is refused or breaks, and what `on_local_error` raises. The transport
-    is closed unless it is returned, also when this is cancelled.
+    Raises `OSError` if the connection is refused or breaks, and any exception of `on_local_error`. The
+    transport is closed unless it is returned, also on cancellation.
     """
     for delay_s in backoff_delays_s():
         transport: Transport | None = None
--- a/gannetweir/net/dialer.py
+++ b/gannetweir/net/dialer.py
@@ -1,4 +1,4 @@
-"""The driver of a race between an endpoint's addresses: sockets round `addresses.connection_race`."""
+"""The driver of a connection race: opens the sockets for `addresses.connection_race`."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
 
 
 class AddressRaceDriver:
-    """One race. Owns the transports that connect; all but the oldest may be evicted.
+    """Runs one connection race. Owns the connecting transports; all but the oldest may be evicted.
 
-    `descriptor_count` counts them; None for a probe, whose descriptors are reserved and never evicted.
+    `descriptor_count` counts the transports' descriptors. It is None for a load probe, whose descriptors are
+    reserved and never evicted.
     """
 
     def __init__(
@@ -48,8 +49,10 @@
         self.stopped = False
 
     async def connect(self) -> tuple[Transport, Address]:
-        """The connection that won. Raises `OSError` if all addresses failed, or the race was stopped. What
-        did not win is closed by then, also when this is cancelled.
+        """Return the winning connection and its address.
+
+        Raises `OSError` if all addresses failed or the race was stopped. On return, on an error and on
+        cancellation the other connections are closed.
         """
         if self.descriptor_count is not None:
             self.context.address_races[self] = None
@@ -66,17 +69,17 @@
                 if not is_complete or self.winner is None or transport is not self.winner[0]:
                     transport.close()
         if self.winner is None or not is_complete:
-            raise OSError("stopped" if self.stopped else "no address of the server could be connected")
+            raise OSError("connection race stopped" if self.stopped else "no address could be connected")
         return self.winner
 
     def stop(self) -> None:
-        """Stop the race now: every connect is closed when this returns."""
+        """Stop the race. Every connect is closed when this method returns."""
         self.stopped = True
         self._execute(self.race.cancel(self.context.clock()))
         self._cancel_tasks()
 
     def evict(self) -> bool:
-        """Close all connects but the oldest, for their descriptors; False if there is only one."""
+        """Close all connects but the oldest to free descriptors. Return False if there is only one."""
         actions = self.race.cancel_all_but_oldest()
         self._execute(actions)
         return bool(actions)
@@ -112,8 +115,8 @@
             transport.close()
 
     def _start_connect(self, address: Address) -> None:
-        # capacity was made for the first connect of an attempt; a further one evicts nobody, and does not go
-        # past the limit
+        # The attempt has made capacity for its first connect. An additional connect evicts no connection and
+        # does not exceed the limit.
         is_additional = len(self.race.started_us) > 1
         if is_additional and self.descriptor_count is not None and not self.context.has_capacity():
             self._execute(self.race.cancel_all_but_oldest())
@@ -121,13 +124,13 @@
             self.task_group.start_soon(self._connect_or_fail, address)
 
     async def _connect_or_fail(self, address: Address) -> None:
-        """One connect, and what the race makes of its outcome. Raises nothing of the socket's."""
+        """Connect to one address and report the outcome to the race. Socket errors are not raised."""
         try:
             await self._connect(address)
         except (OSError, anyio.ClosedResourceError, ValueError):
             if (transport := self.transports.pop(address, None)) is not None:
                 transport.close()
-            if address in self.race.started_us:  # it failed by itself
+            if address in self.race.started_us:  # the connect failed and was not closed by the race
                 now_us = self.context.clock()
                 self.address_selector.record_connect_failure(self.endpoint, address, now_us)
                 self._execute(self.race.attempt_failed(address, now_us))
@@ -135,7 +138,7 @@
         self._execute(self.race.attempt_connected(address, self.context.clock()))
 
     async def _connect(self, address: Address) -> None:
-        """One connect; an error of this machine says nothing of the address, and is waited out."""
+        """Connect to one address. A local resource error says nothing about the address and is retried."""
 
         def make_transport(sock: socket.socket) -> Transport:
             context = self.context
@@ -147,7 +150,7 @@
         def retry_or_stop(_: LocalResourceError) -> None:
             self.transports.pop(address, None)
             if address not in self.race.started_us:
-                raise OSError("given up meanwhile")
+                raise OSError("connect closed by the race")
 
         await connect_endpoint(lambda: socket_for_address(address), make_transport, retry_or_stop)
 
--- a/gannetweir/net/errors.py
+++ b/gannetweir/net/errors.py
@@ -1,7 +1,7 @@
-"""Errors of system calls on sockets, by what they say: of the peer, of this machine, or of nothing lasting.
+"""Classification of the errors of system calls on sockets: caused by the peer, or by this machine.
 
-Linux reports some conditions of the machine through the call that met them. None of these is the peer's: the
-connection stands, or none was made. They pass, so the call is made again.
+Linux reports some temporary conditions of the machine as errors of the affected call. The peer did not cause
+them: an existing connection is intact, or none was established. The call is retried after such an error.
 """
 
 from __future__ import annotations
@@ -14,9 +14,10 @@
 
 from gannetweir.errors import GannetweirError
 
-# Out of descriptors, buffers or memory: socket(2), accept(2), send(2), recv(2), epoll_ctl(2).
+# A lack of descriptors, buffers or memory, reported by socket(2), accept(2), send(2), recv(2), epoll_ctl(2).
 SHORTAGE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC})
-# No local port, no route, no queue: connect(2) fails with these before anything has left the machine.
+# With these errors connect(2) fails before anything has left the machine, for lack of a local port, a route
+# or a queue.
 LOCAL_CONNECT_ERRORS = SHORTAGE_ERRORS | {
     errno.EADDRNOTAVAIL,
     errno.EADDRINUSE,
@@ -24,8 +25,8 @@
     errno.ENETDOWN,
     errno.EAGAIN,
 }
-# The connection that was to be accepted has ended, or had an error pending: accept(2) says to go on as after
-# EAGAIN. The next one in the queue may be sound.
+# accept(2) reports with these errors that the connection at the head of the queue has ended or has a pending
+# error. Its manual page says to retry as after EAGAIN; the next connection in the queue may be valid.
 ACCEPTED_PEER_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -42,23 +43,24 @@
         errno.EPERM,
     }
 )
-# Before a call that met a shortage is made again: long enough that a busy loop frees something meanwhile,
-# short beside every time-out.
+# Delay before a call is retried after a shortage. It lets other tasks run and free resources, and is short
+# compared with every timeout.
 SHORTAGE_RETRY_S = 0.002
-MAX_BACKOFF_S = 0.02  # bounds the backoff: a connect has 250 ms, and should be begun a few times in it
+# Upper bound of the backoff, so that a connect is retried several times within its timeout of 250 ms.
+MAX_BACKOFF_S = 0.02
 
 
 class LocalResourceError(GannetweirError, OSError):
-    """A connection could not be begun, for want of something on this machine. Says nothing of the peer."""
+    """A connect could not start because this machine lacks a resource. Says nothing about the peer."""
 
 
 def is_shortage(error: OSError) -> bool:
-    """Whether the machine is short of something that the call needs, for a moment."""
+    """Return whether an error reports a temporary shortage of descriptors, buffers or memory."""
     return error.errno in SHORTAGE_ERRORS
 
 
 def backoff_delays_s() -> Iterator[float]:
-    """The delays, in seconds, before each retry of what met a shortage: doubled up to `MAX_BACKOFF_S`."""
+    """Yield the delays before retries in a shortage, doubled from `SHORTAGE_RETRY_S` to `MAX_BACKOFF_S`."""
     delay_s = SHORTAGE_RETRY_S
     while True:
         yield delay_s
@@ -66,12 +68,18 @@
 
 
 async def wait_readable(sock: socket.socket) -> None:
-    """Wait until there is something to read. Raises as `anyio.wait_readable`, but waits out a shortage."""
+    """Wait until a socket is readable. In a shortage this returns after a delay instead of raising.
+
+    Raises other errors like `anyio.wait_readable`.
+    """
     await _wait(anyio.wait_readable, sock)
 
 
 async def wait_writable(sock: socket.socket) -> None:
-    """Wait until something can be written. Raises as `anyio.wait_writable`, but waits out a shortage."""
+    """Wait until a socket is writable. In a shortage this returns after a delay instead of raising.
+
+    Raises other errors like `anyio.wait_writable`.
+    """
     await _wait(anyio.wait_writable, sock)
 
 
--- a/gannetweir/net/sockets.py
+++ b/gannetweir/net/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets: opened, listened on, accepted from, connected. Errors of this machine have their own type."""
+"""Functions that open, listen on, accept and connect sockets. Local resource errors have their own type."""
 
 from __future__ import annotations
 
@@ -26,13 +26,14 @@
     from gannetweir.addresses.address import Address
 
 
-# What a socket connects to: a path, or a tuple that differs by the family, as in the standard library.
+# The address argument of `socket.connect`: a path, or a tuple whose form depends on the address family.
 SocketName = Any
 
 
 def tcp_socket(host: str) -> socket.socket:
-    """A non-blocking socket without Nagle's delay. Raises `LocalResourceError` where this machine has none to
-    give.
+    """Return a new non-blocking TCP socket with TCP_NODELAY.
+
+    Raises `LocalResourceError` if this machine lacks the resources for a socket.
     """
     sock = _open_socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
     set_nonblocking_nodelay(sock)
@@ -49,12 +50,12 @@
 
 
 def socket_for_address(address: Address) -> tuple[socket.socket, SocketName]:
-    """A non-blocking socket for an address of any family, and what to connect it to.
+    """Return a non-blocking socket for an address of any family, and the argument to connect it with.
 
-    Raises `OSError` where the interface of a link-local address is not there, and `LocalResourceError` where
-    this machine has no socket to give.
+    Raises `OSError` if the interface of a link-local address does not exist, and `LocalResourceError` if this
+    machine lacks the resources for a socket.
     """
-    from gannetweir.addresses.address import IPV6, UNIX  # only where an endpoint has several
+    from gannetweir.addresses.address import IPV6, UNIX  # loaded only for endpoints with several addresses
 
     if address.family == UNIX:
         sock = _open_socket(socket.AF_UNIX)
@@ -67,14 +68,14 @@
 
 
 def _scope_id(scope: str) -> int:
-    """The number of the interface of a link-local address, which may be named; 0 without one."""
+    """Return the interface index of a link-local scope, which is a name or a number; 0 if it is empty."""
     if not scope:
         return 0
     return int(scope) if scope.isdecimal() else socket.if_nametoindex(scope)
 
 
 def open_listening_socket(address: SocketAddress, limits: Limits) -> socket.socket:
-    """A listener of this process's own. Raises `OSError` where the address can't be listened on."""
+    """Open a listening socket. Raises `OSError` if the address can't be bound or listened on."""
     sock = tcp_socket(address.host)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((address.host, address.port))
@@ -83,8 +84,10 @@
 
 
 async def accept_connection(listener: socket.socket) -> socket.socket:
-    """The next connection, as it comes. One whose peer has ended is passed over. Raises `OSError` in a
-    shortage; cancelling loses no connection.
+    """Wait for the next connection and return its socket.
+
+    Connections that their peer has already ended are skipped. Raises `OSError` in a shortage of resources.
+    Cancellation loses no connection.
     """
     while True:
         try:
@@ -98,9 +101,9 @@
 
 
 def set_nonblocking_nodelay(sock: socket.socket) -> None:
-    """Make calls return at once, and send small lines without Nagle's delay."""
+    """Make a socket non-blocking and set TCP_NODELAY, so that short lines are sent without Nagle's delay."""
     sock.setblocking(False)
-    with contextlib.suppress(OSError):  # a connection that can't be tuned is served all the same
+    with contextlib.suppress(OSError):  # a connection without TCP_NODELAY is served as well
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
@@ -109,16 +112,16 @@
 ) -> None:
     """Connect a socket. `on_started` is called once the connect has left this machine.
 
-    Raises `LocalResourceError` if nothing has left this machine, `OSError` if the connect is refused or
-    breaks; a Unix socket whose queue is full refuses. The socket stays open in every case, also when this is
-    cancelled.
+    Raises `LocalResourceError` if the connect failed before anything left this machine, and `OSError` if the
+    connect is refused or breaks. A Unix socket with a full accept queue counts as refused. The socket stays
+    open in every case, also on cancellation.
     """
     code = sock.connect_ex(address)
     is_unix_refusal = code == errno.EAGAIN and sock.family == socket.AF_UNIX
     if code in LOCAL_CONNECT_ERRORS and not is_unix_refusal:
         raise LocalResourceError(code, os.strerror(code))
     on_started()
-    if code in (errno.EINPROGRESS, errno.EINTR):  # an interrupted connect goes on, too
+    if code in (errno.EINPROGRESS, errno.EINTR):  # an interrupted connect continues in the kernel
         await wait_writable(sock)
         code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if code:
--- a/gannetweir/net/transport.py
+++ b/gannetweir/net/transport.py
@@ -1,4 +1,4 @@
-"""One TCP connection: what was read goes to its owner, what can't be written yet waits, within bounds."""
+"""A stream connection with non-blocking reads, buffered writes and back-pressure."""
 
 from __future__ import annotations
 
@@ -19,22 +19,24 @@
     wait_writable,
 )
 
-# Starts a task of the relay; a fault in it ends that task alone.
+# Starts a task of the relay. An exception in the task ends only that task.
 Spawn = Callable[[Callable[[], Awaitable[object]]], None]
-# Of what a close that can't wait still has to send: a shortage of buffers passes within a few calls.
+# `Transport.close_now` can't wait until the socket is writable, so it calls send(2) up to this many times for
+# the unsent bytes. A shortage of buffers is over within a few calls.
 FINAL_SEND_ATTEMPTS = 8
+# SO_LINGER enabled with a timeout of 0: close(2) then sends a reset.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class DescriptorCount:
-    """Counts the descriptors that clients and attempts hold. `on_change` is called with each new count."""
+    """Counts the descriptors of clients and attempts. `on_change` is called with each new count."""
 
     def __init__(self, on_change: Callable[[int], None] | None = None) -> None:
         self.open, self.on_change = 0, on_change
-        self.peak = 0  # the most at once, so far
+        self.peak = 0  # maximum of `open` so far
 
     def add(self, count: int) -> None:
-        """So many more, or fewer."""
+        """Add to the count; a negative number subtracts."""
         self.open += count
         self.peak = max(self.peak, self.open)
         if self.on_change is not None:
@@ -42,11 +44,10 @@
 
 
 class Transport:
-    """One connected or connecting socket: reads, buffered writes, and the ways to end.
+    """A connected or connecting socket with reads, buffered writes and several ways to close.
 
-    Owns the socket: its descriptor is counted from here until `close`, `close_now` or `abort`. One task
-    reads; writes never wait, and what the kernel does not accept at once is sent by a task of the transport's
-    own.
+    Owns the socket, whose descriptor is counted until `close`, `close_now` or `abort`. Only one task may
+    read. Writes never wait: a separate task sends the bytes that the kernel does not accept at once.
     """
 
     def __init__(
@@ -61,20 +62,23 @@
         if descriptor_count is not None:
             descriptor_count.add(1)
         self.unsent = bytearray()
-        self.flushing = False  # a task sends `unsent`
-        self.finishing = False  # nothing more is written; the write side is shut down once `unsent` is sent
+        self.flushing = False  # a task is sending `unsent`
+        # After `finish` writes are ignored, and the write side is shut down once `unsent` is sent.
+        self.finishing = False
         self.closed = False
-        self.hit_shortage = False  # the last read failed for want of memory or buffers
-        self.reads_without_waiting = 0  # in a row
-        self.yields_before_read = False  # the next read lets every other task run before it
+        self.hit_shortage = False  # the last read failed for lack of memory or buffers
+        self.reads_without_waiting = 0  # consecutive reads
+        self.yields_before_read = False  # the next read first lets the other tasks run
         self.unsent_shrank = anyio.Event()
 
     async def read(self) -> bytes:
-        """What came next; empty at its end. Raises `OSError` if the connection broke or was closed here.
-        Cancelling loses no bytes.
+        """Wait for input and return it; empty at the end of the input.
+
+        Raises `OSError` if the connection broke or was closed locally. Cancellation loses no bytes.
         """
         if self.yields_before_read:
-            # before the read, not after it: bytes read before a pause could be overtaken by `read_nowait`
+            # The task yields before the read, because a `read_nowait` of another task during a yield after
+            # the read would return later bytes first.
             self.yields_before_read = False
             await anyio.lowlevel.checkpoint()
         while (data := self.read_nowait()) is None:
@@ -83,17 +87,18 @@
         self.reads_without_waiting += 1
         is_full_read = len(data) == self.limits.max_read_bytes
         if is_full_read or self.reads_without_waiting > self.limits.max_consecutive_reads:
-            # a peer that sends without a pause always has more: the others get their turn all the same
+            # A peer that sends continuously always has more input, so the next read lets the other tasks run.
             self.reads_without_waiting = 0
             self.yields_before_read = True
         return data
 
     def read_nowait(self) -> bytes | None:
-        """What has come by now, at most `Limits.max_read_bytes`: None if nothing, empty at its end. Raises
-        `OSError` if the connection broke or was closed here.
+        """Return up to `Limits.max_read_bytes` of available input: None if there is none, empty at the end.
+
+        Raises `OSError` if the connection broke or was closed locally.
         """
         if self.closed:
-            raise OSError(errno.EBADF, "closed here")
+            raise OSError(errno.EBADF, "connection closed locally")
         try:
             return self.sock.recv(self.limits.max_read_bytes)
         except (BlockingIOError, InterruptedError):
@@ -101,16 +106,18 @@
         except OSError as error:
             if not is_shortage(error):
                 raise
-            self.hit_shortage = True  # the connection stands: the read is made again
+            self.hit_shortage = True  # the connection is intact, so the read is retried
             return None
 
     async def discard(self, discard_buffer: bytearray) -> int:
-        """Read what came next into a buffer that nobody reads; 0 at the end. A close over unread bytes would
-        be a reset, which can cost the peer the answer that was written before. Raises as `read`.
+        """Wait for input, discard it and return the number of bytes; 0 at the end of the input.
+
+        Closing a socket with unread bytes sends a reset, which can make the peer lose the answer that was
+        written before. Raises `OSError` like `read`.
         """
         while True:
             if self.closed:
-                raise OSError(errno.EBADF, "closed here")
+                raise OSError(errno.EBADF, "connection closed locally")
             try:
                 count = self.sock.recv_into(discard_buffer)
             except (BlockingIOError, InterruptedError):
@@ -132,11 +139,13 @@
         try:
             await wait_readable(self.sock)
         except (anyio.ClosedResourceError, ValueError):
-            raise OSError(errno.EBADF, "closed here") from None
+            raise OSError(errno.EBADF, "connection closed locally") from None
 
     def close_now(self, discard_buffer: bytearray) -> None:
-        """End in good order and give the descriptor back at once. What has come by now is read: a close over
-        unread bytes is a reset. A last answer that could not be sent is tried some times more.
+        """End the connection in order and close the descriptor without waiting.
+
+        Input that has arrived is read first, because closing with unread bytes sends a reset. Unsent bytes of
+        a last answer are sent with a few more calls.
         """
         for _ in range(FINAL_SEND_ATTEMPTS):
             if not self.unsent:
@@ -150,13 +159,13 @@
         self.close()
 
     def read_available(self) -> bytes:
-        """What has come by now, if anything; a connection that broke has nothing."""
+        """Return the available input; empty if there is none or the connection is broken."""
         with contextlib.suppress(OSError):
             return self.read_nowait() or b""
         return b""
 
     def has_unread_input(self) -> bool:
-        """Whether the peer has sent something that was not read yet, or has ended."""
+        """Return whether input is unread, or the peer has ended or broken the connection."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -166,7 +175,7 @@
         return True
 
     def write(self, data: bytes) -> None:
-        """Send at once what the kernel accepts, and buffer the rest. A broken connection shows in `read`."""
+        """Send the bytes that the kernel accepts and buffer the rest. Errors are raised by `read` instead."""
         if self.closed or self.finishing:
             return
         if not self.unsent:
@@ -183,7 +192,7 @@
             self.spawn(self._flush)
 
     async def _flush(self) -> None:
-        """Send what is buffered, until all is sent or the connection breaks or is closed."""
+        """Send the buffered bytes until all are sent or the connection breaks or is closed."""
         try:
             while self.unsent and not self.closed:
                 await wait_writable(self.sock)
@@ -192,7 +201,7 @@
                 try:
                     del self.unsent[: self.sock.send(self.unsent)]
                 except BlockingIOError:
-                    continue  # woken for nothing: the rest waits on
+                    continue  # spurious wake-up
                 except OSError as error:
                     if not is_shortage(error):
                         raise
@@ -212,12 +221,12 @@
         self.unsent_shrank = anyio.Event()
 
     async def wait_drained(self) -> None:
-        """Back-pressure: returns once at most `Limits.max_buffered_bytes` are unsent, or it was closed."""
+        """Wait until at most `Limits.max_buffered_bytes` are unsent or this is closed, for back-pressure."""
         while len(self.unsent) > self.limits.max_buffered_bytes and not self.closed:
             await self.unsent_shrank.wait()
 
     def finish(self) -> None:
-        """Write nothing more; the peer sees the end once all is sent."""
+        """Half-close the connection once all buffered bytes are sent. Further writes are ignored."""
         self.finishing = True
         if not self.unsent:
             self._shutdown_writes()
@@ -228,19 +237,19 @@
                 self.sock.shutdown(socket.SHUT_WR)
 
     def abort(self) -> None:
-        """Break the connection, so that the peer sees a reset."""
+        """Close the connection with a reset."""
         if not self.closed:
             with contextlib.suppress(OSError):
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self.close()
 
     def close(self) -> None:
-        """Give the descriptor back now; whoever waits on it is woken first. A second call does nothing."""
+        """Close the descriptor after waking the tasks that wait on it. A second call does nothing."""
         if not self.closed:
             self.closed = True
             if self.descriptor_count is not None:
                 self.descriptor_count.add(-1)
             anyio.notify_closing(self.sock)
-            with contextlib.suppress(OSError):  # the descriptor is given back whatever close(2) says
+            with contextlib.suppress(OSError):  # close(2) releases the descriptor even if it reports an error
                 self.sock.close()
             self._wake_writers()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -498,7 +498,7 @@
     async with anyio.create_task_group() as tasks:
         endpoint = Transport(Endless(fileno=near.detach()), Limits(), spawn_in(tasks))
         tasks.start_soon(closes)
-        with pytest.raises(OSError, match="closed here"):
+        with pytest.raises(OSError, match="closed locally"):
             await read_for_ever(endpoint)
     far.close()
 
