--- a/gannetweir/net/__init__.py
+++ b/gannetweir/net/__init__.py
@@ -1,1 +1,1 @@
-"""Thin drivers: sockets, timers and signals round the engine, all in one task group."""
+"""Drivers that connect the engine to sockets, timers and signals, all in one task group."""
--- a/gannetweir/net/admin.py
+++ b/gannetweir/net/admin.py
@@ -1,4 +1,4 @@
-"""The admin listener: operators' calls, over a listener and descriptors of its own that no crowd can take."""
+"""The admin listener for operators' calls, with reserved descriptors that a crowd of clients can't use up."""
 
 from __future__ import annotations
 
@@ -16,23 +16,26 @@
 from gannetweir.net.transport import Transport
 from gannetweir.proto.admin import AdminCall, AdminCallError, AdminOperations
 
-ACCEPT_RETRY_S = 0.02  # between accepts that fail; an operator doesn't notice it
-MAX_ECHOED_CHARACTERS = 80  # of an endpoint's name in an answer, so that the answer stays one short line
+ACCEPT_RETRY_S = 0.02  # short enough that an operator does not notice the delay
+# Endpoint names are cut to this length in answers, so that an answer stays one short line.
+MAX_ECHOED_CHARACTERS = 80
 
 
 class AdminListener:
-    """Accepts callers and answers one call on each connection. Owns the listener and the callers'
-    connections; of more than `Limits.max_admin_connections` the oldest is closed.
+    """Accepts callers and answers one call on each connection.
+
+    Owns the listener and the callers' connections. When `Limits.max_admin_connections` are open, the oldest
+    is closed for a new caller.
     """
 
     def __init__(self, context: LoggingContext, operations: AdminOperations, address: SocketAddress) -> None:
-        """Raises `OSError` where the address can't be listened on in time."""
+        """Open the listener. Raises `OSError` if the address is not free in time."""
         self.context, self.operations, self.limits = context, operations, context.limits
         self.listener = open_listener(address, self.limits)
         self.callers: dict[Transport, None] = {}  # oldest first
 
     async def run(self) -> NoReturn:
-        """Accept until cancelled; the listener is closed then."""
+        """Accept callers until cancelled, then close the listener."""
         try:
             while True:
                 try:
@@ -43,7 +46,7 @@
                     continue
                 try:
                     self._accept_caller(sock)
-                except OSError as error:  # one caller's fault must not end the listener, nor the relay
+                except OSError as error:  # an error of one connection must not end the listener or the relay
                     self.context.log(f"admin: {error.strerror}")
         finally:
             self.listener.close()
@@ -51,7 +54,7 @@
     def _accept_caller(self, sock: socket.socket) -> None:
         set_nonblocking_nodelay(sock)
         while len(self.callers) >= self.limits.max_admin_connections:
-            # idle callers must not keep out the one who calls: the oldest has had the longest time for it
+            # Idle connections must not block new callers. The oldest one has had the most time to call.
             oldest = next(iter(self.callers))
             del self.callers[oldest]
             oldest.close()
@@ -69,17 +72,18 @@
                 self.context.engine.counters.add("admin_calls")
                 caller.write(answer)
                 caller.finish()
-                while await caller.read():  # a close over unread bytes could cost the caller the answer
+                # Closing with unread bytes would send a reset, which can make the caller lose the answer.
+                while await caller.read():
                     pass
         except OSError:
-            pass  # the caller has disconnected: nobody is left to answer
+            pass  # the caller has disconnected
         finally:
             self.callers.pop(caller, None)
             caller.close()
 
 
 class RelayOperations:
-    """Carries out the operators' calls in a running relay; `AdminOperations` for `proto.admin`."""
+    """Implements `proto.admin.AdminOperations` for a running relay."""
 
     def __init__(
         self,
@@ -87,32 +91,33 @@
         not_ready_reason: Callable[[], str],
         override_endpoint: Callable[[str, bool], None],
     ) -> None:
-        """`override_endpoint` takes an endpoint out of use (True) or puts it back; `OSError` if it fails."""
+        """`override_endpoint` sets an endpoint offline (True) or online; it raises `OSError` on failure."""
         self.engine, self.not_ready_reason = engine, not_ready_reason
         self.override_endpoint = override_endpoint
 
     def health(self) -> str:
-        """Succeeds only once a client would be served here."""
+        """Return `serving` if a client would be served. Raises `AdminCallError` with the reason otherwise."""
         if reason := self.not_ready_reason():
             raise AdminCallError(reason)
         return "serving"
 
     def offline(self, endpoint: str) -> str:
-        """From the answer on nothing starts there; its clients are migrated."""
+        """Set an endpoint offline. No attempt starts there afterwards, and its clients are migrated."""
         self._override(endpoint, True)
         return f"{endpoint[:MAX_ECHOED_CHARACTERS]} out"
 
     def online(self, endpoint: str) -> str:
-        """It is used again, as one that has just started."""
+        """Set an endpoint online. It is used like an endpoint that has just started."""
         self._override(endpoint, False)
         return f"{endpoint[:MAX_ECHOED_CHARACTERS]} in use"
 
     def _override(self, endpoint: str, offline: bool) -> None:
         endpoints = self.engine.endpoint_list
-        # one that is offline may have left the list before this process started
+        # An offline endpoint may have been removed from the endpoint list before this process started.
         if not endpoints.was_listed(endpoint) and not endpoints.is_offline(endpoint):
             raise AdminCallError(f"unknown backend {endpoint[:MAX_ECHOED_CHARACTERS]}")
         try:
             self.override_endpoint(endpoint, offline)
-        except OSError as error:  # what the other process, or the next one, can't learn of is not promised
+        except OSError as error:
+            # The call fails if the override can't be shared with the other process and the next one.
             raise AdminCallError(f"not kept: {error.strerror}") from error
--- a/gannetweir/net/endpoint_watch.py
+++ b/gannetweir/net/endpoint_watch.py
@@ -1,6 +1,6 @@
-"""The driver of the watch on the endpoint list: the engine says when to begin again, a reload where.
+"""The driver of the endpoint watch: the engine commands when to open it, a reload changes its address.
 
-The bytes mean what `proto.endpoint_watch` says.
+`proto.endpoint_watch` formats the request and parses the response.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 
 
 class WatchContext(DriverContext, Protocol):
-    """What the watch needs of the relay: beside the engine, where discovery is."""
+    """The parts of the relay that the watch uses."""
 
     @property
     def discovery(self) -> SocketAddress:
-        """Discovery's address in force; a reload may replace it."""
+        """The active address of discovery; a reload may replace it."""
 
 
 class EndpointWatchDriver:
-    """Owns the watch that is open, if any, and beside it the one that it is to replace.
+    """Owns the current watch, if any, and the watch at the previous address until the current one answers.
 
-    `make_transport` is for a measurement that counts the bytes in a transport of its own.
+    Measurements pass a `make_transport` whose transports count bytes.
     """
 
     def __init__(
@@ -43,14 +43,15 @@
         make_transport: Callable[[socket.socket, Limits, Spawn], Transport] = Transport,
     ) -> None:
         self.context, self.make_transport = context, make_transport
-        self.scope: anyio.CancelScope | None = None  # of the watch that is open
-        self.has_answered = False  # that watch has sent an update or a heartbeat
-        self.replaced_scope: anyio.CancelScope | None = None  # at the old address, until the new one answers
-        # the list is another discovery's: its versions say nothing to the new one
+        self.scope: anyio.CancelScope | None = None  # scope of the current watch
+        self.has_answered = False  # the current watch has received an update or a heartbeat
+        # Scope of the watch at the previous address, which stays open until the current watch answers.
+        self.replaced_scope: anyio.CancelScope | None = None
+        # The endpoint list comes from another discovery, whose versions mean nothing to the new one.
         self.discovery_changed = False
 
     def apply_command(self, command: SetEndpointWatch) -> None:
-        """Start a watch in place of the one before, or only end that."""
+        """Cancel the current watch and, if the command enables it, open a new one."""
         if self.scope is not None:
             self.scope.cancel()
             self.scope = None
@@ -60,11 +61,13 @@
             self._cancel_replaced()
 
     def change_discovery(self) -> None:
-        """Discovery has another address: watch there at once, and keep this watch open until that answers."""
+        """Open a watch at the changed address of discovery. The current watch stays open until the new one
+        answers.
+        """
         if self.scope is not None:
             if self.has_answered:
                 self.replaced_scope = self.scope
-            else:  # changed again before the last change was through
+            else:  # a second change before the watch of the first one has answered
                 self.scope.cancel()
         self.discovery_changed = True
         self._open(0)
@@ -81,19 +84,22 @@
 
     def _handle_event(self, event: MembershipUpdate | Heartbeat, scope: anyio.CancelScope) -> None:
         if scope not in (self.scope, self.replaced_scope):
-            return  # cancelled a moment ago, with this read already: it must not bring back what was removed
+            # The watch has been cancelled after it read this event. Applying the event could restore an
+            # endpoint that was removed later.
+            return
         if scope is self.scope and not self.has_answered:
             event = self._first_update(event)
         if isinstance(event, MembershipUpdate):
             self.context.run_engine_call(self.context.engine.endpoint_update_received, event)
 
     def _first_update(self, event: MembershipUpdate | Heartbeat) -> MembershipUpdate:
-        """What the first event of a watch says; from here on the watch that it replaces is not needed."""
+        """Return the first event of a watch as an update, and cancel the watch that it replaces."""
         version = self.context.engine.endpoint_list.version
-        if isinstance(event, Heartbeat):  # in place of an update: the list is what it was
+        if isinstance(event, Heartbeat):  # the list is unchanged
             update = MembershipUpdate(version, False)
         elif self.discovery_changed and event.version < version:
-            # another count, or a list from before what the old address sent: no drain may be undone by it
+            # The new discovery counts versions differently, or its list is older than the one from the
+            # previous address. Such a list must not undo a drain.
             update = replace(event, is_stale=True)
         else:
             update = event
@@ -102,8 +108,8 @@
         return update
 
     async def _run(self, since_version: int, scope: anyio.CancelScope) -> None:
-        """One watch. Cancelling its scope ends it without a word; else the engine hears why it ended."""
-        reason = "the watch fell silent"
+        """Run one watch. The engine is notified of the reason for its end, unless its scope was cancelled."""
+        reason = "no complete event within the timeout"
         with scope:
             try:
                 await self._watch(since_version, scope)
@@ -113,19 +119,19 @@
                 reason = str(error)
             except Exception as error:  # noqa: BLE001 - guarded edge of a task
                 self.context.engine.counters.add("driver_faults")
-                reason = f"the watch's driver failed: {type(error).__name__}: {error}"
-        if self.replaced_scope is scope:  # the end that was to come
+                reason = f"the driver of the endpoint watch failed: {type(error).__name__}: {error}"
+        if self.replaced_scope is scope:  # the end of a replaced watch is expected and not reported
             self.replaced_scope = None
         elif self.scope is scope:  # not cancelled by a command
             self.scope = None
             self.context.run_engine_call(self.context.engine.endpoint_watch_failed, reason)
 
     async def _watch(self, since_version: int, scope: anyio.CancelScope) -> None:
-        """Connect, send the request and handle what comes, until it fails.
+        """Connect, send the request and handle the response until the watch fails.
 
-        Raises `TimeoutError` where nothing whole comes in time, `OSError` for a connection that fails or
-        breaks, `EndpointListError` for an answer that can't be used. The transport is closed then, as it is
-        if this is cancelled.
+        Raises `TimeoutError` if no complete event arrives in time, `OSError` if the connection fails or
+        breaks, and `EndpointListError` for an invalid response. The transport is closed then and on
+        cancellation.
         """
         address, limits = self.context.discovery, self.context.limits
         watch = EndpointWatch(f"{address.host}:{address.port}", since_version, self.context.settings, limits)
@@ -148,9 +154,10 @@
                 transport.close()
 
     def _feed(self, watch: EndpointWatch, data: bytes, scope: anyio.CancelScope) -> bool:
-        """Handle what these bytes complete. Does that show that the watch is alive? One that is open but
-        sends nothing whole, not even its heartbeat, is dead; bytes alone don't count, since an answer that
-        trickles without end would keep a dead watch open.
+        """Handle the events that these bytes complete, and return whether they prove that the watch works.
+
+        A watch that is open but delivers no complete event, not even a heartbeat, counts as dead. Bytes alone
+        don't count, because a response that trickles in without completing would keep a dead watch open.
         """
         had_answered = watch.answered
         events = watch.feed(data)
--- a/gannetweir/net/load_probes.py
+++ b/gannetweir/net/load_probes.py
@@ -1,4 +1,4 @@
-"""The driver of a load probe: one connection to one endpoint, one question, one answer."""
+"""The driver of a load probe: one connection to one endpoint, one request and one answer."""
 
 from __future__ import annotations
 
@@ -22,8 +22,10 @@
 
 
 async def run_probe(context: ConnectContext, command: StartLoadProbe) -> None:
-    """Ask one endpoint for its load. Every probe ends in one result for the engine, whatever fails here and
-    also when it is cancelled; what fails for want of something on this machine says nothing of the endpoint.
+    """Request the load of one endpoint and report the result to the engine.
+
+    Exactly one result is reported, also after an exception and on cancellation. If the probe failed because
+    this machine lacks a resource, the result `NOT_STARTED` says nothing about the endpoint.
     """
     result = AttemptEnded(AttemptStatus.NOT_STARTED)
     field_names = context.settings.load_report_fields
@@ -33,7 +35,8 @@
         else:
             result = await _SingleAddressProbe(context, command).run()
     finally:
-        if context.settings.load_report_fields != field_names:  # a reload came: figures would be misread
+        # After a reload that changed the fields, the values of the report would be assigned to wrong fields.
+        if context.settings.load_report_fields != field_names:
             result = AttemptEnded(AttemptStatus.NOT_STARTED)
         context.run_engine_call(
             context.engine.load_probe_ended, command.endpoint_id, result.status, result.report
@@ -41,8 +44,10 @@
 
 
 async def _exchange(context: DriverContext, endpoint_id: EndpointId, transport: Transport) -> AttemptEnded:
-    """The question, and its answer. An endpoint that began to drain while the connect was under way is not
-    asked any more: it may have come up late, and a probe is work as well.
+    """Send the request over a connected transport and return the result.
+
+    An endpoint that started to drain during the connect is not probed: the connection may have been
+    established late, and a probe is work for the endpoint, too.
     """
     if not context.engine.endpoint_list.accepts_requests(endpoint_id):
         return AttemptEnded(AttemptStatus.NOT_STARTED)
@@ -58,7 +63,7 @@
 
 
 class _SingleAddressProbe:
-    """A probe of an endpoint with one address. `result` is what holds if the probe ends now."""
+    """A probe of an endpoint with one address. `result` is the outcome if the probe were to end now."""
 
     def __init__(self, context: ConnectContext, command: StartLoadProbe) -> None:
         self.context, self.command = context, command
@@ -66,8 +71,8 @@
         self.transport: Transport | None = None
 
     async def run(self) -> AttemptEnded:
-        """The result within `Limits.load_probe_timeout_us`. Raises nothing of the socket's; the transport is
-        closed.
+        """Return the result within `Limits.load_probe_timeout_us`. Socket errors are not raised, and the
+        transport is closed on return.
         """
         try:
             with anyio.move_on_after(self.context.limits.load_probe_timeout_us / 1e6):
@@ -75,7 +80,7 @@
         except TimeoutError:
             pass
         except OSError:
-            if self.result.status == AttemptStatus.TIMEOUT:  # connected, then broken
+            if self.result.status == AttemptStatus.TIMEOUT:  # the connection broke after it was established
                 self.result = AttemptEnded(AttemptStatus.RESET)
         finally:
             if self.transport is not None:
@@ -96,14 +101,14 @@
         self.result = await _exchange(self.context, self.command.endpoint_id, self.transport)
 
     def _handle_local_error(self, _: LocalResourceError) -> None:
-        self.result = AttemptEnded(AttemptStatus.NOT_STARTED)  # says nothing of the endpoint
+        self.result = AttemptEnded(AttemptStatus.NOT_STARTED)  # says nothing about the endpoint
 
     def _handle_connect_started(self) -> None:
         self.result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
 
 
 async def _probe_any_address(context: ConnectContext, command: StartLoadProbe) -> AttemptEnded:
-    """Over one of an endpoint's addresses after another: an answer on any is the endpoint's."""
+    """Probe an endpoint through its addresses in turn; an answer from any address is the result."""
     selector = context.engine.address_selector
     assert selector is not None
     with anyio.move_on_after(context.limits.load_probe_timeout_us / 1e6):
@@ -112,9 +117,7 @@
 
 
 class _AddressesProbe:
-    """A probe of an endpoint with several addresses. An address that is silent has its part of the time, no
-    more.
-    """
+    """A probe of an endpoint with several addresses, each of which gets an equal part of the timeout."""
 
     def __init__(self, context: ConnectContext, command: StartLoadProbe, selector: AddressSelector) -> None:
         self.context, self.command, self.selector = context, command, selector
@@ -122,17 +125,17 @@
         address_count = len(selector.states_by_endpoint.get(self.endpoint, ()))
         self.time_per_address_us = context.limits.load_probe_timeout_us / max(1, address_count)
         self.tried_addresses: list[Address] = []
-        self.request_sent_us = 0  # when the last question was sent, or its connect begun
-        self.address: Address | None = None  # that the last question went to
+        self.request_sent_us = 0  # time of the last request, or of the start of its connect
+        self.address: Address | None = None  # address of the last request; None if the connect failed
         self.result = AttemptEnded(AttemptStatus.CONNECT_FAILED)
 
     async def run(self) -> AttemptEnded:
-        """The result, over the first address that answers. Raises nothing of the sockets'."""
+        """Return the result from the first address that answers. Socket errors are not raised."""
         context, selector = self.context, self.selector
         while selector.ordered_addresses(self.endpoint, context.clock(), True, self.tried_addresses):
             await self._probe_next_address()
             if self.address is None:
-                return self.result  # none could be connected
+                return self.result  # no address could be connected
             if self.result.status == AttemptStatus.NOT_STARTED:
                 return self.result
             if self.result.status in (AttemptStatus.OK, AttemptStatus.ERROR):
@@ -146,7 +149,7 @@
         return self.result
 
     async def _probe_next_address(self) -> None:
-        from gannetweir.net.dialer import AddressRaceDriver  # only where an endpoint has several
+        from gannetweir.net.dialer import AddressRaceDriver  # loaded only for several addresses
 
         context = self.context
         transport: Transport | None = None
@@ -159,7 +162,7 @@
                 self.result, self.request_sent_us = AttemptEnded(AttemptStatus.TIMEOUT), context.clock()
                 self.result = await _exchange(context, self.command.endpoint_id, transport)
         except (TimeoutError, OSError):
-            pass  # the result says how far it came
+            pass  # `result` has the outcome of the last completed step
         finally:
             if transport is not None:
                 transport.close()
--- a/gannetweir/net/operator_overrides.py
+++ b/gannetweir/net/operator_overrides.py
@@ -1,4 +1,4 @@
-"""Operators' overrides in a running relay: applied from calls here and from the other processes' file."""
+"""Operators' overrides in a running relay, from local admin calls and from the file that processes share."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 
 class OverridesContext(LoggingContext, Protocol):
-    """What the overrides need of the relay."""
+    """The parts of the relay that the overrides use."""
 
     def clock(self) -> int:
-        """Microseconds of a monotonic clock."""
+        """Return microseconds of a monotonic clock."""
 
 
 class OverridesSync:
-    """Keeps the engine's overrides equal to those that all processes of this relay share.
+    """Synchronizes the engine's overrides with those that all processes of this relay share.
 
-    The handover folder owns the overrides; the engine has a copy, which is replaced as a whole.
+    The handover folder owns the overrides. The engine has a copy, which is always replaced completely.
     """
 
     def __init__(self, context: OverridesContext, handover: Handover) -> None:
         self.context, self.handover = context, handover
 
     def override_endpoint(self, endpoint: str, offline: bool) -> None:
-        """Take an endpoint out of use, or put it back: for every process of this relay, and those to come.
+        """Set an endpoint offline or online for all current and future processes of this relay.
 
-        Raises `OSError` where the shared file can't be written; nothing has changed then.
+        Raises `OSError` and changes nothing if the shared file can't be written.
         """
         self.handover.set_override(endpoint, offline, self.context.clock())
         self.refresh()
 
     def refresh(self) -> None:
-        """Apply what was called at this process or at another one since the last time."""
+        """Apply the overrides that this process or another one has set since the last refresh."""
         self.handover.refresh_overrides()
         overrides, engine = self.handover.overrides, self.context.engine
         if overrides != engine.endpoint_list.overrides:
@@ -44,13 +44,13 @@
             self.context.run_engine_call(engine.apply_operator_overrides, overrides)
 
     async def poll(self) -> None:
-        """Look for other processes and refresh the overrides, every `Limits.handover_refresh_interval_us`,
+        """Refresh the list of other processes and the overrides every `Limits.handover_refresh_interval_us`,
         until cancelled.
         """
         while True:
             await anyio.sleep(self.context.limits.handover_refresh_interval_us / 1e6)
             try:
                 self.handover.refresh_peers()
-            except OSError as error:  # the folder has been removed, or may not be read
+            except OSError as error:  # the folder was removed or is not readable
                 self.context.log(f"handover: {error.strerror}")
             self.refresh()
--- a/gannetweir/net/ports.py
+++ b/gannetweir/net/ports.py
@@ -1,6 +1,6 @@
-"""What drivers need of the relay, as protocols: each driver takes the narrowest that it can do with.
+"""Protocols for the parts of the relay that drivers use. Each driver takes the narrowest sufficient protocol.
 
-`RelayRuntime` in `net.runtime` is all of them in one. A measurement or a test gives a driver a smaller one.
+`RelayRuntime` in `net.runtime` implements all of them. Measurements and tests pass smaller implementations.
 """
 
 from __future__ import annotations
@@ -18,51 +18,51 @@
 
 
 class DriverContext(Protocol):
-    """What every driver needs: the engine, the configuration in force, and a place for tasks.
+    """The engine, the active configuration and a way to start tasks, for every driver.
 
-    A reload replaces `settings` and `limits`, so a driver asks for them each time and keeps neither.
+    A reload replaces `settings` and `limits`, so a driver reads them on each use and does not store them.
     """
 
     @property
     def engine(self) -> Engine:
-        """The engine; its calls that may lead to commands go through `run_engine_call`."""
+        """The engine. Calls that may produce commands are made through `run_engine_call`."""
 
     @property
     def settings(self) -> Settings:
-        """The platform's settings in force, with the operators' timing in them."""
+        """The active platform settings, including the timing that operators set."""
 
     @property
     def limits(self) -> Limits:
-        """Every size, count and time in force."""
+        """The active limits."""
 
     @property
     def spawn(self) -> Spawn:
-        """Starts a task of the relay; a fault in it ends that task alone."""
+        """Starts a task of the relay. An exception in the task ends only that task."""
 
     def run_engine_call(self, call: Callable[[*Arguments, int], Result], *arguments: *Arguments) -> Result:
-        """Call the engine with the present time as the last argument, then execute what it commands."""
+        """Call the engine with the current time as the last argument, then execute its commands."""
 
 
 class LoggingContext(DriverContext, Protocol):
-    """What a driver needs that also reports to the people on call."""
+    """A driver context that also writes log lines."""
 
     def log(self, text: str, **fields: object) -> None:
-        """Write one log line and what it is about."""
+        """Write one log line with the given fields."""
 
 
 class Evictable(Protocol):
-    """What holds descriptors that it can do without."""
+    """An owner of descriptors, some of which can be closed to free capacity."""
 
     def evict(self) -> bool:
-        """Give descriptors back now; False if there were none to give."""
+        """Close the descriptors that can be spared. Return False if there are none."""
 
 
 class RaceContext(Protocol):
-    """What a race between the addresses of an endpoint needs."""
+    """The parts of the relay that a race between an endpoint's addresses uses."""
 
     @property
     def limits(self) -> Limits:
-        """Every size, count and time in force."""
+        """The active limits."""
 
     @property
     def spawn(self) -> Spawn:
@@ -70,17 +70,17 @@
 
     @property
     def address_races(self) -> dict[Evictable, None]:
-        """The races whose second connects may be evicted, oldest first; a race adds and removes itself."""
+        """Races whose additional connects may be evicted, oldest first. A race adds and removes itself."""
 
     def clock(self) -> int:
-        """Microseconds of a monotonic clock."""
+        """Return microseconds of a monotonic clock."""
 
     def has_capacity(self) -> bool:
-        """Whether a descriptor is free for one more client or attempt."""
+        """Return whether a descriptor is free for another client or attempt."""
 
 
 class ConnectContext(DriverContext, RaceContext, Protocol):
-    """What a driver needs that connects to endpoints."""
+    """The parts of the relay that a driver uses to connect to endpoints."""
 
     def parse_endpoint_address(self, text: str) -> tuple[str, int]:
-        """Host and port of an endpoint. Raises `OSError` for what can't be connected to."""
+        """Return the host and port of an endpoint's address. Raises `OSError` for an invalid address."""
--- a/gannetweir/net/signals.py
+++ b/gannetweir/net/signals.py
@@ -1,8 +1,8 @@
-"""Signals of the process, each kind remembered until it has been handled.
+"""Signal handling that records each kind of signal until it has been handled.
 
-The event loop hears of signals through a socket pair, a byte for each. While the loop is blocked the pair
-fills after some hundreds, and what comes then is dropped, of whatever kind. So a handler of the interpreter's
-own notes the kind, and the byte only wakes the loop.
+The event loop is notified of signals through a socket pair, with one byte for each signal. While the loop is
+blocked the pair is full after some hundreds of signals, and further ones of any kind are dropped. A Python
+signal handler therefore records the kind, and the byte only wakes the loop.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 import anyio
 
-# In the order in which pending ones are handled: what ends the relay goes before what only prints or reloads.
+# Pending signals are handled in this order, so that the end of the relay precedes printing and reloading.
 HANDLED_SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP
 
 
 class SignalQueue:
-    """The kinds of signals that have come and are still to be handled."""
+    """The kinds of signals that were received and are not handled yet."""
 
     def __init__(self) -> None:
         self.pending: dict[signal.Signals, None] = {}
@@ -29,8 +29,8 @@
         self.call_soon = _call_soon_from_handler()
 
     def record(self, number: int, _frame: FrameType | None) -> None:
-        """The signal handler. It runs between any two steps of the program, so it only notes the kind and
-        wakes the loop, also if that is asleep.
+        """Handle a signal. The interpreter may call this between any two bytecode instructions, so it only
+        records the kind and wakes the event loop.
         """
         self.pending[signal.Signals(number)] = None
         self.call_soon(self._wake)
@@ -40,10 +40,10 @@
         self.arrived = anyio.Event()
 
     async def __aiter__(self) -> AsyncIterator[signal.Signals]:
-        """Each kind once for all that came of it before it is handled, in the order of `HANDLED_SIGNALS`."""
+        """Yield pending kinds in the order of `HANDLED_SIGNALS`, once for all signals of a kind so far."""
         while True:
             while self.pending:
-                pending = list(self.pending)  # a copy: another may come meanwhile
+                pending = list(self.pending)  # a copy, because a signal may be recorded at any time
                 number = min(pending, key=HANDLED_SIGNALS.index)
                 del self.pending[number]
                 yield number
@@ -51,19 +51,20 @@
 
 
 def _call_soon_from_handler() -> Callable[[Callable[[], None]], object]:
-    """How a signal's handler has the event loop call something, whichever library runs it."""
+    """Return the function with which a signal handler schedules a call in the running event loop."""
     try:
         return asyncio.get_running_loop().call_soon_threadsafe
     except RuntimeError:
-        import trio  # an embedding program's; the relay's own process runs on asyncio
+        import trio  # only an embedding program uses trio; the relay process runs on asyncio
 
         return cast(Callable[[Callable[[], None]], object], trio.lowlevel.current_trio_token().run_sync_soon)
 
 
 @contextmanager
 def handled_signals() -> Iterator[SignalQueue]:
-    """Replace the handlers of `HANDLED_SIGNALS`, and unblock what was blocked since the start of the process.
-    The handlers before are put back at the end.
+    """Handle `HANDLED_SIGNALS` within the context, and unblock those that are blocked since process start.
+
+    The previous handlers are restored at the end.
     """
     queue = SignalQueue()
     previous_handlers = {number: signal.signal(number, queue.record) for number in HANDLED_SIGNALS}
