--- a/tests/failing_calls.py
+++ b/tests/failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls on sockets that fail when a test says so, as Linux documents they may."""
+"""Injects the transient errors into socket calls that Linux documents for them."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class FailingCalls:
-    """Replaces methods of sockets; each failure that was asked for happens once, in its order."""
+    """Replaces methods of sockets. Each injected error is raised once, in the given order."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.monkeypatch = monkeypatch
         self.remaining_errors: dict[str, deque[int]] = {}
 
     def fail(self, call: str, errors: list[int], is_affected: SocketPredicate = lambda sock: True) -> None:
-        """The next calls of this name on a chosen socket fail with these errors, then they work again."""
+        """Make the next calls of a method on an affected socket fail with these errors."""
         remaining = self.remaining_errors.setdefault(call, deque())
         remaining.extend(errors)
         original = getattr(socket.socket, call)
@@ -36,7 +36,7 @@
         self.monkeypatch.setattr(socket.socket, call, wrapped)
 
     def fail_new_sockets(self, errors: list[int]) -> None:
-        """The next sockets can't be made."""
+        """Make the creation of the next sockets fail with these errors."""
         remaining = self.remaining_errors.setdefault("socket", deque())
         remaining.extend(errors)
         original: Callable[..., None] = socket.socket.__init__
@@ -51,7 +51,7 @@
 
 
 def is_connected_to_port(port: int) -> SocketPredicate:
-    """Sockets whose peer is at this port."""
+    """Return a predicate for sockets whose peer is at this port."""
 
     def matches(sock: socket.socket) -> bool:
         try:
@@ -63,7 +63,7 @@
 
 
 def is_connected_at_port(port: int) -> SocketPredicate:
-    """Sockets that are bound to this port and connected: a relay's side of its clients' connections."""
+    """Return a predicate for connected sockets bound to this port: a relay's ends of client connections."""
 
     def matches(sock: socket.socket) -> bool:
         try:
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -1,8 +1,8 @@
-"""A relay with one rule broken on purpose: python -m tests.fault_injection NAME serve
+"""A relay with one injected fault: python -m tests.fault_injection NAME serve
 
-Each fault breaks one rule that the soak's judge has to find. Nothing here is imported by the relay. Methods
-are replaced by typed assignments, never by their names as text: a rename carries them along, and a type check
-finds one that is no longer there.
+Each fault breaks one rule, and the judge of the soak has to report it. The relay imports nothing from this
+module. Methods are replaced by typed assignments and not by name, so that a rename updates them and the type
+checker reports a method that no longer exists.
 """
 
 from __future__ import annotations
@@ -32,21 +32,25 @@
 from gannetweir.placement.settings import RequestClass
 from gannetweir.proto.client_connection import ClientConnection, FirstLine
 
-FAULT_INTERVAL = 7  # one of so many requests is treated wrongly
-ATTEMPT_DELAY_S = 4.0  # after a client has left; far beyond what a busy machine explains
-LINE_DELAY_S = 6.0  # in place of at most a second; the stand-ins of a busy machine are late as well
-UNDISTURBED_BACKENDS = "b6", "b7", "b8"  # by the faults of the test that runs all broken relays
-EXIT_DELAY_S = 4.0  # then the process ends without having served
+FAULT_INTERVAL = 7  # one in this many requests is affected
+# Delay of an attempt after its client has disconnected. A busy machine can't explain a delay this long.
+ATTEMPT_DELAY_S = 4.0
+# Delay of a line, which takes at most 1 s without the fault. The stand-ins on a busy machine are late as
+# well.
+LINE_DELAY_S = 6.0
+# Backends that the other faults of the test with all faulty relays do not affect.
+UNDISTURBED_BACKENDS = "b6", "b7", "b8"
+EXIT_DELAY_S = 4.0  # with the fault `start`, the process exits after this time without having served
 CRASH_EXIT_CODE = 3
 
 
 def is_affected(request_id: int) -> bool:
-    """Is this one of the requests that are treated wrongly?"""
+    """Return whether the fault affects this request."""
     return request_id % FAULT_INTERVAL == 0
 
 
 def lose_answers() -> None:
-    """Some answers are never written."""
+    """Do not write the answers of some requests."""
     start_forwarding = ClientConnectionDriver.start_forwarding
 
     def faulty(self: ClientConnectionDriver) -> None:
@@ -59,7 +63,7 @@
 
 
 def fabricate_answers() -> None:
-    """Some requests are answered UP before any endpoint was asked."""
+    """Answer some requests with `UP` before any endpoint was contacted."""
     open_upstream = ClientConnectionDriver.open_upstream
 
     def faulty(self: ClientConnectionDriver, command: OpenUpstream) -> None:
@@ -71,7 +75,7 @@
 
 
 def overlap_attempts() -> None:
-    """Some attempts are given up without being closed."""
+    """Report the end of some attempts without closing them."""
     read = UpstreamDriver._read
 
     async def faulty_read(self: UpstreamDriver) -> bool:
@@ -91,7 +95,7 @@
 
 
 def repeat_requests() -> None:
-    """Every class is taken for one that may be repeated, and some first attempts seem to be reset."""
+    """Treat every class as `repeatable`, and some first attempts as reset."""
     RequestClass.is_idempotent_everywhere = property(lambda _: True)  # type: ignore[assignment]
     initialize = RequestClass.__init__
 
@@ -110,7 +114,7 @@
 
 
 def alter_lines() -> None:
-    """A byte is added to first lines."""
+    """Add a byte to first lines."""
     for_endpoint = FirstLine.for_endpoint
 
     def faulty(self: FirstLine, timeout_us: int) -> bytes:
@@ -120,7 +124,7 @@
 
 
 def ignore_draining() -> None:
-    """What discovery says of an endpoint that drains is not heeded."""
+    """Ignore that discovery reports an endpoint as draining."""
 
     def accept_all(self: EndpointList, endpoint_id: object) -> bool:
         return endpoint_id in self.entries
@@ -137,16 +141,16 @@
 
 
 def ignore_overrides() -> None:
-    """Operators' overrides are answered `ok`, and not applied."""
+    """Answer operators' overrides with `ok` without applying them."""
     OverrideUpdates.apply = lambda *_: None  # type: ignore[method-assign]
     EndpointList.is_offline = lambda *_: False  # type: ignore[method-assign]
 
 
 def attempt_without_client() -> None:
-    """Some time after a client has left without an answer, an attempt for it begins."""
+    """Start an attempt for a client `ATTEMPT_DELAY_S` after it has disconnected without an answer."""
     open_upstream = ClientConnectionDriver.open_upstream
     report_disconnect = ClientConnectionDriver._report_disconnect
-    last_commands: list[OpenUpstream] = []  # for a client that leaves before its own first attempt
+    last_commands: list[OpenUpstream] = []  # used for a client that disconnects before its first attempt
 
     def record_command(self: ClientConnectionDriver, command: OpenUpstream) -> None:
         last_commands[:] = [command]
@@ -163,7 +167,7 @@
 
 
 async def attempt_later(client: ClientConnectionDriver, command: OpenUpstream) -> None:
-    """Write the first line to the endpoint once more."""
+    """Send the first line to the endpoint again after `ATTEMPT_DELAY_S`."""
     await anyio.sleep(ATTEMPT_DELAY_S)
     assert client.first_line is not None
     address = client.context.parse_endpoint_address(command.address)
@@ -172,14 +176,15 @@
 
 
 def migrate_without_notice() -> None:
-    """Clients are moved without a MOVE."""
+    """Migrate clients without sending `MOVE`."""
     ClientConnection.end_migrated = lambda self: b""  # type: ignore[method-assign]
 
 
 def hold_lines_back() -> None:
-    """One line of an established connection waits, and the whole relay with it.
+    """Block the relay before it forwards one line of an established connection.
 
-    At a backend that the test's own faults leave alone: what those may delay is no finding.
+    The line comes from a backend that the other faults of the test do not affect, because a delay that those
+    may cause is no finding.
     """
     write_to_client = ClientConnectionDriver.write_to_client
     delays_s = [LINE_DELAY_S]
@@ -195,12 +200,12 @@
 
 
 def stay_after_sigterm() -> None:
-    """SIGTERM is answered, but the process stays."""
+    """Handle SIGTERM without ending the process."""
     Draining.exit = lambda self: None  # type: ignore[method-assign]
 
 
 def crash() -> None:
-    """The process ends abruptly as it serves its first few clients."""
+    """End the process abruptly after it has served a few clients."""
     start_forwarding = ClientConnectionDriver.start_forwarding
 
     def faulty(self: ClientConnectionDriver) -> None:
@@ -212,7 +217,7 @@
 
 
 def leak_descriptors() -> None:
-    """Descriptors are not given back."""
+    """Leak a duplicate of each closed descriptor."""
     close = Transport.close
 
     def faulty(self: Transport) -> None:
@@ -224,7 +229,7 @@
 
 
 def report_answers_twice() -> None:
-    """Some clients have two final answers, as the relay's own guard is told."""
+    """Report the final answers of some clients to the invariant guard twice."""
     record_answer = ClientConnectionDriver._record_answer
 
     def faulty(self: ClientConnectionDriver, served: bool) -> None:
@@ -236,7 +241,7 @@
 
 
 def overload_started_last() -> None:
-    """All goes to the endpoint that started last."""
+    """Send all requests to the endpoint that started last."""
 
     def choose_latest(
         self: AttemptDispatch, request_id: int, request: PendingRequest, now_us: int
@@ -247,6 +252,8 @@
     LoadLimit.is_exceeded = lambda *_: False  # type: ignore[method-assign]
 
 
+# Faults by the rule of the judge that each breaks. `main` implements `start`, which has to fail before
+# anything is imported.
 FAULTS: dict[str, Callable[[], None]] = {
     "lost": lose_answers,
     "fabricated": fabricate_answers,
@@ -263,18 +270,18 @@
     "descriptors": leak_descriptors,
     "invariant": report_answers_twice,
     "cold": overload_started_last,
-}  # by the rule of the judge that each one breaks; `start` is broken before anything is imported
+}
 
 
 def main() -> int:
-    """Break one rule, then serve."""
+    """Inject the fault that the first argument names, then run the command line."""
     rule = sys.argv.pop(1)
     if rule == "start":
         time.sleep(EXIT_DELAY_S)
         return 0
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1})
     FAULTS[rule]()
-    from gannetweir import cli  # what it imports sees the fault
+    from gannetweir import cli  # imported after the fault, so that its imports see the fault
 
     return cli.main()
 
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -1,4 +1,4 @@
-"""A relay on loopback sockets, with one endpoint and a discovery of a few lines, for tests of sockets."""
+"""A relay on loopback sockets, with one endpoint and a simple discovery, for tests of the drivers."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
 from tests.helpers import settings
 from tests.scenario import CLASSES
 
-# Lines are written as in the source of a string: `\r\n` ends one.
+# `Peer.send` interprets escape sequences, so lines are raw strings that end with a literal `\r\n`.
 WATCH_RESPONSE_HEAD = r"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 HEARTBEAT_CHUNK = r"1\r\n\n\r\n"
-UNREADABLE_CONFIG_SEED = -1  # the seed of a file that can't be read
-DEADLINE_S = 5.0  # only a failing test waits so long
+UNREADABLE_CONFIG_SEED = -1  # with this seed, rereading the configuration raises `ConfigError`
+DEADLINE_S = 5.0  # only a failing test waits this long
 _POLL_S = 0.005
-_RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # SO_LINGER for no time
+_RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # SO_LINGER with a timeout of 0
 
 
 class Peer:
-    """One end of a connection: lines out, lines and ends in."""
+    """A test's end of a connection with the relay, which sends text and expects lines or the end."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.buffer = sock, b""
         sock.setblocking(False)
 
     def send(self, escaped: str) -> None:
-        """Send what a string's source of this text would be."""
+        """Send a text in which escape sequences are written out."""
         self.sock.send(escaped.encode("latin1").decode("unicode_escape").encode("latin1"))
 
     async def expect(self, prefix: str) -> None:
-        """Fail unless the next line begins so; `end` and `reset` are the connection's."""
+        """Fail unless the next line, or `end` or `reset` at the connection's end, starts with the prefix."""
         with anyio.fail_after(DEADLINE_S):
             line = await self.next_line()
         assert line.startswith(prefix), f"expected {prefix!r}, got {line!r}"
 
     async def next_line(self) -> str:
-        """The next line without its end, or `end` or `reset`."""
+        """Return the next line without its line ending, or `end` or `reset`."""
         while b"\r\n" not in self.buffer:
             await anyio.wait_readable(self.sock)
             try:
@@ -61,24 +61,24 @@
         return line.decode()
 
     def finish(self) -> None:
-        """End in good order, and go on reading."""
+        """Half-close the connection."""
         self.sock.shutdown(socket.SHUT_WR)
 
     def close(self, reset: bool = False) -> None:
-        """Close at once, in good order or with a reset."""
+        """Close the connection, optionally with a reset."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self.sock.close()
 
 
 def unchanged_update_chunk(version: int) -> str:
-    """A chunk of the watch: nothing has changed but the version."""
+    """Return a chunk of the watch's response that changes only the version."""
     line = f'{{"seq":{version},"whole":false,"hosts":[]}}'
     return rf"{len(line) + 1:x}\r\n{line}\n\r\n"
 
 
 def listening_socket() -> socket.socket:
-    """A listener on a free port of loopback."""
+    """Open a listening socket on a free loopback port."""
     sock = socket.socket()
     sock.bind(("127.0.0.1", 0))
     sock.listen()
@@ -87,22 +87,22 @@
 
 
 def socket_address(sock: socket.socket) -> SocketAddress:
-    """Where a socket is bound."""
+    """Return the address that a socket is bound to."""
     return SocketAddress(*sock.getsockname())
 
 
 class RelayHarness:
-    """A relay with one endpoint and a discovery that answers nothing."""
+    """A relay with one endpoint, and with a discovery that accepts connections and does not answer."""
 
     def __init__(self, limits: Mapping[str, int] | None = None, shared_folder: Path | None = None) -> None:
-        """With a shared folder, processes of the relay inherit one listener; else the relay binds its own."""
+        """Make the relay. With a shared folder it inherits its listener; otherwise it opens the listener."""
         self.endpoint_listener = listening_socket()
         self.discovery_listener = listening_socket()
         self.inherited_listener = listening_socket()
         self.shared_folder = shared_folder
         listen_address = socket_address(self.inherited_listener)
         if shared_folder is None:
-            self.inherited_listener.close()  # its port is free for the relay
+            self.inherited_listener.close()  # frees the port for the relay
         self.admin_address = SocketAddress("127.0.0.1", self.free_port())
         endpoint = socket_address(self.endpoint_listener)
         host = {"host": "b1", "dial": f"127.0.0.1:{endpoint.port}", "health": "Ready"}
@@ -123,16 +123,16 @@
 
     @staticmethod
     def free_port() -> int:
-        """A port that was free a moment ago."""
+        """Return a port that was free at the time of the call."""
         with listening_socket() as sock:
             return int(sock.getsockname()[1])
 
     async def admin_call(
         self, escaped: str, expected: str, admin_address: SocketAddress | None = None
     ) -> None:
-        """Make an operator's call, and fail unless its answer begins so."""
+        """Make an operator's call, and fail unless its answer starts with `expected`."""
         address = admin_address or self.admin_address
-        await self.connect_client()  # it listens by now
+        await self.connect_client()  # waits until the relay listens
         caller = Peer(socket.create_connection((address.host, address.port)))
         caller.send(escaped)
         with anyio.fail_after(1.0):
@@ -140,18 +140,18 @@
             await caller.expect("end")
 
     def reread_config(self, _current: Config) -> Config:
-        """What a reload reads."""
+        """Return the configuration for a reload."""
         if self.config.seed == UNREADABLE_CONFIG_SEED:
             raise ConfigError("seed: 'xyz' is not hexadecimal")
         return self.config
 
     def reload(self, **changes: object) -> None:
-        """Change the configuration and have the relay reload it."""
+        """Change the configuration and send SIGHUP, so that the relay reloads it."""
         self.config = replace(self.config, **changes)  # type: ignore[arg-type]
         os.kill(os.getpid(), signal.SIGHUP)
 
     async def accept_watch(self, discovery: socket.socket, since_version: int) -> Peer:
-        """The relay's next watch there, once its request is in."""
+        """Accept the relay's next watch at this listener and read its request."""
         with anyio.fail_after(DEADLINE_S):
             await anyio.wait_readable(discovery)
         peer = Peer(discovery.accept()[0])
@@ -161,13 +161,13 @@
         return peer
 
     async def wait_until(self, is_done: Callable[[], bool]) -> None:
-        """Give the relay turns until this holds."""
+        """Let the relay run until the condition holds."""
         with anyio.fail_after(DEADLINE_S):
             while not is_done():
                 await anyio.sleep(_POLL_S)
 
     async def connect_client(self) -> Peer:
-        """A client, as soon as the relay listens."""
+        """Connect a client as soon as the relay listens."""
         address = self.relay.runtime.config.listen_address
         for _ in range(200):
             with contextlib.suppress(ConnectionRefusedError):
@@ -176,7 +176,7 @@
         raise AssertionError("the relay does not listen")
 
     async def accept_upstream(self) -> Peer:
-        """The relay's next connection to the endpoint."""
+        """Accept the relay's next connection to the endpoint."""
         with anyio.fail_after(DEADLINE_S):
             await anyio.wait_readable(self.endpoint_listener)
         return Peer(self.endpoint_listener.accept()[0])
@@ -196,7 +196,7 @@
 
 
 async def established_client(harness: RelayHarness, client_id: str = "0a") -> tuple[Peer, Peer]:
-    """A client whose request the endpoint has answered, and the endpoint's side."""
+    """Establish a request and return the client's end and the endpoint's end of the connection."""
     client = await harness.connect_client()
     client.send(rf"OPEN {client_id} 0b c=plain,d=2000\r\n")
     server = await harness.accept_upstream()
@@ -208,7 +208,7 @@
 
 @pytest.fixture(params=["asyncio"])
 def anyio_backend(request: pytest.FixtureRequest) -> str:
-    """The event loop of the relay's own process."""
+    """Run the tests on the event loop that the relay process uses."""
     return str(request.param)
 
 
@@ -223,7 +223,7 @@
 async def run_scenario(
     harness: RelayHarness, scenario: Scenario, capsys: pytest.CaptureFixture[str], counter_lines: int = 1
 ) -> None:
-    """Run the relay and a scenario, and see the relay drain and exit by itself with nothing left over."""
+    """Run a scenario against a relay, then drain the relay and check that it exits with nothing left open."""
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(harness.relay.run)
         await scenario(harness)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,5 +1,5 @@
-"""Idle clients may use every descriptor of the clients' budget, and none that is reserved: the watch on
-discovery, the load probes and the attempts of true requests have theirs at once.
+"""Tests that idle clients use only the descriptors of the clients' budget, and that the endpoint watch, the
+load probes and the attempts of requests get a descriptor at once.
 """
 
 from __future__ import annotations
@@ -29,15 +29,14 @@
 
 ROOT = Path(__file__).parent.parent
 SOCKETS = 64
-FEW_SOCKETS = (
-    30  # descriptors, of which four are for clients and attempts: so the fourth client is one too many
-)
+# With 30 descriptors, four are left for clients and attempts, and the fourth client is one too many.
+FEW_SOCKETS = 30
 OPEN_LINE = r"OPEN %s 0b c=plain,d=2000\r\n"
-TIMEOUT_S = 15.0  # seconds; only a failing test waits so long
+TIMEOUT_S = 15.0  # only a failing test waits this long
 
 
 def track_peak_descriptors(harness: RelayHarness) -> list[int]:
-    """The most descriptors that clients and attempts have held at once."""
+    """Return a list whose only item is updated to the peak of the clients' and attempts' descriptors."""
     peak = [0]
     add = harness.relay.runtime.descriptor_count.add
 
@@ -50,7 +49,7 @@
 
 
 async def answered_and_sending(harness: RelayHarness) -> None:
-    """Both have had their answer, and go on sending by more than is read at once."""
+    """Two clients have been answered and send more than one read takes."""
     for _ in range(2):
         malformed = await harness.connect_client()
         malformed.send("x" * 9000)
@@ -59,7 +58,7 @@
 
 
 async def waiting_clients_send_requests(harness: RelayHarness) -> None:
-    """Neither has been read yet, and both are one too many."""
+    """Two clients beyond the capacity send requests before either has been read."""
     late = [await harness.connect_client() for _ in range(2)]
     await harness.wait_until(lambda: harness.relay.clients.open_count == 2)
     for n, client in enumerate(late):
@@ -84,7 +83,7 @@
         requesting = [await harness.connect_client() for _ in range(2)]
         await harness.wait_until(lambda: harness.relay.clients.open_count == 2)
         await crowd(harness)
-        for n, client in enumerate(requesting):  # in one turn
+        for n, client in enumerate(requesting):  # all in one turn of the event loop
             client.send(OPEN_LINE % f"0{n}")
         for _ in requesting:
             server = await harness.accept_upstream()
@@ -92,9 +91,8 @@
             server.send(r"UP r1\r\n")
         for client in requesting:
             await client.expect("UP r1")
-        assert (
-            peak[0] <= harness.relay.runtime.limits.client_sockets + 1
-        )  # the one that is accepted to be told so
+        # One descriptor more may be open for a client that is accepted to be rejected.
+        assert peak[0] <= harness.relay.runtime.limits.client_sockets + 1
 
     await run_scenario(
         RelayHarness(SHORT_TIMES | {"sockets": FEW_SOCKETS, "linger_us": 2_000_000}), scenario, capsys
@@ -106,12 +104,12 @@
 
 
 class RelayProcess:
-    """One relay as a program, held to few descriptors, before a discovery that is down."""
+    """A relay process with few descriptors, whose discovery does not listen at first."""
 
     def __init__(self, folder: Path, configured_sockets: int, descriptor_limit: int) -> None:
         self.endpoint_listener, self.clients = listening_socket(), list[socket.socket]()
         self.discovery_listener = socket.socket()
-        self.discovery_listener.bind(("127.0.0.1", 0))  # but does not listen: every call is refused
+        self.discovery_listener.bind(("127.0.0.1", 0))  # bound but not listening, so every connect is refused
         self.listen_address = ("127.0.0.1", RelayHarness.free_port())
         self.admin_address = ("127.0.0.1", RelayHarness.free_port())
         host = {"host": "b1", "dial": address(self.endpoint_listener.getsockname()), "health": "Ready"}
@@ -135,7 +133,7 @@
         self.start()
 
     def start(self) -> None:
-        """A new process with the same file, on the same addresses."""
+        """Start a process with the same configuration file and addresses."""
         descriptor_limit = self.descriptor_limit, self.descriptor_limit
         with self.log.open("a") as log:
             self.process = subprocess.Popen(
@@ -151,7 +149,7 @@
             )
 
     def client(self, first_bytes: bytes = b"") -> socket.socket:
-        """One that has said so much and goes on waiting."""
+        """Connect a client that sends these bytes and stays connected."""
         while True:
             try:
                 sock = socket.create_connection(self.listen_address, TIMEOUT_S)
@@ -163,11 +161,11 @@
         return sock
 
     def accept_with_prefix(self, listener: socket.socket, prefix: bytes) -> socket.socket:
-        """The next connection there that says this; probes are answered on the way."""
-        end = time.monotonic() + TIMEOUT_S  # probes may come all the while
+        """Accept the next connection whose input starts with the prefix, and close those of load probes."""
+        end = time.monotonic() + TIMEOUT_S  # load probes may arrive until then
         while True:
             left = max(0.0, end - time.monotonic())
-            assert select.select([listener], [], [], left)[0], f"nobody came: {self.log.read_text()}"
+            assert select.select([listener], [], [], left)[0], f"no connection: {self.log.read_text()}"
             sock = listener.accept()[0]
             sock.settimeout(TIMEOUT_S)
             received = sock.recv(4096)
@@ -187,7 +185,7 @@
         return len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
 
     def end(self) -> None:
-        """Kill the process; a drain would only take its time."""
+        """Kill the process, since a drain would only take time."""
         self.process.kill()
         self.process.wait(TIMEOUT_S)
         for sock in (*self.clients, self.endpoint_listener, self.discovery_listener):
@@ -246,7 +244,8 @@
 
 
 def test_the_watch_connects_beside_established_clients_that_stay(relay: RelayProcess) -> None:
-    pairs = [relay.establish(b"%02x" % n) for n in range(19)]  # all that fit: each holds two descriptors
+    # 19 connections fit into the budget, with two descriptors each.
+    pairs = [relay.establish(b"%02x" % n) for n in range(19)]
     relay.client(b"OPEN ff 0b c=plain,d=2000\r\n")
     relay.discovery_listener.listen()
     watch = relay.accept_with_prefix(relay.discovery_listener, b"GET /registry/instances?follow=1&since=1 ")
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""Calls that fail for a moment, as Linux documents, take nothing from clients and blame no backend."""
+"""Tests that transient errors of system calls neither lose answers to clients nor eject backends."""
 
 from __future__ import annotations
 
@@ -47,11 +47,11 @@
         await scenario(harness, calls)
 
     await run_scenario(RelayHarness(SHORT_TIMES | limits), run, capsys)
-    assert not any(calls.remaining_errors.values()), calls.remaining_errors  # each failure has happened
+    assert not any(calls.remaining_errors.values()), calls.remaining_errors  # each error was raised
 
 
 async def accept_queue_at_exit(harness: RelayHarness, calls: FailingCalls) -> None:
-    """Requests wait in the listener's queue as the relay leaves, and accepts fail."""
+    """Requests wait in the accept queue when the relay exits, and accepts fail."""
     relay, original = harness.relay, socket.socket.accept
     clients = [await harness.connect_client() for _ in range(3)]
 
@@ -72,7 +72,7 @@
 
 
 async def answers_delayed_by_shortage(harness: RelayHarness, calls: FailingCalls) -> None:
-    """The answer, a line and MOVE: each send fails for a moment before it."""
+    """The first sends of the answer, of a line and of MOVE fail."""
     is_client_socket = is_connected_at_port(harness.relay.runtime.config.listen_address.port)
     calls.fail("send", NO_BUFFER_ERRORS, is_client_socket)
     client, server = await established_client(harness)
@@ -107,7 +107,7 @@
 
 
 async def short_socket_shortage(harness: RelayHarness, calls: FailingCalls) -> None:
-    """A request is placed at its backend as if nothing had happened: no attempt is spent, nothing counted."""
+    """A shortage of sockets neither uses up an attempt of a request nor counts as a failed connect."""
     client = await harness.connect_client()
     calls.fail_new_sockets([errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE])
     client.send(OPEN_LINE.format("0a"))
@@ -133,8 +133,11 @@
 
 
 async def long_socket_shortage(harness: RelayHarness, calls: FailingCalls) -> None:
-    """A whole attempt passes without a socket: the backend is not set aside, and the next attempt serves."""
-    watcher = await harness.accept_watch(harness.discovery_listener, 1)  # it takes none of the failures
+    """One attempt fails because no socket can be opened. The backend is not ejected, and the next attempt
+    serves the request.
+    """
+    # The watch is accepted first, so that its socket takes none of the errors.
+    watcher = await harness.accept_watch(harness.discovery_listener, 1)
     watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
     client = await harness.connect_client()
     calls.fail_new_sockets([errno.ENFILE] * 20)
@@ -150,7 +153,7 @@
 
 
 async def load_probe_without_socket(harness: RelayHarness, calls: FailingCalls) -> None:
-    """Its result says nothing of the backend, whose clients stay."""
+    """A load probe that gets no socket says nothing about the backend, whose clients stay connected."""
     watcher = await harness.accept_watch(harness.discovery_listener, 1)
     watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
     client, server = await established_client(harness)
@@ -194,7 +197,7 @@
 
 
 async def no_descriptors_and_no_buffers(harness: RelayHarness, calls: FailingCalls) -> None:
-    """Silent clients fill the descriptors, and the answer to each that gives way can't be sent at first."""
+    """Silent clients use all descriptors, and the first sends of the answer to each evicted client fail."""
     capacity = harness.relay.runtime.limits.client_sockets
     clients = [await harness.connect_client() for _ in range(capacity)]
     calls.fail("send", [], is_connected_at_port(harness.relay.runtime.config.listen_address.port))
@@ -203,7 +206,8 @@
         clients.append(await harness.connect_client())
         await harness.wait_until(lambda: not calls.remaining_errors["send"])
     await anyio.sleep(0)
-    assert harness.relay.runtime.descriptor_count.peak <= capacity + 1  # the one that has just been accepted
+    # One descriptor more may be open for the client that has just been accepted.
+    assert harness.relay.runtime.descriptor_count.peak <= capacity + 1
     for client in clients[:3]:
         await client.expect("BUSY")
         await client.expect("end")
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The drivers on loopback sockets: a relay that runs, among the stand-ins of the harness."""
+"""Tests of the drivers on loopback sockets, with a running relay and the peers of the harness."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     await server.expect("two")
     server.send(r"LOAD 7\r\nan")
     await client.expect("LOAD 7")
-    assert not client.buffer  # only whole lines, so that MOVE never falls into one
+    assert not client.buffer  # only complete lines are forwarded, so that MOVE never splits a line
     server.send(r"swer\r\n")
     await client.expect("answer")
 
@@ -78,15 +78,15 @@
 
 async def more_clients_than_descriptors(harness: RelayHarness) -> None:
     pairs = [await established_client(harness)]
-    silent = [await harness.connect_client() for _ in range(4)]  # room for two
-    for client in silent[:2]:  # who has said nothing for longest gives way to the next
+    silent = [await harness.connect_client() for _ in range(4)]  # there is capacity for two
+    for client in silent[:2]:  # the clients that have been silent for longest are evicted first
         await client.expect("BUSY 250")
         await client.expect("end")
     pairs.append(await established_client(harness, "0c"))
     await silent[2].expect("BUSY 250")
     await silent[3].expect("BUSY 250")
     last = await harness.connect_client()
-    await last.expect("BUSY 250")  # not even read: its descriptor is wanted back at once
+    await last.expect("BUSY 250")  # rejected without a read, because its descriptor must be closed at once
     await last.expect("end")
     for client, server in pairs:
         client.send(r"still here\r\n")
@@ -94,13 +94,13 @@
 
 
 async def clients_are_evicted_in_order(harness: RelayHarness) -> None:
-    slow, pinged, late = [await harness.connect_client() for _ in range(3)]  # room for one more
+    slow, pinged, late = [await harness.connect_client() for _ in range(3)]  # capacity for one more
     slow.send("OPEN 0a 0b c=pl")
     pinged.send(r"PING\r\n")
     await pinged.expect("PONG")
     await anyio.sleep(0.03)
     latest = [await harness.connect_client() for _ in range(2)]
-    await pinged.expect("BUSY 250")  # it has had what it came for
+    await pinged.expect("BUSY 250")  # its ping was answered, so it is evicted first
     await anyio.sleep(0.03)
     latest.append(await harness.connect_client())
     await latest[1].expect("BUSY 250")
@@ -118,11 +118,11 @@
         malformed = await harness.connect_client()
         malformed.send(raw)
         with anyio.fail_after(DEADLINE_S):
-            for _ in range(20):  # for longer than a connection lingers that has fallen silent
+            for _ in range(20):  # sends for longer than the linger time of a silent connection
                 await anyio.wait_writable(malformed.sock)
                 malformed.sock.send(b"y" * 65536)
                 await anyio.sleep(0.005)
-        await malformed.expect("ERR")  # no reset: what it sent has been read
+        await malformed.expect("ERR")  # the input has been read, so the answer is not lost to a reset
         await malformed.expect("end")
         malformed.close()
     client.send(r"still here\r\n")
@@ -161,19 +161,18 @@
     new_listeners = [listening_socket(), listening_socket()]
     harness.reload(discovery_address=SocketAddress(*new_listeners[0].getsockname()))
     silent = await harness.accept_watch(new_listeners[0], 0)
-    old.send(unchanged_update_chunk(7))  # the new one has not answered: the old one still counts
+    old.send(unchanged_update_chunk(7))  # the old watch counts until the new one answers
     await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 7)
-    harness.reload(
-        discovery_address=SocketAddress(*new_listeners[1].getsockname())
-    )  # a second reload during the first
+    # A second reload comes before the watch of the first has answered.
+    harness.reload(discovery_address=SocketAddress(*new_listeners[1].getsockname()))
     new = await harness.accept_watch(new_listeners[1], 0)
     await silent.expect("end")
-    old.close()  # as it does after a while; no failure, for the new one is under way
+    old.close()  # not a failure, because a new watch is being opened
     await harness.wait_until(lambda: harness.relay.endpoint_watch.replaced_scope is None)
     new.send(WATCH_RESPONSE_HEAD + unchanged_update_chunk(9))
     await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 9)
     assert not harness.relay.engine.counters.counts["endpoint_watch_failures"]
-    assert harness.relay.engine.endpoint_list.has_ready_endpoint()  # what the old one sent has stayed
+    assert harness.relay.engine.endpoint_list.has_ready_endpoint()  # the old watch's endpoints are kept
     client.send(r"still here\r\n")
     await server.expect("still here")
 
@@ -204,7 +203,7 @@
     client = await harness.connect_client()
     client.send(r"PING\r\n")
     await client.expect("PONG")
-    await client.expect("BUSY 250")  # a first line that is on its way now has its answer
+    await client.expect("BUSY 250")  # this also answers a first line that may be in flight
     await client.expect("end")
 
 
@@ -258,12 +257,12 @@
         await harness.admin_call(r"OFFLINE b1\r\n", "ok b1 out", admin_address)
         waiting = await harness.connect_client()
         waiting.send(r"OPEN 0c 0d c=plain,d=400\r\n")
-        await waiting.expect("BUSY")  # whichever took it, nothing starts there
+        await waiting.expect("BUSY")  # no attempt starts at an offline backend, in either process
         await harness.admin_call(r"ONLINE b1\r\n", "ok b1 in use")
         await client.expect("MOVE")
         await harness.wait_until(lambda: not new.engine.endpoint_list.is_offline("b1"))
         harness.relay.shutdown.drain()
-        for n in range(8):  # the old one accepts none of these
+        for n in range(8):  # the old process accepts none of these
             reconnected, _ = await established_client(harness, f"1{n}")
         await harness.wait_until(lambda: not new.handover.peers)
         assert new.engine.counters.counts["served"] >= 8
@@ -291,7 +290,7 @@
     line = "x" * 4000 + r"\r\n"
     sent = 0
     with contextlib.suppress(BlockingIOError):
-        while sent < 64 << 20:  # a client that does not read must not fill the relay's memory
+        while sent < 64 << 20:  # the client reads nothing, and must not fill the relay's memory
             server.send(line * 8)
             sent += 8
             await anyio.sleep(0)
@@ -333,7 +332,7 @@
     scenario: Scenario, limits: dict[str, int], capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
     harness = RelayHarness(SHORT_TIMES | limits, tmp_path if scenario is two_processes_of_one_relay else None)
-    # the counters at the exit, and once more where they were asked for
+    # The counters are printed at each exit, and once more after SIGUSR1.
     await run_scenario(
         harness,
         scenario,
