--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' calls: bytes in, one line out."""
+"""Tests that each operator's call is answered with one line, however its bytes arrive."""
 
 import pytest
 
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -1,7 +1,8 @@
-"""Discovery is unreachable and returns: its changes are in force within 6 s, whatever failed before.
+"""Tests that a change is applied within 6 s after discovery becomes reachable again, whatever failed before.
 
-The real engine and balancer on a simulated clock, beside models of discovery and of the driver of the watch.
-The driver's own timeouts (what extends them, what holds after a change of address) run on loopback sockets.
+Most tests run the real engine and balancer on a simulated clock, with models of discovery and of the watch's
+driver. The driver's timeouts (what extends them, and their use after a change of address) are tested on
+loopback sockets.
 """
 
 from __future__ import annotations
@@ -33,7 +34,8 @@
 )
 from tests.scenario import CLASSES, play
 
-CHANGE_IN_FORCE_US = 6 * SECOND  # from when discovery had a change and could be reached
+# A change must be applied this long after discovery has the change and is reachable.
+CHANGE_IN_FORCE_US = 6 * SECOND
 HEARTBEAT_US = 2 * SECOND
 LIMITS = Limits()
 NEVER = 1 << 62
@@ -46,14 +48,14 @@
 
 @dataclass
 class DiscoveryModel:
-    """Reachable from a moment on; before it, calls fail in ways drawn from the seed."""
+    """A discovery that is reachable from `reachable_us` on. Earlier calls fail in randomly drawn ways."""
 
     random: random.Random
     reachable_us: int
-    max_latency_us: int  # of its first answer, once it is reachable
+    max_latency_us: int  # upper bound for the first answer of a reachable discovery
     failures: tuple[str, ...] = ("refused", "silent", "slow", "half", "503")
     calls_us: list[int] = field(default_factory=list)
-    b1_drains: bool = False  # its list has b1 as draining
+    b1_drains: bool = False  # the endpoint list reports b1 as draining
 
     def answer(self) -> MembershipUpdate:
         return (
@@ -63,28 +65,26 @@
         )
 
     def call(self, now_us: int) -> tuple[int, bool]:
-        """When this call ends, and whether with an answer, as the driver of the watch sees it."""
+        """Return when this call ends and whether it gets an answer, as the driver of the watch sees it."""
         self.calls_us.append(now_us)
         if now_us >= self.reachable_us:
             return now_us + self.random.randrange(self.max_latency_us), True
         kind = self.random.choice(self.failures)
         if kind == "refused":
             return now_us + self.random.randrange(2_000), False
-        if kind == "503":  # it was there until then
+        if kind == "503":  # an error response, at the latest when the outage ends
             return min(self.reachable_us, now_us + self.random.randrange(2 * SECOND)), False
-        if kind == "half":  # a head, and from then on nothing: no later than what cut it off ended
+        if kind == "half":  # a response head with nothing behind it, at the latest when the outage ends
             head = min(
                 self.reachable_us, now_us + self.random.randrange(LIMITS.endpoint_watch_response_timeout_us)
             )
             return head + LIMITS.endpoint_watch_silence_us, False
-        return (
-            now_us + LIMITS.endpoint_watch_response_timeout_us,
-            False,
-        )  # no head, or bytes of one that never ends
+        # There is no response head, or an incomplete one.
+        return now_us + LIMITS.endpoint_watch_response_timeout_us, False
 
 
 class RelayModel:
-    """One engine, its clock, and what the driver does for its commands."""
+    """An engine on a simulated clock, with a model of the driver that executes its commands."""
 
     def __init__(self, seed: int, discovery: DiscoveryModel, now_us: int, **changes: object) -> None:
         self.now_us, self.discovery = now_us, discovery
@@ -122,7 +122,7 @@
         self.now_us = until_us
 
     def open_watch(self) -> None:
-        """Answer the call, so that the watch is open."""
+        """Answer the current call, which opens the watch."""
         self.engine.endpoint_update_received(MembershipUpdate(1, False), self.now_us)
         self.call_ends_us = NEVER
         self.execute_commands()
@@ -138,7 +138,7 @@
 def relay_with_open_watch(
     rng: random.Random, reachable_us: int, begin_us: int, **changes: object
 ) -> RelayModel:
-    """A relay whose watch is open at `begin`; discovery is unreachable from then until `reachable_us`."""
+    """Return a relay whose watch is open at `begin_us`. Discovery is unreachable until `reachable_us`."""
     max_answer_us = rng.choice([50_000, SECOND, LIMITS.endpoint_watch_response_timeout_us - 20_000])
     discovery = DiscoveryModel(rng, 0, max_answer_us)
     relay = RelayModel(rng.getrandbits(32), discovery, begin_us - 5 * SECOND, **changes)
@@ -163,7 +163,7 @@
         polls_endpoint_list=seed % 4 > 0,
         poll_interval_us=poll_interval_us,
     )
-    watch_loss = rng.choice(["reset", "silent", "silent"])  # the watch that was open
+    watch_loss = rng.choice(["reset", "silent", "silent"])  # how the open watch is lost
     relay.call_ends_us = begin + (
         LIMITS.endpoint_watch_silence_us if watch_loss == "silent" else rng.randrange(1 + unreachable_us // 2)
     )
@@ -183,18 +183,19 @@
 
 
 def test_the_timeouts_of_a_poll_add_up_to_less_than_6_s() -> None:
-    """A call that hangs, a refused one and a silent watch; then the wait, and the slowest answer."""
+    """After a call that hangs, a refused call or a silent watch, the backoff and the slowest answer still
+    fit.
+    """
     backoff, call = endpoint_polling.FIRST_BACKOFF_US, LIMITS.endpoint_watch_response_timeout_us
     assert max(call, endpoint_polling.MAX_ROUND_US) + call < CHANGE_IN_FORCE_US - 50_000
     assert LIMITS.endpoint_watch_silence_us + backoff + call < CHANGE_IN_FORCE_US - 50_000
-    assert (
-        call + backoff + call <= CHANGE_IN_FORCE_US - 50_000
-    )  # after a change of address, whose call the balancer has not asked for
+    # After a change of address, the driver makes the first call without a command of the balancer.
+    assert call + backoff + call <= CHANGE_IN_FORCE_US - 50_000
     assert LIMITS.endpoint_watch_silence_us >= HEARTBEAT_US + 500_000
 
 
 def test_a_slow_answer_is_awaited_however_short_the_poll_interval() -> None:
-    """Discovery takes one call at a time: a call that is in its queue must not be given up for another."""
+    """Discovery serves one call at a time, so a call that waits in its queue must not be replaced."""
     rng, begin = random.Random(3), 1_700_000_000 * SECOND
     relay = relay_with_open_watch(rng, begin, begin, poll_interval_us=50_000)
     relay.discovery.max_latency_us = 9 * SECOND
@@ -202,7 +203,7 @@
     calls = relay.discovery.calls_us
     while not calls:
         relay.run(relay.now_us + 10_000)
-    relay.call_ends_us = relay.now_us + 2_700_000  # not yet
+    relay.call_ends_us = relay.now_us + 2_700_000  # just before the response timeout
     relay.run(relay.call_ends_us - 1)
     assert len(calls) == 1
     relay.run(relay.now_us + 2)
@@ -215,17 +216,17 @@
         rng = random.Random(seed)
         relay = relay_with_open_watch(rng, begin + 30 * SECOND, begin)
         relay.discovery.failures, relay.discovery.max_latency_us = ("refused",), 50_000
-        relay.call_ends_us, relay.call_succeeds = begin, False  # all watches end at once
+        relay.call_ends_us, relay.call_succeeds = begin, False  # all watches end at the same time
         relay.run(begin + 40 * SECOND)
         calls += [call_us - begin for call_us in relay.discovery.calls_us]
     unreachable = [call_us for call_us in calls if 10 * SECOND <= call_us < 30 * SECOND]
     assert len(unreachable) / 20 < 100
     returning = [call_us - 30 * SECOND for call_us in calls if call_us >= 30 * SECOND]
-    assert len(returning) == RELAY_COUNT  # each once
+    assert len(returning) == RELAY_COUNT  # one call of each relay
     busiest = max(
         sum(call_us <= other_us < call_us + 250_000 for other_us in returning) for call_us in returning
     )
-    assert busiest < 40  # of 200, in a quarter of a second
+    assert busiest < 40  # calls of 200 relays within 0.25 s
 
 
 UPDATE = '{"seq":%d,"whole":%s,"hosts":[%s]}'
@@ -240,16 +241,15 @@
     [
         "settings reload 2 plain:repeatable",
         "discovery close\nsettings reload 2 plain:repeatable\ntime wait 4000",
-        "\n".join(
-            "discovery send " + UPDATE % (seq, "true", HOST_B2) for seq in range(43, 63)
-        ),  # it is not listed
+        # complete lists without b1
+        "\n".join("discovery send " + UPDATE % (seq, "true", HOST_B2) for seq in range(43, 63)),
         "\n".join(
             "discovery send " + UPDATE % (seq, "true", HOST_B1 % "Terminating" + "," + HOST_B2)
             for seq in range(43, 63)
         ),
         f"discovery close\ndiscovery reopen {UPDATE % (7, 'true', HOST_B1 % 'Ready' + ',' + HOST_B2)}",
     ],
-    ids=["reload", "reload, no watch", "whole lists without it", "whole lists with it", "an old whole list"],
+    ids=["reload", "reload, no watch", "complete lists without it", "complete lists with it", "older list"],
 )
 def test_a_drain_stays_in_force_after(next_steps: str, pushed: bool) -> None:
     script = "\n".join(f"c{number} send OPEN {number}a 0b c=plain,d=2000" for number in range(1, 6))
@@ -259,7 +259,7 @@
 
 
 def test_a_reload_to_polling_starts_polling() -> None:
-    """The reload comes between two calls of a pushed list's watch: nobody else would open it again."""
+    """The reload comes between two calls of a pushed list's watch; no other event would reopen the watch."""
     world = play(
         "discovery expect watch 41\ndiscovery close\ntime wait 0\ndiscovery expect watch 41\ndiscovery close",
         pushed=True,
@@ -280,7 +280,7 @@
 async def heartbeats_then_silence(harness: RelayHarness) -> None:
     watcher = await harness.accept_watch(harness.discovery_listener, 1)
     watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
-    for version in range(2, 12):  # over three times the time for silence
+    for version in range(2, 12):  # takes more than three times the silence timeout
         await harness.wait_until(lambda seen=version - 1: harness.relay.engine.endpoint_list.version == seen)  # type: ignore[misc]
         await anyio.sleep(0.02)
         watcher.send(chunk_of(version, False, "Ready"))
@@ -323,7 +323,7 @@
     await harness.wait_until(lambda: harness.relay.endpoint_watch.has_answered)
     harness.reload(discovery_address=SocketAddress(*new.getsockname()))
     unanswered_watches: list[Peer] = []
-    for count in range(3):  # no answer from the new one: the old one's updates still count
+    for count in range(3):  # updates from the old address count until the new one answers
         unanswered_watches.append(await harness.accept_watch(new, 0))
         assert watch_failures(harness) == count
         old.send(chunk_of(40 + count, False, "Terminating" if count == 1 else "Ready"))
@@ -345,7 +345,7 @@
     peer.send(WATCH_RESPONSE_HEAD + chunk_of(41, True, "Ready"))
     await harness.wait_until(lambda: harness.relay.engine.endpoint_list.version == 41)
     assert not harness.relay.engine.endpoint_list.accepts_requests("b1")
-    peer.send(chunk_of(43, False, "Ready"))  # ready again, in a change that is newer than the drain
+    peer.send(chunk_of(43, False, "Ready"))  # newer than the drain, so b1 is ready again
     await harness.wait_until(lambda: harness.relay.engine.endpoint_list.accepts_requests("b1"))
 
 
--- a/tests/test_drivers_that_fail.py
+++ b/tests/test_drivers_that_fail.py
@@ -1,4 +1,4 @@
-"""A driver that fails once, a loop that is held up, a file that can't be read for a moment: none for good."""
+"""Tests that the relay recovers from driver exceptions, a blocked event loop and transient I/O errors."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def raise_once(call: Callable[..., Any], error: BaseException) -> Callable[..., Any]:
-    """A call that raises the first time."""
+    """Wrap a function to raise the error on its first call."""
     pending = [error]
 
     def wrapped(*args: object, **named: object) -> object:
@@ -59,7 +59,7 @@
     watcher.send(WATCH_RESPONSE_HEAD + HEARTBEAT_CHUNK)
     await harness.wait_until(lambda: harness.relay.endpoint_watch.has_answered)
     engine.endpoint_update_received = raise_once(
-        engine.endpoint_update_received, RuntimeError("a fault of ours")
+        engine.endpoint_update_received, RuntimeError("simulated fault")
     )
     watcher.send(unchanged_update_chunk(7))
     new_watcher = await harness.accept_watch(harness.discovery_listener, 1)
@@ -69,8 +69,8 @@
 
 
 async def delayed_loop_does_not_fail_connect(harness: RelayHarness) -> None:
-    """The loop is held up between the command of an attempt and its first turn, for longer than a connect may
-    take. Everything it waits for has come by then.
+    """The event loop is blocked for longer than the connect timeout between an attempt's command and the
+    first turn of its task. All awaited input has arrived by then.
     """
     relay = harness.relay
     client = await harness.connect_client()
@@ -114,11 +114,13 @@
 
 
 async def load_probes_fail(harness: RelayHarness) -> None:
-    """Its driver fails, or its report's fields have changed meanwhile: no figure, and the next is asked."""
+    """The driver of a load probe raises, or a reload changes the fields of load reports during a probe. Both
+    probes end without a load report, and the next probe can start.
+    """
     await harness.connect_client()
     engine = harness.relay.engine
     original = harness.relay.runtime.parse_endpoint_address
-    harness.relay.runtime.parse_endpoint_address = raise_once(original, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
+    harness.relay.runtime.parse_endpoint_address = raise_once(original, RuntimeError("simulated fault"))  # type: ignore[method-assign]
     for number in (1, 2):
         engine.load_probes.start("b1")
         harness.relay.runtime.execute_commands()
@@ -156,10 +158,12 @@
 
 
 async def client_driver_fails(harness: RelayHarness) -> None:
-    """Its request is given back at once, its backend's side ends, and the guard tells that it was cut off."""
+    """The request is released at once, the backend's side is closed, and the invariant guard reports the
+    connection as cut off.
+    """
     client, server = await established_client(harness)
     (client_connection,) = harness.relay.clients.by_request.values()
-    client_connection.client.read = raise_once(client_connection.client.read, RuntimeError("a fault of ours"))  # type: ignore[method-assign]
+    client_connection.client.read = raise_once(client_connection.client.read, RuntimeError("simulated fault"))  # type: ignore[method-assign]
     client.send(r"one\r\ntwo\r\n")
     await server.expect("one")
     client.send(r"three\r\n")
@@ -171,7 +175,7 @@
     assert not engine.requests
     assert engine.counters.counts.pop("driver_faults") == 1
     assert engine.counters.counts["violations.cut_off"] == 1
-    engine.guard.violations = 0  # the one that was meant
+    engine.guard.violations = 0  # this violation is expected
 
 
 async def test_a_failed_client_driver_is_cleaned_up(capsys: pytest.CaptureFixture[str]) -> None:
@@ -179,7 +183,7 @@
 
 
 def test_listening_waits_until_the_address_is_free(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The process before still holds it; it ends while the new one waits."""
+    """The previous process still uses the address and ends while the new one waits."""
     with socket.socket() as other:
         other.bind(("127.0.0.1", 0))
         other.listen()
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -1,4 +1,6 @@
-"""Lists of 1,024 backends and a fleet of 1,024 relays: read in any form, and no dearer for each event."""
+"""Tests with endpoint lists of 1,024 backends and a fleet of 1,024 relays: parsing in any JSON layout, and
+the cost of each event.
+"""
 
 import dataclasses
 import json
@@ -97,7 +99,7 @@
 
 
 def event_costs(servers: int) -> dict[str, float]:
-    """Processor time of the module's events, one kind at a time, least of three days."""
+    """Return the processor time of each kind of event, as the minimum of three runs."""
     minimum: dict[str, float] = {}
     for repetition in range(3):
         driver = BalancerDriver(
@@ -128,14 +130,15 @@
 
 def test_event_cost_grows_less_than_the_endpoint_count() -> None:
     small, large = event_costs(64), event_costs(COUNT)
-    # 16 times the backends; measured: 2.3 an arrival (an order is sorted once a group), 1.1 a tick or timer
+    # With 16 times as many backends an arrival takes 2.3 times as long, because each group sorts its ranking
+    # once, and a tick or timer takes 1.1 times as long.
     assert all(large[kind] < 6 * small[kind] for kind in small), (small, large)
 
 
 def test_key_paths_do_not_iterate_the_known_list() -> None:
     class Known(dict[str, Any]):
         def items(self) -> Any:
-            raise AssertionError("thousands of entries, for nothing")
+            raise AssertionError("the entries of `known` were iterated without need")
 
     assert key_paths({"name": "n0", "known": Known(hosts=hosts())}) == {"", ".name", ".known"}
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The sizes of the modules that decide, and the limits in time that a drain keeps to."""
+"""Tests of the size of the placement modules, and of the time limits of a drain."""
 
 from pathlib import Path
 
@@ -24,5 +24,5 @@
     assert limits.linger_us > 100_000
     assert limits.drain_migration_us >= 0
     assert limits.drain_end_us > 300_000
-    if limits.drain_migration_us:  # the last moves are told before the end
+    if limits.drain_migration_us:  # the last migrations are sent before the end of the drain
         assert limits.drain_grace_us + limits.drain_migration_us < limits.drain_end_us
--- a/tests/test_reproductions.py
+++ b/tests/test_reproductions.py
@@ -1,4 +1,6 @@
-"""What the operators saw, played again: one relay process, six stand-in backends, calls that fail."""
+"""Reproductions of failures that operators have seen, with one relay process, six stand-in backends and
+failing system calls.
+"""
 
 from __future__ import annotations
 
@@ -35,31 +37,34 @@
     accepts_fail=0,
 )
 HOUR_S = 3600.0
-MIN_STALL_US = 50_000  # shorter waits for a processor make no relay refuse
-# A line passes four loops, and an attempt has some 0.1 s to spare: four such delays use up most of it.
+MIN_STALL_US = 50_000  # shorter waits for a processor do not make a relay refuse requests
+# A line passes through four event loops, and an attempt has a margin of about 0.1 s. Four delays of this
+# length use up most of that margin.
 MIN_LOOP_DELAY_US = 20_000
-MAX_RUNS = 3  # where a busy machine leaves nothing to judge
+MAX_RUNS = 3  # repeated when the machine was too busy to judge the refused requests
 SoakScenario = Callable[[Soak], Awaitable[None]]
 
 
 class Reproduction(Soak):
-    """A run with one course of events in place of drawn faults."""
+    """A soak that runs a fixed scenario in place of randomly drawn faults."""
 
     def __init__(self, plan: SoakPlan, folder: Path, scenario: SoakScenario) -> None:
         super().__init__(plan, folder)
         self.scenario = scenario
 
     async def inject(self, fault: Fault) -> None:
-        """The course, whatever the fault."""
+        """Run the scenario; the fault itself is ignored."""
         await self.scenario(self)
 
 
 async def no_faults(_soak: Soak) -> None:
-    """Clients come, and the relay is told to end."""
+    """Inject nothing: clients connect until the relay is terminated."""
 
 
 def run_soak(folder: Path, scenario: SoakScenario, **changes: object) -> list[ClientObservation]:
-    """Play it; no rule may be broken. What the clients saw that asked before the relay was told to end."""
+    """Run a soak with a scenario and check that no rule was broken. Return the observations of the clients
+    that sent their request more than 1 s before the relay was terminated.
+    """
     plan = replace(PLAN, **changes)  # type: ignore[arg-type]
     verdict = anyio.run(
         Reproduction(plan, folder, scenario).run, [Fault(FaultKind.SYSTEM_CALLS, 0.0, 0.0, 0)]
@@ -75,8 +80,9 @@
 
 
 def was_undisturbed(evidence: Evidence, client: ClientObservation) -> bool:
-    """Whether the machine gave relay, proxy and backends their turns in a request's time and in the second
-    before, when a queue may grow: by the kernel's count of waits, and by the stand-ins' own measure of loops.
+    """Return whether relay, proxy and backends got enough processor time during a request and in the second
+    before it, when a queue may grow. The sources are the kernel's run queue waits and the delays of the event
+    loops that the stand-ins record.
     """
     from_us, until_us = client.sent_us - 1_000_000, client.answered_us
     processes = relay_name(0), proxy_name(0)
@@ -87,7 +93,9 @@
 
 @pytest.mark.parametrize("call", [Call.SOCKET, Call.CONNECT])
 def test_no_request_is_refused_while_30_percent_of_the_calls_fail(call: Call, tmp_path: Path) -> None:
-    """None may be refused while the machine gives all processes their turns; else the run can't tell."""
+    """No request may be refused while all processes get enough processor time. A run with refusals on a
+    busier machine is inconclusive and is repeated.
+    """
 
     async def fail(soak: Soak) -> None:
         relay_shim = soak.fleet.relays[0].shim
@@ -105,7 +113,7 @@
         assert not [client for client in refused if was_undisturbed(evidence, client)]
         if not refused:
             return
-    pytest.fail(f"can't be judged: no processor in the time of {len(refused)} refused requests")
+    pytest.fail(f"inconclusive: no processor was free during {len(refused)} refused requests")
 
 
 def test_a_relay_exits_without_losing_requests_while_accepts_fail(tmp_path: Path) -> None:
@@ -117,14 +125,14 @@
 def test_a_slow_start_lasts_though_the_wall_clock_is_off_at_the_start(
     offset_s: float, tmp_path: Path
 ) -> None:
-    """A backend starts, then the relay, with its clock off. Hardly any of 140 requests in its first second
-    goes to the one in its slow start: a sixth would without one.
+    """A backend starts, and then the relay with a wrong wall clock. At most 5 of the 140 requests in the
+    relay's first second go to the backend in slow start; without slow start it would be a sixth of them.
     """
 
     async def restart_backend_and_relay(soak: Soak) -> None:
         killed_us = now_us()
         await soak.fleet.restart_backend("b0", 0.0, signal.SIGKILL)
-        # else the ends of its clients' connections would be put down to the relay
+        # Without this record the judge would attribute the ends of the backend's connections to the relay.
         soak.records.write(FaultSpan(FaultKind.BACKEND_CRASHES, "b0", killed_us, now_us()))
         (relay,) = soak.fleet.relays
         relay.is_restarting = True
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals in any number: none is lost, however many come while the loop is held up."""
+"""Tests that no kind of signal is lost, however many signals arrive while the event loop is blocked."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 
 pytestmark = pytest.mark.anyio
-FLOOD_SIZE = 1000  # more than the kernel buffers for a loop that is held up
+FLOOD_SIZE = 1000  # more than the wake-up socket pair of a blocked event loop can buffer
 
 
 async def signal_flood_then_sigterm(harness: RelayHarness) -> None:
@@ -34,4 +34,4 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(harness.relay.run)
         await signal_flood_then_sigterm(harness)
-    assert len(printed) >= 2  # once where it was asked for, and at the exit
+    assert len(printed) >= 2  # after SIGUSR1 and at the exit
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A process at its edges: signals that come before their handlers, and a log that nobody reads."""
+"""Tests of the relay process: signals before their handlers are set, and a log whose reader has gone."""
 
 import contextlib
 import json
@@ -16,7 +16,7 @@
 from tests.relay_harness import RelayHarness
 
 ROOT = Path(__file__).parent.parent
-# Sends itself a signal as a module is asked for: so it comes at that very point of the start.
+# Sends a signal to the process when a module is imported, so that it arrives at that point of the start.
 SIGNAL_AT_IMPORT = """
 import importlib.abc, os, runpy, sys
 class SignalOnImport(importlib.abc.MetaPathFinder):
@@ -48,7 +48,7 @@
     [
         (signal.SIGHUP, "reload: done"),
         (signal.SIGUSR1, '"membership_version"'),
-        (signal.SIGTERM, ""),  # it drains, and ends by itself
+        (signal.SIGTERM, ""),  # the relay drains and exits
     ],
 )
 def test_a_signal_before_its_handler_is_handled(
@@ -73,19 +73,20 @@
     relay = start_relay(tmp_path, code, writer)
     os.close(writer)
     listen_address = json.loads((tmp_path / "config.json").read_text())["listen"].split(":")
-    for number in (0, signal.SIGHUP, signal.SIGUSR1):  # both have something to write
+    for number in (0, signal.SIGHUP, signal.SIGUSR1):  # both signals make the relay write to the log
         relay.send_signal(number)
         for _ in range(400):
             with contextlib.suppress(ConnectionRefusedError):
                 client = socket.create_connection((listen_address[0], int(listen_address[1])))
                 client.sendall(b"PING\r\n")
-                assert client.recv(100) == b"ERR\r\n"  # it knows of no backend
+                assert client.recv(100) == b"ERR\r\n"  # the relay has no backend
                 client.close()
                 break
             time.sleep(0.05)
         assert relay.poll() is None
     relay.send_signal(signal.SIGTERM)
-    assert relay.wait(timeout=20) in (0, 120)  # 120: the interpreter's own last flush found nobody
+    # Exit code 120: the interpreter's final flush of standard error failed.
+    assert relay.wait(timeout=20) in (0, 120)
 
 
 @pytest.mark.parametrize("name", ["balancer", "trace"])
@@ -97,7 +98,7 @@
     command = tomllib.loads((ROOT / f"deploy/{name}.toml").read_text())["run"]
     run = subprocess.Popen(["/bin/sh", "-c", command], cwd=tmp_path, stdout=subprocess.PIPE, text=True)
     number, ignored = run.communicate(timeout=10)[0].splitlines()
-    assert int(number) == run.pid  # no shell stays in between
+    assert int(number) == run.pid  # the shell has replaced itself with the relay
     mask = int(ignored.split()[1], 16)
     assert mask >> (signal.SIGHUP - 1) & 1
     assert mask >> (signal.SIGUSR1 - 1) & 1
