--- a/gannetweir/net/client_connection.py
+++ b/gannetweir/net/client_connection.py
@@ -28,7 +28,7 @@
 
 
 class ClientContext(UpstreamContext, Protocol):
-    """The parts of the relay that a client connection uses, beside those for its attempts."""
+    """The parts of the relay that a client connection uses, in addition to those for its attempts."""
 
     def log(self, text: str, **fields: object) -> None:
         """Write one log line with the given fields."""
--- a/gannetweir/net/load_probes.py
+++ b/gannetweir/net/load_probes.py
@@ -108,7 +108,7 @@
 
 
 async def _probe_any_address(context: ConnectContext, command: StartLoadProbe) -> AttemptEnded:
-    """Probe an endpoint through its addresses in turn; an answer from any address is the result."""
+    """Probe an endpoint through one address after another; an answer from any address is the result."""
     selector = context.engine.address_selector
     assert selector is not None
     with anyio.move_on_after(context.limits.load_probe_timeout_us / 1e6):
--- a/gannetweir/net/runtime.py
+++ b/gannetweir/net/runtime.py
@@ -114,7 +114,7 @@
         call(*arguments, self.clock())
 
     def execute_commands(self) -> None:
-        """Execute the engine's pending commands in order, including those that executing them adds."""
+        """Execute the engine's pending commands in order, including commands added during execution."""
         commands = self.engine.commands
         while commands:
             self.execute_command(commands.popleft())
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -40,7 +40,8 @@
 LINE_DELAY_S = 6.0
 # Backends that the other faults of the test with all faulty relays do not affect.
 UNDISTURBED_BACKENDS = "b6", "b7", "b8"
-EXIT_DELAY_S = 4.0  # with the fault `start`, the process exits after this time without having served
+# With the fault `start` the process exits after this time without having served.
+EXIT_DELAY_S = 4.0
 CRASH_EXIT_CODE = 3
 
 
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -23,7 +23,8 @@
 # `Peer.send` interprets escape sequences, so lines are raw strings that end with a literal `\r\n`.
 WATCH_RESPONSE_HEAD = r"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 HEARTBEAT_CHUNK = r"1\r\n\n\r\n"
-UNREADABLE_CONFIG_SEED = -1  # with this seed, rereading the configuration raises `ConfigError`
+# Rereading a configuration with this seed raises `ConfigError`.
+UNREADABLE_CONFIG_SEED = -1
 DEADLINE_S = 5.0  # only a failing test waits this long
 _POLL_S = 0.005
 _RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # SO_LINGER with a timeout of 0
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -91,7 +91,7 @@
             server.send(r"UP r1\r\n")
         for client in requesting:
             await client.expect("UP r1")
-        # One descriptor more may be open for a client that is accepted to be rejected.
+        # A client beyond the capacity is accepted before it is rejected, which takes one more descriptor.
         assert peak[0] <= harness.relay.runtime.limits.client_sockets + 1
 
     await run_scenario(
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -34,4 +34,5 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(harness.relay.run)
         await signal_flood_then_sigterm(harness)
-    assert len(printed) >= 2  # after SIGUSR1 and at the exit
+    # The counters are printed after SIGUSR1 and at the exit.
+    assert len(printed) >= 2
