--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,5 +1,5 @@
-"""Idle clients may use every descriptor of the clients' budget, and none that is reserved: the watch on
-discovery, the load probes and the attempts of true requests have theirs at once.
+"""Tests that idle clients use only the descriptors of the clients' budget, and that the endpoint watch, the
+load probes and the attempts of requests get a descriptor at once.
 """
 
 from __future__ import annotations
@@ -29,28 +29,27 @@
 
 ROOT = Path(__file__).parent.parent
 SOCKETS = 64
-FEW_SOCKETS = (
-    30  # descriptors, of which four are for clients and attempts: so the fourth client is one too many
-)
+# With 30 descriptors, four are left for clients and attempts, and the fourth client is one too many.
+FEW_SOCKETS = 30
 OPEN_LINE = r"OPEN %s 0b c=plain,d=2000\r\n"
-TIMEOUT_S = 15.0  # seconds; only a failing test waits so long
+TIMEOUT_S = 15.0  # only a failing test waits this long
 
 
 def track_peak_descriptors(harness: RelayHarness) -> list[int]:
-    """The most descriptors that clients and attempts have held at once."""
+    """Return a list whose only item is updated to the peak of the clients' and attempts' descriptors."""
     peak = [0]
     add = harness.relay.runtime.descriptor_count.add
 
-    def seen(count: int) -> None:
+    def add_and_track(count: int) -> None:
         add(count)
         peak[0] = max(peak[0], harness.relay.runtime.descriptor_count.open)
 
-    harness.relay.runtime.descriptor_count.add = seen  # type: ignore[method-assign]
+    harness.relay.runtime.descriptor_count.add = add_and_track  # type: ignore[method-assign]
     return peak
 
 
 async def answered_and_sending(harness: RelayHarness) -> None:
-    """Both have had their answer, and go on sending by more than is read at once."""
+    """Two clients have been answered and send more than one read takes."""
     for _ in range(2):
         malformed = await harness.connect_client()
         malformed.send("x" * 9000)
@@ -58,15 +57,15 @@
         malformed.sock.send(b"y" * 400_000)
 
 
-async def with_requests_of_their_own(harness: RelayHarness) -> None:
-    """Neither has been read yet, and both are one too many."""
+async def waiting_clients_send_requests(harness: RelayHarness) -> None:
+    """Two clients beyond the capacity send requests before either has been read."""
     late = [await harness.connect_client() for _ in range(2)]
     await harness.wait_until(lambda: harness.relay.clients.open_count == 2)
     for n, client in enumerate(late):
         client.send(OPEN_LINE % f"1{n}")
 
 
-async def client_ended_while_the_endpoint_goes_on(harness: RelayHarness) -> None:
+async def client_ended_before_endpoint(harness: RelayHarness) -> None:
     client, _ = await established_client(harness, "1a")
     client.finish()
     await harness.wait_until(lambda: not harness.relay.engine.requests)
@@ -74,7 +73,7 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize(
-    "crowd", [answered_and_sending, with_requests_of_their_own, client_ended_while_the_endpoint_goes_on]
+    "crowd", [answered_and_sending, waiting_clients_send_requests, client_ended_before_endpoint]
 )
 async def test_attempts_use_no_reserved_descriptor(
     crowd: Callable[[RelayHarness], Any], capsys: pytest.CaptureFixture[str]
@@ -84,7 +83,7 @@
         requesting = [await harness.connect_client() for _ in range(2)]
         await harness.wait_until(lambda: harness.relay.clients.open_count == 2)
         await crowd(harness)
-        for n, client in enumerate(requesting):  # in one turn
+        for n, client in enumerate(requesting):  # all in one turn of the event loop
             client.send(OPEN_LINE % f"0{n}")
         for _ in requesting:
             server = await harness.accept_upstream()
@@ -92,9 +91,8 @@
             server.send(r"UP r1\r\n")
         for client in requesting:
             await client.expect("UP r1")
-        assert (
-            peak[0] <= harness.relay.runtime.limits.client_sockets + 1
-        )  # the one that is accepted to be told so
+        # A client beyond the capacity is accepted before it is rejected, which takes one more descriptor.
+        assert peak[0] <= harness.relay.runtime.limits.client_sockets + 1
 
     await run_scenario(
         RelayHarness(SHORT_TIMES | {"sockets": FEW_SOCKETS, "linger_us": 2_000_000}), scenario, capsys
@@ -106,12 +104,12 @@
 
 
 class RelayProcess:
-    """One relay as a program, held to few descriptors, before a discovery that is down."""
+    """A relay process with few descriptors, whose discovery does not listen at first."""
 
-    def __init__(self, folder: Path, configured_sockets: int, allowed: int) -> None:
+    def __init__(self, folder: Path, configured_sockets: int, descriptor_limit: int) -> None:
         self.endpoint_listener, self.clients = listening_socket(), list[socket.socket]()
         self.discovery_listener = socket.socket()
-        self.discovery_listener.bind(("127.0.0.1", 0))  # but does not listen: every call is refused
+        self.discovery_listener.bind(("127.0.0.1", 0))  # bound but not listening, so every connect is refused
         self.listen_address = ("127.0.0.1", RelayHarness.free_port())
         self.admin_address = ("127.0.0.1", RelayHarness.free_port())
         host = {"host": "b1", "dial": address(self.endpoint_listener.getsockname()), "health": "Ready"}
@@ -130,13 +128,13 @@
             },
         }
         (folder / "config.json").write_text(json.dumps(config))
-        self.folder, self.allowed = folder, allowed
+        self.folder, self.descriptor_limit = folder, descriptor_limit
         self.log = folder / "log"
         self.start()
 
     def start(self) -> None:
-        """A new process with the same file, on the same addresses."""
-        allowed = self.allowed, self.allowed
+        """Start a process with the same configuration file and addresses."""
+        descriptor_limit = self.descriptor_limit, self.descriptor_limit
         with self.log.open("a") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "gannetweir", "serve"],
@@ -147,33 +145,33 @@
                     "TMPDIR": str(self.folder),
                 },
                 stderr=log,
-                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, allowed),
+                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, descriptor_limit),
             )
 
-    def client(self, say: bytes = b"") -> socket.socket:
-        """One that has said so much and goes on waiting."""
+    def client(self, first_bytes: bytes = b"") -> socket.socket:
+        """Connect a client that sends these bytes and stays connected."""
         while True:
             try:
                 sock = socket.create_connection(self.listen_address, TIMEOUT_S)
                 break
             except ConnectionRefusedError:
                 assert self.process.poll() is None, self.log.read_text()
-        sock.sendall(say)
+        sock.sendall(first_bytes)
         self.clients.append(sock)
         return sock
 
     def accept_with_prefix(self, listener: socket.socket, prefix: bytes) -> socket.socket:
-        """The next connection there that says this; probes are answered on the way."""
-        end = time.monotonic() + TIMEOUT_S  # probes may come all the while
+        """Accept the next connection whose input starts with the prefix, and close those of load probes."""
+        end = time.monotonic() + TIMEOUT_S  # load probes may arrive until then
         while True:
             left = max(0.0, end - time.monotonic())
-            assert select.select([listener], [], [], left)[0], f"nobody came: {self.log.read_text()}"
+            assert select.select([listener], [], [], left)[0], f"no connection: {self.log.read_text()}"
             sock = listener.accept()[0]
             sock.settimeout(TIMEOUT_S)
-            said = sock.recv(4096)
-            if said.startswith(prefix):
+            received = sock.recv(4096)
+            if received.startswith(prefix):
                 return sock
-            assert said in (b"STATS\r\n", b""), said
+            assert received in (b"STATS\r\n", b""), received
             sock.close()
 
     def establish(self, client_id: bytes) -> tuple[socket.socket, socket.socket]:
@@ -187,7 +185,7 @@
         return len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
 
     def end(self) -> None:
-        """Kill the process; a drain would only take its time."""
+        """Kill the process, since a drain would only take time."""
         self.process.kill()
         self.process.wait(TIMEOUT_S)
         for sock in (*self.clients, self.endpoint_listener, self.discovery_listener):
@@ -219,16 +217,16 @@
     relay.client(b"OPEN 0a 0b c=none,d=2000\r\n").recv(100)
 
 
-def of_each_kind(relay: RelayProcess) -> None:
+def every_kind(relay: RelayProcess) -> None:
     for kind in (silent, pinged, mid_line, answered):
         kind(relay)
 
 
-@pytest.mark.parametrize("kind", [silent, pinged, mid_line, answered, of_each_kind])
+@pytest.mark.parametrize("kind", [silent, pinged, mid_line, answered, every_kind])
 def test_the_watch_and_a_request_connect_in_a_crowd(
     relay: RelayProcess, kind: Callable[[RelayProcess], None]
 ) -> None:
-    standing = relay.establish(b"01")
+    established = relay.establish(b"01")
     for _ in range(2 * SOCKETS):
         kind(relay)
     callers = [socket.create_connection(relay.admin_address, TIMEOUT_S) for _ in range(8)]
@@ -237,8 +235,8 @@
     for _ in range(SOCKETS):
         kind(relay)
     relay.establish(b"02")
-    standing[0].sendall(b"still here\r\n")
-    assert standing[1].recv(100) == b"still here\r\n"
+    established[0].sendall(b"still here\r\n")
+    assert established[1].recv(100) == b"still here\r\n"
     assert relay.open_descriptors() <= SOCKETS
     for sock in (watch, *callers):
         sock.close()
@@ -246,7 +244,8 @@
 
 
 def test_the_watch_connects_beside_established_clients_that_stay(relay: RelayProcess) -> None:
-    pairs = [relay.establish(b"%02x" % n) for n in range(19)]  # all that fit: each holds two descriptors
+    # 19 connections fit into the budget, with two descriptors each.
+    pairs = [relay.establish(b"%02x" % n) for n in range(19)]
     relay.client(b"OPEN ff 0b c=plain,d=2000\r\n")
     relay.discovery_listener.listen()
     watch = relay.accept_with_prefix(relay.discovery_listener, b"GET /registry/instances?follow=1&since=1 ")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The sizes of the modules that decide, and the limits in time that a drain keeps to."""
+"""Tests of the size of the placement modules, and of the time limits of a drain."""
 
 from pathlib import Path
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("module", sorted(PLACEMENT.glob("*.py")), ids=lambda module: module.stem)
-def test_each_module_of_placement_is_read_in_one_go(module: Path) -> None:
+def test_placement_modules_stay_within_the_size_limit(module: Path) -> None:
     lines = module.read_text().splitlines()
     assert sum(1 for line in lines if line.strip()) <= (150 if module.name == "balancer.py" else 250)
     assert max(map(len, lines)) <= 110
@@ -24,5 +24,5 @@
     assert limits.linger_us > 100_000
     assert limits.drain_migration_us >= 0
     assert limits.drain_end_us > 300_000
-    if limits.drain_migration_us:  # the last moves are told before the end
+    if limits.drain_migration_us:  # the last migrations are sent before the end of the drain
         assert limits.drain_grace_us + limits.drain_migration_us < limits.drain_end_us
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals in any number: none is lost, however many come while the loop is held up."""
+"""Tests that no kind of signal is lost, however many signals arrive while the event loop is blocked."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 )
 
 pytestmark = pytest.mark.anyio
-FLOOD_SIZE = 1000  # more than the kernel buffers for a loop that is held up
+FLOOD_SIZE = 1000  # more than the wake-up socket pair of a blocked event loop can buffer
 
 
-async def a_flood_and_then_sigterm(harness: RelayHarness) -> None:
+async def signal_flood_then_sigterm(harness: RelayHarness) -> None:
     client, server = await established_client(harness)
     for _ in range(FLOOD_SIZE):
         os.kill(os.getpid(), signal.SIGUSR1)
@@ -33,5 +33,6 @@
     harness.relay.print_counters = lambda: printed.append(1)  # type: ignore[method-assign]
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(harness.relay.run)
-        await a_flood_and_then_sigterm(harness)
-    assert len(printed) >= 2  # once where it was asked for, and at the exit
+        await signal_flood_then_sigterm(harness)
+    # The counters are printed after SIGUSR1 and at the exit.
+    assert len(printed) >= 2
