--- a/gannetweir/proto/control_json.py
+++ b/gannetweir/proto/control_json.py
@@ -26,7 +26,7 @@
     return value
 
 
-def number_field(fields: Mapping[str, object], name: str) -> int:
+def integer_field(fields: Mapping[str, object], name: str) -> int:
     """A whole number from 0 to the largest that every JSON reader represents exactly."""
     value = fields[name]
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= MAX_NUMBER:
@@ -34,7 +34,7 @@
     return value
 
 
-def text_field(fields: Mapping[str, object], name: str) -> str:
+def string_field(fields: Mapping[str, object], name: str) -> str:
     """A string."""
     value = fields[name]
     if not isinstance(value, str):
@@ -42,12 +42,12 @@
     return value
 
 
-def texts_field(fields: Mapping[str, object], name: str) -> tuple[str, ...]:
+def string_list_field(fields: Mapping[str, object], name: str) -> tuple[str, ...]:
     """An array of strings."""
-    return tuple(_text(value, name) for value in json_list(fields[name], name))
+    return tuple(_string_item(value, name) for value in json_list(fields[name], name))
 
 
-def _text(value: object, name: str) -> str:
+def _string_item(value: object, name: str) -> str:
     if not isinstance(value, str):
         raise EndpointListError(f"{name}: not a list of strings")
     return value
--- a/gannetweir/proto/control_messages.py
+++ b/gannetweir/proto/control_messages.py
@@ -32,7 +32,7 @@
     Slice,
     Version,
 )
-from gannetweir.proto.control_json import json_list, json_object, number_field, text_field
+from gannetweir.proto.control_json import integer_field, json_list, json_object, string_field
 from gannetweir.proto.endpoint_watch import EndpointListError
 
 ACK_TARGET = "/control/answers"  # of the POST of an ACK or NACK
@@ -80,14 +80,14 @@
     """Read a line's object. Raises `EndpointListError` for what is missing, ill-typed or too long."""
     try:
         fields = json_object(value, "slice")
-        resource = Resource(text_field(fields, "resource"))
+        resource = Resource(string_field(fields, "resource"))
         digest = _read_digest(fields["digest"])
         return Slice(
             resource=resource,
-            target=Version(number_field(fields, "epoch"), number_field(fields, "seq"), digest),
-            base=None if fields["whole"] is True else number_field(fields, "base"),
-            index=number_field(fields, "index"),
-            count=number_field(fields, "count"),
+            target=Version(integer_field(fields, "epoch"), integer_field(fields, "seq"), digest),
+            base=None if fields["whole"] is True else integer_field(fields, "base"),
+            index=integer_field(fields, "index"),
+            count=integer_field(fields, "count"),
             entries=_read_entries(fields, resource),
         )
     except (KeyError, TypeError, ValueError, RecursionError) as error:
@@ -108,7 +108,7 @@
 
 def _read_host(value: object) -> Entry:
     fields = json_object(value, "hosts")
-    host = text_field(fields, "host")
+    host = string_field(fields, "host")
     is_removed = fields.get("health") == "Gone"
     return Entry(host, None if is_removed else canonical_json(fields))
 
@@ -173,7 +173,7 @@
     """The relay's name, its answer, and what it has served so far. Raises `EndpointListError`."""
     try:
         fields = json_object(orjson.loads(body), "answer")
-        relay = text_field(fields, "relay")
+        relay = string_field(fields, "relay")
         if not relay:
             raise EndpointListError("relay: ill-typed")
         return relay, _read_ack_or_nack(fields), _read_totals(fields)
@@ -182,23 +182,23 @@
 
 
 def _read_ack_or_nack(fields: Mapping[str, object]) -> Ack | Nack:
-    resource = Resource(text_field(fields, "resource"))
-    version = read_version(text_field(fields, "version"))
+    resource = Resource(string_field(fields, "resource"))
+    version = read_version(string_field(fields, "version"))
     if "reason" not in fields:
         return Ack(resource, version)
     return Nack(
         resource=resource,
         version=version,
-        reason=Reason(text_field(fields, "reason")),
+        reason=Reason(string_field(fields, "reason")),
         detail=str(fields["detail"])[:MAX_DETAIL_CHARS],
-        applied=read_version(text_field(fields, "held")),
+        applied=read_version(string_field(fields, "held")),
     )
 
 
 def _read_totals(fields: Mapping[str, object]) -> ServiceTotals | None:
     if "served" not in fields:
         return None
-    return ServiceTotals(number_field(fields, "served"), number_field(fields, "failed"))
+    return ServiceTotals(integer_field(fields, "served"), integer_field(fields, "failed"))
 
 
 def _malformed(what: str, error: Exception) -> EndpointListError:
--- a/gannetweir/proto/control_status.py
+++ b/gannetweir/proto/control_status.py
@@ -13,7 +13,13 @@
 from gannetweir.control.stage import StageReport
 from gannetweir.control.status_report import StatusReport
 from gannetweir.control.versions import Resource
-from gannetweir.proto.control_json import json_list, json_object, number_field, text_field, texts_field
+from gannetweir.proto.control_json import (
+    integer_field,
+    json_list,
+    json_object,
+    string_field,
+    string_list_field,
+)
 from gannetweir.proto.control_messages import MAX_DETAIL_CHARS, read_version, version_text
 from gannetweir.proto.endpoint_watch import EndpointListError
 
@@ -82,16 +88,16 @@
     if data.keys() != _REPORT_KEYS:
         raise EndpointListError("resources: a report with other keys")
     return StatusReport(
-        resource=Resource(text_field(data, "resource")),
-        newest=number_field(data, "newest"),
-        released=number_field(data, "released"),
-        lowest=number_field(data, "lowest"),
-        relays=number_field(data, "relays"),
-        at_newest=number_field(data, "at_newest"),
-        behind=number_field(data, "behind"),
-        rejecting=number_field(data, "refusing"),
-        stragglers=texts_field(data, "stragglers"),
-        rejections=texts_field(data, "refusals"),
+        resource=Resource(string_field(data, "resource")),
+        newest=integer_field(data, "newest"),
+        released=integer_field(data, "released"),
+        lowest=integer_field(data, "lowest"),
+        relays=integer_field(data, "relays"),
+        at_newest=integer_field(data, "at_newest"),
+        behind=integer_field(data, "behind"),
+        rejecting=integer_field(data, "refusing"),
+        stragglers=string_list_field(data, "stragglers"),
+        rejections=string_list_field(data, "refusals"),
         stage=None if data["stage"] is None else _read_stage(data["stage"]),
     )
 
@@ -101,8 +107,8 @@
     if data.keys() != _STAGE_KEYS:
         raise EndpointListError("stage: an object with other keys")
     return StageReport(
-        version=read_version(text_field(data, "version")),
-        applied=texts_field(data, "in_force"),
-        pending=texts_field(data, "waiting"),
-        objections=texts_field(data, "against"),
+        version=read_version(string_field(data, "version")),
+        applied=string_list_field(data, "in_force"),
+        pending=string_list_field(data, "waiting"),
+        objections=string_list_field(data, "against"),
     )
