--- a/gannetweir/control/assembly.py
+++ b/gannetweir/control/assembly.py
@@ -60,7 +60,7 @@
         self.received_slices = 0
         self.unchecked: deque[Entry] = deque()
         self.changes: dict[str, bytes | None] = {}
-        self.unvisited_keys: deque[str] | None = None  # of a snapshot: applied keys that it may lack
+        self.keys_to_compare: deque[str] | None = None  # of a snapshot: applied keys that it may lack
         self.digest = 0
         self.entry_count = 0
         self.size_bytes = 0
@@ -116,16 +116,16 @@
             self._check_entry(self.unchecked.popleft())
         if not self.is_complete or self.unchecked:
             return False
-        return not self.is_snapshot or self._remove_missing_keys(budget_entries)
+        return not self.is_snapshot or self._remove_absent_keys(budget_entries)
 
     def _check_entry(self, entry: Entry) -> None:
-        self._check_form(entry)
+        self._check_format(entry)
         applied_body = self.applied.entries.get(entry.key)
         if applied_body != entry.body and (fault := self.check.check_entry(self.first_slice.resource, entry)):
             raise RejectedError(Reason.CHECK, fault)
         self._add_change(entry, None if self.is_snapshot else applied_body)
 
-    def _check_form(self, entry: Entry) -> None:
+    def _check_format(self, entry: Entry) -> None:
         key, body = entry.key, entry.body
         shown_key = key[:MAX_SHOWN_KEY_CHARS]
         if not key or len(key) > MAX_KEY_BYTES or key in self.changes:
@@ -149,16 +149,16 @@
         if self.entry_count > MAX_ENTRIES or self.size_bytes > MAX_CONTENT_BYTES:
             raise RejectedError(Reason.TOO_LARGE, f"{self.entry_count} entries, {self.size_bytes} bytes")
 
-    def _remove_missing_keys(self, budget_entries: int) -> bool:
+    def _remove_absent_keys(self, budget_entries: int) -> bool:
         """Remove what the snapshot lacks; True once every applied key was looked up."""
-        if self.unvisited_keys is None:
-            self.unvisited_keys = deque(self.applied.entries)
-        while self.unvisited_keys and budget_entries > 0:
+        if self.keys_to_compare is None:
+            self.keys_to_compare = deque(self.applied.entries)
+        while self.keys_to_compare and budget_entries > 0:
             budget_entries -= 1
-            key = self.unvisited_keys.popleft()
+            key = self.keys_to_compare.popleft()
             if key not in self.changes:
                 self.changes[key] = None
-        return not self.unvisited_keys
+        return not self.keys_to_compare
 
     def verify(self) -> None:
         """Check the version as such, after all its entries. Raises `RejectedError`."""
--- a/gannetweir/control/publisher.py
+++ b/gannetweir/control/publisher.py
@@ -55,7 +55,7 @@
         self.history = VersionHistory(self.resource, version, entries)
         self.stage = None
         for session in self.sessions.values():
-            session.forget_answers()
+            session.discard_answers()
 
     @property
     def newest(self) -> Version:
@@ -118,7 +118,7 @@
         session = self.sessions[relay]
         if session.target is None:
             target = self._target_for(relay)
-            if not _may_send(target, session):
+            if not _needs_version(target, session):
                 return None
             self._begin(session, target)
         return session.next_slice(now_us)
@@ -143,7 +143,7 @@
         return self.sessions[relay].is_ack_overdue(now_us)
 
 
-def _may_send(target: Version, session: RelaySession) -> bool:
+def _needs_version(target: Version, session: RelaySession) -> bool:
     applied = session.applied
     if applied == target:
         return False
--- a/gannetweir/control/rollout.py
+++ b/gannetweir/control/rollout.py
@@ -111,7 +111,7 @@
         return decisions
 
     def _decide_resource(self, resource: Resource, stages: list[StageReport], now_us: int) -> Decision:
-        newest = max((stage.version for stage in stages), key=_age_order)
+        newest = max((stage.version for stage in stages), key=_epoch_and_number)
         rollout = self.rollouts.get(resource)
         if rollout is None or rollout.version != newest:
             rollout = Rollout(newest, now_us)
@@ -129,5 +129,5 @@
     ]
 
 
-def _age_order(version: Version) -> tuple[int, int]:
+def _epoch_and_number(version: Version) -> tuple[int, int]:
     return version.epoch, version.number
--- a/gannetweir/control/session.py
+++ b/gannetweir/control/session.py
@@ -66,7 +66,7 @@
             self.rejection = answer
         self._end()
 
-    def forget_answers(self) -> None:
+    def discard_answers(self) -> None:
         """Begin anew: what is being sent and what was rejected belongs to versions that are no more."""
         self.rejection = None
         self._end()
--- a/gannetweir/control/status_report.py
+++ b/gannetweir/control/status_report.py
@@ -14,7 +14,7 @@
 from gannetweir.control.stage import StageReport
 from gannetweir.control.versions import Resource
 
-MAX_NAMED = 20  # stragglers, and rejections, that a report names: bounds its size
+MAX_NAMED_RELAYS = 20  # stragglers, and rejections, that a report names: bounds its size
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,8 +59,8 @@
         at_newest=sum(number == newest.number for number in numbers.values()),
         behind=len(behind),
         rejecting=len(rejections),
-        stragglers=tuple(relay for _, relay in behind[:MAX_NAMED]),
-        rejections=tuple(rejections[:MAX_NAMED]),
+        stragglers=tuple(relay for _, relay in behind[:MAX_NAMED_RELAYS]),
+        rejections=tuple(rejections[:MAX_NAMED_RELAYS]),
         stage=publisher.stage.report() if publisher.stage is not None else None,
     )
 
@@ -83,6 +83,6 @@
         at_newest=sum(report.at_newest for report in merged if report.newest == newest),
         behind=sum(report.behind for report in merged),
         rejecting=sum(report.rejecting for report in merged),
-        stragglers=tuple(name for report in merged for name in report.stragglers)[:MAX_NAMED],
-        rejections=tuple(text for report in merged for text in report.rejections)[:MAX_NAMED],
+        stragglers=tuple(name for report in merged for name in report.stragglers)[:MAX_NAMED_RELAYS],
+        rejections=tuple(text for report in merged for text in report.rejections)[:MAX_NAMED_RELAYS],
     )
