--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -52,7 +52,7 @@
             return ""
         merged = {**applied, **changes}
         data = {key: orjson.loads(body) for key, body in merged.items() if body is not None}
-        if fault := _lost_keys(applied, data):
+        if fault := _find_missing_keys(applied, data):
             return fault
         try:
             settings = parse_settings(data)
@@ -60,17 +60,17 @@
             limits = parse_limits(None, settings)
         except (ConfigError, TypeError, OverflowError) as error:
             return str(error)
-        return _restart_needed(self.settings(), settings) or _too_short_drain(limits)
+        return _find_restart_requirement(self.settings(), settings) or _find_drain_fault(limits)
 
 
-def _lost_keys(applied: Mapping[str, bytes], data: dict[str, object]) -> str:
+def _find_missing_keys(applied: Mapping[str, bytes], data: dict[str, object]) -> str:
     """A key that is lost would silently become a default."""
     present = {key: orjson.loads(body) for key, body in applied.items()}
     lost = sorted(key[1:] for key in key_paths(present) - key_paths(data))
     return f"missing: {', '.join(lost[:MAX_NAMED_KEYS])}" if lost else ""
 
 
-def _restart_needed(present: Settings, settings: Settings) -> str:
+def _find_restart_requirement(present: Settings, settings: Settings) -> str:
     """The entries of the present endpoint list refer to zones and machine types by their position."""
     if present.zone_names and settings.zone_names != present.zone_names:
         return "zones change only at a restart"
@@ -79,7 +79,7 @@
     return ""
 
 
-def _too_short_drain(limits: Limits) -> str:
+def _find_drain_fault(limits: Limits) -> str:
     if limits.drain_end_us - limits.drain_grace_us < MIN_MIGRATION_US:
         return f"deadlines too short: a drain has {limits.drain_end_us / 1000:g} ms before SIGKILL"
     return ""
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -91,7 +91,7 @@
             tasks.start_soon(self.store_sync.follow)
             tasks.start_soon(self.store_sync.report)
             try:
-                await self._accept_connections(_spawner(tasks))
+                await self._accept_connections(_make_spawn(tasks))
             finally:
                 self.listener.close()
                 for transport in list(self.connections):
@@ -251,7 +251,7 @@
         await changed.wait()
 
 
-def _spawner(tasks: anyio.abc.TaskGroup) -> Spawn:
+def _make_spawn(tasks: anyio.abc.TaskGroup) -> Spawn:
     """`Spawn` as `Transport` wants it, over a task group."""
 
     def spawn(job: Callable[[], object]) -> None:
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -41,7 +41,7 @@
 _CALL_TIMEOUT_S = CALL_TIMEOUT_US / _US_PER_S
 
 # A machine that rejects what this relay has applied may be restored from a copy; another one may be in step.
-_OUT_OF_STEP_REASONS = frozenset({Reason.OLDER, Reason.CONFLICT})
+_STALE_MACHINE_REASONS = frozenset({Reason.OLDER, Reason.CONFLICT})
 
 
 class ControlHost(Protocol):
@@ -145,7 +145,7 @@
         with anyio.fail_after(_CALL_TIMEOUT_S):
             await connect(transport.sock, (address.host, address.port))
         self._write(transport, watch.request)
-        end = message_due + self._longest_watch_s()
+        end = message_due + self._max_watch_duration_s()
         while anyio.current_time() < end:
             with anyio.fail_after(message_due - anyio.current_time()):
                 data = await transport.read()
@@ -153,7 +153,7 @@
             if await self._receive(watch, data, address):
                 message_due = anyio.current_time() + limits.endpoint_watch_silence_us / _US_PER_S
 
-    def _longest_watch_s(self) -> float:
+    def _max_watch_duration_s(self) -> float:
         if self.selector.machine == self.selector.ranked[0]:
             return math.inf
         return RETURN_TO_FIRST_CHOICE_US * (1 + self.random_fraction()) / _US_PER_S
@@ -195,7 +195,7 @@
 
     def _apply(self, follower: Follower, event: ApplyEntries) -> None:
         if event.resource is Resource.MEMBERSHIP:
-            hosts = [_host_object(entry) for entry in event.entries]
+            hosts = [_endpoint_object(entry) for entry in event.entries]
             data = {"seq": event.version.number, "whole": False, "hosts": hosts}
             self.host.apply_membership(read_membership(data, self.host.settings))
         elif event.completes_version:
@@ -212,7 +212,7 @@
     def _handle_nack(self, answer: Nack, address: SocketAddress) -> None:
         self.host.spawn(partial(self._send_answer, answer, address))
         self.nacks += 1
-        if answer.reason in _OUT_OF_STEP_REASONS:
+        if answer.reason in _STALE_MACHINE_REASONS:
             raise EndpointListError(f"the control machine is out of step: {answer.reason}")
 
     async def _repeat_ack(self, answer: Ack, address: SocketAddress) -> None:
@@ -237,20 +237,20 @@
             with anyio.move_on_after(_CALL_TIMEOUT_S), contextlib.suppress(OSError, h11.ProtocolError):
                 await connect(transport.sock, (address.host, address.port))
                 body = write_answer(self.host.name, answer, self.host.service_totals())
-                self._write(transport, _post(f"{address.host}:{address.port}", body))
+                self._write(transport, _post_request(f"{address.host}:{address.port}", body))
                 self.bytes_read += len(await transport.read())
         finally:
             transport.close()
 
 
-def _host_object(entry: Entry) -> object:
+def _endpoint_object(entry: Entry) -> object:
     """An entry of the membership as discovery's list has it."""
     if entry.body is None:
         return {"host": entry.key, "health": "Gone"}
     return orjson.loads(entry.body)
 
 
-def _post(host: str, body: bytes) -> bytes:
+def _post_request(host: str, body: bytes) -> bytes:
     http = h11.Connection(h11.CLIENT)
     headers = [("Host", host), ("Content-Length", str(len(body))), ("Connection", "close")]
     events = (
