--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -33,7 +33,7 @@
         return ""
 
 
-class InvariantBrokenError(AssertionError):
+class InvariantViolationError(AssertionError):
     """A rule of the checker's."""
 
 
@@ -50,37 +50,37 @@
     def check_applied(self, relay: str, version: Version, entries: dict[str, bytes]) -> None:
         last = self.last.get(relay, version)
         if (version.epoch, version.number) < (last.epoch, last.number):
-            raise InvariantBrokenError(f"{relay} went back")
+            raise InvariantViolationError(f"{relay} went back")
         self.last[relay] = version
         if self.contents.get((version.epoch, version.number)) != entries:
-            raise InvariantBrokenError(f"{relay} holds what was never a version")
+            raise InvariantViolationError(f"{relay} holds what was never a version")
         if any(body.startswith(b'"bad') for body in entries.values()):
-            raise InvariantBrokenError(f"{relay} is on a version that is not good")
+            raise InvariantViolationError(f"{relay} is on a version that is not good")
 
 
 class FaultyRun:
-    """One store, its machines and relays; messages are in flight until a draw delivers or corrupts them."""
+    """One store, its machines and relays. Random events deliver or corrupt the messages in flight."""
 
     def __init__(self, seed: int, kind: type[Follower]) -> None:
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now_us = 10**9
         self.store = MemoryStore()
         self.checker = InvariantChecker()
         self.change_store(bad=False)
-        self.machines = {name: self.copy_of_store() for name in MACHINES}
+        self.machines = {name: self.machine_from_store() for name in MACHINES}
         self.followers = {relay: kind(MEMBERSHIP, RejectBadBodies()) for relay in RELAYS}
-        self.selectors = {relay: MachineSelector(relay, MACHINES, self.draw.random) for relay in RELAYS}
-        self.machine_of: dict[str, str | None] = dict.fromkeys(RELAYS)
+        self.selectors = {relay: MachineSelector(relay, MACHINES, self.rng.random) for relay in RELAYS}
+        self.connected_machine: dict[str, str | None] = dict.fromkeys(RELAYS)
         self.sent_slices: list[Slice] = []
         self.in_flight: dict[str, list[Slice]] = {relay: [] for relay in RELAYS}
 
-    def copy_of_store(self) -> ControlMachine:
+    def machine_from_store(self) -> ControlMachine:
         snapshot = self.store.read(MEMBERSHIP)
         return ControlMachine({MEMBERSHIP: Publisher(MEMBERSHIP, snapshot.version, snapshot.entries)})
 
     def change_store(self, bad: bool) -> None:
-        key = f"s{self.draw.randrange(12)}"
-        body = b'"bad"' if bad else self.draw.choice([None, b'"%d"' % self.draw.randrange(99)])
+        key = f"s{self.rng.randrange(12)}"
+        body = b'"bad"' if bad else self.rng.choice([None, b'"%d"' % self.rng.randrange(99)])
         changes = {key: body}
         if not bad:  # the next change corrects what is bad
             entries = self.store.contents[MEMBERSHIP].entries
@@ -98,19 +98,19 @@
             for change in changes or ():
                 publisher.publish(change)
         except RejectedError:
-            raise InvariantBrokenError("the store's own change was rejected") from None
+            raise InvariantViolationError("the store's own change was rejected") from None
 
     def restart_machine(self, name: str, copy: ControlMachine) -> None:
         self.machines[name] = copy
-        for relay, at in self.machine_of.items():
+        for relay, at in self.connected_machine.items():
             if at == name:
                 self.disconnect(relay)
 
     def disconnect(self, relay: str) -> None:
-        name = self.machine_of[relay]
+        name = self.connected_machine[relay]
         if name is not None:
             self.machines[name].disconnect(relay)
-        self.machine_of[relay] = None
+        self.connected_machine[relay] = None
         self.in_flight[relay].clear()
         self.followers[relay].disconnected()
         self.selectors[relay].record_failure()
@@ -124,10 +124,10 @@
         except MachineBehindError:
             self.selectors[relay].record_failure()
         else:
-            self.machine_of[relay] = name
+            self.connected_machine[relay] = name
 
     def send_next(self, relay: str) -> None:
-        name = self.machine_of[relay]
+        name = self.connected_machine[relay]
         if name is None:
             return self.connect(relay)
         machine = self.machines[name]
@@ -145,72 +145,72 @@
         in_flight = self.in_flight[relay]
         if not in_flight:
             return
-        part = in_flight.pop(0 if not faults or self.draw.random() < 0.9 else -1)
-        if faults and self.draw.random() < 0.1:
+        part = in_flight.pop(0 if not faults or self.rng.random() < 0.9 else -1)
+        if faults and self.rng.random() < 0.1:
             part = self.malformed(part)
         follower = self.followers[relay]
         events = follower.receive(part)
         while not follower.is_idle:
-            events += follower.step(self.draw.randrange(1, 4))
+            events += follower.step(self.rng.randrange(1, 4))
         for event in events:
-            self.carry_out(relay, event, faults)
+            self.process_event(relay, event, faults)
 
     def malformed(self, part: Slice) -> Slice:
         """A gap, another base, another content, one that went out long ago, or another digest."""
         target = part.target
-        kind = self.draw.randrange(5)
+        kind = self.rng.randrange(5)
         entries = (*part.entries[1:], Entry("s0", b'"malformed"'))
         return [
             replace(part, index=part.index + 1, count=part.count + 1),
             replace(part, base=max(0, target.number - 2)),
             replace(part, entries=entries),
-            self.draw.choice(self.sent_slices),
+            self.rng.choice(self.sent_slices),
             replace(part, target=replace(target, digest=0)),
         ][kind]
 
-    def carry_out(self, relay: str, event: FollowerEvent, faults: bool) -> None:
-        name = self.machine_of[relay]
+    def process_event(self, relay: str, event: FollowerEvent, faults: bool) -> None:
+        name = self.connected_machine[relay]
         if isinstance(event, ApplyEntries):
             return
         if isinstance(event, Ack):
             self.checker.check_applied(relay, event.version, self.followers[relay].applied.entries)
-        if name is None or (faults and self.draw.random() < 0.1):  # the answer is lost
+        if name is None or (faults and self.rng.random() < 0.1):  # the answer is lost
             return
         self.machines[name].record_answer(relay, event)
         if isinstance(event, Nack) and event.reason in (Reason.OLDER, Reason.CONFLICT):
             self.disconnect(relay)
 
     def inject_fault(self, old: ControlMachine) -> None:
-        kind = self.draw.randrange(7)
-        name = self.draw.choice(MACHINES)
+        kind = self.rng.randrange(7)
+        name = self.rng.choice(MACHINES)
         if kind == 0:
-            self.restart_machine(name, self.copy_of_store())
+            self.restart_machine(name, self.machine_from_store())
         elif kind == 1:
             for each in MACHINES:
-                self.restart_machine(each, self.copy_of_store())
+                self.restart_machine(each, self.machine_from_store())
         elif kind == 2:
             self.restart_machine(name, old)  # restored from an old copy
         elif kind == 3:
-            self.disconnect(self.draw.choice(RELAYS))
+            self.disconnect(self.rng.choice(RELAYS))
         elif kind == 4:
-            self.now_us -= self.draw.randrange(10**7)
+            self.now_us -= self.rng.randrange(10**7)
         elif kind == 5:
             self.checker.record_version(
                 self.store,
-                self.store.restore(self.draw.randint(1, self.store.logs[MEMBERSHIP].newest.number)),
+                self.store.restore(self.rng.randint(1, self.store.logs[MEMBERSHIP].newest.number)),
             )
         else:
             self.change_store(bad=True)
 
-    def play(self) -> None:
+    def run(self) -> None:
         for _ in range(400):
-            self.now_us += self.draw.randrange(200_000)
-            relay = self.draw.choice(RELAYS)
-            event = self.draw.random()
+            self.now_us += self.rng.randrange(200_000)
+            relay = self.rng.choice(RELAYS)
+            event = self.rng.random()
             if event < 0.1:
                 self.change_store(bad=False)
             elif event < 0.3:
-                self.sync_machine(self.draw.choice(MACHINES))
+                self.sync_machine(self.rng.choice(MACHINES))
             elif event < 0.35:
                 self.inject_fault(self.machine_from_oldest_copy())
             elif event < 0.7:
@@ -242,7 +242,7 @@
             if follower.applied_version != newest or not follower.is_idle
         ]
         if behind:
-            raise InvariantBrokenError(f"not converged: {behind}")
+            raise InvariantViolationError(f"not converged: {behind}")
 
 
 def _entries_of(changes: Mapping[str, bytes | None]) -> list[Entry]:
@@ -251,7 +251,7 @@
 
 @pytest.mark.parametrize("seed", range(100))
 def test_relays_converge_under_drawn_faults(seed: int) -> None:
-    FaultyRun(seed, Follower).play()
+    FaultyRun(seed, Follower).run()
 
 
 class IgnoresDigest(Follower):
@@ -262,13 +262,13 @@
         super()._accept(assembly)
 
 
-class SkipsChecks(Follower):
+class SkipsEntryChecks(Follower):
     def __init__(self, *args: object, **kwargs: object) -> None:
         super().__init__(*args, **kwargs)  # type: ignore[arg-type]
         self.check.check_entry = lambda resource, entry: ""  # type: ignore[method-assign]
 
 
-class GoesBack(Follower):
+class AcceptsOlderVersions(Follower):
     def _check_order(self, part: Slice) -> None:
         if part.base is not None:
             super()._check_order(part)
@@ -284,8 +284,8 @@
     ("kind", "rule"),
     [
         (IgnoresDigest, "never a version"),
-        (SkipsChecks, "not good"),
-        (GoesBack, "went back"),
+        (SkipsEntryChecks, "not good"),
+        (AcceptsOlderVersions, "went back"),
         (StopsAfterRejection, "not converged"),
     ],
 )
@@ -293,8 +293,8 @@
     found = set[str]()
     for seed in range(40):
         try:
-            FaultyRun(seed, kind).play()
-        except InvariantBrokenError as broken:
+            FaultyRun(seed, kind).run()
+        except InvariantViolationError as broken:
             found.add(str(broken))
             if rule in str(broken):
                 return
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -177,7 +177,7 @@
         read_status(body)
 
 
-class HollowRelay:
+class ControlOnlyRelay:
     """A relay's control part over a real engine, and what it was notified of."""
 
     def __init__(self, name: str, tasks: anyio.abc.TaskGroup) -> None:
@@ -241,8 +241,8 @@
 
         self.tasks.start_soon(run)
 
-    def relay(self, name: str) -> HollowRelay:
-        relay = HollowRelay(name, self.tasks)
+    def relay(self, name: str) -> ControlOnlyRelay:
+        relay = ControlOnlyRelay(name, self.tasks)
         check = RelayCheck(lambda: relay.settings)
         followers = {resource: Follower(resource, check) for resource in Resource}
         self.drivers[name] = ControlDriver(
