--- a/gannetweir/control/assembly.py
+++ b/gannetweir/control/assembly.py
@@ -1,9 +1,9 @@
-"""A version while a relay receives and checks it: slices in, checked changes out.
+"""Reassembly of a version at a relay: collects the slices and checks their entries.
 
 A `VersionAssembly` belongs to the `Follower` of its resource, from the version's first slice until the
-version is accepted or rejected. It reads the follower's applied content and never changes it. Receiving a
-slice takes constant time; entries are checked later, within a budget, so that no turn of the event loop
-takes long.
+version is accepted or rejected. The assembly reads the follower's applied content and never changes that
+content. Receiving a slice takes constant time. Entries are checked later, a limited number at a time, so that
+no iteration of the event loop takes long.
 """
 
 from __future__ import annotations
@@ -27,40 +27,42 @@
     add_to_digest,
 )
 
-MAX_SHOWN_KEY_CHARS = 40  # of a key in a rejection's detail
+# Longer keys are truncated in the detail of a NACK.
+MAX_SHOWN_KEY_CHARS = 40
 
 
 class VersionCheck(Protocol):
-    """The relay's own checks. Each returns what is wrong, or an empty string."""
+    """The relay's own checks. Each returns a description of the fault, or an empty string."""
 
     def check_entry(self, resource: Resource, entry: Entry) -> str:
-        """What is wrong with this entry by itself."""
+        """Check one entry, independently of all others."""
 
     def check_version(
         self, resource: Resource, applied: Mapping[str, bytes], changes: Mapping[str, bytes | None]
     ) -> str:
-        """What is wrong with applying the changes together, on what is applied.
+        """Check the content that results from making all changes to the applied entries.
 
-        Must not iterate over a long list.
+        The call blocks the event loop: an implementation must not iterate over the endpoint list.
         """
 
 
 class VersionAssembly:
-    """One version that is being received.
+    """A version that is being received.
 
-    Invariants: `unchecked` has the entries of the received slices that are not in `changes` yet; `digest`,
-    `entry_count` and `size_bytes` are those of the content that `changes` lead to.
+    Invariants: `unchecked` holds the entries of received slices that are not in `changes` yet; `digest`,
+    `entry_count` and `size_bytes` describe the content that results from `changes`.
     """
 
     def __init__(self, first_slice: Slice, applied: Content, check: VersionCheck) -> None:
-        """Begins empty: `first_slice` is not received by this."""
+        """Create an empty assembly; the caller still passes `first_slice` to `add`."""
         self.first_slice = first_slice
         self.applied = applied
         self.check = check
         self.received_slices = 0
         self.unchecked: deque[Entry] = deque()
         self.changes: dict[str, bytes | None] = {}
-        self.keys_to_compare: deque[str] | None = None  # of a snapshot: applied keys that it may lack
+        # Applied keys that have not yet been looked up in a snapshot; None until that begins.
+        self.keys_to_compare: deque[str] | None = None
         self.digest = 0
         self.entry_count = 0
         self.size_bytes = 0
@@ -74,42 +76,49 @@
 
     @property
     def is_snapshot(self) -> bool:
-        """Whether it replaces the applied content, rather than changes it."""
+        """Whether the version replaces the applied content; a delta changes it."""
         return self.first_slice.base is None
 
     @property
     def is_complete(self) -> bool:
-        """Whether all its slices were received."""
+        """Whether all slices of the version were received."""
         return self.received_slices == self.first_slice.count
 
     @property
     def is_idle(self) -> bool:
-        """Whether there is nothing to check until another slice comes."""
+        """Whether there is nothing to check until another slice arrives."""
         return not self.unchecked and not self.is_complete
 
     def rebase(self) -> None:
-        """Begin a delta from the applied content as it is now; none of its entries may be checked yet."""
+        """Restart a delta's totals from the current applied content; no entry may have been checked yet."""
         self.digest = self.applied.digest
         self.size_bytes = self.applied.size_bytes
         self.entry_count = len(self.applied.entries)
 
     def add(self, part: Slice) -> None:
-        """Receive a slice of this version; a duplicate is ignored. Raises `RejectedError`."""
+        """Receive a slice of this version; a duplicate is ignored.
+
+        Raises `RejectedError` if the slice count differs from the first slice's, a slice is missing before
+        this one, or the version has too many entries.
+        """
         if part.count != self.first_slice.count:
-            raise RejectedError(Reason.MALFORMED, f"{part.count} slices, first {self.first_slice.count}")
+            raise RejectedError(
+                Reason.MALFORMED, f"expected {self.first_slice.count} slices, got {part.count}"
+            )
         if part.index < self.received_slices:
             return
         if part.index > self.received_slices:
-            raise RejectedError(Reason.GAP, f"slice {part.index} after {self.received_slices} slices")
+            raise RejectedError(Reason.GAP, f"expected slice {self.received_slices}, got {part.index}")
         self.received_slices += 1
         self.unchecked.extend(part.entries)
         if len(self.unchecked) + len(self.changes) > MAX_ENTRIES:
             raise RejectedError(Reason.TOO_LARGE, f"over {MAX_ENTRIES} entries")
 
     def check_received(self, budget_entries: int) -> bool:
-        """Work on so many entries at most; True once the version is complete and each entry was checked.
+        """Check at most `budget_entries` entries.
 
-        Raises `RejectedError`.
+        Returns True once the version is complete and every entry was checked. Raises `RejectedError` for an
+        entry that is malformed, too large or fails the relay's own check.
         """
         while self.unchecked and budget_entries > 0:
             budget_entries -= 1
@@ -129,14 +138,17 @@
         key, body = entry.key, entry.body
         shown_key = key[:MAX_SHOWN_KEY_CHARS]
         if not key or len(key) > MAX_KEY_BYTES or key in self.changes:
-            raise RejectedError(Reason.MALFORMED, f"bad or double key {shown_key!r}")
+            raise RejectedError(
+                Reason.MALFORMED,
+                f"expected a unique key of 1 to {MAX_KEY_BYTES} characters, got {shown_key!r}",
+            )
         if body is None and self.is_snapshot:
-            raise RejectedError(Reason.MALFORMED, f"a snapshot without {shown_key!r}")
+            raise RejectedError(Reason.MALFORMED, f"expected a body for {shown_key!r} in a snapshot")
         if body is not None and len(body) > MAX_ENTRY_BYTES:
             raise RejectedError(Reason.TOO_LARGE, f"{shown_key!r} has {len(body)} bytes")
 
     def _add_change(self, entry: Entry, old: bytes | None) -> None:
-        """Count the entry in; `old` is the body that it replaces."""
+        """Add the entry to the changes and the totals; `old` is the body that the entry replaces."""
         key, body = entry.key, entry.body
         self.changes[key] = body
         self.digest = add_to_digest(self.digest, key, old, body)
@@ -150,7 +162,7 @@
             raise RejectedError(Reason.TOO_LARGE, f"{self.entry_count} entries, {self.size_bytes} bytes")
 
     def _remove_absent_keys(self, budget_entries: int) -> bool:
-        """Remove what the snapshot lacks; True once every applied key was looked up."""
+        """Remove applied keys that are not in the snapshot; return True once every key was looked up."""
         if self.keys_to_compare is None:
             self.keys_to_compare = deque(self.applied.entries)
         while self.keys_to_compare and budget_entries > 0:
@@ -161,9 +173,9 @@
         return not self.keys_to_compare
 
     def verify(self) -> None:
-        """Check the version as such, after all its entries. Raises `RejectedError`."""
+        """Check the digest and the resulting content, after all entries. Raises `RejectedError`."""
         if self.digest != self.target.digest:
-            raise RejectedError(Reason.DIGEST, f"version {self.target.number} has another content")
+            raise RejectedError(Reason.DIGEST, f"content of version {self.target.number} fails its digest")
         fault = self.check.check_version(self.first_slice.resource, self.applied.entries, self.changes)
         if fault:
             raise RejectedError(Reason.CHECK, fault)
--- a/gannetweir/control/follower.py
+++ b/gannetweir/control/follower.py
@@ -1,14 +1,15 @@
-"""A relay's side of one resource: checks a version, applies it step by step, and sends ACK or NACK.
+"""A relay's side of one resource: checks each version, applies its entries in steps, returns ACK or NACK.
 
-The last good version stays applied until all of the next one was received and checked; a step's work is
-bounded. The states of a follower:
+The last good version stays applied until the next version was completely received and checked. The work of
+one step is bounded. A follower is in one of these states:
 
-    waiting     nothing to do until a slice comes
-    receiving   `assembly` is a version of which slices or checks are missing
-    applying    `unapplied` is the rest of an accepted version; the next one may be received meanwhile
+    waiting     nothing to do until a slice arrives
+    receiving   `assembly` is a version with slices to receive or entries to check
+    applying    `unapplied` has the remaining entries of an accepted version; the next version can be
+                received at the same time
 
 A `Follower` belongs to the relay's `ControlDriver`, which passes every slice to `receive`, calls `step` until
-`is_idle`, and carries out the events. The follower owns `applied`, the content that the relay is to have.
+`is_idle`, and carries out the events. The follower owns `applied`, the content that the relay should have.
 """
 
 from __future__ import annotations
@@ -31,32 +32,34 @@
     check_slice,
 )
 
-# Entries in one `step`. To apply an entry (parse and hash it, notify the engine and the balancer) takes 25 to
-# 35 µs, to check one less: a step takes under half of the 20 ms for which control may block the loop.
+# Applying an entry (parsing and hashing it, updating the engine and the load balancer) takes 25 to 35 µs,
+# checking one takes less. A step therefore takes less than half of the 20 ms for which the control plane may
+# block the event loop.
 ENTRIES_PER_STEP = 250
-MAX_DETAIL_CHARS = 200  # of a NACK: bounds the answer and the machine's report
+# Bounds the size of a NACK and of the control machine's status report.
+MAX_DETAIL_CHARS = 200
 
-# Rejections of a version's content: the same version won't be better the next time.
+# The content of the version is at fault: the same version would be rejected again.
 _PERMANENT_REASONS = frozenset({Reason.CHECK, Reason.TOO_LARGE})
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyEntries:
-    """Apply these entries now; they are part of `version`, which was accepted."""
+    """Apply these entries of `version`, which was accepted."""
 
     resource: Resource
     version: Version
     entries: tuple[Entry, ...]
-    completes_version: bool  # these are its last entries
+    completes_version: bool  # True for the last entries of the version
 
 
 FollowerEvent = ApplyEntries | Ack | Nack
 
 
 class Follower:
-    """One resource at one relay.
+    """State of one resource at a relay.
 
-    `applied_version` is the last one accepted, also while it is being applied.
+    `applied_version` is the last accepted version, even while its entries are still being applied.
     """
 
     def __init__(
@@ -67,7 +70,10 @@
         number: int = 0,
         epoch: int = 0,
     ) -> None:
-        """`applied` is what the relay was started with, at `number` of an epoch that may be unknown (0)."""
+        """Create a follower of the relay's initial content.
+
+        `applied` has the entries of version `number`; `epoch` 0 means that the epoch is unknown.
+        """
         self.resource = resource
         self.check = check
         self.applied = Content(applied)
@@ -75,7 +81,8 @@
         self.assembly: VersionAssembly | None = None
         self.unapplied: deque[tuple[str, bytes | None]] | None = None
         self.permanent_rejection: tuple[Version, RejectedError] | None = None
-        self.last_rejected: Version | None = None  # further slices of it may come, and are not answered
+        # Slices of this version that are still on the way are ignored: it was already answered by a NACK.
+        self.last_rejected: Version | None = None
 
     @property
     def is_idle(self) -> bool:
@@ -83,7 +90,10 @@
         return self.unapplied is None and (self.assembly is None or self.assembly.is_idle)
 
     def receive(self, part: Slice) -> list[FollowerEvent]:
-        """Receive one slice, in constant time: its entries are checked in `step`."""
+        """Receive one slice in constant time; `step` checks its entries.
+
+        Returns a NACK if the slice is rejected, an ACK if its version is already applied.
+        """
         if part.index and part.target == self.last_rejected:
             return []
         self.last_rejected = None
@@ -98,12 +108,12 @@
         return []
 
     def disconnected(self) -> None:
-        """The watch ended: a version of which slices are missing won't be completed."""
+        """Discard an incomplete version: its remaining slices will not arrive after the end of the watch."""
         if self.assembly is not None and not self.assembly.is_complete:
             self.assembly = None
 
     def step(self, budget_entries: int = ENTRIES_PER_STEP) -> list[FollowerEvent]:
-        """Apply or check so many entries at most."""
+        """Apply or check at most `budget_entries` entries, and return the resulting events."""
         if self.unapplied is not None:
             return self._apply(self.unapplied, budget_entries)
         assembly = self.assembly
@@ -116,13 +126,16 @@
         return []
 
     def _acknowledge_duplicate(self, part: Slice) -> list[FollowerEvent]:
-        """Acknowledge the applied version once more, unless its first ACK is still to come."""
+        """Acknowledge the applied version again, unless its first ACK was not yet sent."""
         if part.index == 0 and self.unapplied is None:
             return [Ack(self.resource, self.applied_version)]
         return []
 
     def _check_order(self, part: Slice) -> None:
-        """A version may follow the applied one if it is newer, and a delta if it begins from it."""
+        """Reject a version older than the applied one, and a delta from any other base.
+
+        Raises `RejectedError`; a permanent rejection of the same version is raised again.
+        """
         target, applied = part.target, self.applied_version
         if self.permanent_rejection is not None and self.permanent_rejection[0] == target:
             raise self.permanent_rejection[1]
@@ -143,14 +156,17 @@
         assembly.add(part)
 
     def _begin_assembly(self, part: Slice) -> VersionAssembly:
-        """Receive another version from now on, in place of an earlier one that is incomplete."""
+        """Start to receive another version; an incomplete older one is discarded.
+
+        Raises `RejectedError` if the version is older than the incomplete one, or its first slice is missing.
+        """
         if self.assembly is not None:
             target, current = part.target, self.assembly.target
             if (target.epoch, target.number) < (current.epoch, current.number):
-                raise RejectedError(Reason.OLDER, f"version {target.number} while {current.number} comes in")
+                raise RejectedError(Reason.OLDER, f"version {target.number} while receiving {current.number}")
         if part.index:
-            raise RejectedError(Reason.GAP, f"begins with slice {part.index}")
-        # a delta on a version that is still being applied is rebased when that is done
+            raise RejectedError(Reason.GAP, f"expected slice 0 first, got {part.index}")
+        # If the applied version is still being applied, `_apply` rebases a delta afterwards.
         self.assembly = VersionAssembly(part, self.applied, self.check)
         return self.assembly
 
@@ -174,7 +190,7 @@
         entries = list[Entry]()
         for _ in range(min(budget_entries, len(unapplied))):
             key, body = unapplied.popleft()
-            if self.applied.entries.get(key) != body:  # most of a snapshot is applied already
+            if self.applied.entries.get(key) != body:  # a snapshot repeats many unchanged entries
                 self.applied.put(key, body)
                 entries.append(Entry(key, body))
         completes_version = not unapplied
@@ -185,5 +201,6 @@
             self.unapplied = None
             events.append(Ack(self.resource, self.applied_version))
             if self.assembly is not None and not self.assembly.is_snapshot:
-                self.assembly.rebase()  # it was begun on a content that was not all applied
+                # The delta was begun while the applied content was still incomplete.
+                self.assembly.rebase()
         return events
--- a/gannetweir/control/machine.py
+++ b/gannetweir/control/machine.py
@@ -1,8 +1,8 @@
-"""A control machine's decisions: the publishers of all resources, and each relay's budget of bytes over them.
+"""Decision logic of a control machine: the publishers of all resources and a byte budget per relay.
 
-A `ControlMachine` belongs to the driver's `StoreSync` (`gannetweir.net.control_store`), made when the store
-was first read. The `ControlServer` calls `poll` for each connected relay and sends what it returns. It owns
-the publishers, which follow the store, and the relays' token buckets.
+A `ControlMachine` belongs to the driver's `StoreSync` (`gannetweir.net.control_store`), which creates it when
+the store is first read. The `ControlServer` calls `poll` for each connected relay and sends the returned
+slice. The machine owns the publishers, which follow the store, and the relays' token buckets.
 """
 
 from __future__ import annotations
@@ -16,31 +16,33 @@
 from gannetweir.control.token_bucket import TokenBucket
 from gannetweir.control.versions import NO_VERSION, Ack, Nack, Resource, Slice, Version
 
-MAX_CACHED_BUCKETS = (
-    2_000  # relays: more than all of a fleet, so that only names that are no more are dropped
-)
+# More than the relays of a fleet, so that only the buckets of relays that no longer exist are evicted.
+MAX_CACHED_BUCKETS = 2_000
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Nothing may go to this relay for so long, in microseconds; None: until something changes."""
+    """Nothing is to be sent to the relay for `duration_us`.
+
+    None: until a version, a stage or the relay's state changes.
+    """
 
     duration_us: int | None
 
 
 class ControlMachine:
-    """Decides what each connected relay is sent, and when."""
+    """Decides which slice each connected relay is sent, and when."""
 
     def __init__(self, publishers: Mapping[Resource, Publisher]) -> None:
-        # in the order of the resources' declaration: a drain goes before a setting
+        # The order of declaration is the priority: membership, with its drains, precedes settings.
         self.publishers = {resource: publishers[resource] for resource in Resource if resource in publishers}
-        # of all relays, also disconnected ones: connecting again must not win a new burst
+        # Buckets of disconnected relays are kept: a reconnect must not grant a new burst.
         self.buckets: dict[str, TokenBucket] = {}
 
     def connect(self, relay: str, applied: Mapping[Resource, Version], now_us: int) -> None:
-        """A relay's watch began; it replaces an earlier one.
+        """Register a relay's new watch, which replaces an earlier watch of the same relay.
 
-        Raises `MachineBehindError`; the relay is then disconnected.
+        Raises `MachineBehindError` if the relay has applied a later version; no watch is registered then.
         """
         self.disconnect(relay)
         try:
@@ -52,19 +54,22 @@
         self._renew_bucket(relay, now_us)
 
     def _renew_bucket(self, relay: str, now_us: int) -> None:
-        """Make the relay's bucket the newest one, so that those of relays long gone are dropped first."""
+        """Move the relay's bucket to the end of the eviction order, or create it."""
         bucket = self.buckets.pop(relay, None)
         while len(self.buckets) >= MAX_CACHED_BUCKETS:
             del self.buckets[next(iter(self.buckets))]
         self.buckets[relay] = bucket or TokenBucket(now_us)
 
     def disconnect(self, relay: str) -> None:
-        """A relay's watch ended, if it had one."""
+        """Remove a relay's watch, if there is one."""
         for publisher in self.publishers.values():
             publisher.unsubscribe(relay)
 
     def poll(self, relay: str, now_us: int) -> Slice | Wait:
-        """What goes to a relay now. Whoever sends a slice calls `record_sent` before the next `poll`."""
+        """Return the slice to send to a relay now, or how long to wait.
+
+        The caller sends the slice and calls `record_sent` before the next `poll`.
+        """
         if wait_us := self.buckets[relay].wait_us(now_us):
             return Wait(wait_us)
         for publisher in self.publishers.values():
@@ -74,18 +79,18 @@
         return Wait(None)
 
     def record_sent(self, relay: str, size_bytes: int) -> None:
-        """Charge the relay's budget with what was sent."""
+        """Charge the relay's budget with a message of this size."""
         self.buckets[relay].charge(size_bytes)
 
     def record_answer(self, relay: str, answer: Ack | Nack, totals: ServiceTotals | None = None) -> None:
-        """A relay's ACK or NACK, and what it has served up to then."""
+        """Record a relay's ACK or NACK, and its service totals at that time."""
         if answer.resource in self.publishers:
             self.publishers[answer.resource].record_answer(relay, answer, totals)
 
     def is_ack_overdue(self, relay: str, now_us: int) -> bool:
-        """Whether the relay's watch should be ended, since it owes an answer for too long."""
+        """Whether the relay's watch should be closed because an ACK or NACK is overdue."""
         return any(publisher.is_ack_overdue(relay, now_us) for publisher in self.publishers.values())
 
     def status_reports(self) -> list[StatusReport]:
-        """Where each resource stands at this machine's relays."""
+        """Return one status report per resource, over the relays of this machine."""
         return [status_report(publisher) for publisher in self.publishers.values()]
--- a/gannetweir/control/publisher.py
+++ b/gannetweir/control/publisher.py
@@ -1,13 +1,13 @@
-"""A control machine's side of one resource: what each relay gets next, and what it has acknowledged.
+"""A control machine's side of one resource: selects what each relay is sent, and records its answers.
 
-Released versions go to every relay, a staged one to the canaries only (see `stage`). A relay gets one
-version at a time, as a delta from what it has applied or else as a snapshot; what changes until it has
-answered is coalesced into one delta. A rejected version is not sent again; a delta that did not fit is
-followed by one snapshot.
+Released versions are sent to every relay, a staged version only to the canaries (see `stage`). A relay is
+sent one version at a time, as a delta from its applied version or else as a snapshot. Changes published
+before the relay answers are coalesced into one delta. A rejected version is not sent again; a delta that the
+relay could not apply to its content is followed by one snapshot.
 
-A `Publisher` belongs to the `ControlMachine`. It owns the resource's `VersionHistory`, the sessions of its
-relays, and the stage of the newest version. The driver feeds it the store's changes (`load`, `publish`,
-`release`).
+A `Publisher` belongs to the `ControlMachine`. The publisher owns the resource's `VersionHistory`, the
+sessions of the relays, and the stage of the newest version. The driver passes in the store's changes (`load`,
+`publish`, `release`).
 """
 
 from __future__ import annotations
@@ -22,15 +22,16 @@
 from gannetweir.control.versions import Ack, Entry, Nack, Resource, Slice, Version
 from gannetweir.errors import GannetweirError
 
-CANARIES_PER_MACHINE = 1  # relays of each control machine that get a staged version first
+CANARIES_PER_MACHINE = 1  # relays per control machine
 
 
 class MachineBehindError(GannetweirError):
-    """A relay has applied a later version than this machine has: another machine has to serve it."""
+    """A relay has applied a later version than this machine has: another machine must serve the relay."""
 
     def __init__(self, relay: str, applied: Version, newest: Version) -> None:
         super().__init__(
-            f"{relay} holds {applied.epoch}/{applied.number}, here {newest.epoch}/{newest.number}"
+            f"{relay} has applied {applied.epoch}/{applied.number}, "
+            f"the newest version at this machine is {newest.epoch}/{newest.number}"
         )
         self.relay = relay
         self.applied = applied
@@ -38,19 +39,23 @@
 
 
 class Publisher:
-    """One resource and its subscribed relays. `stage` is the newest version's while that is not released."""
+    """State of one resource and its subscribed relays.
+
+    `stage` is the canary stage of the newest version, or None once that version is released.
+    """
 
     def __init__(self, resource: Resource, version: Version, entries: Iterable[Entry]) -> None:
-        """Raises `RejectedError` where the entries are not the version's."""
+        """Raises `RejectedError` if the digest of the entries is not the version's."""
         self.resource = resource
         self.sessions: dict[str, RelaySession] = {}
         self.history = VersionHistory(resource, version, entries)
         self.stage: CanaryStage | None = None
 
     def load(self, version: Version, entries: Iterable[Entry]) -> None:
-        """Begin again from a complete content: a new epoch, or a store whose log no longer reaches back.
+        """Replace the history by a complete content.
 
-        Raises `RejectedError`, and changes nothing, where the entries are not the version's.
+        Needed after a change of the epoch, or if the store's log no longer covers this machine's newest
+        version. Raises `RejectedError`, and changes nothing, if the entries' digest is not the version's.
         """
         self.history = VersionHistory(self.resource, version, entries)
         self.stage = None
@@ -64,14 +69,14 @@
 
     @property
     def released(self) -> Version:
-        """The newest version for all relays."""
+        """The newest version that all relays may apply."""
         return self.history.released
 
     def publish(self, change: Change, staged: bool = False) -> None:
-        """Add the next version, for all relays or `staged`.
+        """Add the next version: `staged` for the canaries only, otherwise released to all relays.
 
-        Raises `RejectedError` if it is older, or its digest is not what it leads to: then this machine's copy
-        is wrong, and it has to `load` the store's.
+        Raises `RejectedError` if the version is not newer, or if its digest is not that of the resulting
+        content. This machine's copy is then wrong, and the caller must `load` the store's content.
         """
         self.history.append(change)
         if staged:
@@ -81,18 +86,21 @@
             self.release(change.version.number)
 
     def release(self, number: int) -> None:
-        """Let all relays have the versions up to this one. Raises `RejectedError` as `publish` does."""
+        """Release the versions up to this number to all relays. Raises `RejectedError` as `publish` does."""
         if self.history.release(number) and self.newest == self.released:
             self.stage = None
 
     def _choose_canaries(self, stage: CanaryStage) -> None:
-        """Others for each staged version, so that no relay is always the first to suffer."""
+        """Choose different canaries for each staged version, so that the same relay is not always at risk."""
         version = f"{stage.version.epoch}/{stage.version.number}"
         relays = rendezvous_order(version, self.sessions)
         stage.choose_canaries(relays[:CANARIES_PER_MACHINE])
 
     def subscribe(self, relay: str, applied: Version) -> None:
-        """A relay's watch began, with this version applied. Raises `MachineBehindError`."""
+        """Register a relay's watch, which begins with `applied`.
+
+        Raises `MachineBehindError` if `applied` is later than the newest version of this machine.
+        """
         newest = self.newest
         if (applied.epoch, applied.number) > (newest.epoch, newest.number):
             raise MachineBehindError(relay, applied, newest)
@@ -101,20 +109,23 @@
             self._choose_canaries(self.stage)
 
     def unsubscribe(self, relay: str) -> None:
-        """A relay's watch ended."""
+        """Remove a relay's watch after its end."""
         session = self.sessions.pop(relay, None)
         if session is not None and self.stage is not None:
             self.stage.relay_disconnected(relay)
             self._choose_canaries(self.stage)
 
     def _target_for(self, relay: str) -> Version:
-        """The version that this relay is to have now."""
+        """Return the version that this relay should have now."""
         if self.stage is not None and relay in self.stage.canaries:
             return self.newest
         return self.released
 
     def next_slice(self, relay: str, now_us: int) -> Slice | None:
-        """What is to be sent to this relay now; None while it has everything, or owes an answer."""
+        """Return the next slice for this relay.
+
+        None if the relay has its version already, or was sent all slices and has not answered yet.
+        """
         session = self.sessions[relay]
         if session.target is None:
             target = self._target_for(relay)
@@ -127,11 +138,11 @@
         if not session.needs_snapshot and self.history.log.contains(session.applied):
             session.begin(target, self.history.slices(session.applied.number, target))
             return
-        # the content that is here is the released one; a staged version follows it as a delta
+        # The history holds the released content; a staged version follows the snapshot as a delta.
         session.begin(self.released, self.history.slices(None, self.released))
 
     def record_answer(self, relay: str, answer: Ack | Nack, totals: ServiceTotals | None = None) -> None:
-        """A relay's ACK or NACK, and what it has served up to then."""
+        """Record a relay's ACK or NACK, and its service totals at that time."""
         if self.stage is not None:
             self.stage.record_answer(relay, answer, totals)
         session = self.sessions.get(relay)
@@ -139,7 +150,7 @@
             session.record_answer(answer)
 
     def is_ack_overdue(self, relay: str, now_us: int) -> bool:
-        """Whether the relay has had all of a version for too long without an answer."""
+        """Whether the relay was sent all slices of a version and its ACK or NACK is overdue."""
         return self.sessions[relay].is_ack_overdue(now_us)
 
 
@@ -148,5 +159,6 @@
     if applied == target:
         return False
     if applied.epoch == target.epoch and applied.number > target.number:
-        return False  # it was canary of a version since withdrawn, and waits for the version that follows
+        # The relay was a canary of a version that was withdrawn, and waits for the next version.
+        return False
     return session.needs_snapshot or not session.has_rejected(target)
--- a/gannetweir/control/rollout.py
+++ b/gannetweir/control/rollout.py
@@ -1,11 +1,11 @@
-"""The decision on a staged version, by all machines' reports: release it, wait, or halt the rollout.
+"""The decision on a staged version from all machines' reports: release, wait, or halt the rollout.
 
-A version is released once every canary has applied it and none has objected for `OBSERVATION_US` from then
-on. It is halted for good at the first objection, or if its canaries have not all applied it within
-`MAX_STAGE_US`; what follows a halted version is another version with a stage of its own.
+A version is released once every canary has applied it and no objection was reported during the following
+`OBSERVATION_US`. A version is halted permanently at the first objection, or if not all canaries have applied
+it within `MAX_STAGE_US`. The version after a halted one has a separate stage.
 
-One machine at a time decides, the lease holder; it owns the `RolloutCoordinator`. A successor begins the
-stage's time anew.
+Only the lease holder decides; that machine uses its own `RolloutCoordinator`. A new lease holder restarts the
+time of the stage from zero.
 """
 
 from __future__ import annotations
@@ -18,17 +18,18 @@
 from gannetweir.control.status_report import StatusReport
 from gannetweir.control.versions import Resource, Version
 
-# Both are parts of the 12 s within which a change has to be applied everywhere.
-OBSERVATION_US = 3_000_000  # from the last canary's ACK: its service is observed for so long
-MAX_STAGE_US = (
-    6_000_000  # from the begin: a stage whose canaries have not applied the version by then is halted
-)
-MAX_NAMED_OBJECTIONS = 3  # in the reason of a halt
-MAX_NAMED_RELAYS = 5  # in the reason of a halt
+# The observation and the stage must both fit in the 12 s within which a change has to be applied everywhere.
+# The canaries are observed for this long after the last of them has sent its ACK.
+OBSERVATION_US = 3_000_000
+# A stage is halted if not all canaries have applied the version within this time from its start.
+MAX_STAGE_US = 6_000_000
+# Both limits bound the length of a halt's reason.
+MAX_NAMED_OBJECTIONS = 3
+MAX_NAMED_RELAYS = 5
 
 
 class Verdict(StrEnum):
-    """What is to be done with a staged version."""
+    """The decision on a staged version."""
 
     WAIT = "wait"
     RELEASE = "release"
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """The verdict on one resource's newest version; `reason` says why it is halted."""
+    """The verdict on a resource's newest version; `reason` is empty unless the version is halted."""
 
     resource: Resource
     number: int
@@ -46,21 +47,22 @@
 
 
 class Rollout:
-    """One staged version, from its first report to its verdict. Once halted it stays halted."""
+    """Progress of a staged version from its first report to its verdict; a halt is permanent."""
 
     def __init__(self, version: Version, now_us: int) -> None:
         self.version = version
-        self.elapsed_us = 0  # since the begin
+        self.elapsed_us = 0  # since the start of the stage
         self.updated_us = now_us
-        self.all_applied_us: int | None = None  # the `elapsed_us` since which all canaries have applied it
+        # The value of `elapsed_us` when the last canary applied the version; None before that.
+        self.all_applied_us: int | None = None
         self.halt_reason = ""
 
     def decide(self, reports: Iterable[StageReport], now_us: int) -> Verdict:
-        """The verdict now, by every machine's present report on this version.
+        """Return the verdict from the machines' latest reports on this version.
 
-        To be called again and again, until the version is released or followed by another one.
+        The caller repeats the call until the version is released or replaced by another version.
         """
-        # a clock that was set back counts as no time passed
+        # If the clock was set back, no time is counted.
         self.elapsed_us += max(0, now_us - self.updated_us)
         self.updated_us = now_us
         stages = list(reports)
@@ -94,13 +96,13 @@
 
 
 class RolloutCoordinator:
-    """The rollouts of all resources; at most one version of a resource is staged at a time."""
+    """Owns the rollouts of all resources; at most one version of a resource is staged at a time."""
 
     def __init__(self) -> None:
         self.rollouts: dict[Resource, Rollout] = {}
 
     def decide(self, reports: Mapping[str, Sequence[StatusReport]], now_us: int) -> list[Decision]:
-        """The decisions by the machines' last reports; none for a resource without a staged version."""
+        """Return a decision per resource with a staged version, from the machines' latest reports."""
         decisions = []
         for resource in Resource:
             stages = _stages_of(resource, reports)
--- a/gannetweir/control/session.py
+++ b/gannetweir/control/session.py
@@ -1,7 +1,7 @@
-"""One relay's watch at a control machine, for one resource: what it has applied and what it is sent.
+"""State of a relay's watch for one resource: the applied version, and the version that is being sent.
 
-A relay is sent one version at a time, and the next one after its ACK or NACK. A `RelaySession` belongs to
-the resource's `Publisher` and lasts as long as the watch.
+A relay is sent one version at a time; the next version follows after the relay's ACK or NACK. A
+`RelaySession` belongs to the resource's `Publisher` and lasts as long as the watch.
 """
 
 from __future__ import annotations
@@ -10,41 +10,47 @@
 
 from gannetweir.control.versions import Ack, Nack, Reason, Slice, Version
 
-ACK_TIMEOUT_US = 6_000_000  # from a version's last slice: a relay without an answer by then has to call again
+# The watch is closed if neither ACK nor NACK arrives within this time after a version's last slice. The relay
+# then starts a new watch.
+ACK_TIMEOUT_US = 6_000_000
 
-# Rejections that a snapshot may mend, since the relay's content is not the one that the delta began from.
+# A snapshot can resolve these rejections: the relay's content is not the base of the delta.
 _SNAPSHOT_REASONS = frozenset({Reason.WRONG_BASE, Reason.GAP, Reason.DIGEST})
 
 
 @dataclass(slots=True)
 class RelaySession:
-    """State of one watch.
+    """State of a relay's watch for one resource.
 
-    `target` is None while the relay owes no answer; `sent_slices` counts those of `slices`.
+    `sent_slices` is the number of `slices` that were sent.
     """
 
     relay: str
-    applied: Version  # as the relay said when it subscribed, and after that what it acknowledged
-    target: Version | None = None  # of the slices that are being sent, or were sent and are not answered
+    # The version reported at the subscription, later the last acknowledged one.
+    applied: Version
+    # The version that is being sent, or was sent and not yet answered; None if no answer is outstanding.
+    target: Version | None = None
     slices: tuple[Slice, ...] = ()
     sent_slices: int = 0
     last_sent_us: int = 0
-    rejection: Nack | None = None  # its last answer, if that was a NACK
-    needs_snapshot: bool = False  # a delta did not fit what it has applied
+    # The relay's last answer, if that was a NACK.
+    rejection: Nack | None = None
+    # True after the relay rejected a delta because its content is not the base of that delta.
+    needs_snapshot: bool = False
 
     def has_rejected(self, version: Version) -> bool:
-        """Whether its last answer was a NACK of this version."""
+        """Whether the relay's last answer was a NACK of this version."""
         return self.rejection is not None and self.rejection.version == version
 
     def begin(self, target: Version, slices: tuple[Slice, ...]) -> None:
-        """Start to send a version."""
+        """Start to send a version as these slices."""
         self.target = target
         self.slices = slices
         self.sent_slices = 0
         self.needs_snapshot = False
 
     def next_slice(self, now_us: int) -> Slice | None:
-        """The next slice of the version that is being sent; None once all were."""
+        """Return the next slice of the version that is being sent; None once all slices were sent."""
         if self.sent_slices == len(self.slices):
             return None
         self.sent_slices += 1
@@ -52,14 +58,14 @@
         return self.slices[self.sent_slices - 1]
 
     def record_answer(self, answer: Ack | Nack) -> None:
-        """Its ACK or NACK. One for another version than the one that is being sent changes nothing."""
+        """Record the relay's ACK or NACK; an answer to any version but `target` is ignored."""
         if answer.version != self.target:
             return
         if isinstance(answer, Ack):
             self.applied = answer.version
             self.rejection = None
         else:
-            # once: a relay that rejects the snapshot as well waits for the next version
+            # Only one snapshot is sent: a relay that also rejects the snapshot waits for the next version.
             is_first = not self.has_rejected(answer.version)
             self.needs_snapshot = is_first and answer.reason in _SNAPSHOT_REASONS
             self.applied = answer.applied
@@ -67,7 +73,7 @@
         self._end()
 
     def discard_answers(self) -> None:
-        """Begin anew: what is being sent and what was rejected belongs to versions that are no more."""
+        """Discard the rejection and the version being sent after the history was replaced."""
         self.rejection = None
         self._end()
 
@@ -76,8 +82,9 @@
         self.slices = ()
 
     def is_ack_overdue(self, now_us: int) -> bool:
-        """Whether the relay got all slices of a version too long ago to be still without an answer."""
+        """Whether all slices of a version were sent over `ACK_TIMEOUT_US` ago and no answer has arrived."""
         if self.target is None or self.sent_slices < len(self.slices):
             return False
-        self.last_sent_us = min(self.last_sent_us, now_us)  # a clock that was set back
+        # If the clock was set back, the timeout starts again from the current time.
+        self.last_sent_us = min(self.last_sent_us, now_us)
         return now_us - self.last_sent_us > ACK_TIMEOUT_US
--- a/gannetweir/control/stage.py
+++ b/gannetweir/control/stage.py
@@ -1,9 +1,9 @@
-"""The canary stage of a version at one machine: a few relays apply it first and are observed.
+"""The canary stage of a version at one machine: a few relays apply the version first and are observed.
 
-A canary release: the canaries get the staged version, everybody else the released one. Their NACKs, the
-loss of a canary that has applied the version, and a fall of its success ratio are objections; any objection
-halts the rollout. The decision itself, over all machines, is in `rollout`. A `CanaryStage` belongs to its
-resource's `Publisher` and lasts until the version is released or followed by another one.
+The canaries get the staged version, all other relays the released one. A canary's NACK, the loss of a canary
+that has applied the version, and a drop of its success ratio are objections; any objection halts the rollout.
+`rollout` makes the decision over all machines. A `CanaryStage` belongs to the resource's `Publisher` and
+lasts until the version is released or replaced by another version.
 """
 
 from __future__ import annotations
@@ -13,38 +13,41 @@
 
 from gannetweir.control.versions import Ack, Nack, Version
 
-MIN_ANSWERS = 20  # by which a relay's success ratio is judged: fewer say nothing
-MAX_SERVED_RATIO_DROP = 0.05  # of the ratio of served answers, absolute: more is an objection
-MAX_OBJECTIONS = 5  # of a stage, to bound its report: one is enough to halt the rollout
+# A success ratio over fewer answers is not compared: the sample is too small.
+MIN_ANSWERS = 20
+# A larger absolute drop of the success ratio is an objection.
+MAX_SERVED_RATIO_DROP = 0.05
+# Bounds the report of a stage; a single objection already halts the rollout.
+MAX_OBJECTIONS = 5
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceTotals:
-    """How many answers a relay has given its clients since its start."""
+    """Numbers of answers that a relay has sent to its clients since its start."""
 
     served: int
     failed: int
 
     @property
     def answers(self) -> int:
-        """Served and failed ones."""
+        """The number of all answers, served and failed."""
         return self.served + self.failed
 
     @property
     def served_ratio(self) -> float:
-        """The success ratio. Raises `ZeroDivisionError` without an answer."""
+        """The success ratio. Raises `ZeroDivisionError` if there are no answers."""
         return self.served / self.answers
 
     def since(self, earlier: ServiceTotals) -> ServiceTotals:
-        """What was answered after earlier totals."""
+        """Return the difference to earlier totals of the same relay."""
         return ServiceTotals(self.served - earlier.served, self.failed - earlier.failed)
 
 
 @dataclass(frozen=True, slots=True)
 class StageReport:
-    """A staged version at one machine.
+    """State of a staged version at one machine.
 
-    Canaries by their names, and objections, any of which halts the rollout.
+    `applied` and `pending` name the canaries; any entry of `objections` halts the rollout.
     """
 
     version: Version
@@ -55,14 +58,16 @@
 
 @dataclass(slots=True)
 class _Canary:
-    """One relay's part in the stage."""
+    """State of one canary."""
 
     has_applied: bool = False
-    baseline: ServiceTotals | None = None  # at its first ACK: under the version before
-    latest: ServiceTotals | None = None  # at its last repeated ACK
+    # The totals at the first ACK, which were reached under the previous version.
+    baseline: ServiceTotals | None = None
+    # The totals at the latest repeated ACK.
+    latest: ServiceTotals | None = None
 
     def has_degraded(self) -> bool:
-        """Whether its success ratio since the ACK is clearly below the one before."""
+        """Whether the success ratio since the first ACK dropped by more than `MAX_SERVED_RATIO_DROP`."""
         if self.baseline is None or self.latest is None:
             return False
         since_ack = self.latest.since(self.baseline)
@@ -72,7 +77,7 @@
 
 
 class CanaryStage:
-    """The stage of one version; the next version gets a stage of its own."""
+    """The canaries of one version and their objections; each version has a separate stage."""
 
     def __init__(self, version: Version) -> None:
         self.version = version
@@ -82,14 +87,14 @@
     def choose_canaries(self, relays: Iterable[str]) -> None:
         """Make these relays the canaries.
 
-        One that has applied the version stays one while it is connected.
+        A canary that has applied the version stays a canary while it is connected.
         """
         chosen = {relay: self.canaries.get(relay, _Canary()) for relay in relays}
         applied = {relay: canary for relay, canary in self.canaries.items() if canary.has_applied}
         self.canaries = chosen | applied
 
     def record_answer(self, relay: str, answer: Ack | Nack, totals: ServiceTotals | None) -> None:
-        """A relay's ACK or NACK; a repeated ACK brings its later totals."""
+        """Record a relay's ACK or NACK; a repeated ACK updates the relay's totals."""
         canary = self.canaries.get(relay)
         if canary is None or answer.version != self.version:
             return
@@ -104,7 +109,10 @@
                 self._add_objection(f"{relay}: its service fell")
 
     def relay_disconnected(self, relay: str) -> None:
-        """A relay's watch ended. If it has applied the version, that may be the version's doing."""
+        """Remove a relay after the end of its watch.
+
+        If the relay has applied the version, its loss is an objection: the version may have caused the loss.
+        """
         canary = self.canaries.pop(relay, None)
         if canary is not None and canary.has_applied:
             self._add_objection(f"{relay}: lost with the version in force")
@@ -114,7 +122,7 @@
             self.objections.append(text)
 
     def report(self) -> StageReport:
-        """How the stage stands at this machine, for the rollout's coordinator."""
+        """Return the state of the stage at this machine, for the `RolloutCoordinator`."""
         applied = tuple(relay for relay, canary in self.canaries.items() if canary.has_applied)
         pending = tuple(relay for relay, canary in self.canaries.items() if not canary.has_applied)
         return StageReport(self.version, applied, pending, tuple(self.objections))
--- a/gannetweir/control/status_report.py
+++ b/gannetweir/control/status_report.py
@@ -1,8 +1,8 @@
-"""Where versions stand: a control machine's reports to the store, and several machines' reports merged.
+"""Rollout progress of versions: a control machine's reports to the store, and their merge over machines.
 
-A report is bounded, however many relays there are: it counts all relays and names a few. It is an immutable
-snapshot of a publisher's state. `gannetweir control status` prints the merged reports; their wire form is
-in `proto.control_status`.
+The size of a report is bounded for any number of relays: a report counts all relays and names only a few. It
+is an immutable snapshot of a publisher's state. `gannetweir control status` prints the merged reports;
+`proto.control_status` defines their encoding.
 """
 
 from __future__ import annotations
@@ -14,32 +14,35 @@
 from gannetweir.control.stage import StageReport
 from gannetweir.control.versions import Resource
 
-MAX_NAMED_RELAYS = 20  # stragglers, and rejections, that a report names: bounds its size
+# The largest number of stragglers, and of rejections, in a report; bounds the size of the report.
+MAX_NAMED_RELAYS = 20
 
 
 @dataclass(frozen=True, slots=True)
 class StatusReport:
-    """One resource at one machine, or at several machines together. Versions are given by their numbers."""
+    """Progress of a resource at one machine, or merged over several. Versions are given by their numbers."""
 
     resource: Resource
     newest: int
     released: int
-    lowest: int  # that any relay has applied; the newest where there is no relay
+    # The lowest version that any relay has applied; the newest version if there are no relays.
+    lowest: int
     relays: int
-    at_newest: int  # relays
-    behind: int  # relays on less than the released version
-    rejecting: int  # relays whose last answer was a NACK
-    stragglers: tuple[str, ...]  # relays by name, the furthest behind first
+    at_newest: int  # number of relays
+    behind: int  # number of relays below the released version
+    rejecting: int  # number of relays whose last answer was a NACK
+    stragglers: tuple[str, ...]  # names of relays, the furthest behind first
     rejections: tuple[str, ...]  # relay, reason and detail
-    stage: StageReport | None = None  # of one machine, while its newest version is not released
+    # The stage of a machine's newest version until its release; None in a merged report.
+    stage: StageReport | None = None
 
 
 def status_report(publisher: Publisher) -> StatusReport:
-    """One machine's own report."""
+    """Return a machine's report on one resource."""
     sessions = list(publisher.sessions.values())
     newest = publisher.newest
     released = publisher.released
-    # a number of another epoch says nothing here: such a relay has no version of this one yet
+    # Numbers of different epochs are not comparable: a relay on another epoch counts as having no version.
     numbers = {
         session.relay: session.applied.number if session.applied.epoch == newest.epoch else 0
         for session in sessions
@@ -66,13 +69,13 @@
 
 
 def merge_reports(reports: Iterable[StatusReport]) -> StatusReport:
-    """One report over several machines.
+    """Merge the machines' reports on one resource.
 
-    Raises `ValueError` without a report, or with two resources' reports.
+    Raises `ValueError` if there is no report, or if the reports are on different resources.
     """
     merged = list(reports)
     if len({report.resource for report in merged}) != 1:
-        raise ValueError("reports of one resource are wanted")
+        raise ValueError(f"expected reports on one resource, got {[report.resource for report in merged]}")
     newest = max(report.newest for report in merged)
     return StatusReport(
         resource=merged[0].resource,
--- a/gannetweir/control/version_log.py
+++ b/gannetweir/control/version_log.py
@@ -1,9 +1,8 @@
-"""The recent versions of a resource, from which deltas are made.
+"""A log of the recent versions of a resource, from which deltas are made.
 
-A log of changes with compaction, as behind etcd's watch: it covers every version from `oldest` to `newest`,
-and drops the oldest ones when it is full. Whoever stands on a covered version can be sent a delta; whoever
-stands on a compacted one needs a snapshot. The log belongs to its creator; `add` and `extend_back` are the
-only changes.
+The log works like the one behind etcd's watch: it covers every version from `oldest` to `newest`, and
+compacts the oldest versions when it is full. A relay on a covered version can be sent a delta; a relay on a
+compacted version needs a snapshot. The log belongs to its creator; only `add` and `extend_back` change it.
 """
 
 from __future__ import annotations
@@ -14,23 +13,24 @@
 
 from gannetweir.control.versions import Version
 
-MAX_VERSIONS = 4_000  # in a log: three days at 1,200 changes a day
-MAX_CHANGED_ENTRIES = 200_000  # in all changes of a log together: bounds its memory
+MAX_VERSIONS = 4_000  # three days at 1,200 changes a day
+# Bounds the memory of a log; counts the entries of all its changes together.
+MAX_CHANGED_ENTRIES = 200_000
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What leads to a version from the one before it; a body of None removes its key."""
+    """The difference between a version and its predecessor; a body of None removes its key."""
 
     version: Version
     entries: Mapping[str, bytes | None]
 
 
 class VersionLog:
-    """Changes in their order, the oldest compacted first.
+    """Changes in ascending order of their versions; the oldest are compacted first.
 
-    Invariants: `changes` are those after `oldest` up to `newest`; `digest_by_number` has every covered
-    version; `changed_entries` counts the entries of all changes.
+    Invariants: `changes` holds the changes after `oldest` up to `newest`; `digest_by_number` has an item for
+    every covered version; `changed_entries` counts the entries of all changes.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         max_versions: int = MAX_VERSIONS,
         max_changed_entries: int = MAX_CHANGED_ENTRIES,
     ) -> None:
-        """A log that covers one version, whose content its owner has."""
+        """Create a log that covers only `oldest`; the owner of the log has that version's content."""
         self.max_versions = max_versions
         self.max_changed_entries = max_changed_entries
         self.oldest = oldest
@@ -49,12 +49,12 @@
         self.changed_entries = 0
 
     def add(self, change: Change) -> None:
-        """Append the next version, and compact what is too much.
+        """Append the next version, and compact the oldest versions if the log exceeds its limits.
 
-        Raises `ValueError` for a number at or below the newest.
+        Raises `ValueError` unless the number is above the newest.
         """
         if change.version.number <= self.newest.number:
-            raise ValueError(f"version {change.version.number} after {self.newest.number}")
+            raise ValueError(f"version {change.version.number} is not above the newest, {self.newest.number}")
         self.changes.append(change)
         self.newest = change.version
         self.digest_by_number[change.version.number] = change.version.digest
@@ -65,7 +65,7 @@
     def _is_too_large(self) -> bool:
         if len(self.changes) > self.max_versions:
             return True
-        # one change that is too large by itself stays: without it there would be no delta at all
+        # A single change that exceeds the limit is kept: otherwise no delta could be made at all.
         return self.changed_entries > self.max_changed_entries and len(self.changes) > 1
 
     def _compact_oldest(self) -> None:
@@ -75,9 +75,10 @@
         self.oldest = compacted.version
 
     def extend_back(self, base: Version, changes: Iterable[Change]) -> bool:
-        """Cover earlier versions from `base` on, by the changes that lead from it to the oldest version here.
+        """Extend the log back to `base` with the changes from `base` to the log's oldest version.
 
-        False, and nothing changes, if they do not lead there or exceed the log's limits.
+        Returns False, and changes nothing, if the changes do not lead to the oldest version or would exceed
+        the log's limits.
         """
         earlier = [change for change in changes if change.version.number <= self.oldest.number]
         if not earlier or earlier[-1].version != self.oldest or base.number >= earlier[0].version.number:
@@ -94,14 +95,14 @@
         return True
 
     def contains(self, version: Version) -> bool:
-        """Whether a delta can start from this version. The digest decides where its epoch is unknown (0)."""
+        """Whether a delta can start from this version. If its epoch is unknown (0), the digest decides."""
         same_epoch = version.epoch in (0, self.newest.epoch)
         return same_epoch and self.digest_by_number.get(version.number) == version.digest
 
     def changes_between(self, base_number: int, target_number: int) -> dict[str, bytes | None]:
-        """One coalesced delta: what changed after the base up to the target.
+        """Return the changes after the base up to the target as one coalesced delta.
 
-        Each entry is as it is at the target.
+        Each changed entry has its body at the target version.
         """
         merged: dict[str, bytes | None] = {}
         for change in reversed(self.changes):
--- a/gannetweir/control/versions.py
+++ b/gannetweir/control/versions.py
@@ -1,12 +1,12 @@
 """Versions of a resource: their identity, the messages that carry them, and a content with its digest.
 
-A version (a revision in etcd's words) is an epoch, a number that rises within the epoch, and the digest of
-the content. A publisher sends it as a snapshot (everything) or as a delta from a base version, cut into
-slices; a relay answers with an ACK or a NACK, as in xDS. All types are immutable values but `Content`,
-which belongs to whoever made it. What `canonical` JSON is, `gannetweir.proto.control_messages` defines.
+A version (a revision in etcd's terms) consists of an epoch, a number that rises within the epoch, and the
+digest of the content. A publisher sends a version as a snapshot (all entries) or as a delta from a base
+version, split into slices; a relay answers with an ACK or a NACK, as in xDS. All types are immutable values
+except `Content`, which belongs to its creator. `gannetweir.proto.control_messages` defines canonical JSON.
 
-The limits below are part of the protocol: raise one only at the relays first, since they reject what
-exceeds theirs.
+The limits below are part of the protocol: a limit must be raised at the relays first, because a relay rejects
+messages that exceed its limits.
 """
 
 from __future__ import annotations
@@ -18,41 +18,52 @@
 
 from gannetweir.errors import GannetweirError
 
-DIGEST_BYTES = 16  # of BLAKE2b: two contents do not get the same digest by accident
+# A BLAKE2b digest of this length makes accidental collisions practically impossible.
+DIGEST_BYTES = 16
 _DIGEST_RANGE = 1 << (8 * DIGEST_BYTES)
-MAX_KEY_BYTES = 200  # of an entry's key: bounds a relay's memory
-MAX_ENTRY_BYTES = 8_192  # of an entry's body: an entry must be far from filling a slice by itself
-MAX_ENTRIES = 40_000  # of a resource: bounds a relay's memory; costs were measured up to 15,000 backends
-MAX_CONTENT_BYTES = 8_000_000  # of a resource, keys and bodies: bounds a relay's memory
-MAX_SLICE_ENTRIES = 1_000  # in one slice: bounds the work that receiving one takes
-MAX_SLICES = 4_000  # of one version: bounds what a relay waits for
+# The limits on keys, entries and the content bound the memory of a relay.
+MAX_KEY_BYTES = 200
+# Bounds the body of an entry, so that a single entry stays well below the size of a slice.
+MAX_ENTRY_BYTES = 8_192
+# Entries of a resource. The capacity figures cover up to 15,000 backends.
+MAX_ENTRIES = 40_000
+# The size of all keys and bodies of a resource.
+MAX_CONTENT_BYTES = 8_000_000
+# Bounds the work of receiving one slice.
+MAX_SLICE_ENTRIES = 1_000
+# Slices of a version; bounds how much a relay waits for.
+MAX_SLICES = 4_000
 MAX_NUMBER = (1 << 53) - 1  # the largest integer that every JSON reader represents exactly
 
 
 class Resource(StrEnum):
-    """What is versioned. Each has its own numbers: a halted change of settings must not delay a drain."""
+    """A versioned resource.
+
+    Each resource has separate version numbers: a halted change of settings must not delay a drain.
+    """
 
     MEMBERSHIP = "membership"
     SETTINGS = "settings"
 
 
 class Reason(StrEnum):
-    """Why a version or a slice is rejected. The values are the protocol's."""
+    """Why a version or a slice is rejected. The values are part of the protocol."""
 
-    MALFORMED = "malformed"  # ill-typed, or figures that no publisher can mean
+    MALFORMED = "malformed"  # wrong types, or numbers out of range
     TOO_LARGE = "too-large"
     GAP = "gap"  # a slice is missing
-    WRONG_BASE = "wrong-base"  # a delta on another version than the applied one
-    OLDER = "older"  # a lower number, or an epoch before this one: a store or machine restored from a copy
-    CONFLICT = "conflict"  # the applied number with another content
-    DIGEST = "digest"  # the content is not what its sender says
-    CHECK = "check"  # an entry, or the version as such, fails the relay's own checks
+    WRONG_BASE = "wrong-base"  # the base of the delta is not the applied version
+    # The number or the epoch is lower than the applied one; a store or machine was restored from a backup.
+    OLDER = "older"
+    CONFLICT = "conflict"  # the number is the applied one, the content differs
+    DIGEST = "digest"  # the content does not match the sender's digest
+    CHECK = "check"  # an entry, or the complete content, fails the relay's own checks
 
 
 class RejectedError(GannetweirError, ValueError):
     """A version or slice is rejected, and the applied version stays.
 
-    `reason` and `detail` go into the NACK.
+    The NACK carries `reason` and `detail`.
     """
 
     def __init__(self, reason: Reason, detail: str = "") -> None:
@@ -63,10 +74,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """One state of a resource.
+    """Identifies a state of a resource.
 
-    `epoch` is the store's incarnation, raised whenever it is created anew or restored, and 0 where it is not
-    known; numbers rise within an epoch; `digest` is the content's.
+    `epoch` is the store's incarnation, which rises whenever the store is recreated or restored; 0 means that
+    the epoch is unknown. `number` rises within an epoch. `digest` is the digest of the content.
     """
 
     epoch: int
@@ -79,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One key and its value as canonical JSON; a body of None removes the key."""
+    """A key and its value as canonical JSON; a body of None removes the key."""
 
     key: str
     body: bytes | None
@@ -89,7 +100,7 @@
 class Slice:
     """Part `index` of `count` of a version.
 
-    Of a snapshot where `base` is None, else of a delta from the version of that number.
+    The version is a snapshot if `base` is None, else a delta from the version with that number.
     """
 
     resource: Resource
@@ -110,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Nack:
-    """A negative acknowledgement: the relay rejected the version and goes on with `applied`."""
+    """A negative acknowledgement: the relay rejected the version and continues to use `applied`."""
 
     resource: Resource
     version: Version
@@ -120,16 +131,16 @@
 
 
 def entry_digest(key: str, body: bytes) -> int:
-    """What one entry contributes to its content's digest."""
+    """Return the contribution of an entry to the digest of its content."""
     return int.from_bytes(blake2b(key.encode() + b"\0" + body, digest_size=DIGEST_BYTES).digest(), "big")
 
 
 def add_to_digest(digest: int, key: str, old: bytes | None, new: bytes | None) -> int:
-    """The digest after one entry's change.
+    """Return the digest after a change of one entry.
 
-    `old` and `new` are the entry's bodies, None where there is none. The sum of the entries' hashes depends
-    on no order and on no entry that stays, so a delta costs what it changes. It finds mistakes; it does not
-    withstand an attacker.
+    `old` and `new` are the entry's bodies before and after the change; None means that there is no entry. The
+    digest is the sum of the entries' hashes: it does not depend on their order, and the cost of a delta is
+    proportional to the changed entries. The digest detects errors, but does not protect against an attacker.
     """
     if old is not None:
         digest -= entry_digest(key, old)
@@ -139,9 +150,9 @@
 
 
 class Content:
-    """Entries by key, with their digest and size (keys and bodies, in bytes) always up to date.
+    """Entries by key, with their digest and their size (keys and bodies, in bytes).
 
-    Change `entries` by `put` only.
+    Only `put` may change `entries`, since `put` also updates the digest and the size.
     """
 
     def __init__(self, entries: Iterable[Entry] = ()) -> None:
@@ -162,7 +173,7 @@
             self.size_bytes += len(key) + len(body)
 
     def digest_after(self, changes: Mapping[str, bytes | None]) -> int:
-        """The digest that these changes would lead to; nothing is changed."""
+        """Return the digest of the content with these changes; the content is not changed."""
         digest = self.digest
         for key, body in changes.items():
             digest = add_to_digest(digest, key, self.entries.get(key), body)
@@ -170,19 +181,19 @@
 
 
 def check_slice(part: Slice) -> None:
-    """Reject numbers that no publisher can mean, before any work is done on them.
+    """Check a slice's numbers against their valid ranges before any further processing.
 
     Raises `RejectedError` with `MALFORMED` or `TOO_LARGE`.
     """
     target = part.target
     numbers = (target.epoch, target.number, part.base or 0, part.index, part.count)
     if not all(0 <= number <= MAX_NUMBER for number in numbers):
-        raise RejectedError(Reason.MALFORMED, "a number out of range")
+        raise RejectedError(Reason.MALFORMED, f"expected numbers from 0 to {MAX_NUMBER}, got {numbers}")
     if not 0 <= target.digest < _DIGEST_RANGE or target.epoch == 0:
-        raise RejectedError(Reason.MALFORMED, "no digest or epoch")
+        raise RejectedError(Reason.MALFORMED, f"expected a {DIGEST_BYTES}-byte digest and an epoch above 0")
     if part.count > MAX_SLICES or len(part.entries) > MAX_SLICE_ENTRIES:
         raise RejectedError(Reason.TOO_LARGE, f"{part.count} slices, {len(part.entries)} entries in one")
     if part.index >= part.count:
         raise RejectedError(Reason.MALFORMED, f"slice {part.index} of {part.count}")
     if part.base is not None and part.base >= target.number:
-        raise RejectedError(Reason.MALFORMED, f"a delta from {part.base} to {target.number}")
+        raise RejectedError(Reason.MALFORMED, f"delta from {part.base} to {target.number}, expected a rise")
