--- a/gannetweir/proto/control_calls.py
+++ b/gannetweir/proto/control_calls.py
@@ -1,8 +1,8 @@
-"""The calls that a control machine answers: a relay's watch, its ACK or NACK, and the status.
+"""The HTTP requests that a control machine accepts: a relay's watch, its ACK or NACK, and the status.
 
-Sans-IO, a control machine's side of HTTP: `CallReader` takes a connection's bytes and returns the one call
-on it; the functions below return the bytes of an answer. A reader belongs to the connection's task in
-`net.control_server`.
+This is the machine's side of HTTP, without I/O: `CallReader` takes the bytes of a connection and returns the
+connection's only request as a call; the functions below return the bytes of a response. A reader belongs to
+the connection's task in `net.control_server`.
 """
 
 from __future__ import annotations
@@ -20,13 +20,15 @@
 
 WATCH_TARGET = "/registry/instances"
 STATUS_TARGET = "/control/status"
-MAX_CALL_BYTES = 4_096  # of a call's header, and of its body: an ACK or NACK is far smaller
-MAX_RELAY_CHARS = 200  # of a relay's name
+# Limits the header and the body of a call separately; an ACK or NACK is far smaller.
+MAX_CALL_BYTES = 4_096
+# Limits the length of a relay's name.
+MAX_RELAY_CHARS = 200
 
 
 @dataclass(frozen=True, slots=True)
 class WatchCall:
-    """A relay wants a watch, from the versions that it has applied."""
+    """A relay's request for a watch that starts from its applied versions."""
 
     relay: str
     applied: dict[Resource, Version]
@@ -35,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerCall:
-    """A relay's ACK or NACK, and what it has served so far."""
+    """A relay's ACK or NACK, with its service totals if it reports them."""
 
     relay: str
     answer: Ack | Nack
@@ -44,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusCall:
-    """An operator wants to know where each version stands."""
+    """An operator's request for the status reports of all resources."""
 
 
 Call = WatchCall | AnswerCall | StatusCall
 
 
 class CallReader:
-    """Reads the one call of a connection."""
+    """Reads the only call of a connection."""
 
     def __init__(self) -> None:
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_CALL_BYTES)
@@ -59,9 +61,10 @@
         self.body = b""
 
     def feed(self, data: bytes) -> Call | None:
-        """The call once it is complete; empty data is the end of the connection.
+        """Process received bytes; empty data means that the caller closed the connection.
 
-        Raises `EndpointListError` for what is no call, or too long.
+        Returns the call once it is complete, otherwise None. Raises `EndpointListError` if the request is
+        malformed, too long, incomplete at the end of the connection, or none of the calls.
         """
         try:
             self.http.receive_data(data)
@@ -79,9 +82,11 @@
         elif isinstance(event, h11.Data):
             self.body += event.data
             if len(self.body) > MAX_CALL_BYTES:
-                raise EndpointListError("a call's body is too long")
+                raise EndpointListError(
+                    f"expected a body of at most {MAX_CALL_BYTES} bytes, got {len(self.body)}"
+                )
         else:
-            raise EndpointListError("the caller left")
+            raise EndpointListError("the caller closed the connection before its request was complete")
 
 
 def _read_call(request: h11.Request, body: bytes) -> Call:
@@ -93,14 +98,14 @@
         return StatusCall()
     if call == ("GET", WATCH_TARGET):
         return _read_watch_call(target.query)
-    raise EndpointListError("no such call")
+    raise EndpointListError(f"unknown call: {call[0]} {call[1]:.{MAX_RELAY_CHARS}}")
 
 
 def _read_watch_call(query: str) -> WatchCall:
     fields = {name: values[-1] for name, values in parse_qs(query).items()}
     relay = fields.get("relay", "")
     if not 0 < len(relay) <= MAX_RELAY_CHARS:
-        raise EndpointListError("relay: missing or too long")
+        raise EndpointListError(f"relay: expected 1 to {MAX_RELAY_CHARS} characters, got {len(relay)}")
     applied = dict.fromkeys(Resource, NO_VERSION)
     for resource in Resource:
         if resource in fields:
@@ -109,7 +114,7 @@
 
 
 def response(status: HTTPStatus, body: bytes = b"") -> bytes:
-    """A complete answer; the connection ends with it. An answer without content must have no body."""
+    """Return a complete response, which ends the connection; NO_CONTENT must have no body."""
     header = f"HTTP/1.1 {status.value} {status.phrase}\r\nConnection: close\r\n"
     if status is not HTTPStatus.NO_CONTENT:
         header += f"Content-Length: {len(body)}\r\n"
@@ -117,11 +122,11 @@
 
 
 def watch_header(gzip: bool) -> bytes:
-    """The header of a watch's answer, whose body follows in chunks."""
+    """Return the header of the response to a watch; the body follows in chunks."""
     coding = "Content-Encoding: gzip\r\n" if gzip else ""
     return f"HTTP/1.1 200 OK\r\n{coding}Transfer-Encoding: chunked\r\n\r\n".encode()
 
 
 def chunk(data: bytes) -> bytes:
-    """A part of a watch's body."""
+    """Return the data as a chunk of a watch's body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
--- a/gannetweir/proto/control_messages.py
+++ b/gannetweir/proto/control_messages.py
@@ -1,16 +1,15 @@
-"""The messages of the control protocol as JSON: slices to the relays, ACK and NACK from them.
+"""The messages of the control protocol as JSON: slices to relays, and ACKs and NACKs from relays.
 
-A slice is a line, an object as discovery's watch has them, with its version beside it:
+A slice is a line with a JSON object, in the format of discovery's watch plus the fields of the version:
 
     {"seq":43,"whole":false,"hosts":[...],"resource":"membership","epoch":3,"digest":"...","base":41,
      "index":0,"count":1}
 
-`base` is missing in a snapshot. Settings are an object `settings` in place of `hosts`; null removes a key.
-ACK and NACK are objects too, each the body of a POST; a NACK has `reason`, `detail` and `held`, the applied
-version.
+A snapshot has no `base`. Settings are in an object `settings`, and `hosts` is empty; null removes a key. An
+ACK or NACK is an object in the body of a POST; a NACK has `reason`, `detail` and `held`, the applied version.
 
-The keys and their order are the protocol's. The functions have no state but a cache of written slices;
-whatever is malformed raises `EndpointListError`.
+The protocol defines the keys and their order. The functions have no state except a cache of encoded slices;
+malformed input raises `EndpointListError`.
 """
 
 from __future__ import annotations
@@ -35,31 +34,39 @@
 from gannetweir.proto.control_json import integer_field, json_list, json_object, string_field
 from gannetweir.proto.endpoint_watch import EndpointListError
 
-ACK_TARGET = "/control/answers"  # of the POST of an ACK or NACK
-MAX_DETAIL_CHARS = 200  # of a NACK, and of what is said of a malformed message
-MAX_VERSION_DIGITS = 16  # of an epoch or number in a version's text: as many as the largest of them has
-MAX_CACHED_LINES = 256  # slices in the written form: one set of lines serves all relays on the same version
+# The path to which ACKs and NACKs are posted.
+ACK_TARGET = "/control/answers"
+# Limits the detail of a NACK, and the error text on a malformed message.
+MAX_DETAIL_CHARS = 200
+# The number of digits in `MAX_NUMBER`, the largest epoch or number of a version.
+MAX_VERSION_DIGITS = 16
+# Encoded slices; all relays on the same version share one set of lines.
+MAX_CACHED_LINES = 256
 
-_DIGEST_CHARS = 2 * DIGEST_BYTES  # in hexadecimal
+_DIGEST_CHARS = 2 * DIGEST_BYTES  # hexadecimal digits
 
 
 def canonical_json(value: object) -> bytes:
-    """The one form of a JSON value over which digests are taken. Raises `TypeError` for what JSON lacks."""
+    """Return the canonical encoding of a JSON value, over which digests are computed.
+
+    Raises `TypeError` for a value that JSON can't represent.
+    """
     data = orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
-    return bytes(memoryview(data))  # a copy: behind what orjson returns stays its whole buffer, 4 KB an entry
+    # The copy releases orjson's output buffer, which would otherwise stay allocated with 4 KB per entry.
+    return bytes(memoryview(data))
 
 
 def version_text(version: Version) -> str:
-    """A version as `EPOCH.NUMBER.DIGEST`."""
+    """Return a version as text: epoch, number and hexadecimal digest, separated by dots."""
     return f"{version.epoch}.{version.number}.{version.digest:0{_DIGEST_CHARS}x}"
 
 
 def read_version(text: str) -> Version:
-    """Read `EPOCH.NUMBER.DIGEST`. Raises `EndpointListError`."""
+    """Parse the text that `version_text` returns. Raises `EndpointListError` if it is malformed."""
     epoch, _, rest = text.partition(".")
     number, _, digest = rest.partition(".")
     if not (_is_number(epoch) and _is_number(number)):
-        raise EndpointListError("held: not a version")
+        raise EndpointListError(f"version: expected EPOCH.NUMBER.DIGEST, got {text[:MAX_DETAIL_CHARS]!r}")
     return Version(int(epoch), int(number), _read_digest(digest))
 
 
@@ -69,15 +76,20 @@
 
 def _read_digest(text: object) -> int:
     if not isinstance(text, str) or len(text) != _DIGEST_CHARS or not text.isascii() or not text.isalnum():
-        raise EndpointListError("digest: ill-typed")
+        raise EndpointListError(f"digest: expected a string of {_DIGEST_CHARS} hexadecimal digits")
     try:
         return int(text, 16)
     except ValueError as error:
-        raise EndpointListError("digest: not hexadecimal") from error
+        raise EndpointListError(
+            f"digest: expected {_DIGEST_CHARS} hexadecimal digits, got {text!r}"
+        ) from error
 
 
 def read_slice(value: object) -> Slice:
-    """Read a line's object. Raises `EndpointListError` for what is missing, ill-typed or too long."""
+    """Read the object of a line.
+
+    Raises `EndpointListError` if a field is missing, has the wrong type or is too long.
+    """
     try:
         fields = json_object(value, "slice")
         resource = Resource(string_field(fields, "resource"))
@@ -98,11 +110,11 @@
     if resource is Resource.MEMBERSHIP:
         hosts = json_list(fields["hosts"], "hosts")
         if len(hosts) > MAX_SLICE_ENTRIES:
-            raise EndpointListError("hosts: too long")
+            raise EndpointListError(f"hosts: expected at most {MAX_SLICE_ENTRIES}, got {len(hosts)}")
         return tuple(map(_read_host, hosts))
     settings = json_object(fields["settings"], "settings")
     if len(settings) > MAX_SLICE_ENTRIES:
-        raise EndpointListError("settings: too long")
+        raise EndpointListError(f"settings: expected at most {MAX_SLICE_ENTRIES}, got {len(settings)}")
     return tuple(_read_setting(key, value) for key, value in settings.items())
 
 
@@ -119,7 +131,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_LINES)
 def write_slice(part: Slice) -> bytes:
-    """The line that carries a slice. Bodies go out as they are: they are canonical JSON already."""
+    """Return the line of a slice. The bodies are copied unchanged, since they are canonical JSON."""
     target = part.target
     fields: dict[str, object] = {
         "seq": target.number,
@@ -140,7 +152,7 @@
 
 
 def _host_objects(entries: tuple[Entry, ...]) -> list[bytes]:
-    """Hosts that stay, then those that are removed."""
+    """Return the encoded hosts: first those with a body, then the removed ones."""
     present = [entry.body for entry in entries if entry.body is not None]
     removed = [
         b'{"host":%s,"health":"Gone"}' % orjson.dumps(entry.key) for entry in entries if entry.body is None
@@ -153,7 +165,7 @@
 
 
 def write_answer(relay: str, answer: Ack | Nack, totals: ServiceTotals | None = None) -> bytes:
-    """The body of an ACK or NACK, with what the relay has served so far."""
+    """Return the body of an ACK or NACK, with the relay's service totals unless they are None."""
     fields: dict[str, object] = {
         "relay": relay,
         "resource": answer.resource,
@@ -170,12 +182,15 @@
 
 
 def read_answer(body: bytes) -> tuple[str, Ack | Nack, ServiceTotals | None]:
-    """The relay's name, its answer, and what it has served so far. Raises `EndpointListError`."""
+    """Return the relay's name, its ACK or NACK, and its service totals if the body has them.
+
+    Raises `EndpointListError` if the body is malformed.
+    """
     try:
         fields = json_object(orjson.loads(body), "answer")
         relay = string_field(fields, "relay")
         if not relay:
-            raise EndpointListError("relay: ill-typed")
+            raise EndpointListError("relay: expected a name, got an empty string")
         return relay, _read_ack_or_nack(fields), _read_totals(fields)
     except (KeyError, TypeError, ValueError) as error:
         raise _malformed("an answer", error) from error
--- a/gannetweir/proto/control_status.py
+++ b/gannetweir/proto/control_status.py
@@ -1,7 +1,7 @@
-"""What `gannetweir control status` reads from a control machine: where its versions stand, as JSON.
+"""The JSON encoding of a control machine's status reports, which `gannetweir control status` reads.
 
-The keys, and their order, are the protocol's, not the names of the dataclasses' fields. There is no state
-here.
+The protocol defines the keys and their order; the keys differ from the names of the dataclasses' fields. The
+functions have no state.
 """
 
 from __future__ import annotations
@@ -42,7 +42,10 @@
 
 
 def read_status(body: bytes) -> tuple[str, list[StatusReport]]:
-    """What `status_body` wrote: the machine's name and its reports. Raises `EndpointListError`."""
+    """Read the machine's name and reports from a body that `status_body` returned.
+
+    Raises `EndpointListError` if the body is malformed.
+    """
     try:
         data = json_object(orjson.loads(body), "status")
         reports = json_list(data["resources"], "resources")
@@ -54,7 +57,7 @@
 
 
 def status_body(machine: str, reports: Iterable[StatusReport]) -> bytes:
-    """Where the versions stand, for `gannetweir control status`."""
+    """Return the body of the response to a status call."""
     return orjson.dumps({"machine": machine, "resources": [_report_object(report) for report in reports]})
 
 
@@ -76,7 +79,8 @@
 
 def _stage_object(stage: StageReport) -> dict[str, object]:
     return {
-        "version": version_text(stage.version),  # as text: a digest is larger than JSON's numbers
+        # The version is encoded as text because a digest exceeds the range of JSON numbers.
+        "version": version_text(stage.version),
         "in_force": stage.applied,
         "waiting": stage.pending,
         "against": stage.objections,
@@ -86,7 +90,7 @@
 def _read_report(value: object) -> StatusReport:
     data = json_object(value, "resources")
     if data.keys() != _REPORT_KEYS:
-        raise EndpointListError("resources: a report with other keys")
+        raise EndpointListError(f"resources: missing or unknown keys: {sorted(data.keys() ^ _REPORT_KEYS)}")
     return StatusReport(
         resource=Resource(string_field(data, "resource")),
         newest=integer_field(data, "newest"),
@@ -105,7 +109,7 @@
 def _read_stage(value: object) -> StageReport:
     data = json_object(value, "stage")
     if data.keys() != _STAGE_KEYS:
-        raise EndpointListError("stage: an object with other keys")
+        raise EndpointListError(f"stage: missing or unknown keys: {sorted(data.keys() ^ _STAGE_KEYS)}")
     return StageReport(
         version=read_version(string_field(data, "version")),
         applied=string_list_field(data, "in_force"),
