--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -1,7 +1,7 @@
-"""A relay's own checks of a version from a control machine: the readers and rules that a start would apply.
+"""A relay's own checks of a version from a control machine: the same parsing and validation as at startup.
 
-A version that a relay could not start with, or with which it could not drain in time, is rejected, and a
-NACK carries what is wrong. The checks have no state; they read the relay's present settings each time.
+A version is rejected if the relay could not start with it, or could not drain in time with it. The NACK
+describes the fault. The checks have no state; they read the relay's current settings for each version.
 """
 
 from __future__ import annotations
@@ -18,18 +18,23 @@
 from gannetweir.placement.settings import Settings
 from gannetweir.proto.endpoint_watch import EndpointListError, read_membership
 
-MIN_MIGRATION_US = 200_000  # for a drain to migrate its connections: with less it breaks them
-MAX_NAMED_KEYS = 5  # of settings that a version would lose
+# A drain that has less time than this to migrate its connections breaks them.
+MIN_MIGRATION_US = 200_000
+# Limits how many missing settings a NACK names.
+MAX_NAMED_KEYS = 5
 
 
 class RelayCheck:
-    """`control.assembly.VersionCheck` over the relay's present settings."""
+    """Implements `control.assembly.VersionCheck` with the relay's current settings."""
 
     def __init__(self, settings: Callable[[], Settings]) -> None:
         self.settings = settings
 
     def check_entry(self, resource: Resource, entry: Entry) -> str:
-        """What is wrong with one entry of the membership, if anything; settings are checked together."""
+        """Return the fault of a membership entry, or an empty string.
+
+        Settings are only checked together, in `check_version`.
+        """
         if entry.body is None or resource is Resource.SETTINGS:
             return ""
         data = {"seq": 0, "whole": False, "hosts": [orjson.loads(entry.body)]}
@@ -44,9 +49,9 @@
     def check_version(
         self, resource: Resource, applied: Mapping[str, bytes], changes: Mapping[str, bytes | None]
     ) -> str:
-        """What would keep a relay from starting with these settings, or from draining in time.
+        """Return why a relay could not start with these settings, or could not drain in time.
 
-        An empty string if nothing would.
+        An empty string if there is no fault.
         """
         if resource is Resource.MEMBERSHIP:
             return ""
@@ -64,14 +69,14 @@
 
 
 def _find_missing_keys(applied: Mapping[str, bytes], data: dict[str, object]) -> str:
-    """A key that is lost would silently become a default."""
+    """Return a fault if applied keys are missing: they would silently fall back to their defaults."""
     present = {key: orjson.loads(body) for key, body in applied.items()}
     lost = sorted(key[1:] for key in key_paths(present) - key_paths(data))
     return f"missing: {', '.join(lost[:MAX_NAMED_KEYS])}" if lost else ""
 
 
 def _find_restart_requirement(present: Settings, settings: Settings) -> str:
-    """The entries of the present endpoint list refer to zones and machine types by their position."""
+    """Return a fault if zones or machine types change: the endpoint list refers to them by position."""
     if present.zone_names and settings.zone_names != present.zone_names:
         return "zones change only at a restart"
     if present.machine_types and settings.machine_types != present.machine_types:
--- a/gannetweir/net/control_host.py
+++ b/gannetweir/net/control_host.py
@@ -1,6 +1,7 @@
-"""The control plane's adapter to a relay: the engine takes the membership, the relay its settings.
+"""The control plane's adapter to a relay: applies membership to the engine and settings to the relay.
 
-It owns nothing: what a reload replaces is read from the relay each time.
+The adapter has no state of its own: a reload may replace settings and limits, so they are read from the relay
+on each access.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class EngineHost:
-    """`net.control_watch.ControlHost` over a relay's engine."""
+    """Implements `net.control_watch.ControlHost` with a relay's engine."""
 
     def __init__(
         self,
@@ -27,7 +28,7 @@
         apply_checked_settings: Callable[[Settings], None],
         on_version_applied: Callable[[Resource, Version], None] | None = None,
     ) -> None:
-        """`on_version_applied` is called after each version that was applied."""
+        """Create the adapter of a relay; `on_version_applied` is called after each applied version."""
         self.relay = relay
         self.name = name
         self.apply_checked_settings = apply_checked_settings
@@ -35,33 +36,36 @@
 
     @property
     def settings(self) -> Settings:
-        """The relay's present settings."""
+        """The relay's current settings."""
         return self.relay.settings
 
     @property
     def limits(self) -> Limits:
-        """The relay's present limits."""
+        """The relay's current limits."""
         return self.relay.limits
 
     @property
     def spawn(self) -> Spawn:
-        """Starts a task of the relay's."""
+        """Starts a task that ends with the relay."""
         return self.relay.spawn
 
     def apply_membership(self, update: MembershipUpdate) -> None:
-        """Pass an update to the engine, as those of discovery's watch."""
+        """Pass a membership update to the engine, in the same way as discovery's watch."""
         self.relay.run_engine_call(self.relay.engine.endpoint_update_received, update)
 
     def apply_settings(self, values: dict[str, object]) -> None:
-        """Pass settings to the relay. `ConfigError` can't come: `RelayCheck` has read them the same way."""
+        """Pass settings to the relay.
+
+        `ConfigError` can't occur, since `RelayCheck` has parsed the same values in the same way.
+        """
         self.apply_checked_settings(parse_settings(values))
 
     def version_applied(self, resource: Resource, version: Version) -> None:
-        """All of the version was applied."""
+        """Notify the callback that all entries of the version were applied."""
         if self.on_version_applied is not None:
             self.on_version_applied(resource, version)
 
     def service_totals(self) -> ServiceTotals:
-        """How many answers clients got since the start."""
+        """Return the numbers of answers sent to clients since the start."""
         counts = self.relay.engine.counters.counts
         return ServiceTotals(counts["served"], counts["failed"] + counts["rejected"])
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -1,9 +1,9 @@
-"""A control machine's driver: serves its relays' watches, their answers, and the status.
+"""A control machine's server: handles the relays' watches, ACKs and NACKs, and status calls.
 
-One connection carries one call. A watch stays open: slices go out as the `ControlMachine` decides, and
-heartbeats in between. The `ControlServer` owns the listener, the connections and the relays' watches;
-`control_store` owns the machine and follows the store of record. A failure ends one connection, never the
-server.
+Each connection carries one call. A watch stays open: the server sends the slices that the `ControlMachine`
+selects, and heartbeats in between. The `ControlServer` owns the listener, the connections and the relays'
+watches; `control_store` owns the machine and follows the store of record. A failure ends one connection,
+never the server.
 """
 
 from __future__ import annotations
@@ -43,9 +43,12 @@
 from gannetweir.proto.control_watch import compress_line, stream_header, write_compressed_slice
 from gannetweir.proto.endpoint_watch import EndpointListError
 
-HEARTBEAT_INTERVAL_S = 2.0  # a relay declares a watch dead after 2.75 s without a complete message
-CALL_TIMEOUT_S = 3.0  # for a call to be complete, and for its caller to end the connection
-MAX_CONNECTIONS = 2_000  # watches and calls together: bounds descriptors and memory
+# A relay ends a watch after 2.75 s without a complete message.
+HEARTBEAT_INTERVAL_S = 2.0
+# Limits the time to receive a call, and the time for the caller to close the connection after the response.
+CALL_TIMEOUT_S = 3.0
+# Limits watches and calls together, to bound descriptors and memory.
+MAX_CONNECTIONS = 2_000
 _US_PER_S = 1e6
 _HEARTBEAT = b"\n"
 _COMPRESSED_HEARTBEAT = compress_line(_HEARTBEAT)
@@ -54,17 +57,20 @@
 
 @dataclass(slots=True)
 class RelayWatch:
-    """A relay's present watch. `changed` is set when there may be something new for it."""
+    """A relay's current watch. `changed` is set when a slice may have become available for the relay."""
 
     transport: Transport
     changed: anyio.Event
 
 
 class ControlServer:
-    """One control machine. `watches` has each relay's latest one, by the relay's name."""
+    """The server of a control machine. `watches` has the latest watch of each relay, by relay name."""
 
     def __init__(self, name: str, store: Store, listen_address: SocketAddress, limits: Limits) -> None:
-        """Listens at once; answers 503 until the store has been read. Raises `OSError` if it can't listen."""
+        """Start to listen; calls are answered with status 503 until the store has been read.
+
+        Raises `OSError` if the address can't be listened on.
+        """
         self.name = name
         self.limits = limits
         self.listener = open_listening_socket(listen_address, limits)
@@ -72,16 +78,16 @@
         self.watches: dict[str, RelayWatch] = {}
         self.connections: set[Transport] = set()
         self.bytes_written = 0
-        self.last_error = ""  # of a connection
+        self.last_error = ""  # the last unexpected error in a connection's task
 
     @property
     def machine(self) -> ControlMachine | None:
-        """What decides for the relays; None until the store has been read."""
+        """The decision logic for the relays; None until the store has been read."""
         return self.store_sync.machine
 
     @property
     def address(self) -> SocketAddress:
-        """Where it listens."""
+        """The address on which the server listens."""
         host, port = self.listener.getsockname()[:2]
         return SocketAddress(host, port)
 
@@ -101,7 +107,8 @@
         while True:
             try:
                 self._begin_connection(await accept_connection(self.listener), spawn)
-            except OSError:  # a shortage: others must have their turn, and time to give back
+            except OSError:
+                # Descriptors or memory ran out: the pause lets other tasks run and release resources.
                 await anyio.sleep(MAX_BACKOFF_S)
 
     def _begin_connection(self, sock: socket.socket, spawn: Spawn) -> None:
@@ -131,7 +138,10 @@
             transport.close()
 
     async def _reply(self, transport: Transport, data: bytes) -> None:
-        """Answer and let the caller end: a close over unread bytes could cost it the answer."""
+        """Send the response and wait until the caller closes the connection.
+
+        Closing a socket with unread bytes could discard the response before the caller reads it.
+        """
         self._write(transport, data)
         transport.finish()
         with anyio.move_on_after(CALL_TIMEOUT_S), suppress(OSError):
@@ -145,7 +155,7 @@
             return response(HTTPStatus.OK, status_body(self.name, self.machine.status_reports()))
         self.machine.record_answer(call.relay, call.answer, call.totals)
         if call.relay in self.watches:
-            self.watches[call.relay].changed.set()  # what waited for this answer goes now
+            self.watches[call.relay].changed.set()  # the next version may have waited for this answer
         return response(HTTPStatus.NO_CONTENT)
 
     async def _watch(self, transport: Transport, call: WatchCall, spawn: Spawn) -> None:
@@ -154,7 +164,7 @@
             await self._reply(transport, _STORE_NOT_READ)
             return
         relay = call.relay
-        if relay in self.watches:  # the relay has given that one up
+        if relay in self.watches:  # the relay has abandoned its earlier watch
             self.watches[relay].transport.close()
         self.store_sync.extend_logs_back(machine, call.applied)
         try:
@@ -201,7 +211,10 @@
         write: Callable[[Slice], bytes],
         heartbeat: bytes,
     ) -> None:
-        """Send slices and heartbeats until the relay leaves, is replaced, or owes an answer for too long."""
+        """Send slices and heartbeats until the watch ends.
+
+        A watch ends when the relay disconnects, a newer watch replaces it, or an ACK or NACK is overdue.
+        """
         heartbeat_due = anyio.current_time() + HEARTBEAT_INTERVAL_S
         while not transport.closed and self._is_current(relay, transport):
             if machine.is_ack_overdue(relay, monotonic_us()):
@@ -222,7 +235,7 @@
                 heartbeat_due = anyio.current_time() + HEARTBEAT_INTERVAL_S
 
     async def _send_line(self, transport: Transport, line: bytes) -> bool:
-        """Write a line and wait until it has left; False if the relay reads no more."""
+        """Write a line and wait until it was sent; return False if the relay has stopped reading."""
         self._write(transport, line)
         with anyio.move_on_after(ACK_TIMEOUT_US / _US_PER_S) as stalled:
             await transport.wait_drained()
@@ -252,7 +265,7 @@
 
 
 def _make_spawn(tasks: anyio.abc.TaskGroup) -> Spawn:
-    """`Spawn` as `Transport` wants it, over a task group."""
+    """Return a `Spawn` for `Transport` that starts its tasks in a task group."""
 
     def spawn(job: Callable[[], object]) -> None:
         tasks.start_soon(job)  # type: ignore[arg-type]
--- a/gannetweir/net/control_status.py
+++ b/gannetweir/net/control_status.py
@@ -1,6 +1,6 @@
-"""`gannetweir control status`: polls control machines for where each version stands, and formats the answers.
+"""`gannetweir control status`: polls control machines for their status reports and formats them.
 
-Runs by itself, in a blocking way, outside of any event loop; there is no state.
+The calls are blocking and run outside any event loop; the module has no state.
 """
 
 from __future__ import annotations
@@ -17,13 +17,19 @@
 from gannetweir.proto.control_status import read_status
 from gannetweir.proto.endpoint_watch import EndpointListError
 
-CALL_TIMEOUT_S = 3.0  # of each step of a call to a machine
-MAX_STATUS_BYTES = 1 << 20  # of a machine's answer, whose report is bounded far below
-MAX_ERROR_BYTES = 200  # of what a machine answers in place of a status
+# Applies to each socket operation of a call.
+CALL_TIMEOUT_S = 3.0
+# Limits the body of a response; the size of a status report is bounded far below this.
+MAX_STATUS_BYTES = 1 << 20
+# Longer bodies of error responses are truncated.
+MAX_ERROR_BYTES = 200
 
 
 def read_machine_status(address: SocketAddress) -> tuple[str, list[StatusReport]]:
-    """A machine's name and reports. Raises `OSError` or `EndpointListError`."""
+    """Poll a control machine, and return its name and reports.
+
+    Raises `OSError` if the machine can't be reached, and `EndpointListError` if it sends no valid status.
+    """
     connection = http.client.HTTPConnection(address.host, address.port, timeout=CALL_TIMEOUT_S)
     try:
         connection.request("GET", STATUS_TARGET)
@@ -39,9 +45,9 @@
 
 
 def fleet_status(machines: Iterable[SocketAddress]) -> tuple[list[str], bool]:
-    """The lines to print, and whether all is applied.
+    """Return the lines to print, and whether all versions are applied.
 
-    That is whether each machine answered and no relay is behind or rejects a version.
+    The second value is True if each machine answered and no relay is behind or rejects a version.
     """
     lines = list[str]()
     statuses = list[tuple[str, list[StatusReport]]]()
@@ -65,7 +71,7 @@
 
 
 def _resource_lines(resource: Resource, reports: dict[str, StatusReport]) -> Iterator[str]:
-    """The lines of one resource, by its reports from machines by name."""
+    """Return the lines of one resource from its reports, which are given by machine name."""
     merged = merge_reports(reports.values())
     yield f"{resource}: version {merged.newest}, released {merged.released}"
     yield (
--- a/gannetweir/net/control_store.py
+++ b/gannetweir/net/control_store.py
@@ -1,11 +1,11 @@
-"""A control machine's copy of the store of record: follows the store, reports to it, and decides.
+"""A control machine's copy of the store of record: follows the store, reports to it, and decides rollouts.
 
-Two tasks of the `ControlServer` run here. `follow` brings the publishers up to the store's versions and
-calls `on_change`; `report` puts the machine's reports, and decides on rollouts while this machine is the
-lease holder. While the store can't be reached, the relays go on with what they have, and `last_error` says
-why.
+The `ControlServer` runs two tasks of this module. `follow` updates the publishers to the store's versions and
+calls `on_change`; `report` writes the machine's reports, and decides on rollouts while this machine is the
+lease holder. While the store can't be reached, the relays keep their applied versions, and `last_error` has
+the reason.
 
-The `StoreSync` owns the `ControlMachine`, None until the store was read for the first time.
+The `StoreSync` owns the `ControlMachine`, which is None until the store was first read.
 """
 
 from __future__ import annotations
@@ -21,22 +21,25 @@
 from gannetweir.control.store import Store
 from gannetweir.control.versions import RejectedError, Resource, Version
 
-REPORT_INTERVAL_S = 0.5  # well below the lease's duration and the time a canary stage takes
-STORE_RETRY_S = 0.5  # while the store can't be reached
-STORE_POLL_S = 5.0  # a change that the store's watch did not bring is found within this
+# The interval must be well below the duration of the lease and of a canary stage.
+REPORT_INTERVAL_S = 0.5
+# The delay before the next attempt when the store can't be reached.
+STORE_RETRY_S = 0.5
+# A change that the store's watch missed is detected within this time.
+STORE_POLL_S = 5.0
 _US_PER_S = 1e6
 
 
 def monotonic_us() -> int:
-    """The event loop's clock, in microseconds, as the deciders of `gannetweir.control` take it."""
+    """Return the time of the event loop's clock in microseconds, as `gannetweir.control` expects it."""
     return int(anyio.current_time() * _US_PER_S)
 
 
 class StoreSync:
-    """Keeps a control machine in step with the store of record."""
+    """Synchronizes a control machine with the store of record."""
 
     def __init__(self, name: str, store: Store, on_change: Callable[[], None]) -> None:
-        """`name` is the machine's; `on_change` is called whenever there may be something new for relays."""
+        """`name` is the machine's name; `on_change` is called after each synchronization with the store."""
         self.name = name
         self.store = store
         self.on_change = on_change
@@ -45,7 +48,7 @@
         self.last_error = ""
 
     async def follow(self) -> None:
-        """Follow the store until cancelled."""
+        """Synchronize the publishers with the store until cancelled."""
         while True:
             try:
                 self._sync()
@@ -80,12 +83,12 @@
         except RejectedError as error:
             self.last_error = str(error)
             changes = None
-        if changes is None:  # the store's log does not reach back to this copy, or the copy is wrong
+        if changes is None:  # the store's log does not cover this copy's version, or the copy is wrong
             snapshot = self.store.read(publisher.resource)
             publisher.load(snapshot.version, snapshot.entries)
 
     async def report(self) -> None:
-        """Report to the store, and decide as lease holder, until cancelled."""
+        """Report to the store, and decide on rollouts as lease holder, until cancelled."""
         while True:
             await anyio.sleep(REPORT_INTERVAL_S)
             if self.machine is None:
@@ -111,10 +114,11 @@
                 pass
 
     def extend_logs_back(self, machine: ControlMachine, applied: Mapping[Resource, Version]) -> None:
-        """Cover the versions that a relay has applied, where this machine started after them.
+        """Extend the publishers' logs back to the versions that a relay has applied.
 
-        The store is asked once for each such version: complete lists for all relays would take far longer.
-        Where it can't be reached, the relay gets a snapshot.
+        This is needed where the machine started at a later version. The store is queried once per such
+        version: sending a snapshot to every relay would take far longer. If the store can't be reached, the
+        relay gets a snapshot.
         """
         for resource, publisher in machine.publishers.items():
             version = applied.get(resource)
--- a/gannetweir/net/control_watch.py
+++ b/gannetweir/net/control_watch.py
@@ -1,8 +1,9 @@
-"""The relay's driver of the control plane: one watch of one control machine, and the answers to its versions.
+"""The relay's driver of the control plane: watches one control machine and sends ACKs and NACKs.
 
-The relay starts with its first choice of a machine and goes on to the next when a watch fails
-(`machine_selector`); slices go to the `Follower` of their resource, and its events to the `ControlHost`.
-Off unless configured. The relay serves on with the last good versions whether or not any machine answers.
+The relay begins with its first choice of a machine, and switches to the next one when a watch fails
+(`machine_selector`). Each slice is passed to the `Follower` of its resource, and the follower's events to the
+`ControlHost`. The driver runs only where it is configured. The relay continues to serve clients with the last
+good versions whether or not any machine answers.
 """
 
 from __future__ import annotations
@@ -33,31 +34,34 @@
 from gannetweir.proto.control_watch import ControlWatch
 from gannetweir.proto.endpoint_watch import EndpointListError, WatchFailed, read_membership
 
-# A watch of another machine ends in favour of the first choice after this time, or up to twice this.
+# A watch of any other machine ends after one to two times this period, to return to the first choice.
 RETURN_TO_FIRST_CHOICE_US = 60_000_000
-ACK_REPEAT_S = 0.7  # between an ACK of settings and its repetitions, which bring later service totals
-ACK_REPEATS = 4  # within the time for which a canary stage is observed
+# An ACK of settings is repeated at this interval, to report later service totals.
+ACK_REPEAT_S = 0.7
+# All repetitions are within the time for which a canary stage is observed.
+ACK_REPEATS = 4
 _US_PER_S = 1e6
 _CALL_TIMEOUT_S = CALL_TIMEOUT_US / _US_PER_S
 
-# A machine that rejects what this relay has applied may be restored from a copy; another one may be in step.
+# A machine whose versions the relay rejects for these reasons may have been restored from a backup; another
+# machine may be up to date.
 _STALE_MACHINE_REASONS = frozenset({Reason.OLDER, Reason.CONFLICT})
 
 
 class ControlHost(Protocol):
-    """What the driver needs of a relay."""
+    """The interface of a relay that the driver uses."""
 
     @property
     def name(self) -> str:
-        """The relay's name, by which machines know it."""
+        """The relay's name, which identifies the relay to control machines."""
 
     @property
     def settings(self) -> Settings:
-        """The present settings."""
+        """The current settings."""
 
     @property
     def limits(self) -> Limits:
-        """The present limits."""
+        """The current limits."""
 
     @property
     def spawn(self) -> Spawn:
@@ -67,17 +71,17 @@
         """Apply changes to the endpoint list, at most `ENTRIES_PER_STEP` of them."""
 
     def apply_settings(self, values: dict[str, object]) -> None:
-        """Apply the complete settings, which were checked. Raises `ValueError` if that fails after all."""
+        """Apply the complete, checked settings. Raises `ValueError` if they can't be applied nevertheless."""
 
     def service_totals(self) -> ServiceTotals | None:
-        """What was answered to clients since the start; None for a relay without clients."""
+        """Return the numbers of answers sent to clients since the start; None if there are no clients."""
 
     def version_applied(self, resource: Resource, version: Version) -> None:
-        """All of the version was applied."""
+        """Notify the relay that all entries of the version were applied."""
 
 
 class ControlDriver:
-    """Owns the one watch, the choice of its machine, and the followers of all resources."""
+    """Owns the relay's only watch, the selection of the machine, and the followers of all resources."""
 
     def __init__(
         self,
@@ -87,9 +91,9 @@
         random_fraction: Callable[[], float],
         make_transport: Callable[[socket.socket, Limits, Spawn], Transport] = Transport,
     ) -> None:
-        """`machines` by their names; `random_fraction` draws from 0 to 1.
+        """Create the driver; `random_fraction` returns a random number from 0 to 1.
 
-        Raises `ValueError` without a machine.
+        `machines` has the addresses of the control machines by name. Raises `ValueError` if it is empty.
         """
         self.host = host
         self.machines = machines
@@ -103,7 +107,7 @@
         self.last_error = ""
 
     async def run(self) -> None:
-        """Watch one machine after the other until cancelled."""
+        """Watch the selected machine, and the next one after each failure, until cancelled."""
         while True:
             ended_for_first_choice = await self._watch(self.machines[self.selector.machine])
             for follower in self.followers.values():
@@ -114,16 +118,17 @@
                 await anyio.sleep(self.selector.record_failure() / _US_PER_S)
 
     async def _watch(self, address: SocketAddress) -> bool:
-        """One watch, to its end.
+        """Run one watch until it ends.
 
-        True if it ended only in favour of the first choice; else `last_error` says why it ended.
+        Returns True if the watch was ended to return to the first choice. Otherwise the watch failed, and
+        `last_error` has the reason.
         """
         limits = self.host.limits
         transport = self.make_transport(tcp_socket(address.host), limits, self.host.spawn)
         try:
             await self._follow_machine(transport, address, limits)
         except TimeoutError:
-            self.last_error = "the watch fell silent"
+            self.last_error = "timed out waiting for a connection or a complete message"
         except (OSError, EndpointListError) as error:
             self.last_error = str(error)
         else:
@@ -133,9 +138,9 @@
         return False
 
     async def _follow_machine(self, transport: Transport, address: SocketAddress, limits: Limits) -> None:
-        """Receive versions until the first choice is due.
+        """Receive versions until it is time to return to the first choice.
 
-        Raises `TimeoutError`, `OSError` or `EndpointListError` where the watch fails.
+        Raises `TimeoutError`, `OSError` or `EndpointListError` if the watch fails.
         """
         applied = {resource: follower.applied_version for resource, follower in self.followers.items()}
         watch = ControlWatch(
@@ -149,7 +154,7 @@
         while anyio.current_time() < end:
             with anyio.fail_after(message_due - anyio.current_time()):
                 data = await transport.read()
-            # bytes alone prove nothing: a machine that trickles completes no message, and is left
+            # Only a complete message extends the deadline: a machine that sends single bytes is abandoned.
             if await self._receive(watch, data, address):
                 message_due = anyio.current_time() + limits.endpoint_watch_silence_us / _US_PER_S
 
@@ -163,7 +168,10 @@
         transport.write(data)
 
     async def _receive(self, watch: ControlWatch, data: bytes, address: SocketAddress) -> bool:
-        """Process what was read; True if it completed a message. Raises `EndpointListError`."""
+        """Process received bytes; return True if they completed a message.
+
+        Raises `EndpointListError` if the watch has failed.
+        """
         self.bytes_read += len(data)
         events = watch.events(data)
         for event in events:
@@ -180,7 +188,8 @@
             return
         self._dispatch(follower, follower.receive(part), address)
         while not follower.is_idle:
-            await anyio.lowlevel.checkpoint()  # no turn of the loop does more than one step
+            # The event loop runs other tasks between steps, so that a large version does not block it.
+            await anyio.lowlevel.checkpoint()
             self._dispatch(follower, follower.step(), address)
 
     def _dispatch(self, follower: Follower, events: list[FollowerEvent], address: SocketAddress) -> None:
@@ -213,12 +222,12 @@
         self.host.spawn(partial(self._send_answer, answer, address))
         self.nacks += 1
         if answer.reason in _STALE_MACHINE_REASONS:
-            raise EndpointListError(f"the control machine is out of step: {answer.reason}")
+            raise EndpointListError(f"the relay rejected the control machine's version: {answer.reason}")
 
     async def _repeat_ack(self, answer: Ack, address: SocketAddress) -> None:
         """Repeat the ACK while the relay may be a canary of this version.
 
-        Its later totals show how the relay serves with it.
+        The later totals show the relay's success ratio under the version.
         """
         for _ in range(ACK_REPEATS):
             if self.host.service_totals() is None:
@@ -227,10 +236,10 @@
             await self._send_answer(answer, address)
 
     async def _send_answer(self, answer: Ack | Nack, address: SocketAddress) -> None:
-        """Send an ACK or NACK on a connection of its own; a failure is ignored.
+        """Send an ACK or NACK on a separate connection; a failure is ignored.
 
-        A machine that misses an answer ends the watch (`ACK_TIMEOUT_US`), and the next one says what is
-        applied.
+        A machine that does not receive the answer ends the watch (`ACK_TIMEOUT_US`), and the request of the
+        next watch reports the applied versions.
         """
         transport = self.make_transport(tcp_socket(address.host), self.host.limits, self.host.spawn)
         try:
@@ -244,7 +253,7 @@
 
 
 def _endpoint_object(entry: Entry) -> object:
-    """An entry of the membership as discovery's list has it."""
+    """Return a membership entry as an object of discovery's endpoint list."""
     if entry.body is None:
         return {"host": entry.key, "health": "Gone"}
     return orjson.loads(entry.body)
