--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -1,4 +1,4 @@
-"""A relay's side of the control plane: every kind of malformed version leaves the last good one applied."""
+"""Tests of a relay's side of the control plane: a rejected version leaves the last good one applied."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -66,7 +66,7 @@
 
 
 OLD_CONTENT = entries_of(a="1", b="1", c="1")
-NEW_CONTENT = entries_of(a="1", b="2", d="1")  # b is changed, c removed, d added
+NEW_CONTENT = entries_of(a="1", b="2", d="1")  # "b" is changed, "c" removed, "d" added
 OLD_TO_NEW = [Entry("b", b'"2"'), Entry("c", None), Entry("d", b'"1"')]
 OLD_VERSION = version_of(5, OLD_CONTENT)
 NEW_VERSION = version_of(7, NEW_CONTENT)
@@ -77,7 +77,7 @@
 
 
 def assert_rejected(events: list[FollowerEvent], reason: Reason, follower: Follower) -> None:
-    """One NACK with the reason, and the last good version as it was."""
+    """Check that the only event is a NACK with the reason, and that the applied version is unchanged."""
     (nack,) = events
     assert isinstance(nack, Nack)
     assert nack.reason == reason
@@ -104,7 +104,9 @@
 
 
 def test_a_relay_that_starts_with_a_cached_list_applies_a_delta_on_it() -> None:
-    follower = Follower(MEMBERSHIP, RejectMarkedBodies(), OLD_CONTENT, 5)  # a cached list has no epoch
+    follower = Follower(
+        MEMBERSHIP, RejectMarkedBodies(), OLD_CONTENT, 5
+    )  # the epoch of a cached list is unknown
     target = version_of(7, NEW_CONTENT, epoch=9)
     events = process_slices(follower, slices_of(target, 5, [OLD_TO_NEW]))
     assert events[-1] == Ack(MEMBERSHIP, target)
@@ -113,7 +115,7 @@
 def test_a_duplicate_version_is_acknowledged_again_and_applied_once() -> None:
     follower = follower_on_old_content()
     parts = slices_of(NEW_VERSION, 5, [OLD_TO_NEW[:1], OLD_TO_NEW[1:]])
-    assert follower.receive(parts[0]) == follower.receive(parts[0]) == []  # a slice twice
+    assert follower.receive(parts[0]) == follower.receive(parts[0]) == []  # the same slice twice
     process_slices(follower, parts)
     assert process_slices(follower, parts) == [Ack(MEMBERSHIP, NEW_VERSION)]
 
@@ -262,7 +264,7 @@
     follower = follower_on_old_content()
     newest_content = entries_of(a="1", b="2", d="3")
     assert follower.receive(slices_of(NEW_VERSION, 5, [OLD_TO_NEW])[0]) == []
-    follower.step()  # checked, not applied
+    follower.step()  # checks the version and applies nothing
     follower.step(1)
     assert follower.unapplied is not None
     assert follower.receive(slices_of(version_of(8, newest_content), 7, [entries_of(d="3")])[0]) == []
@@ -286,10 +288,16 @@
     [
         ({}, ""),
         ({"categories": [{"name": "chat", "hard-limit-us": 900_000}]}, ""),
-        ({"limits": {"max-attempts": 0}}, "max-attempts: 0 is not over 0"),  # parses, fails the checks
+        (
+            {"limits": {"max-attempts": 0}},
+            "max-attempts: 0 is not over 0",
+        ),  # can be parsed, but fails validation
         ({"limits": {"max-attempts": "3"}}, "ill-typed"),
         ({"limits": {}}, "missing: limits.max-attempts"),
-        ({"categories": [{"name": "chat", "hard-limit-us": 200_000}]}, "before SIGKILL"),  # breaks the drain
+        (
+            {"categories": [{"name": "chat", "hard-limit-us": 200_000}]},
+            "before SIGKILL",
+        ),  # leaves no time to drain
     ],
 )
 def test_settings_are_checked_as_at_a_start_and_leave_a_drain_its_time(
@@ -365,7 +373,7 @@
     follower = follower_on_old_content()
     target = version_of(9, NEW_CONTENT)
     delta_on_another_base = slices_of(target, 3, [OLD_TO_NEW[:1], OLD_TO_NEW[1:2], OLD_TO_NEW[2:]])
-    # a second NACK would be taken for an answer to the snapshot that follows
+    # The machine would take a second NACK for an answer to the snapshot that follows.
     assert_rejected(process_slices(follower, delta_on_another_base), Reason.WRONG_BASE, follower)
     snapshot = slices_of(target, None, [NEW_CONTENT[:1], NEW_CONTENT[1:]])
     assert process_slices(follower, snapshot)[-1] == Ack(MEMBERSHIP, target)
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -1,4 +1,4 @@
-"""A control machine's side: deltas, one version at a time, its bytes, canaries, and what it reports."""
+"""Tests of a control machine's decisions: deltas, order of versions, byte budget, canaries and reports."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -33,7 +33,7 @@
 
 
 class VersionSource:
-    """Makes the versions that a publisher is given."""
+    """Creates versions and passes them to a publisher."""
 
     def __init__(self, count: int = 3, epoch: int = 1) -> None:
         self.content = Content(Entry(f"s{number}", b"0") for number in range(count))
@@ -68,7 +68,7 @@
     assert (part.base, part.target, part.entries) == (1, second, (Entry("s0", b"1"),))
     for number in range(2, 50):
         source.change(s0=b"%d" % number, s1=b"%d" % number)
-        assert next_slices(publisher) == []  # until it has answered
+        assert next_slices(publisher) == []  # the relay has not answered yet
     source.change(s1=None)
     publisher.record_answer("r", Ack(MEMBERSHIP, second))
     (part,) = next_slices(publisher)
@@ -178,7 +178,7 @@
 
 
 def serve_relay(machine: ControlMachine, name: str, relay: Follower) -> list[Ack | Nack]:
-    """Serve one relay until nothing more goes to it; what it answered."""
+    """Send slices to a relay until the machine has none left; return the relay's answers."""
     answers: list[Ack | Nack] = []
     while isinstance(part := machine.poll(name, 0), Slice):
         events = relay.receive(part)
@@ -218,7 +218,7 @@
         serve_relay(machines[0], name, relays[name])
     assert [relay.applied_version.number for relay in relays.values()] == [2, 2, 1, 1]
     answers = {}
-    for name, relay in relays.items():  # all of them call the second choice
+    for name, relay in relays.items():  # all relays reconnect to the second machine
         relay.disconnected()
         machines[1].connect(name, {MEMBERSHIP: relay.applied_version}, 0)
         answers[name] = serve_relay(machines[1], name, relay)
@@ -296,7 +296,7 @@
     assert len(canaries) == 1
     publisher.subscribe("late", NO_VERSION)
     without_base = next_slices(publisher, "late")
-    assert {part.target for part in without_base} == {first}  # it starts on what is released
+    assert {part.target for part in without_base} == {first}  # a new relay starts on the released version
     publisher.release(staged.number)
     others = set(publisher.sessions) - canaries - {"late"}
     assert {relay for relay in publisher.sessions if next_slices(publisher, relay)} == others
@@ -326,7 +326,11 @@
 
 
 def stage_verdict(*events: tuple[str, Ack | Nack | None, int]) -> tuple[Verdict, str]:
-    """Two canaries; each event is a relay, its answer (None: it leaves), and how many of 100 it failed."""
+    """Return the verdict and reason on a stage with two canaries.
+
+    An event has a relay, its answer (None: the relay disconnects), and its total of failed answers to clients.
+    The relay's total of all answers to clients is 100 at the first event, 200 at the second, and so on.
+    """
     stage = CanaryStage(STAGED_VERSION)
     coordinator = RolloutCoordinator()
     now_us = 0
@@ -397,7 +401,7 @@
 
 
 def changes_after_start(count: int) -> tuple[Version, list[Change], Publisher]:
-    """A version, the store's changes after it, and a machine that started after all of them."""
+    """Return a version, the later changes in the store, and a publisher that started after these changes."""
     source = VersionSource()
     first = source.version
     log = VersionLog(first)
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -1,4 +1,4 @@
-"""Seeded runs of a small control plane under drawn faults, with an invariant checker of its own."""
+"""Seeded runs of a small control plane under random faults, with an independent invariant checker."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RejectBadBodies:
-    """Every relay's check: the store may hold what no relay can use."""
+    """The check of every relay: the store may have entries that no relay can use."""
 
     def check_entry(self, resource: Resource, entry: Entry) -> str:
         return "bad" if entry.body is not None and entry.body.startswith(b'"bad') else ""
@@ -34,11 +34,11 @@
 
 
 class InvariantViolationError(AssertionError):
-    """A rule of the checker's."""
+    """The checker found a violated invariant."""
 
 
 class InvariantChecker:
-    """Knows which contents the store ever had, and which of them are good."""
+    """Compares applied versions with all contents that the store has had, and with the relays' check."""
 
     def __init__(self) -> None:
         self.contents: dict[tuple[int, int], dict[str, bytes]] = {}
@@ -50,12 +50,12 @@
     def check_applied(self, relay: str, version: Version, entries: dict[str, bytes]) -> None:
         last = self.last.get(relay, version)
         if (version.epoch, version.number) < (last.epoch, last.number):
-            raise InvariantViolationError(f"{relay} went back")
+            raise InvariantViolationError(f"{relay} applied an older version")
         self.last[relay] = version
         if self.contents.get((version.epoch, version.number)) != entries:
-            raise InvariantViolationError(f"{relay} holds what was never a version")
+            raise InvariantViolationError(f"{relay} applied a content that the store never had")
         if any(body.startswith(b'"bad') for body in entries.values()):
-            raise InvariantViolationError(f"{relay} is on a version that is not good")
+            raise InvariantViolationError(f"{relay} applied a version that fails its check")
 
 
 class FaultyRun:
@@ -82,13 +82,13 @@
         key = f"s{self.rng.randrange(12)}"
         body = b'"bad"' if bad else self.rng.choice([None, b'"%d"' % self.rng.randrange(99)])
         changes = {key: body}
-        if not bad:  # the next change corrects what is bad
+        if not bad:  # a good change also replaces all bad bodies
             entries = self.store.contents[MEMBERSHIP].entries
             changes |= {key: b'"ok"' for key, body in entries.items() if body.startswith(b'"bad')}
         self.checker.record_version(self.store, self.store.put(MEMBERSHIP, changes))
 
     def sync_machine(self, name: str) -> None:
-        """A machine reads what the store has."""
+        """Synchronize a machine with the store."""
         publisher = self.machines[name].publishers[MEMBERSHIP]
         try:
             changes = self.store.changes_since(MEMBERSHIP, publisher.newest)
@@ -98,7 +98,7 @@
             for change in changes or ():
                 publisher.publish(change)
         except RejectedError:
-            raise InvariantViolationError("the store's own change was rejected") from None
+            raise InvariantViolationError(f"{name} rejected a change from the store") from None
 
     def restart_machine(self, name: str, copy: ControlMachine) -> None:
         self.machines[name] = copy
@@ -156,7 +156,7 @@
             self.process_event(relay, event, faults)
 
     def malformed(self, part: Slice) -> Slice:
-        """A gap, another base, another content, one that went out long ago, or another digest."""
+        """Return a slice with a gap, another base, another content or another digest, or an earlier slice."""
         target = part.target
         kind = self.rng.randrange(5)
         entries = (*part.entries[1:], Entry("s0", b'"malformed"'))
@@ -174,7 +174,7 @@
             return
         if isinstance(event, Ack):
             self.checker.check_applied(relay, event.version, self.followers[relay].applied.entries)
-        if name is None or (faults and self.rng.random() < 0.1):  # the answer is lost
+        if name is None or (faults and self.rng.random() < 0.1):  # the answer is lost on the way
             return
         self.machines[name].record_answer(relay, event)
         if isinstance(event, Nack) and event.reason in (Reason.OLDER, Reason.CONFLICT):
@@ -189,7 +189,7 @@
             for each in MACHINES:
                 self.restart_machine(each, self.machine_from_store())
         elif kind == 2:
-            self.restart_machine(name, old)  # restored from an old copy
+            self.restart_machine(name, old)  # restored from an old backup
         elif kind == 3:
             self.disconnect(self.rng.choice(RELAYS))
         elif kind == 4:
@@ -225,7 +225,7 @@
         return ControlMachine({MEMBERSHIP: publisher})
 
     def converge(self) -> None:
-        """No more faults: every relay has to apply the newest version."""
+        """Check that every relay applies the newest version once faults have stopped."""
         self.change_store(bad=False)
         for _ in range(60):
             self.now_us += 500_000
@@ -250,7 +250,7 @@
 
 
 @pytest.mark.parametrize("seed", range(100))
-def test_relays_converge_under_drawn_faults(seed: int) -> None:
+def test_relays_converge_under_random_faults(seed: int) -> None:
     FaultyRun(seed, Follower).run()
 
 
@@ -283,9 +283,9 @@
 @pytest.mark.parametrize(
     ("kind", "rule"),
     [
-        (IgnoresDigest, "never a version"),
-        (SkipsEntryChecks, "not good"),
-        (AcceptsOlderVersions, "went back"),
+        (IgnoresDigest, "the store never had"),
+        (SkipsEntryChecks, "fails its check"),
+        (AcceptsOlderVersions, "applied an older version"),
         (StopsAfterRejection, "not converged"),
     ],
 )
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -1,4 +1,4 @@
-"""The control plane on the wire: objects both ways, hostile ones, and drivers on loopback."""
+"""Tests of the control protocol: valid and hostile messages, and relays and machines on loopback."""
 
 import random
 import signal
@@ -39,7 +39,7 @@
 from tests.test_start import SIGNAL_AT_IMPORT, start_relay
 
 MEMBERSHIP, SETTINGS = Resource.MEMBERSHIP, Resource.SETTINGS
-TEST_TIMEOUT_S = 15.0  # only a failing test waits so long
+TEST_TIMEOUT_S = 15.0  # only a failing test waits for the full time
 
 
 def host_body(name: str, **fields: object) -> bytes:
@@ -178,7 +178,7 @@
 
 
 class ControlOnlyRelay:
-    """A relay's control part over a real engine, and what it was notified of."""
+    """The control plane's part of a relay, with a real engine; records the versions that were applied."""
 
     def __init__(self, name: str, tasks: anyio.abc.TaskGroup) -> None:
         self.name = name
@@ -214,7 +214,7 @@
 
 
 class ControlPlane:
-    """A store, control machines and relays in one loop."""
+    """A store, control machines and relays on one event loop."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup, staged: frozenset[Resource]) -> None:
         self.tasks = tasks
@@ -306,7 +306,7 @@
             async def trickle() -> None:
                 await anyio.wait_readable(silent)
                 sock = silent.accept()[0]
-                with suppress(OSError):  # the relay leaves in the middle of it
+                with suppress(OSError):  # the relay disconnects before all bytes were sent
                     for byte in (watch_header(False) + b'ff\r\n{"seq":1') if trickles else b"":
                         sock.send(bytes([byte]))
                         await anyio.sleep(0.05)
@@ -347,14 +347,16 @@
             for relay in relays:
                 await relay.wait_for_version(MEMBERSHIP, 1)
             plane.store.put(MEMBERSHIP, {"a": host_body("a", born_ms=5)})
-            await relays[0].wait_for_version(MEMBERSHIP, 2)  # the others may or may not have it
+            await relays[0].wait_for_version(MEMBERSHIP, 2)  # the other relays may or may not have applied it
             await plane.stop(plane.drivers["r0"].selector.machine)
             for relay in relays:
                 await relay.wait_for_version(MEMBERSHIP, 2)
             for name in plane.machines:
                 await plane.stop(name)
             plane.store.put(MEMBERSHIP, {"a": host_body("a", born_ms=6)})
-            assert all(relay.endpoint_states["b"] == 1 for relay in relays)  # they go on with what they have
+            assert all(
+                relay.endpoint_states["b"] == 1 for relay in relays
+            )  # the applied version stays in use
             for name in plane.machines:
                 plane.start(name)
             for relay in relays:
@@ -368,7 +370,7 @@
         async with run_control_plane(1) as plane:
             relay = plane.relay("r0")
             await relay.wait_for_version(MEMBERSHIP, 1)
-            plane.store.down = True  # seen from this region
+            plane.store.down = True  # from the point of view of this region
             plane.store.put(MEMBERSHIP, {"a": host_body("a", born_ms=5)})
             with anyio.fail_after(TEST_TIMEOUT_S):
                 while not plane.servers["c0"].store_sync.last_error:
@@ -376,7 +378,7 @@
             assert relay.versions[MEMBERSHIP] == 1
             plane.store.down = False
             await relay.wait_for_version(MEMBERSHIP, 2)
-            # what was written on the wrong side of a cut is given up: the store's next epoch says so
+            # The store discards the writes of the partition's minority side and starts a new epoch.
             plane.store.restore(1)
             plane.store.put(MEMBERSHIP, {"b": None})
             await relay.wait_for_version(MEMBERSHIP, 2)
