--- a/gannetweir/control/machine_selector.py
+++ b/gannetweir/control/machine_selector.py
@@ -1,8 +1,8 @@
 """Selection of the control machine that a relay calls, and the backoff with full jitter between calls.
 
-Rendezvous hashing (highest random weight): each relay ranks all machines by a hash of its own name and
-theirs. The loss of a machine therefore moves only the relays of that machine, and spreads them evenly over
-the others. A `MachineSelector` belongs to the relay's `ControlDriver`.
+Rendezvous hashing (highest random weight): each relay ranks all machines by a hash of the relay's and the
+machine's name. The loss of a machine therefore moves only the relays of that machine, and spreads them evenly
+over the others. A `MachineSelector` belongs to the relay's `ControlDriver`.
 
 The timeouts must satisfy the requirement that a relay receives a change at most 6 s after any machine can
 serve it. In the worst case a silent watch is detected after 2.75 s, and the first of the two following calls
--- a/gannetweir/net/control_host.py
+++ b/gannetweir/net/control_host.py
@@ -1,7 +1,7 @@
 """The control plane's adapter to a relay: applies membership to the engine and settings to the relay.
 
-The adapter has no state of its own: a reload may replace settings and limits, so they are read from the relay
-on each access.
+The adapter keeps no copies: a reload may replace settings and limits, so they are read from the relay on each
+access.
 """
 
 from __future__ import annotations
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -328,8 +328,9 @@
 def stage_verdict(*events: tuple[str, Ack | Nack | None, int]) -> tuple[Verdict, str]:
     """Return the verdict and reason on a stage with two canaries.
 
-    An event has a relay, its answer (None: the relay disconnects), and its total of failed answers to clients.
-    The relay's total of all answers to clients is 100 at the first event, 200 at the second, and so on.
+    An event has a relay, its answer (None: the relay disconnects), and its total of failed answers to
+    clients. The relay's total of all answers to clients is 100 at the first event, 200 at the second, and so
+    on.
     """
     stage = CanaryStage(STAGED_VERSION)
     coordinator = RolloutCoordinator()
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -59,7 +59,7 @@
 
 
 class FaultyRun:
-    """One store, its machines and relays. Random events deliver or corrupt the messages in flight."""
+    """A run of a store, its machines and relays; random events deliver or corrupt messages in flight."""
 
     def __init__(self, seed: int, kind: type[Follower]) -> None:
         self.rng = random.Random(seed)
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -370,7 +370,7 @@
         async with run_control_plane(1) as plane:
             relay = plane.relay("r0")
             await relay.wait_for_version(MEMBERSHIP, 1)
-            plane.store.down = True  # from the point of view of this region
+            plane.store.down = True  # the region can't reach the store
             plane.store.put(MEMBERSHIP, {"a": host_body("a", born_ms=5)})
             with anyio.fail_after(TEST_TIMEOUT_S):
                 while not plane.servers["c0"].store_sync.last_error:
