--- a/gannetweir/net/control_status.py
+++ b/gannetweir/net/control_status.py
@@ -60,7 +60,10 @@
     all_applied = not lines
     for resource in Resource:
         reports = {
-            name: report for name, given in statuses for report in given if report.resource == resource
+            name: report
+            for name, machine_reports in statuses
+            for report in machine_reports
+            if report.resource == resource
         }
         if reports:
             all_applied = all_applied and not any(
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -207,7 +207,7 @@
     assert events[-1] == Ack(MEMBERSHIP, next_version)
 
 
-def test_an_older_epoch_is_rejected_and_a_later_one_may_number_anew() -> None:
+def test_an_older_epoch_is_rejected_and_a_later_one_may_restart_the_numbers() -> None:
     follower = Follower(MEMBERSHIP, RejectMarkedBodies(), OLD_CONTENT, 5, epoch=3)
     older = version_of(9, NEW_CONTENT, epoch=2)
     (nack,) = process_slices(follower, slices_of(older, None, [NEW_CONTENT]))
@@ -231,7 +231,7 @@
     assert process_slices(follower, newer_slices[1:])[-1] == Ack(MEMBERSHIP, newer)
 
 
-def test_an_incomplete_snapshot_changes_nothing_and_another_machine_begins_it_anew() -> None:
+def test_an_incomplete_snapshot_changes_nothing_and_another_machine_restarts_it() -> None:
     follower = follower_on_old_content()
     parts = slices_of(NEW_VERSION, None, [NEW_CONTENT[:2], NEW_CONTENT[2:]])
     assert process_slices(follower, parts[:1]) == []
@@ -300,7 +300,7 @@
         ),  # leaves no time to drain
     ],
 )
-def test_settings_are_checked_as_at_a_start_and_leave_a_drain_its_time(
+def test_settings_are_checked_as_at_startup_and_must_leave_time_to_drain(
     changes: dict[str, object], fault: str
 ) -> None:
     applied, new = settings_entries(), settings_entries(**changes)
@@ -330,7 +330,7 @@
 @pytest.mark.parametrize(
     "body", [{"host": "a", "health": "Asleep"}, {"host": "b", "health": "Ready"}, {"host": "a"}, []]
 )
-def test_an_entry_that_discoverys_reader_rejects_fails_the_check(body: object) -> None:
+def test_an_entry_that_discoverys_parser_rejects_fails_the_check(body: object) -> None:
     assert RelayCheck(settings).check_entry(MEMBERSHIP, Entry("a", canonical_json(body)))
     assert not RelayCheck(settings).check_entry(
         MEMBERSHIP, Entry("a", canonical_json({"host": "a", "health": "Ready"}))
@@ -354,7 +354,7 @@
     assert all(selector.return_to_first_choice() and selector.machine == "c3" for selector in moved)
 
 
-def test_backoff_has_full_jitter_and_fits_the_bound_of_six_seconds() -> None:
+def test_backoff_has_full_jitter_and_allows_reconnection_within_six_seconds() -> None:
     selector = MachineSelector("r", MACHINES, lambda: 1.0)
     backoffs_us = [selector.record_failure() for _ in range(40)]
     silence_us = Limits().endpoint_watch_silence_us
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize(
     "applied", [pytest.param(NO_VERSION, id="nothing"), pytest.param(Version(1, 1, 77), id="another content")]
 )
-def test_without_a_base_it_is_a_snapshot_in_slices_of_bounded_size(applied: Version) -> None:
+def test_a_relay_without_a_base_gets_a_snapshot_in_slices_of_bounded_size(applied: Version) -> None:
     source = VersionSource(2000)
     publisher = source.publisher
     publisher.subscribe("r", applied)
@@ -97,7 +97,7 @@
     assert {entry.key for part in parts for entry in part.entries} == set(source.content.entries)
 
 
-def test_a_cached_list_without_an_epoch_is_a_base_where_its_digest_fits() -> None:
+def test_a_cached_list_without_an_epoch_is_a_base_if_its_digest_matches() -> None:
     source = VersionSource()
     cached = Version(0, 1, source.version.digest)
     source.change(s0=b"1")
@@ -141,7 +141,7 @@
     assert [part.base for part in next_slices(publisher)] == [1]
 
 
-def test_a_delta_that_does_not_fit_is_followed_by_one_snapshot() -> None:
+def test_a_delta_with_a_wrong_digest_is_followed_by_one_snapshot() -> None:
     source = VersionSource()
     publisher = source.publisher
     first = source.version
@@ -167,7 +167,7 @@
     assert log.changes_between(2, 4) == {"a": b"4"}
 
 
-def test_an_overdue_answer_is_found_also_after_the_clock_was_set_back() -> None:
+def test_an_overdue_answer_is_detected_after_the_clock_was_set_back() -> None:
     source = VersionSource()
     publisher = source.publisher
     publisher.subscribe("r", NO_VERSION)
@@ -201,7 +201,7 @@
         return ""
 
 
-def test_relays_of_a_machine_that_dies_halfway_converge_at_another_one() -> None:
+def test_relays_converge_at_another_machine_after_theirs_fails_halfway() -> None:
     source = VersionSource()
     relays = {f"r{number}": Follower(MEMBERSHIP, AcceptEverything()) for number in range(4)}
     machines = [
@@ -248,7 +248,7 @@
 
 
 @pytest.mark.parametrize("size", [100, 1000, 12_000])
-def test_any_ten_seconds_carry_under_100_kb(size: int) -> None:
+def test_any_ten_seconds_admit_under_100_kb(size: int) -> None:
     bucket = TokenBucket(0)
     now_us = 0
     sent_us = list[int]()
@@ -259,8 +259,10 @@
             continue
         bucket.charge(size)
         sent_us.append(now_us)
-    most_bytes = max(sum(at <= other < at + 10 * SECOND_US for other in sent_us) * size for at in sent_us)
-    assert most_bytes <= 95_000
+    max_window_bytes = max(
+        sum(at <= other < at + 10 * SECOND_US for other in sent_us) * size for at in sent_us
+    )
+    assert max_window_bytes <= 95_000
     assert len(sent_us) * size > 0.95 * 60 * 7_500
 
 
@@ -272,7 +274,7 @@
     assert bucket.wait_us(10 * SECOND_US + wait) == 0
 
 
-def test_a_relay_that_connects_again_wins_no_new_burst() -> None:
+def test_a_reconnect_grants_no_new_burst() -> None:
     machine = ControlMachine({MEMBERSHIP: VersionSource(2000).publisher})
     machine.connect("r", {}, 0)
     while isinstance(part := machine.poll("r", 0), Slice):
@@ -384,21 +386,26 @@
     assert reason in found_reason
 
 
-def test_reports_name_the_stragglers_and_stay_bounded() -> None:
+def test_reports_name_stragglers_and_have_a_bounded_size() -> None:
     source = VersionSource()
     publisher = source.publisher
     for number in range(100):
         publisher.subscribe(f"r{number:02}", source.version)
-    now = source.change(s0=b"1")
+    newest_version = source.change(s0=b"1")
     for number in range(100):
         next_slices(publisher, f"r{number:02}")
         if number >= 40:
-            publisher.record_answer(f"r{number:02}", Ack(MEMBERSHIP, now))
-    mine = status_report(publisher)
-    assert (mine.lowest, mine.at_newest, mine.behind, mine.relays) == (1, 60, 40, 100)
-    both = merge_reports([mine, status_report(VersionSource().publisher)])
-    assert (both.lowest, both.newest, both.behind, len(both.stragglers)) == (1, 2, 40, 20)
-    assert both.stragglers[0] == "r00"
+            publisher.record_answer(f"r{number:02}", Ack(MEMBERSHIP, newest_version))
+    own_report = status_report(publisher)
+    assert (own_report.lowest, own_report.at_newest, own_report.behind, own_report.relays) == (1, 60, 40, 100)
+    merged_report = merge_reports([own_report, status_report(VersionSource().publisher)])
+    assert (
+        merged_report.lowest,
+        merged_report.newest,
+        merged_report.behind,
+        len(merged_report.stragglers),
+    ) == (1, 2, 40, 20)
+    assert merged_report.stragglers[0] == "r00"
 
 
 def changes_after_start(count: int) -> tuple[Version, list[Change], Publisher]:
@@ -436,7 +443,7 @@
         pytest.param(0, slice(0, 3), 2, id="more than the log's limit"),
     ],
 )
-def test_changes_that_do_not_lead_to_a_machines_start_are_left_out(
+def test_changes_that_do_not_lead_to_the_logs_oldest_version_are_ignored(
     base_index: int, changes_used: slice, max_versions: int
 ) -> None:
     first, changes, publisher = changes_after_start(3)
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -289,13 +289,13 @@
         (StopsAfterRejection, "not converged"),
     ],
 )
-def test_the_checker_finds_each_injected_fault(kind: type[Follower], rule: str) -> None:
+def test_the_checker_detects_each_injected_fault(kind: type[Follower], rule: str) -> None:
     found = set[str]()
     for seed in range(40):
         try:
             FaultyRun(seed, kind).run()
-        except InvariantViolationError as broken:
-            found.add(str(broken))
-            if rule in str(broken):
+        except InvariantViolationError as violation:
+            found.add(str(violation))
+            if rule in str(violation):
                 return
     raise AssertionError(found)
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -100,7 +100,7 @@
         {"resource": "settings", "settings": []},
     ],
 )
-def test_a_malformed_slice_ends_the_watch_and_is_not_reported(changes: dict[str, object]) -> None:
+def test_a_malformed_slice_ends_the_watch_and_is_not_returned(changes: dict[str, object]) -> None:
     (failure,) = new_watch().events(watch_header(False) + chunk(orjson.dumps(WELL_FORMED | changes) + b"\n"))
     assert isinstance(failure, WatchFailed)
     assert failure.reason
@@ -287,9 +287,9 @@
             machine = plane.servers["c0"].machine
             assert machine is not None
             with anyio.fail_after(TEST_TIMEOUT_S):
-                while not (refusals := machine.status_reports()[1].rejections):
+                while not (nack_texts := machine.status_reports()[1].rejections):
                     await anyio.lowlevel.checkpoint()
-            assert "before SIGKILL" in refusals[0]
+            assert "before SIGKILL" in nack_texts[0]
             assert relay.versions[SETTINGS] == 1
             assert relay.settings.classes[0].deadline_us > 1000
 
@@ -297,7 +297,7 @@
 
 
 @pytest.mark.parametrize("trickles", [False, True])
-def test_a_machine_without_a_complete_message_is_left_for_the_second_choice(trickles: bool) -> None:
+def test_a_machine_without_a_complete_message_is_abandoned_for_the_second_choice(trickles: bool) -> None:
     async def run() -> None:
         async with run_control_plane(2) as plane:
             silent = socket.create_server(("127.0.0.1", 0))
@@ -340,7 +340,7 @@
     anyio.run(run)
 
 
-def test_relays_converge_after_one_machine_dies_and_all_restart() -> None:
+def test_relays_converge_after_one_machine_stops_and_all_restart() -> None:
     async def run() -> None:
         async with run_control_plane(3) as plane:
             relays = [plane.relay(f"r{number}") for number in range(6)]
@@ -427,7 +427,7 @@
     anyio.run(run)
 
 
-def test_an_ordinary_relay_does_not_load_the_control_plane(tmp_path: Path) -> None:
+def test_a_relay_without_control_machines_does_not_load_the_control_plane(tmp_path: Path) -> None:
     shown = 'print("loaded:", *(m for m in sys.modules if m.startswith("gannetweir")), file=sys.stderr)'
     last = 'runpy.run_module("gannetweir", run_name="__main__")'
     code = SIGNAL_AT_IMPORT.replace(last, f"try:\n    {last}\nfinally:\n    {shown}")
