--- a/gannetweir/control/follower.py
+++ b/gannetweir/control/follower.py
@@ -81,7 +81,7 @@
         self.assembly: VersionAssembly | None = None
         self.unapplied: deque[tuple[str, bytes | None]] | None = None
         self.permanent_rejection: tuple[Version, RejectedError] | None = None
-        # Slices of this version that are still on the way are ignored: it was already answered by a NACK.
+        # The last NACK answered this version; further slices of it may still arrive and are ignored.
         self.last_rejected: Version | None = None
 
     @property
--- a/gannetweir/control/publisher.py
+++ b/gannetweir/control/publisher.py
@@ -22,7 +22,8 @@
 from gannetweir.control.versions import Ack, Entry, Nack, Resource, Slice, Version
 from gannetweir.errors import GannetweirError
 
-CANARIES_PER_MACHINE = 1  # relays per control machine
+# A staged version is first sent to this many relays of each control machine.
+CANARIES_PER_MACHINE = 1
 
 
 class MachineBehindError(GannetweirError):
--- a/gannetweir/control/session.py
+++ b/gannetweir/control/session.py
@@ -14,7 +14,7 @@
 # then starts a new watch.
 ACK_TIMEOUT_US = 6_000_000
 
-# A snapshot can resolve these rejections: the relay's content is not the base of the delta.
+# A snapshot can resolve these rejections: the delta and the content of the relay did not yield the version.
 _SNAPSHOT_REASONS = frozenset({Reason.WRONG_BASE, Reason.GAP, Reason.DIGEST})
 
 
@@ -35,7 +35,7 @@
     last_sent_us: int = 0
     # The relay's last answer, if that was a NACK.
     rejection: Nack | None = None
-    # True after the relay rejected a delta because its content is not the base of that delta.
+    # True after a rejection that a snapshot can resolve.
     needs_snapshot: bool = False
 
     def has_rejected(self, version: Version) -> bool:
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -104,9 +104,8 @@
 
 
 def test_a_relay_that_starts_with_a_cached_list_applies_a_delta_on_it() -> None:
-    follower = Follower(
-        MEMBERSHIP, RejectMarkedBodies(), OLD_CONTENT, 5
-    )  # the epoch of a cached list is unknown
+    # The epoch of a cached list is unknown.
+    follower = Follower(MEMBERSHIP, RejectMarkedBodies(), OLD_CONTENT, 5)
     target = version_of(7, NEW_CONTENT, epoch=9)
     events = process_slices(follower, slices_of(target, 5, [OLD_TO_NEW]))
     assert events[-1] == Ack(MEMBERSHIP, target)
@@ -134,7 +133,7 @@
         pytest.param(
             slices_of(version_of(4, NEW_CONTENT), None, [NEW_CONTENT]),
             Reason.OLDER,
-            id="older, of a machine restored from a copy",
+            id="older, from a machine restored from a backup",
         ),
         pytest.param(
             slices_of(version_of(9, NEW_CONTENT), 3, [OLD_TO_NEW]), Reason.WRONG_BASE, id="another base"
@@ -174,7 +173,9 @@
             slices_of(NEW_VERSION, 5, [[*OLD_TO_NEW, *OLD_TO_NEW]]), Reason.MALFORMED, id="a key twice"
         ),
         pytest.param(
-            slices_of(NEW_VERSION, None, [OLD_TO_NEW]), Reason.MALFORMED, id="a snapshot that removes"
+            slices_of(NEW_VERSION, None, [OLD_TO_NEW]),
+            Reason.MALFORMED,
+            id="a snapshot that removes an entry",
         ),
         pytest.param(
             slices_of(Version(1, MAX_NUMBER + 1, 0), None, [NEW_CONTENT]),
@@ -288,16 +289,12 @@
     [
         ({}, ""),
         ({"categories": [{"name": "chat", "hard-limit-us": 900_000}]}, ""),
-        (
-            {"limits": {"max-attempts": 0}},
-            "max-attempts: 0 is not over 0",
-        ),  # can be parsed, but fails validation
+        # The value can be parsed, but fails validation.
+        ({"limits": {"max-attempts": 0}}, "max-attempts: 0 is not over 0"),
         ({"limits": {"max-attempts": "3"}}, "ill-typed"),
         ({"limits": {}}, "missing: limits.max-attempts"),
-        (
-            {"categories": [{"name": "chat", "hard-limit-us": 200_000}]},
-            "before SIGKILL",
-        ),  # leaves no time to drain
+        # The limit leaves too little time to drain.
+        ({"categories": [{"name": "chat", "hard-limit-us": 200_000}]}, "before SIGKILL"),
     ],
 )
 def test_settings_are_checked_as_at_startup_and_must_leave_time_to_drain(
@@ -317,7 +314,7 @@
 @pytest.mark.parametrize(
     ("zones", "fault"),
     [
-        pytest.param(["a", "b"], "", id="the same"),
+        pytest.param(["a", "b"], "", id="same order"),
         pytest.param(["b", "a"], "zones change only at a restart", id="another order"),
     ],
 )
@@ -358,9 +355,8 @@
     selector = MachineSelector("r", MACHINES, lambda: 1.0)
     backoffs_us = [selector.record_failure() for _ in range(40)]
     silence_us = Limits().endpoint_watch_silence_us
-    assert (
-        silence_us + backoffs_us[0] + CALL_TIMEOUT_US + backoffs_us[1] + CALL_TIMEOUT_US <= 6_000_000
-    )  # two dead machines in a row
+    # The watched machine fails, and the next one does not answer.
+    assert silence_us + backoffs_us[0] + CALL_TIMEOUT_US + backoffs_us[1] + CALL_TIMEOUT_US <= 6_000_000
     assert CALL_TIMEOUT_US + max(backoffs_us) + CALL_TIMEOUT_US <= 6_000_000
     assert max(backoffs_us) == MAX_BACKOFF_US
     assert backoffs_us[0] == FIRST_BACKOFF_US
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -359,22 +359,31 @@
         pytest.param([("a", ACK, 0)], Verdict.HALT, "not in force at b", id="one is pending"),
         pytest.param([("a", ACK, 0), ("b", NACK, 0)], Verdict.HALT, "b: check: bad", id="one rejects it"),
         pytest.param(
-            [("a", ACK, 5), ("b", ACK, 0), ("a", ACK, 10)], Verdict.RELEASE, "", id="one serves as before"
+            [("a", ACK, 5), ("b", ACK, 0), ("a", ACK, 10)],
+            Verdict.RELEASE,
+            "",
+            id="one has the same success ratio",
         ),
         pytest.param(
             [("a", ACK, 5), ("b", ACK, 0), ("a", ACK, 60)],
             Verdict.HALT,
             "a: its service fell",
-            id="one serves worse",
+            id="one has a lower success ratio",
         ),
         pytest.param(
-            [("a", ACK, 0), ("b", ACK, 0), ("b", None, 0)], Verdict.HALT, "b: lost", id="one is lost with it"
+            [("a", ACK, 0), ("b", ACK, 0), ("b", None, 0)],
+            Verdict.HALT,
+            "b: lost",
+            id="one disconnects after applying it",
         ),
         pytest.param(
-            [("b", None, 0), ("a", ACK, 0)], Verdict.RELEASE, "", id="one leaves before it applies it"
+            [("b", None, 0), ("a", ACK, 0)], Verdict.RELEASE, "", id="one disconnects before applying it"
         ),
         pytest.param(
-            [("a", None, 0), ("b", None, 0)], Verdict.HALT, "any relay", id="all leave before they apply it"
+            [("a", None, 0), ("b", None, 0)],
+            Verdict.HALT,
+            "any relay",
+            id="all disconnect before applying it",
         ),
     ],
 )
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -354,9 +354,8 @@
             for name in plane.machines:
                 await plane.stop(name)
             plane.store.put(MEMBERSHIP, {"a": host_body("a", born_ms=6)})
-            assert all(
-                relay.endpoint_states["b"] == 1 for relay in relays
-            )  # the applied version stays in use
+            # The applied version stays in use while all machines are down.
+            assert all(relay.endpoint_states["b"] == 1 for relay in relays)
             for name in plane.machines:
                 plane.start(name)
             for relay in relays:
