--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -71,8 +71,8 @@
 def _find_missing_keys(applied: Mapping[str, bytes], data: dict[str, object]) -> str:
     """Return a fault if applied keys are missing: they would silently fall back to their defaults."""
     present = {key: orjson.loads(body) for key, body in applied.items()}
-    lost = sorted(key[1:] for key in key_paths(present) - key_paths(data))
-    return f"missing: {', '.join(lost[:MAX_NAMED_KEYS])}" if lost else ""
+    missing = sorted(key[1:] for key in key_paths(present) - key_paths(data))
+    return f"missing: {', '.join(missing[:MAX_NAMED_KEYS])}" if missing else ""
 
 
 def _find_restart_requirement(present: Settings, settings: Settings) -> str:
--- a/tests/test_control_random.py
+++ b/tests/test_control_random.py
@@ -100,8 +100,8 @@
         except RejectedError:
             raise InvariantViolationError(f"{name} rejected a change from the store") from None
 
-    def restart_machine(self, name: str, copy: ControlMachine) -> None:
-        self.machines[name] = copy
+    def restart_machine(self, name: str, new_machine: ControlMachine) -> None:
+        self.machines[name] = new_machine
         for relay, at in self.connected_machine.items():
             if at == name:
                 self.disconnect(relay)
@@ -147,7 +147,7 @@
             return
         part = in_flight.pop(0 if not faults or self.rng.random() < 0.9 else -1)
         if faults and self.rng.random() < 0.1:
-            part = self.malformed(part)
+            part = self.corrupt(part)
         follower = self.followers[relay]
         events = follower.receive(part)
         while not follower.is_idle:
@@ -155,7 +155,7 @@
         for event in events:
             self.process_event(relay, event, faults)
 
-    def malformed(self, part: Slice) -> Slice:
+    def corrupt(self, part: Slice) -> Slice:
         """Return a slice with a gap, another base, another content or another digest, or an earlier slice."""
         target = part.target
         kind = self.rng.randrange(5)
@@ -180,7 +180,7 @@
         if isinstance(event, Nack) and event.reason in (Reason.OLDER, Reason.CONFLICT):
             self.disconnect(relay)
 
-    def inject_fault(self, old: ControlMachine) -> None:
+    def inject_fault(self, old_machine: ControlMachine) -> None:
         kind = self.rng.randrange(7)
         name = self.rng.choice(MACHINES)
         if kind == 0:
@@ -189,7 +189,7 @@
             for each in MACHINES:
                 self.restart_machine(each, self.machine_from_store())
         elif kind == 2:
-            self.restart_machine(name, old)  # restored from an old backup
+            self.restart_machine(name, old_machine)  # restored from an old backup
         elif kind == 3:
             self.disconnect(self.rng.choice(RELAYS))
         elif kind == 4:
@@ -212,19 +212,19 @@
             elif event < 0.3:
                 self.sync_machine(self.rng.choice(MACHINES))
             elif event < 0.35:
-                self.inject_fault(self.machine_from_oldest_copy())
+                self.inject_fault(self.machine_from_oldest_version())
             elif event < 0.7:
                 self.send_next(relay)
             else:
                 self.deliver(relay, faults=True)
-        self.converge()
+        self.check_convergence()
 
-    def machine_from_oldest_copy(self) -> ControlMachine:
+    def machine_from_oldest_version(self) -> ControlMachine:
         oldest = self.store.logs[MEMBERSHIP].changes[0]
         publisher = Publisher(MEMBERSHIP, oldest.version, _entries_of(oldest.entries))
         return ControlMachine({MEMBERSHIP: publisher})
 
-    def converge(self) -> None:
+    def check_convergence(self) -> None:
         """Check that every relay applies the newest version once faults have stopped."""
         self.change_store(bad=False)
         for _ in range(60):
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -199,8 +199,8 @@
     def engine_host(self) -> EngineHost:
         return EngineHost(self, self.name, self.apply_checked_settings, self.version_applied)
 
-    def apply_checked_settings(self, given: Settings) -> None:
-        self.settings = given
+    def apply_checked_settings(self, new_settings: Settings) -> None:
+        self.settings = new_settings
 
     def version_applied(self, resource: Resource, version: Version) -> None:
         self.versions[resource] = version.number
