--- a/gannetweir/proto/control_status.py
+++ b/gannetweir/proto/control_status.py
@@ -1,7 +1,7 @@
-"""What `gannetweir control status` reads from a control machine: where its versions stand, as JSON.
+"""The JSON encoding of a control machine's status reports, which `gannetweir control status` reads.
 
-The keys, and their order, are the protocol's, not the names of the dataclasses' fields. There is no state
-here.
+The protocol defines the keys and their order; the keys differ from the names of the dataclasses' fields. The
+functions have no state.
 """
 
 from __future__ import annotations
@@ -13,7 +13,13 @@
 from gannetweir.control.stage import StageReport
 from gannetweir.control.status_report import StatusReport
 from gannetweir.control.versions import Resource
-from gannetweir.proto.control_json import json_list, json_object, number_field, text_field, texts_field
+from gannetweir.proto.control_json import (
+    integer_field,
+    json_list,
+    json_object,
+    string_field,
+    string_list_field,
+)
 from gannetweir.proto.control_messages import MAX_DETAIL_CHARS, read_version, version_text
 from gannetweir.proto.endpoint_watch import EndpointListError
 
@@ -36,7 +42,10 @@
 
 
 def read_status(body: bytes) -> tuple[str, list[StatusReport]]:
-    """What `status_body` wrote: the machine's name and its reports. Raises `EndpointListError`."""
+    """Read the machine's name and reports from a body that `status_body` returned.
+
+    Raises `EndpointListError` if the body is malformed.
+    """
     try:
         data = json_object(orjson.loads(body), "status")
         reports = json_list(data["resources"], "resources")
@@ -48,7 +57,7 @@
 
 
 def status_body(machine: str, reports: Iterable[StatusReport]) -> bytes:
-    """Where the versions stand, for `gannetweir control status`."""
+    """Return the body of the response to a status call."""
     return orjson.dumps({"machine": machine, "resources": [_report_object(report) for report in reports]})
 
 
@@ -70,7 +79,8 @@
 
 def _stage_object(stage: StageReport) -> dict[str, object]:
     return {
-        "version": version_text(stage.version),  # as text: a digest is larger than JSON's numbers
+        # The version is encoded as text because a digest exceeds the range of JSON numbers.
+        "version": version_text(stage.version),
         "in_force": stage.applied,
         "waiting": stage.pending,
         "against": stage.objections,
@@ -80,18 +90,18 @@
 def _read_report(value: object) -> StatusReport:
     data = json_object(value, "resources")
     if data.keys() != _REPORT_KEYS:
-        raise EndpointListError("resources: a report with other keys")
+        raise EndpointListError(f"resources: missing or unknown keys: {sorted(data.keys() ^ _REPORT_KEYS)}")
     return StatusReport(
-        resource=Resource(text_field(data, "resource")),
-        newest=number_field(data, "newest"),
-        released=number_field(data, "released"),
-        lowest=number_field(data, "lowest"),
-        relays=number_field(data, "relays"),
-        at_newest=number_field(data, "at_newest"),
-        behind=number_field(data, "behind"),
-        rejecting=number_field(data, "refusing"),
-        stragglers=texts_field(data, "stragglers"),
-        rejections=texts_field(data, "refusals"),
+        resource=Resource(string_field(data, "resource")),
+        newest=integer_field(data, "newest"),
+        released=integer_field(data, "released"),
+        lowest=integer_field(data, "lowest"),
+        relays=integer_field(data, "relays"),
+        at_newest=integer_field(data, "at_newest"),
+        behind=integer_field(data, "behind"),
+        rejecting=integer_field(data, "refusing"),
+        stragglers=string_list_field(data, "stragglers"),
+        rejections=string_list_field(data, "refusals"),
         stage=None if data["stage"] is None else _read_stage(data["stage"]),
     )
 
@@ -99,10 +109,10 @@
 def _read_stage(value: object) -> StageReport:
     data = json_object(value, "stage")
     if data.keys() != _STAGE_KEYS:
-        raise EndpointListError("stage: an object with other keys")
+        raise EndpointListError(f"stage: missing or unknown keys: {sorted(data.keys() ^ _STAGE_KEYS)}")
     return StageReport(
-        version=read_version(text_field(data, "version")),
-        applied=texts_field(data, "in_force"),
-        pending=texts_field(data, "waiting"),
-        objections=texts_field(data, "against"),
+        version=read_version(string_field(data, "version")),
+        applied=string_list_field(data, "in_force"),
+        pending=string_list_field(data, "waiting"),
+        objections=string_list_field(data, "against"),
     )
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -1,4 +1,4 @@
-"""A relay's side of the control plane: every kind of malformed version leaves the last good one applied."""
+"""Tests of a relay's side of the control plane: a rejected version leaves the last good one applied."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -66,7 +66,7 @@
 
 
 OLD_CONTENT = entries_of(a="1", b="1", c="1")
-NEW_CONTENT = entries_of(a="1", b="2", d="1")  # b is changed, c removed, d added
+NEW_CONTENT = entries_of(a="1", b="2", d="1")  # "b" is changed, "c" removed, "d" added
 OLD_TO_NEW = [Entry("b", b'"2"'), Entry("c", None), Entry("d", b'"1"')]
 OLD_VERSION = version_of(5, OLD_CONTENT)
 NEW_VERSION = version_of(7, NEW_CONTENT)
@@ -77,7 +77,7 @@
 
 
 def assert_rejected(events: list[FollowerEvent], reason: Reason, follower: Follower) -> None:
-    """One NACK with the reason, and the last good version as it was."""
+    """Check that the only event is a NACK with the reason, and that the applied version is unchanged."""
     (nack,) = events
     assert isinstance(nack, Nack)
     assert nack.reason == reason
@@ -104,7 +104,8 @@
 
 
 def test_a_relay_that_starts_with_a_cached_list_applies_a_delta_on_it() -> None:
-    follower = Follower(MEMBERSHIP, RejectMarkedBodies(), OLD_CONTENT, 5)  # a cached list has no epoch
+    # The epoch of a cached list is unknown.
+    follower = Follower(MEMBERSHIP, RejectMarkedBodies(), OLD_CONTENT, 5)
     target = version_of(7, NEW_CONTENT, epoch=9)
     events = process_slices(follower, slices_of(target, 5, [OLD_TO_NEW]))
     assert events[-1] == Ack(MEMBERSHIP, target)
@@ -113,7 +114,7 @@
 def test_a_duplicate_version_is_acknowledged_again_and_applied_once() -> None:
     follower = follower_on_old_content()
     parts = slices_of(NEW_VERSION, 5, [OLD_TO_NEW[:1], OLD_TO_NEW[1:]])
-    assert follower.receive(parts[0]) == follower.receive(parts[0]) == []  # a slice twice
+    assert follower.receive(parts[0]) == follower.receive(parts[0]) == []  # the same slice twice
     process_slices(follower, parts)
     assert process_slices(follower, parts) == [Ack(MEMBERSHIP, NEW_VERSION)]
 
@@ -132,7 +133,7 @@
         pytest.param(
             slices_of(version_of(4, NEW_CONTENT), None, [NEW_CONTENT]),
             Reason.OLDER,
-            id="older, of a machine restored from a copy",
+            id="older, from a machine restored from a backup",
         ),
         pytest.param(
             slices_of(version_of(9, NEW_CONTENT), 3, [OLD_TO_NEW]), Reason.WRONG_BASE, id="another base"
@@ -172,7 +173,9 @@
             slices_of(NEW_VERSION, 5, [[*OLD_TO_NEW, *OLD_TO_NEW]]), Reason.MALFORMED, id="a key twice"
         ),
         pytest.param(
-            slices_of(NEW_VERSION, None, [OLD_TO_NEW]), Reason.MALFORMED, id="a snapshot that removes"
+            slices_of(NEW_VERSION, None, [OLD_TO_NEW]),
+            Reason.MALFORMED,
+            id="a snapshot that removes an entry",
         ),
         pytest.param(
             slices_of(Version(1, MAX_NUMBER + 1, 0), None, [NEW_CONTENT]),
@@ -205,7 +208,7 @@
     assert events[-1] == Ack(MEMBERSHIP, next_version)
 
 
-def test_an_older_epoch_is_rejected_and_a_later_one_may_number_anew() -> None:
+def test_an_older_epoch_is_rejected_and_a_later_one_may_restart_the_numbers() -> None:
     follower = Follower(MEMBERSHIP, RejectMarkedBodies(), OLD_CONTENT, 5, epoch=3)
     older = version_of(9, NEW_CONTENT, epoch=2)
     (nack,) = process_slices(follower, slices_of(older, None, [NEW_CONTENT]))
@@ -229,7 +232,7 @@
     assert process_slices(follower, newer_slices[1:])[-1] == Ack(MEMBERSHIP, newer)
 
 
-def test_an_incomplete_snapshot_changes_nothing_and_another_machine_begins_it_anew() -> None:
+def test_an_incomplete_snapshot_changes_nothing_and_another_machine_restarts_it() -> None:
     follower = follower_on_old_content()
     parts = slices_of(NEW_VERSION, None, [NEW_CONTENT[:2], NEW_CONTENT[2:]])
     assert process_slices(follower, parts[:1]) == []
@@ -262,7 +265,7 @@
     follower = follower_on_old_content()
     newest_content = entries_of(a="1", b="2", d="3")
     assert follower.receive(slices_of(NEW_VERSION, 5, [OLD_TO_NEW])[0]) == []
-    follower.step()  # checked, not applied
+    follower.step()  # checks the version and applies nothing
     follower.step(1)
     assert follower.unapplied is not None
     assert follower.receive(slices_of(version_of(8, newest_content), 7, [entries_of(d="3")])[0]) == []
@@ -286,13 +289,15 @@
     [
         ({}, ""),
         ({"categories": [{"name": "chat", "hard-limit-us": 900_000}]}, ""),
-        ({"limits": {"max-attempts": 0}}, "max-attempts: 0 is not over 0"),  # parses, fails the checks
+        # The value can be parsed, but fails validation.
+        ({"limits": {"max-attempts": 0}}, "max-attempts: 0 is not over 0"),
         ({"limits": {"max-attempts": "3"}}, "ill-typed"),
         ({"limits": {}}, "missing: limits.max-attempts"),
-        ({"categories": [{"name": "chat", "hard-limit-us": 200_000}]}, "before SIGKILL"),  # breaks the drain
+        # The limit leaves too little time to drain.
+        ({"categories": [{"name": "chat", "hard-limit-us": 200_000}]}, "before SIGKILL"),
     ],
 )
-def test_settings_are_checked_as_at_a_start_and_leave_a_drain_its_time(
+def test_settings_are_checked_as_at_startup_and_must_leave_time_to_drain(
     changes: dict[str, object], fault: str
 ) -> None:
     applied, new = settings_entries(), settings_entries(**changes)
@@ -309,7 +314,7 @@
 @pytest.mark.parametrize(
     ("zones", "fault"),
     [
-        pytest.param(["a", "b"], "", id="the same"),
+        pytest.param(["a", "b"], "", id="same order"),
         pytest.param(["b", "a"], "zones change only at a restart", id="another order"),
     ],
 )
@@ -322,7 +327,7 @@
 @pytest.mark.parametrize(
     "body", [{"host": "a", "health": "Asleep"}, {"host": "b", "health": "Ready"}, {"host": "a"}, []]
 )
-def test_an_entry_that_discoverys_reader_rejects_fails_the_check(body: object) -> None:
+def test_an_entry_that_discoverys_parser_rejects_fails_the_check(body: object) -> None:
     assert RelayCheck(settings).check_entry(MEMBERSHIP, Entry("a", canonical_json(body)))
     assert not RelayCheck(settings).check_entry(
         MEMBERSHIP, Entry("a", canonical_json({"host": "a", "health": "Ready"}))
@@ -346,13 +351,12 @@
     assert all(selector.return_to_first_choice() and selector.machine == "c3" for selector in moved)
 
 
-def test_backoff_has_full_jitter_and_fits_the_bound_of_six_seconds() -> None:
+def test_backoff_has_full_jitter_and_allows_reconnection_within_six_seconds() -> None:
     selector = MachineSelector("r", MACHINES, lambda: 1.0)
     backoffs_us = [selector.record_failure() for _ in range(40)]
     silence_us = Limits().endpoint_watch_silence_us
-    assert (
-        silence_us + backoffs_us[0] + CALL_TIMEOUT_US + backoffs_us[1] + CALL_TIMEOUT_US <= 6_000_000
-    )  # two dead machines in a row
+    # The watched machine fails, and the next one does not answer.
+    assert silence_us + backoffs_us[0] + CALL_TIMEOUT_US + backoffs_us[1] + CALL_TIMEOUT_US <= 6_000_000
     assert CALL_TIMEOUT_US + max(backoffs_us) + CALL_TIMEOUT_US <= 6_000_000
     assert max(backoffs_us) == MAX_BACKOFF_US
     assert backoffs_us[0] == FIRST_BACKOFF_US
@@ -365,7 +369,7 @@
     follower = follower_on_old_content()
     target = version_of(9, NEW_CONTENT)
     delta_on_another_base = slices_of(target, 3, [OLD_TO_NEW[:1], OLD_TO_NEW[1:2], OLD_TO_NEW[2:]])
-    # a second NACK would be taken for an answer to the snapshot that follows
+    # The machine would take a second NACK for an answer to the snapshot that follows.
     assert_rejected(process_slices(follower, delta_on_another_base), Reason.WRONG_BASE, follower)
     snapshot = slices_of(target, None, [NEW_CONTENT[:1], NEW_CONTENT[1:]])
     assert process_slices(follower, snapshot)[-1] == Ack(MEMBERSHIP, target)
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -1,4 +1,4 @@
-"""A control machine's side: deltas, one version at a time, its bytes, canaries, and what it reports."""
+"""Tests of a control machine's decisions: deltas, order of versions, byte budget, canaries and reports."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -33,7 +33,7 @@
 
 
 class VersionSource:
-    """Makes the versions that a publisher is given."""
+    """Creates versions and passes them to a publisher."""
 
     def __init__(self, count: int = 3, epoch: int = 1) -> None:
         self.content = Content(Entry(f"s{number}", b"0") for number in range(count))
@@ -68,7 +68,7 @@
     assert (part.base, part.target, part.entries) == (1, second, (Entry("s0", b"1"),))
     for number in range(2, 50):
         source.change(s0=b"%d" % number, s1=b"%d" % number)
-        assert next_slices(publisher) == []  # until it has answered
+        assert next_slices(publisher) == []  # the relay has not answered yet
     source.change(s1=None)
     publisher.record_answer("r", Ack(MEMBERSHIP, second))
     (part,) = next_slices(publisher)
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize(
     "applied", [pytest.param(NO_VERSION, id="nothing"), pytest.param(Version(1, 1, 77), id="another content")]
 )
-def test_without_a_base_it_is_a_snapshot_in_slices_of_bounded_size(applied: Version) -> None:
+def test_a_relay_without_a_base_gets_a_snapshot_in_slices_of_bounded_size(applied: Version) -> None:
     source = VersionSource(2000)
     publisher = source.publisher
     publisher.subscribe("r", applied)
@@ -97,7 +97,7 @@
     assert {entry.key for part in parts for entry in part.entries} == set(source.content.entries)
 
 
-def test_a_cached_list_without_an_epoch_is_a_base_where_its_digest_fits() -> None:
+def test_a_cached_list_without_an_epoch_is_a_base_if_its_digest_matches() -> None:
     source = VersionSource()
     cached = Version(0, 1, source.version.digest)
     source.change(s0=b"1")
@@ -141,7 +141,7 @@
     assert [part.base for part in next_slices(publisher)] == [1]
 
 
-def test_a_delta_that_does_not_fit_is_followed_by_one_snapshot() -> None:
+def test_a_delta_with_a_wrong_digest_is_followed_by_one_snapshot() -> None:
     source = VersionSource()
     publisher = source.publisher
     first = source.version
@@ -167,7 +167,7 @@
     assert log.changes_between(2, 4) == {"a": b"4"}
 
 
-def test_an_overdue_answer_is_found_also_after_the_clock_was_set_back() -> None:
+def test_an_overdue_answer_is_detected_after_the_clock_was_set_back() -> None:
     source = VersionSource()
     publisher = source.publisher
     publisher.subscribe("r", NO_VERSION)
@@ -178,7 +178,7 @@
 
 
 def serve_relay(machine: ControlMachine, name: str, relay: Follower) -> list[Ack | Nack]:
-    """Serve one relay until nothing more goes to it; what it answered."""
+    """Send slices to a relay until the machine has none left; return the relay's answers."""
     answers: list[Ack | Nack] = []
     while isinstance(part := machine.poll(name, 0), Slice):
         events = relay.receive(part)
@@ -201,7 +201,7 @@
         return ""
 
 
-def test_relays_of_a_machine_that_dies_halfway_converge_at_another_one() -> None:
+def test_relays_converge_at_another_machine_after_theirs_fails_halfway() -> None:
     source = VersionSource()
     relays = {f"r{number}": Follower(MEMBERSHIP, AcceptEverything()) for number in range(4)}
     machines = [
@@ -218,7 +218,7 @@
         serve_relay(machines[0], name, relays[name])
     assert [relay.applied_version.number for relay in relays.values()] == [2, 2, 1, 1]
     answers = {}
-    for name, relay in relays.items():  # all of them call the second choice
+    for name, relay in relays.items():  # all relays reconnect to the second machine
         relay.disconnected()
         machines[1].connect(name, {MEMBERSHIP: relay.applied_version}, 0)
         answers[name] = serve_relay(machines[1], name, relay)
@@ -248,7 +248,7 @@
 
 
 @pytest.mark.parametrize("size", [100, 1000, 12_000])
-def test_any_ten_seconds_carry_under_100_kb(size: int) -> None:
+def test_any_ten_seconds_admit_under_100_kb(size: int) -> None:
     bucket = TokenBucket(0)
     now_us = 0
     sent_us = list[int]()
@@ -259,8 +259,10 @@
             continue
         bucket.charge(size)
         sent_us.append(now_us)
-    most_bytes = max(sum(at <= other < at + 10 * SECOND_US for other in sent_us) * size for at in sent_us)
-    assert most_bytes <= 95_000
+    max_window_bytes = max(
+        sum(at <= other < at + 10 * SECOND_US for other in sent_us) * size for at in sent_us
+    )
+    assert max_window_bytes <= 95_000
     assert len(sent_us) * size > 0.95 * 60 * 7_500
 
 
@@ -272,7 +274,7 @@
     assert bucket.wait_us(10 * SECOND_US + wait) == 0
 
 
-def test_a_relay_that_connects_again_wins_no_new_burst() -> None:
+def test_a_reconnect_grants_no_new_burst() -> None:
     machine = ControlMachine({MEMBERSHIP: VersionSource(2000).publisher})
     machine.connect("r", {}, 0)
     while isinstance(part := machine.poll("r", 0), Slice):
@@ -296,7 +298,7 @@
     assert len(canaries) == 1
     publisher.subscribe("late", NO_VERSION)
     without_base = next_slices(publisher, "late")
-    assert {part.target for part in without_base} == {first}  # it starts on what is released
+    assert {part.target for part in without_base} == {first}  # a new relay starts on the released version
     publisher.release(staged.number)
     others = set(publisher.sessions) - canaries - {"late"}
     assert {relay for relay in publisher.sessions if next_slices(publisher, relay)} == others
@@ -326,7 +328,12 @@
 
 
 def stage_verdict(*events: tuple[str, Ack | Nack | None, int]) -> tuple[Verdict, str]:
-    """Two canaries; each event is a relay, its answer (None: it leaves), and how many of 100 it failed."""
+    """Return the verdict and reason on a stage with two canaries.
+
+    An event has a relay, its answer (None: the relay disconnects), and its total of failed answers to
+    clients. The relay's total of all answers to clients is 100 at the first event, 200 at the second, and so
+    on.
+    """
     stage = CanaryStage(STAGED_VERSION)
     coordinator = RolloutCoordinator()
     now_us = 0
@@ -352,22 +359,31 @@
         pytest.param([("a", ACK, 0)], Verdict.HALT, "not in force at b", id="one is pending"),
         pytest.param([("a", ACK, 0), ("b", NACK, 0)], Verdict.HALT, "b: check: bad", id="one rejects it"),
         pytest.param(
-            [("a", ACK, 5), ("b", ACK, 0), ("a", ACK, 10)], Verdict.RELEASE, "", id="one serves as before"
+            [("a", ACK, 5), ("b", ACK, 0), ("a", ACK, 10)],
+            Verdict.RELEASE,
+            "",
+            id="one has the same success ratio",
         ),
         pytest.param(
             [("a", ACK, 5), ("b", ACK, 0), ("a", ACK, 60)],
             Verdict.HALT,
             "a: its service fell",
-            id="one serves worse",
+            id="one has a lower success ratio",
         ),
         pytest.param(
-            [("a", ACK, 0), ("b", ACK, 0), ("b", None, 0)], Verdict.HALT, "b: lost", id="one is lost with it"
+            [("a", ACK, 0), ("b", ACK, 0), ("b", None, 0)],
+            Verdict.HALT,
+            "b: lost",
+            id="one disconnects after applying it",
         ),
         pytest.param(
-            [("b", None, 0), ("a", ACK, 0)], Verdict.RELEASE, "", id="one leaves before it applies it"
+            [("b", None, 0), ("a", ACK, 0)], Verdict.RELEASE, "", id="one disconnects before applying it"
         ),
         pytest.param(
-            [("a", None, 0), ("b", None, 0)], Verdict.HALT, "any relay", id="all leave before they apply it"
+            [("a", None, 0), ("b", None, 0)],
+            Verdict.HALT,
+            "any relay",
+            id="all disconnect before applying it",
         ),
     ],
 )
@@ -379,25 +395,30 @@
     assert reason in found_reason
 
 
-def test_reports_name_the_stragglers_and_stay_bounded() -> None:
+def test_reports_name_stragglers_and_have_a_bounded_size() -> None:
     source = VersionSource()
     publisher = source.publisher
     for number in range(100):
         publisher.subscribe(f"r{number:02}", source.version)
-    now = source.change(s0=b"1")
+    newest_version = source.change(s0=b"1")
     for number in range(100):
         next_slices(publisher, f"r{number:02}")
         if number >= 40:
-            publisher.record_answer(f"r{number:02}", Ack(MEMBERSHIP, now))
-    mine = status_report(publisher)
-    assert (mine.lowest, mine.at_newest, mine.behind, mine.relays) == (1, 60, 40, 100)
-    both = merge_reports([mine, status_report(VersionSource().publisher)])
-    assert (both.lowest, both.newest, both.behind, len(both.stragglers)) == (1, 2, 40, 20)
-    assert both.stragglers[0] == "r00"
+            publisher.record_answer(f"r{number:02}", Ack(MEMBERSHIP, newest_version))
+    own_report = status_report(publisher)
+    assert (own_report.lowest, own_report.at_newest, own_report.behind, own_report.relays) == (1, 60, 40, 100)
+    merged_report = merge_reports([own_report, status_report(VersionSource().publisher)])
+    assert (
+        merged_report.lowest,
+        merged_report.newest,
+        merged_report.behind,
+        len(merged_report.stragglers),
+    ) == (1, 2, 40, 20)
+    assert merged_report.stragglers[0] == "r00"
 
 
 def changes_after_start(count: int) -> tuple[Version, list[Change], Publisher]:
-    """A version, the store's changes after it, and a machine that started after all of them."""
+    """Return a version, the later changes in the store, and a publisher that started after these changes."""
     source = VersionSource()
     first = source.version
     log = VersionLog(first)
@@ -431,7 +452,7 @@
         pytest.param(0, slice(0, 3), 2, id="more than the log's limit"),
     ],
 )
-def test_changes_that_do_not_lead_to_a_machines_start_are_left_out(
+def test_changes_that_do_not_lead_to_the_logs_oldest_version_are_ignored(
     base_index: int, changes_used: slice, max_versions: int
 ) -> None:
     first, changes, publisher = changes_after_start(3)
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -1,4 +1,4 @@
-"""The control plane on the wire: objects both ways, hostile ones, and drivers on loopback."""
+"""Tests of the control protocol: valid and hostile messages, and relays and machines on loopback."""
 
 import random
 import signal
@@ -39,7 +39,7 @@
 from tests.test_start import SIGNAL_AT_IMPORT, start_relay
 
 MEMBERSHIP, SETTINGS = Resource.MEMBERSHIP, Resource.SETTINGS
-TEST_TIMEOUT_S = 15.0  # only a failing test waits so long
+TEST_TIMEOUT_S = 15.0  # only a failing test waits for the full time
 
 
 def host_body(name: str, **fields: object) -> bytes:
@@ -100,7 +100,7 @@
         {"resource": "settings", "settings": []},
     ],
 )
-def test_a_malformed_slice_ends_the_watch_and_is_not_reported(changes: dict[str, object]) -> None:
+def test_a_malformed_slice_ends_the_watch_and_is_not_returned(changes: dict[str, object]) -> None:
     (failure,) = new_watch().events(watch_header(False) + chunk(orjson.dumps(WELL_FORMED | changes) + b"\n"))
     assert isinstance(failure, WatchFailed)
     assert failure.reason
@@ -177,8 +177,8 @@
         read_status(body)
 
 
-class HollowRelay:
-    """A relay's control part over a real engine, and what it was notified of."""
+class ControlOnlyRelay:
+    """The control plane's part of a relay, with a real engine; records the versions that were applied."""
 
     def __init__(self, name: str, tasks: anyio.abc.TaskGroup) -> None:
         self.name = name
@@ -199,8 +199,8 @@
     def engine_host(self) -> EngineHost:
         return EngineHost(self, self.name, self.apply_checked_settings, self.version_applied)
 
-    def apply_checked_settings(self, given: Settings) -> None:
-        self.settings = given
+    def apply_checked_settings(self, new_settings: Settings) -> None:
+        self.settings = new_settings
 
     def version_applied(self, resource: Resource, version: Version) -> None:
         self.versions[resource] = version.number
@@ -214,7 +214,7 @@
 
 
 class ControlPlane:
-    """A store, control machines and relays in one loop."""
+    """A store, control machines and relays on one event loop."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup, staged: frozenset[Resource]) -> None:
         self.tasks = tasks
@@ -241,8 +241,8 @@
 
         self.tasks.start_soon(run)
 
-    def relay(self, name: str) -> HollowRelay:
-        relay = HollowRelay(name, self.tasks)
+    def relay(self, name: str) -> ControlOnlyRelay:
+        relay = ControlOnlyRelay(name, self.tasks)
         check = RelayCheck(lambda: relay.settings)
         followers = {resource: Follower(resource, check) for resource in Resource}
         self.drivers[name] = ControlDriver(
@@ -287,9 +287,9 @@
             machine = plane.servers["c0"].machine
             assert machine is not None
             with anyio.fail_after(TEST_TIMEOUT_S):
-                while not (refusals := machine.status_reports()[1].rejections):
+                while not (nack_texts := machine.status_reports()[1].rejections):
                     await anyio.lowlevel.checkpoint()
-            assert "before SIGKILL" in refusals[0]
+            assert "before SIGKILL" in nack_texts[0]
             assert relay.versions[SETTINGS] == 1
             assert relay.settings.classes[0].deadline_us > 1000
 
@@ -297,7 +297,7 @@
 
 
 @pytest.mark.parametrize("trickles", [False, True])
-def test_a_machine_without_a_complete_message_is_left_for_the_second_choice(trickles: bool) -> None:
+def test_a_machine_without_a_complete_message_is_abandoned_for_the_second_choice(trickles: bool) -> None:
     async def run() -> None:
         async with run_control_plane(2) as plane:
             silent = socket.create_server(("127.0.0.1", 0))
@@ -306,7 +306,7 @@
             async def trickle() -> None:
                 await anyio.wait_readable(silent)
                 sock = silent.accept()[0]
-                with suppress(OSError):  # the relay leaves in the middle of it
+                with suppress(OSError):  # the relay disconnects before all bytes were sent
                     for byte in (watch_header(False) + b'ff\r\n{"seq":1') if trickles else b"":
                         sock.send(bytes([byte]))
                         await anyio.sleep(0.05)
@@ -340,21 +340,22 @@
     anyio.run(run)
 
 
-def test_relays_converge_after_one_machine_dies_and_all_restart() -> None:
+def test_relays_converge_after_one_machine_stops_and_all_restart() -> None:
     async def run() -> None:
         async with run_control_plane(3) as plane:
             relays = [plane.relay(f"r{number}") for number in range(6)]
             for relay in relays:
                 await relay.wait_for_version(MEMBERSHIP, 1)
             plane.store.put(MEMBERSHIP, {"a": host_body("a", born_ms=5)})
-            await relays[0].wait_for_version(MEMBERSHIP, 2)  # the others may or may not have it
+            await relays[0].wait_for_version(MEMBERSHIP, 2)  # the other relays may or may not have applied it
             await plane.stop(plane.drivers["r0"].selector.machine)
             for relay in relays:
                 await relay.wait_for_version(MEMBERSHIP, 2)
             for name in plane.machines:
                 await plane.stop(name)
             plane.store.put(MEMBERSHIP, {"a": host_body("a", born_ms=6)})
-            assert all(relay.endpoint_states["b"] == 1 for relay in relays)  # they go on with what they have
+            # The applied version stays in use while all machines are down.
+            assert all(relay.endpoint_states["b"] == 1 for relay in relays)
             for name in plane.machines:
                 plane.start(name)
             for relay in relays:
@@ -368,7 +369,7 @@
         async with run_control_plane(1) as plane:
             relay = plane.relay("r0")
             await relay.wait_for_version(MEMBERSHIP, 1)
-            plane.store.down = True  # seen from this region
+            plane.store.down = True  # the region can't reach the store
             plane.store.put(MEMBERSHIP, {"a": host_body("a", born_ms=5)})
             with anyio.fail_after(TEST_TIMEOUT_S):
                 while not plane.servers["c0"].store_sync.last_error:
@@ -376,7 +377,7 @@
             assert relay.versions[MEMBERSHIP] == 1
             plane.store.down = False
             await relay.wait_for_version(MEMBERSHIP, 2)
-            # what was written on the wrong side of a cut is given up: the store's next epoch says so
+            # The store discards the writes of the partition's minority side and starts a new epoch.
             plane.store.restore(1)
             plane.store.put(MEMBERSHIP, {"b": None})
             await relay.wait_for_version(MEMBERSHIP, 2)
@@ -425,7 +426,7 @@
     anyio.run(run)
 
 
-def test_an_ordinary_relay_does_not_load_the_control_plane(tmp_path: Path) -> None:
+def test_a_relay_without_control_machines_does_not_load_the_control_plane(tmp_path: Path) -> None:
     shown = 'print("loaded:", *(m for m in sys.modules if m.startswith("gannetweir")), file=sys.stderr)'
     last = 'runpy.run_module("gannetweir", run_name="__main__")'
     code = SIGNAL_AT_IMPORT.replace(last, f"try:\n    {last}\nfinally:\n    {shown}")
