--- a/gannetweir/lab/soak/attempt_rules.py
+++ b/gannetweir/lab/soak/attempt_rules.py
@@ -27,7 +27,7 @@
         client = evidence.clients[request]
         written = [attempt for attempt in attempts if attempt.whole_us]  # its backend may have executed it
         for earlier, later in combinations(written, 2):
-            yield from _judge_pair(evidence, client, earlier, later)
+            yield from _judge_attempt_pair(evidence, client, earlier, later)
         for attempt in written:
             if _DEADLINE.sub(r"\1", attempt.line) != _DEADLINE.sub(r"\1", client.line):
                 detail = f"{client.line} as {attempt.line}"
@@ -36,7 +36,7 @@
             yield from _judge_disconnect(evidence, client, attempt)
 
 
-def _judge_pair(
+def _judge_attempt_pair(
     evidence: Evidence, client: ClientObservation, earlier: AttemptObservation, later: AttemptObservation
 ) -> Iterator[Finding]:
     # Both were out for certain from the later line to the earlier end, less how late either was read.
--- a/gannetweir/lab/soak/backend.py
+++ b/gannetweir/lab/soak/backend.py
@@ -18,7 +18,7 @@
 
 SETUP_S = 0.002, 0.006
 SLOW_S = 0.4
-DRAIN_MOVES_S = 1.5
+MEAN_DRAIN_MIGRATION_S = 1.5
 ERROR_PROBABILITY = 0.5  # of a request, while that fault is on
 RESET_PROBABILITY = 0.05  # of a connection, each tenth of a second while that fault is on
 
@@ -105,7 +105,7 @@
             if self.fault == "reset" and self.rng.random() < RESET_PROBABILITY:
                 observation.ended_us = now_us()
                 connection.close(reset=True)
-            elif self.is_draining and self.rng.random() < 0.1 / DRAIN_MOVES_S:
+            elif self.is_draining and self.rng.random() < 0.1 / MEAN_DRAIN_MIGRATION_S:
                 observation.ended_us = now_us()
                 await connection.write(b"MOVE\r\n")
 
--- a/gannetweir/lab/soak/backend_rules.py
+++ b/gannetweir/lab/soak/backend_rules.py
@@ -11,8 +11,8 @@
 from gannetweir.lab.soak.plan import (
     DRAIN_GRACE_US,
     OVERLOAD_WINDOW_US,
-    SLOW_START_FROM,
-    SLOW_START_US,
+    SLOW_START_DURATION_US,
+    SLOW_START_INITIAL_FACTOR,
 )
 from gannetweir.lab.soak.records import (
     BackendObservation,
@@ -32,17 +32,17 @@
 
 def judge_drains(evidence: Evidence) -> Iterator[Finding]:
     """DRAIN: nothing new at a backend half a second after its drain or end was sent to the relay."""
-    sent: dict[tuple[int, str], list[StateChange]] = defaultdict(list)
+    changes_sent: dict[tuple[int, str], list[StateChange]] = defaultdict(list)
     for event in evidence.of_type(WatchEventSent):
-        sent[event.relay, event.backend].append((event.at_us, event.health))
-    changed: dict[str, list[StateChange]] = defaultdict(list)
+        changes_sent[event.relay, event.backend].append((event.at_us, event.health))
+    changes_made: dict[str, list[StateChange]] = defaultdict(list)
     for change in evidence.of_type(MembershipChange):
-        changed[change.backend].append((change.at_us, change.health))
+        changes_made[change.backend].append((change.at_us, change.health))
     outages = [span for span in evidence.faults if span.kind.startswith("discovery")]
     for relay, attempt in evidence.attempts_by_relay():
         at_us = attempt.first_us
-        sent_us = _not_ready_since(sent[relay, attempt.backend], at_us)
-        latest_us = _notified_at_latest(changed[attempt.backend], outages, at_us)
+        sent_us = _not_ready_since_us(changes_sent[relay, attempt.backend], at_us)
+        latest_us = _latest_notification_us(changes_made[attempt.backend], outages, at_us)
         since_us = min((known_us for known_us in (sent_us, latest_us) if known_us), default=0)
         if not since_us:
             continue
@@ -55,7 +55,7 @@
             yield Finding(SoakRule.DRAIN, relay, at_us, detail)
 
 
-def _not_ready_since(changes: Iterable[StateChange], at_us: int) -> int:
+def _not_ready_since_us(changes: Iterable[StateChange], at_us: int) -> int:
     """Since when the states up to a moment say without a break that it is not ready; 0 if it is."""
     since_us = 0
     for changed_us, health in sorted(changes):
@@ -68,9 +68,9 @@
     return since_us
 
 
-def _notified_at_latest(changes: list[StateChange], outages: list[FaultSpan], at_us: int) -> int:
+def _latest_notification_us(changes: list[StateChange], outages: list[FaultSpan], at_us: int) -> int:
     """When the state of that moment counts as known, whatever arrived; 0 if the backend is ready."""
-    reachable_us = _not_ready_since(changes, at_us)
+    reachable_us = _not_ready_since_us(changes, at_us)
     if not reachable_us:
         return 0
     for span in sorted(outages, key=lambda span: span.from_us):
@@ -97,11 +97,11 @@
     spans: dict[tuple[int, str], list[tuple[int, int]]] = defaultdict(list)
     offline_since: dict[tuple[int, str], int] = {}
     for call in sorted(evidence.of_type(OverrideCall), key=lambda call: call.at_us):
-        place = call.relay, call.backend
+        relay_backend = call.relay, call.backend
         if call.out:
-            offline_since.setdefault(place, call.at_us)
-        elif place in offline_since:
-            spans[place].append((offline_since.pop(place), call.at_us))
+            offline_since.setdefault(relay_backend, call.at_us)
+        elif relay_backend in offline_since:
+            spans[relay_backend].append((offline_since.pop(relay_backend), call.at_us))
     return spans
 
 
@@ -111,10 +111,10 @@
     for observation in evidence.of_type(BackendObservation):
         arrivals[observation.backend].append(observation.arrived_us)
     for start in evidence.of_type(BackendStart):
-        ends_us = start.at_us + SLOW_START_US
-        came = [at_us for at_us in sorted(arrivals[start.backend]) if start.at_us <= at_us < ends_us]
-        for place, at_us in enumerate(came):
-            count = place + 1 - bisect_left(came, at_us - OVERLOAD_WINDOW_US)
+        ends_us = start.at_us + SLOW_START_DURATION_US
+        arrived = [at_us for at_us in sorted(arrivals[start.backend]) if start.at_us <= at_us < ends_us]
+        for index, at_us in enumerate(arrived):
+            count = index + 1 - bisect_left(arrived, at_us - OVERLOAD_WINDOW_US)
             budget = _slow_start_budget(start, at_us)
             if count > budget:
                 detail = f"{start.backend}: {count} first lines in a window that bears {budget:.1f}"
@@ -124,7 +124,10 @@
 
 def _slow_start_budget(start: BackendStart, at_us: int) -> float:
     """How many first lines the window before a moment bears."""
-    capacity_factor = SLOW_START_FROM + (1.0 - SLOW_START_FROM) * (at_us - start.at_us) / SLOW_START_US
+    capacity_factor = (
+        SLOW_START_INITIAL_FACTOR
+        + (1.0 - SLOW_START_INITIAL_FACTOR) * (at_us - start.at_us) / SLOW_START_DURATION_US
+    )
     mean = float(start.warm_per_s * capacity_factor * OVERLOAD_WINDOW_US / 1e6)
     if mean < SMALL_MEAN:
         return float(mean + 3.0 * mean**0.5 + 3.0)
--- a/gannetweir/lab/soak/clients.py
+++ b/gannetweir/lab/soak/clients.py
@@ -15,20 +15,20 @@
 import anyio.abc
 
 from gannetweir.lab.soak import stand_in
-from gannetweir.lab.soak.plan import ANSWER_WAIT_S, CLASSES
+from gannetweir.lab.soak.plan import ANSWER_WAIT_AFTER_DEADLINE_S, CLASSES
 from gannetweir.lab.soak.records import ClientObservation, RecordFile, now_us
 from gannetweir.lab.soak.stand_in import Connection, ConnectionEndedError
 
 LINE_INTERVAL_S = 0.5  # between two lines of an established connection
-MOST_RETRIES = 2  # of a client that was rejected, moved or reset
+MAX_RETRIES = 2  # of a client that was rejected, moved or reset
 RETRY_DELAYS_S = 0.0, 0.1, 0.3
-NONSENSE_PROBABILITY = 0.03  # of a client that speaks no protocol
-SLOW_PROBABILITY = 0.1  # of a client that writes its first line in pieces
+INVALID_INPUT_PROBABILITY = 0.03  # of a client that speaks no protocol
+SLOW_WRITE_PROBABILITY = 0.1  # of a client that writes its first line in pieces
 SLOW_PIECE_BYTES, SLOW_PIECE_S = 20, 0.004
-LEAVE_PROBABILITY = 0.08  # of a client that does not wait for its answer
+EARLY_DISCONNECT_PROBABILITY = 0.08  # of a client that does not wait for its answer
 RESET_WITHOUT_ANSWER_PROBABILITY = 0.5  # that a client that gives up breaks the connection
-RESET_PROBABILITY = 0.2  # that one that was served does
-NONSENSE = (b"\xff\xfe\r\n", b"OPEN x\r\n", b"x" * 5000, b"PING", b"OPEN 1 2 c=none,d=1\r\n")
+RESET_AFTER_SERVICE_PROBABILITY = 0.2  # that one that was served does
+INVALID_INPUTS = (b"\xff\xfe\r\n", b"OPEN x\r\n", b"x" * 5000, b"PING", b"OPEN 1 2 c=none,d=1\r\n")
 
 
 class Clients:
@@ -79,13 +79,13 @@
     async def run(self, tasks: anyio.abc.TaskGroup) -> None:
         """Begin requests in an open loop, until the command to stop."""
         self.tasks = tasks
-        due = anyio.current_time()
+        due_s = anyio.current_time()
         while not self.is_stopped:
-            due += self.rng.expovariate(self.requests_per_s)
-            await anyio.sleep_until(due)
+            due_s += self.rng.expovariate(self.requests_per_s)
+            await anyio.sleep_until(due_s)
             tasks.start_soon(self._run_client, 0)
 
-    async def _run_client(self, earlier_attempts: int) -> None:
+    async def _run_client(self, retry_count: int) -> None:
         if not self.relay_ports:
             return
         relay = self.rng.choice(sorted(self.relay_ports))
@@ -94,24 +94,24 @@
         except (OSError, TimeoutError):
             return
         try:
-            if self.rng.random() < NONSENSE_PROBABILITY:
-                await connection.write(self.rng.choice(NONSENSE))
+            if self.rng.random() < INVALID_INPUT_PROBABILITY:
+                await connection.write(self.rng.choice(INVALID_INPUTS))
                 with anyio.move_on_after(3.0):
                     while True:
                         await connection.read()
             else:
-                await self._request(connection, relay, earlier_attempts)
+                await self._send_request(connection, relay, retry_count)
         except ConnectionEndedError:
             pass
         finally:
             connection.close()
 
-    async def _request(self, connection: Connection, relay: int, earlier_attempts: int) -> None:
+    async def _send_request(self, connection: Connection, relay: int, retry_count: int) -> None:
         request_class = self.rng.choices(CLASSES, [c.weight for c in CLASSES])[0]
         self.request_count += 1
         request_id = f"{self.rng.getrandbits(32):08x}{self.request_count:08x}"
         group = self.rng.randrange(1, 40) * 0x9E3779B97F4A7C15 & (1 << 64) - 1
-        retry_field = ",r=1" if earlier_attempts else ""
+        retry_field = ",r=1" if retry_count else ""
         deadline_ms = int(self.deadline_factor * request_class.deadline_ms)
         key = self.rng.getrandbits(64)
         line = f"OPEN {request_id} {key:x} c={request_class.name},d={deadline_ms},g={group:x}{retry_field}"
@@ -123,19 +123,19 @@
         finally:
             if not (observation.answer or observation.end or observation.left_us):
                 observation.gave_up_us = now_us()
-                observation.unheard = observation.unheard or connection.is_unheard()
+                observation.unheard = observation.unheard or connection.has_unacknowledged_data()
             if observation.sent_us:
                 self.records.write(observation)
-        comes_again = observation.moved or observation.answer in ("BUSY", "ERR") or observation.end == "reset"
-        if comes_again and earlier_attempts < MOST_RETRIES:
+        will_retry = observation.moved or observation.answer in ("BUSY", "ERR") or observation.end == "reset"
+        if will_retry and retry_count < MAX_RETRIES:
             await anyio.sleep(self.rng.choice(RETRY_DELAYS_S))
-            self.tasks.start_soon(self._run_client, earlier_attempts + 1)
+            self.tasks.start_soon(self._run_client, retry_count + 1)
 
     async def _await_answer(
         self, connection: Connection, observation: ClientObservation, deadline_ms: int
     ) -> None:
         first_line = observation.line.encode() + b"\r\n"
-        if self.rng.random() < SLOW_PROBABILITY:
+        if self.rng.random() < SLOW_WRITE_PROBABILITY:
             for start in range(0, len(first_line), SLOW_PIECE_BYTES):
                 await connection.write(first_line[start : start + SLOW_PIECE_BYTES])
                 await anyio.sleep(SLOW_PIECE_S)
@@ -143,17 +143,17 @@
             await connection.write(first_line)
         observation.sent_us = now_us()
         observation.deadline_us = observation.sent_us + deadline_ms * 1000
-        wait_s = deadline_ms / 1000 + ANSWER_WAIT_S
-        if leaves_early := self.rng.random() < LEAVE_PROBABILITY:
+        wait_s = deadline_ms / 1000 + ANSWER_WAIT_AFTER_DEADLINE_S
+        if disconnects_early := self.rng.random() < EARLY_DISCONNECT_PROBABILITY:
             wait_s = self.rng.choice((0.0, 0.003, 0.02, self.rng.uniform(0, deadline_ms / 1000)))
         with anyio.move_on_after(wait_s):
             words = (await connection.read_line()).decode("latin1").split()
             observation.answer, observation.answered_us = (words or ["?"])[0], now_us()
             observation.receipt = words[1] if observation.answer == "UP" and len(words) > 1 else ""
         if not observation.answer:
-            observation.unheard = connection.is_unheard()
+            observation.unheard = connection.has_unacknowledged_data()
             connection.close(reset=self.rng.random() < RESET_WITHOUT_ANSWER_PROBABILITY)
-            if leaves_early:
+            if disconnects_early:
                 observation.left_us = now_us()  # after the close: the relay can't have known before
             return
         if observation.answer == "UP":
@@ -185,7 +185,7 @@
             with anyio.move_on_after(2.0):
                 await connection.read()
             return
-        connection.close(reset=self.rng.random() < RESET_PROBABILITY)
+        connection.close(reset=self.rng.random() < RESET_AFTER_SERVICE_PROBABILITY)
         observation.left_us = now_us()
 
     @staticmethod
--- a/gannetweir/lab/soak/command.py
+++ b/gannetweir/lab/soak/command.py
@@ -26,10 +26,10 @@
     "stand-in late, ms",
     "broken rules",
 )
-SHOWN = 20  # findings of one seed
+MAX_SHOWN_FINDINGS = 20  # findings of one seed
 
 
-def row(seed: int, verdict: Verdict) -> tuple[str, ...]:
+def table_row(seed: int, verdict: Verdict) -> tuple[str, ...]:
     """One seed's line of the table."""
     counts = verdict.counts
     broken = Counter(str(finding.rule) for finding in verdict.findings)
@@ -49,9 +49,9 @@
         folder = root / f"seed{seed}"
         shutil.rmtree(folder, ignore_errors=True)
         verdict = anyio.run(Soak(SoakPlan(seed=seed, seconds=seconds, relays=relays), folder).run)
-        rows.append(row(seed, verdict))
+        rows.append(table_row(seed, verdict))
         print("  ".join(rows[-1]), flush=True)
-        for finding in verdict.findings[:SHOWN]:
+        for finding in verdict.findings[:MAX_SHOWN_FINDINGS]:
             print(f"  {finding.rule}: n{finding.relay}: {finding.detail}")
         broken = broken or bool(verdict.findings)
         if not verdict.findings:
--- a/gannetweir/lab/soak/connection_rules.py
+++ b/gannetweir/lab/soak/connection_rules.py
@@ -41,9 +41,7 @@
     if client.echo_us <= limit_us:
         return False
     targets = backend, relay_name(client.relay)
-    return not any(
-        evidence.is_disturbed(target, from_us - FAULT_BEFORE_LINE_US, until_us) for target in targets
-    )
+    return not any(evidence.had_fault(target, from_us - FAULT_BEFORE_LINE_US, until_us) for target in targets)
 
 
 def _was_ended_elsewhere(evidence: Evidence, client: ClientObservation, backend: str) -> bool:
@@ -58,6 +56,6 @@
     if client.end == "reset" and evidence.were_connections_broken(client.relay, client.ended_us):
         return True
     fault_from_us = client.ended_us - FAULT_BEFORE_END_US
-    return evidence.was_ever_restarted(backend) and evidence.is_disturbed(
+    return evidence.was_ever_restarted(backend) and evidence.had_fault(
         backend, fault_from_us, client.ended_us
     )
--- a/gannetweir/lab/soak/discovery.py
+++ b/gannetweir/lab/soak/discovery.py
@@ -20,7 +20,7 @@
 from gannetweir.lab.soak.stand_in import Connection
 
 HEARTBEAT_INTERVAL_S = 2.0
-ADDRESSES = 2  # of discovery, for each relay
+ADDRESSES_PER_RELAY = 2  # of discovery, for each relay
 
 
 class Discovery:
@@ -49,7 +49,7 @@
 
     def _change_entry(self, command: dict[str, Any]) -> None:
         self.version += 1
-        blank: dict[str, Any] = {
+        defaults: dict[str, Any] = {
             "site": "a",
             "class": "m",
             "health": "Ready",
@@ -57,7 +57,7 @@
             "born_ms": 0,
             "block": 0,
         }
-        entry = blank | self.entries.get(command["host"], {}) | command
+        entry = defaults | self.entries.get(command["host"], {}) | command
         self.entries[command["host"]] = entry
         self.history.append((self.version, entry))
         self.records.write(MembershipChange(entry["host"], entry["health"], entry["born_ms"], now_us()))
@@ -85,7 +85,7 @@
             self._record_sent(relay, self._listed_entries())
 
     async def _serve_watch(self, relay: int, connection: Connection, since: int) -> None:
-        opened = now_us()
+        opened_us = now_us()
         await connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         sent_version, is_first = self.version, True
         changes = [entry for version, entry in self.history if version > since]
@@ -101,7 +101,7 @@
             is_first = False
             with anyio.move_on_after(HEARTBEAT_INTERVAL_S):
                 await self.changed.wait()
-            while self.silent_since > opened:
+            while self.silent_since > opened_us:
                 await anyio.sleep(0.05)
             if self.is_down:
                 connection.close(reset=True)
@@ -131,7 +131,7 @@
     async def run(records: RecordFile, tasks: anyio.abc.TaskGroup) -> None:
         discovery, ports = Discovery(records), []
         for relay in range(int(relays)):
-            socks = [stand_in.listener() for _ in range(ADDRESSES)]
+            socks = [stand_in.listener() for _ in range(ADDRESSES_PER_RELAY)]
             ports.append([sock.getsockname()[1] for sock in socks])
             for sock in socks:
                 tasks.start_soon(stand_in.serve, sock, partial(discovery.handle, relay))
--- a/gannetweir/lab/soak/evidence.py
+++ b/gannetweir/lab/soak/evidence.py
@@ -27,7 +27,7 @@
 OBSERVATION_SLACK_US = 60_000  # beyond it, for what stand-ins note: two turns of their loops
 LOOP_DELAY_BEFORE_US = 50_000  # a delay that was noted so long before may reach into a span,
 LOOP_DELAY_AFTER_US = 500_000  # and one that was noted so long after it may have begun in it
-DEATH_NOTICE_US = 500_000  # the death of a process has been noticed by everyone by then
+EXIT_NOTICE_US = 500_000  # the death of a process has been noticed by everyone by then
 NEVER_US = 1 << 62
 BROKEN_CONNECTIONS = "broken_at"  # a span in which the kernel of one relay broke its connections to backends
 
@@ -104,7 +104,7 @@
         return any(
             lifetime.relay == relay
             and lifetime.how != "term"
-            and from_us <= lifetime.ended_us <= to_us + DEATH_NOTICE_US
+            and from_us <= lifetime.ended_us <= to_us + EXIT_NOTICE_US
             for lifetime in self.lifetimes
         )
 
@@ -117,7 +117,7 @@
             for span in self.faults
         )
 
-    def is_disturbed(self, target: str, from_us: int, to_us: int) -> bool:
+    def had_fault(self, target: str, from_us: int, to_us: int) -> bool:
         """Say whether anything was done to it in that time."""
         return any(
             span.target == target and span.from_us < to_us and from_us < span.to_us for span in self.faults
--- a/gannetweir/lab/soak/fault_injector.py
+++ b/gannetweir/lab/soak/fault_injector.py
@@ -8,19 +8,19 @@
 import anyio
 
 from gannetweir.lab.soak.evidence import BROKEN_CONNECTIONS, relay_name
-from gannetweir.lab.soak.fleet import FRONT_NOTICE_S, SoakFleet
+from gannetweir.lab.soak.fleet import WITHDRAWAL_DELAY_S, SoakFleet
 from gannetweir.lab.soak.plan import Fault, FaultKind, SoakPlan
 from gannetweir.lab.soak.records import FaultSpan, OverrideCall, RecordFile, now_us
 from gannetweir.lab.soak.relays import START_TIMEOUT_S, RelayProcess
 from gannetweir.lab.soak.shim import Call
 
 DRAIN_NOTICE_S = 0.6  # from a drain's announcement until its backend refuses requests
-DRAIN_S = 2.5  # from then on, until its process ends
-AFTER_DRAIN_S = 0.5  # until a new process takes its place
-BAD_FILE_S = 0.2  # for which half a configuration stays in place
-SIGNALS = 10  # of one burst
+DRAIN_DURATION_S = 2.5  # from then on, until its process ends
+RESTART_AFTER_DRAIN_S = 0.5  # until a new process takes its place
+TRUNCATED_CONFIG_S = 0.2  # for which half a configuration stays in place
+SIGNALS_PER_BURST = 10  # of one burst
 OVERRIDE_RETRY_S = 0.05
-DISTURBED_AT_MOST = 3  # one of so many backends has a fault of its own at a time
+BACKENDS_PER_FAULT = 3  # one of so many backends has a fault of its own at a time
 NETWORK_FAULTS = {
     FaultKind.NETWORK_DELAY: "late",
     FaultKind.NETWORK_SILENT: "silent",
@@ -33,7 +33,7 @@
     FaultKind.BACKEND_RESETS: "reset",
     FaultKind.BACKEND_ERRORS: "error",
 }  # what a backend is commanded
-RESTARTS_OF_BACKENDS = FaultKind.BACKEND_DRAINS, FaultKind.BACKEND_CRASHES
+BACKEND_RESTART_FAULTS = FaultKind.BACKEND_DRAINS, FaultKind.BACKEND_CRASHES
 
 
 class FaultInjector:
@@ -42,7 +42,7 @@
     def __init__(self, plan: SoakPlan, fleet: SoakFleet, records: RecordFile) -> None:
         self.plan, self.fleet, self.records = plan, fleet, records
         self.rng = random.Random(f"soak {plan.seed}")
-        self.disturbed: set[str] = set()  # backends with a fault of their own
+        self.faulty_backends: set[str] = set()  # backends with a fault of their own
 
     async def inject(self, fault: Fault) -> None:
         """One fault, from its time to its end."""
@@ -55,7 +55,7 @@
     async def _inject_and_undo(self, fault: Fault) -> str:
         """Whom it struck; empty if it could not be done now."""
         kind = fault.kind
-        if kind in BACKEND_FAULTS or kind in NETWORK_FAULTS or kind in RESTARTS_OF_BACKENDS:
+        if kind in BACKEND_FAULTS or kind in NETWORK_FAULTS or kind in BACKEND_RESTART_FAULTS:
             return await self._inject_at_backend(fault)
         if kind.startswith("discovery") or kind is FaultKind.DISCOVERY_INDENTED:
             await self._inject_at_discovery(fault)
@@ -68,18 +68,18 @@
 
     async def _inject_at_backend(self, fault: Fault) -> str:
         backends = self.fleet.backends
-        free = sorted(set(backends) - self.disturbed)
-        if DISTURBED_AT_MOST * len(self.disturbed) >= len(backends) or not free:
+        available = sorted(set(backends) - self.faulty_backends)
+        if BACKENDS_PER_FAULT * len(self.faulty_backends) >= len(backends) or not available:
             return ""
-        name = free[fault.target % len(free)]
-        self.disturbed.add(name)
+        name = available[fault.target % len(available)]
+        self.faulty_backends.add(name)
         try:
-            await self._disturb_backend(name, fault)
+            await self._run_backend_fault(name, fault)
         finally:
-            self.disturbed.discard(name)
+            self.faulty_backends.discard(name)
         return name
 
-    async def _disturb_backend(self, name: str, fault: Fault) -> None:
+    async def _run_backend_fault(self, name: str, fault: Fault) -> None:
         if fault.kind is FaultKind.BACKEND_DRAINS:
             await self._drain_backend(name)
         elif fault.kind is FaultKind.BACKEND_CRASHES:
@@ -97,8 +97,8 @@
         self.fleet.change_membership(name, health="Terminating")
         await anyio.sleep(DRAIN_NOTICE_S)
         self.fleet.backends[name].send_command(draining=True)
-        await anyio.sleep(DRAIN_S)
-        await self.fleet.restart_backend(name, AFTER_DRAIN_S, signal.SIGTERM)
+        await anyio.sleep(DRAIN_DURATION_S)
+        await self.fleet.restart_backend(name, RESTART_AFTER_DRAIN_S, signal.SIGTERM)
 
     async def _inject_at_discovery(self, fault: Fault) -> None:
         commands: dict[FaultKind, tuple[dict[str, object], dict[str, object]]] = {
@@ -176,18 +176,18 @@
             if kind is FaultKind.KILL:
                 relay.lifetime.asked_to_end_us = now_us()
                 relay.kill("kill")
-                await self._withdraw_after_notice(relay)
+                await self._withdraw_after_delay(relay)
             else:
-                async with anyio.create_task_group() as both:
-                    both.start_soon(relay.terminate)
-                    await self._withdraw_after_notice(relay)
+                async with anyio.create_task_group() as tasks:
+                    tasks.start_soon(relay.terminate)
+                    await self._withdraw_after_delay(relay)
             relay.start(self.fleet.cached_membership())
             await self.fleet.admit_clients(relay)
         finally:
             relay.is_restarting = False
 
-    async def _withdraw_after_notice(self, relay: RelayProcess) -> None:
-        await anyio.sleep(self.rng.uniform(*FRONT_NOTICE_S))
+    async def _withdraw_after_delay(self, relay: RelayProcess) -> None:
+        await anyio.sleep(self.rng.uniform(*WITHDRAWAL_DELAY_S))
         self.fleet.withdraw_clients(relay)
 
     async def _send_signals(self, relay: RelayProcess, kind: FaultKind) -> None:
@@ -195,11 +195,11 @@
             complete = relay.config_path.read_bytes()
             relay.config_path.write_bytes(complete[: len(complete) // 2])
             relay.signal(signal.SIGHUP)
-            await anyio.sleep(BAD_FILE_S)
+            await anyio.sleep(TRUNCATED_CONFIG_S)
         if kind is FaultKind.RELOAD:
             relay.discovery_index = 1 - relay.discovery_index
         relay.write_config(self.fleet.cached_membership())
         relay.signal(signal.SIGHUP)
         if kind is FaultKind.SIGNALS:
-            for number in self.rng.choices((signal.SIGUSR1, signal.SIGHUP), k=SIGNALS):
+            for number in self.rng.choices((signal.SIGUSR1, signal.SIGHUP), k=SIGNALS_PER_BURST):
                 relay.signal(number)
--- a/gannetweir/lab/soak/fleet.py
+++ b/gannetweir/lab/soak/fleet.py
@@ -14,18 +14,24 @@
 
 from gannetweir.lab.soak import stand_in
 from gannetweir.lab.soak.evidence import relay_name
-from gannetweir.lab.soak.plan import SLOW_START_FROM, SLOW_START_US, SoakPlan, cell_of, proxy_name
+from gannetweir.lab.soak.plan import (
+    SLOW_START_DURATION_US,
+    SLOW_START_INITIAL_FACTOR,
+    SoakPlan,
+    cell_of,
+    proxy_name,
+)
 from gannetweir.lab.soak.records import BackendStart, RecordFile, now_us
 from gannetweir.lab.soak.relays import RelayProcess
 from gannetweir.lab.soak.shim import Call, Shim, build
 from gannetweir.lab.soak.stand_in_process import StandInProcess
 
 SLOW_START_STEPS = 8  # in which a backend that has started comes to its capacity
-DEATH_TO_DISCOVERY_S = 0.3  # from the end of a backend's process until discovery knows of it
-FRONT_NOTICE_S = 0.2, 0.4  # how long new clients still come to a relay that was asked to end
+EXIT_TO_DISCOVERY_S = 0.3  # from the end of a backend's process until discovery knows of it
+WITHDRAWAL_DELAY_S = 0.2, 0.4  # how long new clients still come to a relay that was asked to end
 POLL_INTERVAL_S = 0.02
-QUEUE_WAIT_S = 5.0  # for clients to be accepted, where a relay has no processor
-LAST_WORDS_S = 0.5  # from the end of the relays to that of the stand-ins
+ACCEPT_QUEUE_WAIT_S = 5.0  # for clients to be accepted, where a relay has no processor
+FINAL_RECORDS_S = 0.5  # from the end of the relays to that of the stand-ins
 
 
 class SoakFleet:
@@ -96,8 +102,8 @@
     def change_membership(self, name: str, **fields: object) -> None:
         """Let discovery learn something of a backend."""
         self.membership_version += 1
-        blank = {"site": "a", "class": "m", "health": "Ready", "share": 1.0, "born_ms": 0}
-        self.membership[name] = blank | self.membership.get(name, {}) | fields | {"host": name}
+        defaults = {"site": "a", "class": "m", "health": "Ready", "share": 1.0, "born_ms": 0}
+        self.membership[name] = defaults | self.membership.get(name, {}) | fields | {"host": name}
         self.command_discovery(**self.membership[name])
 
     def cached_membership(self) -> dict[str, Any]:
@@ -133,11 +139,11 @@
         process = self.backends[name]
         process.process.send_signal(number)
         await anyio.to_thread.run_sync(process.process.wait)
-        await anyio.sleep(DEATH_TO_DISCOVERY_S)
+        await anyio.sleep(EXIT_TO_DISCOVERY_S)
         self.change_membership(name, health="Gone")
         await anyio.sleep(after_s)
         port = await self._start_backend(name)
-        self.backends[name].send_command(warmth=SLOW_START_FROM)
+        self.backends[name].send_command(warmth=SLOW_START_INITIAL_FACTOR)
         self.command_proxies(backend=name, port=port, fault="")
         self.records.write(BackendStart(name, now_us(), self.plan.overload_per_s))
         self.change_membership(name, health="Ready", born_ms=time.time_ns() // 1_000_000)
@@ -145,9 +151,11 @@
 
     async def _end_slow_start(self, name: str, process: StandInProcess) -> None:
         for step in range(1, SLOW_START_STEPS + 1):
-            await anyio.sleep(SLOW_START_US / 1e6 / SLOW_START_STEPS)
+            await anyio.sleep(SLOW_START_DURATION_US / 1e6 / SLOW_START_STEPS)
             if self.backends.get(name) is process:
-                capacity_factor = SLOW_START_FROM + (1.0 - SLOW_START_FROM) * step / SLOW_START_STEPS
+                capacity_factor = (
+                    SLOW_START_INITIAL_FACTOR + (1.0 - SLOW_START_INITIAL_FACTOR) * step / SLOW_START_STEPS
+                )
                 process.send_command(warmth=capacity_factor)
 
     def named_processes(self) -> Iterator[tuple[str, int]]:
@@ -168,24 +176,24 @@
         for relay in self.relays:
             if relay.listener is not None:
                 self.withdraw_clients(relay)
-        await anyio.sleep(FRONT_NOTICE_S[1])
+        await anyio.sleep(WITHDRAWAL_DELAY_S[1])
         await self._wait_for_shared_listeners()
         async with anyio.create_task_group() as ends:
             for relay in self.relays:
                 relay.shim.fail(Call.ACCEPT, self.plan.accepts_fail if relay.number % 2 else 0)
                 if relay.process is not None:
                     ends.start_soon(relay.terminate)
-            await anyio.sleep(FRONT_NOTICE_S[0])
+            await anyio.sleep(WITHDRAWAL_DELAY_S[0])
             for client in self.clients:
                 client.send_command(stop=True)
-        await anyio.sleep(LAST_WORDS_S)
+        await anyio.sleep(FINAL_RECORDS_S)
 
     async def _wait_for_shared_listeners(self) -> None:
         """Wait until the relays have accepted who waits at a shared listener. It outlives its relay: clients
         that a busy machine has left in its queue would wait there for a successor, and none comes.
         """
         listeners = [relay.listener for relay in self.relays if relay.process and relay.listener]
-        with anyio.move_on_after(QUEUE_WAIT_S):
+        with anyio.move_on_after(ACCEPT_QUEUE_WAIT_S):
             while any(stand_in.accept_queue_length(listener) for listener in listeners):
                 await anyio.sleep(POLL_INTERVAL_S)
 
@@ -193,7 +201,7 @@
         """End every process, whatever state it is in."""
         for relay in self.relays:
             relay.kill("soak")
-            relay.stop_reading()
+            relay.close_unread_stderr()
         for process in [*self.clients, *self.proxies, *self.backends.values()]:
             process.end()
         if self.discovery is not None:
--- a/gannetweir/lab/soak/plan.py
+++ b/gannetweir/lab/soak/plan.py
@@ -27,21 +27,21 @@
     RequestClassPlan("once", 1000, "once", "all", 0.2),
 )
 IDEMPOTENCY_WINDOW_US = 3_000_000  # in which a backend recognises a key
-SLOW_START_FROM = 0.12  # of its capacity, that a backend has at its start
-SLOW_START_US = 8_000_000  # until it has all of it
+SLOW_START_INITIAL_FACTOR = 0.12  # of its capacity, that a backend has at its start
+SLOW_START_DURATION_US = 8_000_000  # until it has all of it
 OVERLOAD_MULTIPLE = 4.0  # of its capacity in new requests, at which a backend would break down
 OVERLOAD_WINDOW_US = 1_500_000  # over which they are counted
 DRAIN_GRACE_US = 500_000  # from the news of a drain until nothing new begins at the backend
-CELLS = 3  # over which the backends are spread in turn
-LISTENER_SHARES = 3  # one relay of so many shares its listener
-LISTENER_REMAINDER = 1  # that its number leaves
+CELL_COUNT = 3  # over which the backends are spread in turn
+SHARED_LISTENER_INTERVAL = 3  # one relay of so many shares its listener
+SHARED_LISTENER_REMAINDER = 1  # that its number leaves
 MAX_ATTEMPTS = 4
-IMPATIENT_SEEDS = 4  # one seed of so many, the last, has clients with short deadlines
+SHORT_DEADLINE_SEED_INTERVAL = 4  # one seed of so many, the last, has clients with short deadlines
 FIRST_FAULT_S = 0.5
-LAST_FAULT_S = 1.0  # before the end
+LAST_FAULT_BEFORE_END_S = 1.0  # before the end
 # Clients wait so long beyond the deadline. An answer that is half a second late is a lost one; the rest is
 # for the time in which a busy machine gives its relay no processor.
-ANSWER_WAIT_S = 10.0
+ANSWER_WAIT_AFTER_DEADLINE_S = 10.0
 
 
 class FaultKind(StrEnum):
@@ -126,7 +126,7 @@
     @property
     def deadline_factor(self) -> float:
         """Deadlines, as a multiple of what their class says."""
-        return 0.3 if self.seed % IMPATIENT_SEEDS == IMPATIENT_SEEDS - 1 else 1.0
+        return 0.3 if self.seed % SHORT_DEADLINE_SEED_INTERVAL == SHORT_DEADLINE_SEED_INTERVAL - 1 else 1.0
 
     @property
     def termination_grace_s(self) -> float:
@@ -147,7 +147,7 @@
 
 def cell_of(backend: str) -> int:
     """The cell that a backend stands in."""
-    return int(backend.removeprefix("b")) % CELLS
+    return int(backend.removeprefix("b")) % CELL_COUNT
 
 
 def proxy_name(number: int) -> str:
@@ -157,7 +157,7 @@
 
 def shares_listener(number: int) -> bool:
     """Say whether the platform holds this relay's listener, so that a second process can take over."""
-    return number % LISTENER_SHARES == LISTENER_REMAINDER
+    return number % SHARED_LISTENER_INTERVAL == SHARED_LISTENER_REMAINDER
 
 
 def draw_faults(plan: SoakPlan, kinds: tuple[FaultKind, ...] = tuple(FaultKind)) -> list[Fault]:
@@ -165,7 +165,7 @@
     rng = random.Random(f"troubles {plan.seed}")
     faults: list[Fault] = []
     at_s = FIRST_FAULT_S
-    while at_s < plan.seconds - LAST_FAULT_S:
+    while at_s < plan.seconds - LAST_FAULT_BEFORE_END_S:
         for kind in rng.choices(kinds, k=rng.randint(2, plan.overlap)):
             faults.append(_draw_fault(kind, at_s + rng.uniform(0.0, 0.4), plan, rng))
         at_s += rng.uniform(1.0, 2.5)
@@ -218,8 +218,8 @@
         "registry-mode": "pushed" if plan.is_membership_pushed else "on_request",
         "contract": {
             "ask-within-us": 2_000_000,
-            "cold-from": SLOW_START_FROM,
-            "warm-within-us": SLOW_START_US,
+            "cold-from": SLOW_START_INITIAL_FACTOR,
+            "warm-within-us": SLOW_START_DURATION_US,
             "fall-multiple": OVERLOAD_MULTIPLE,
         },
         "reporting": {"names": ["tps", "concurrent", "x0"], "source": "probe"},
--- a/gannetweir/lab/soak/process_rules.py
+++ b/gannetweir/lab/soak/process_rules.py
@@ -11,8 +11,8 @@
 from gannetweir.lab.soak.findings import Finding, SoakRule
 
 START_LIMIT_US = 10_000_000  # from the start of a process to its first PONG
-SHOWN_LOG_LINES = 5  # of one relay
-SHOWN_LINE_LENGTH = 300
+MAX_SHOWN_LOG_LINES = 5  # of one relay
+MAX_SHOWN_LINE_LENGTH = 300
 FAULT_COUNTERS = "driver_faults", "placement_faults", "violations"
 FAULT_TEXTS = "invariant violated", "a driver failed", "placement failed on", "Traceback"
 
@@ -42,8 +42,8 @@
     """INVARIANT: what a relay's guard reported or counted, and the faults that it noticed."""
     for relay, lines in evidence.logs.items():
         reported = [line for line in lines if any(text in line for text in FAULT_TEXTS)]
-        for line in reported[:SHOWN_LOG_LINES]:
-            yield Finding(SoakRule.INVARIANT, relay, 0, line[:SHOWN_LINE_LENGTH])
+        for line in reported[:MAX_SHOWN_LOG_LINES]:
+            yield Finding(SoakRule.INVARIANT, relay, 0, line[:MAX_SHOWN_LINE_LENGTH])
         counted = _counted_faults(lines)
         if counted and not reported:
             yield Finding(SoakRule.INVARIANT, relay, 0, str(dict(counted)))
--- a/gannetweir/lab/soak/proxy.py
+++ b/gannetweir/lab/soak/proxy.py
@@ -110,7 +110,7 @@
             await anyio.sleep_until(self.forward_at)
             try:
                 async for data in receive:
-                    await self._disturb()
+                    await self._apply_fault()
                     if isinstance(data, ConnectionEndedError):
                         if data.reset:
                             sink.close(reset=True)
@@ -128,7 +128,7 @@
             await sink.write(data[start : start + PIECE_BYTES])
             await anyio.sleep(0.001)
 
-    async def _disturb(self) -> None:
+    async def _apply_fault(self) -> None:
         while self.proxy.fault(self.backend) == "silent":
             await anyio.sleep(0.02)
         if self.proxy.fault(self.backend) == "reset" and self.proxy.rng.random() < RESET_PROBABILITY:
--- a/gannetweir/lab/soak/relays.py
+++ b/gannetweir/lab/soak/relays.py
@@ -22,9 +22,13 @@
 from gannetweir.lab.soak.stand_in import ConnectionEndedError
 
 START_TIMEOUT_S = 30.0  # a relay that is not ready by then has failed to start
-UNREAD_STDERR = 4  # the last relay of so many has a standard error that nobody reads
+UNREAD_STDERR_INTERVAL = 4  # the last relay of so many has a standard error that nobody reads
 _PORT_NUMBERS = itertools.count()
-FIRST_PORT, PORTS, BLOCKS = 18_000, 100, 140  # below those that Linux gives to outgoing connections
+FIRST_PORT, PORTS_PER_BLOCK, PORT_BLOCKS = (
+    18_000,
+    100,
+    140,
+)  # below those that Linux gives to outgoing connections
 
 
 class RelayProcess:
@@ -97,8 +101,8 @@
             env["RELAY_INHERITED_FD"] = str(inherited[0])
         with self.log_path.open("ab") as log:
             error: Any = log
-            if self.number % UNREAD_STDERR == UNREAD_STDERR - 1:
-                self.stop_reading()
+            if self.number % UNREAD_STDERR_INTERVAL == UNREAD_STDERR_INTERVAL - 1:
+                self.close_unread_stderr()
                 self.unread_stderr, error = os.pipe()
             self.process = subprocess.Popen(
                 self.command,
@@ -115,7 +119,7 @@
             state = host["host"], host["health"], host["born_ms"]
             self.records.write(WatchEventSent(self.number, *state, self.lifetime.started_us))
 
-    def stop_reading(self) -> None:
+    def close_unread_stderr(self) -> None:
         """Close the end of the pipe that nobody read."""
         if self.unread_stderr is not None:
             os.close(self.unread_stderr)
@@ -171,7 +175,7 @@
             self.lifetime.ready_us = now_us()
         lifetime.asked_to_end_us = now_us()
         replaced.send_signal(signal.SIGTERM)
-        await self._wait_for_end(replaced)
+        await self._wait_for_exit(replaced)
         lifetime.how = "term" if replaced.poll() is not None else "late"
         replaced.kill()
         lifetime.code, self.replaced = replaced.wait(), None
@@ -188,16 +192,16 @@
         self.lifetime.asked_to_end_us = now_us()
         self.signal(signal.SIGTERM)
         if self.process is not None:
-            await self._wait_for_end(self.process)
+            await self._wait_for_exit(self.process)
         late = self.process is not None and self.process.poll() is None
         self.kill("late" if late else "term")
 
-    async def _wait_for_end(self, process: subprocess.Popen[bytes]) -> None:
+    async def _wait_for_exit(self, process: subprocess.Popen[bytes]) -> None:
         """Until its exit, or its time is over. Time in which it had no processor is not counted."""
         requested_us, waited_before_us = now_us(), waited_us(process.pid)
         while process.poll() is None:
-            not_counted_us = waited_us(process.pid) - waited_before_us
-            if now_us() - requested_us - not_counted_us > self.plan.termination_grace_s * 1e6:
+            excluded_us = waited_us(process.pid) - waited_before_us
+            if now_us() - requested_us - excluded_us > self.plan.termination_grace_s * 1e6:
                 return
             await anyio.sleep(0.01)
 
@@ -235,7 +239,9 @@
 def _free_port() -> int:
     """A port that is free now, and that neither the kernel nor a soak beside this one is likely to take."""
     while True:
-        port = FIRST_PORT + os.getpid() % BLOCKS * PORTS + next(_PORT_NUMBERS) % PORTS
+        port = (
+            FIRST_PORT + os.getpid() % PORT_BLOCKS * PORTS_PER_BLOCK + next(_PORT_NUMBERS) % PORTS_PER_BLOCK
+        )
         try:
             with socket.create_server(("127.0.0.1", port)):
                 return port
--- a/gannetweir/lab/soak/request_rules.py
+++ b/gannetweir/lab/soak/request_rules.py
@@ -7,7 +7,7 @@
 from gannetweir.lab.soak.records import ClientObservation
 
 FINAL_ANSWERS = "UP", "BUSY", "ERR"
-LATE_ANSWER_US = 500_000  # an answer that comes so long after the deadline is a lost one
+ANSWER_DELAY_LIMIT_US = 500_000  # an answer that comes so long after the deadline is a lost one
 KILL_BEFORE_REQUEST_US = 1_000_000  # a connection that was made before a kill may carry a line after it
 
 
@@ -17,8 +17,8 @@
     for client in evidence.clients.values():
         if client.left_us and not client.answer:
             continue
-        until_us = _waited_until_us(client)
-        if detail := _lost(evidence, client):
+        until_us = _wait_end_us(client)
+        if detail := _describe_lost_answer(evidence, client):
             findings.append(Finding(SoakRule.LOST, client.relay, until_us, detail))
         if client.answer == "UP" and client.receipt.split(".")[-1] != client.request:
             detail = f"{client.request}: {client.receipt}"
@@ -26,18 +26,20 @@
     return findings
 
 
-def _waited_until_us(client: ClientObservation) -> int:
+def _wait_end_us(client: ClientObservation) -> int:
     """When it had its answer, or waited for none any more."""
-    gave_up_us = client.gave_up_us or client.deadline_us + LATE_ANSWER_US  # older records don't say when
+    gave_up_us = (
+        client.gave_up_us or client.deadline_us + ANSWER_DELAY_LIMIT_US
+    )  # older records don't say when
     return client.ended_us or client.answered_us or gave_up_us
 
 
-def _lost(evidence: Evidence, client: ClientObservation) -> str:
+def _describe_lost_answer(evidence: Evidence, client: ClientObservation) -> str:
     """How the answer was lost; empty if it was not, or if that can't be judged."""
-    until_us = _waited_until_us(client)
+    until_us = _wait_end_us(client)
     slack_us = evidence.observation_slack_us(client.sent_us, until_us)
     wait_us = evidence.relay_wait_us(client.relay, client.sent_us, until_us)
-    due_us = client.deadline_us + PROTOCOL_TOLERANCE_US + LATE_ANSWER_US + slack_us + wait_us
+    due_us = client.deadline_us + PROTOCOL_TOLERANCE_US + ANSWER_DELAY_LIMIT_US + slack_us + wait_us
     if client.answer in FINAL_ANSWERS:
         late_ms = (client.answered_us - client.deadline_us) // 1000
         return f"{client.request}: answered {late_ms} ms late" if client.answered_us > due_us else ""
--- a/gannetweir/lab/soak/run.py
+++ b/gannetweir/lab/soak/run.py
@@ -17,7 +17,7 @@
 from gannetweir.lab.soak.run_queue import SAMPLE_INTERVAL_S, RunQueueSampler
 
 SETTLE_S = 1.5  # before the first fault and after the last one
-CHECK_INTERVAL_S = 0.05  # of the relays' processes
+PROCESS_CHECK_INTERVAL_S = 0.05  # of the relays' processes
 
 
 class Soak:
@@ -63,7 +63,7 @@
                 if relay.process is None and not relay.is_restarting:  # it crashed: the others go on
                     relay.is_restarting = True
                     self.fleet.withdraw_clients(relay)
-            await anyio.sleep(CHECK_INTERVAL_S)
+            await anyio.sleep(PROCESS_CHECK_INTERVAL_S)
 
     async def _sample_run_queue(self) -> None:
         sampler = RunQueueSampler(self.records)
--- a/gannetweir/lab/soak/run_queue.py
+++ b/gannetweir/lab/soak/run_queue.py
@@ -12,7 +12,9 @@
 from gannetweir.lab.soak.records import RecordFile, RunQueueWait, now_us
 
 SAMPLE_INTERVAL_S = 0.1  # how far a wait may stand from its place in the records
-LEAST_WAIT_US = 1_000  # in one interval; shorter ones are no cause of lateness, and would fill the records
+MIN_RECORDED_WAIT_US = (
+    1_000  # in one interval; shorter ones are no cause of lateness, and would fill the records
+)
 
 
 def waited_us(pid: int) -> int:
@@ -38,7 +40,7 @@
             total = waited_us(pid)
             waited = total - self.waited_us.get(pid, 0)
             self.waited_us[pid] = total
-            if waited >= LEAST_WAIT_US:
+            if waited >= MIN_RECORDED_WAIT_US:
                 # one that is longer than the interval began before it
                 self.records.write(RunQueueWait(name, min(self.sampled_us, now - waited), now, waited))
         self.sampled_us = now
--- a/gannetweir/lab/soak/shim.py
+++ b/gannetweir/lab/soak/shim.py
@@ -34,7 +34,7 @@
 
 _OFFSET = struct.Struct("<q")
 _RATE = struct.Struct("<I")
-_SIZE = _OFFSET.size + 2 * len(Call) * _RATE.size
+_CONTROL_SIZE = _OFFSET.size + 2 * len(Call) * _RATE.size
 
 
 def build(folder: Path) -> Path:
@@ -54,9 +54,9 @@
     """The switches of one process. `environment` is what the process is started with."""
 
     def __init__(self, library: Path, control: Path, seed: int) -> None:
-        control.write_bytes(bytes(_SIZE))
+        control.write_bytes(bytes(_CONTROL_SIZE))
         with control.open("r+b") as file:
-            self.control = mmap.mmap(file.fileno(), _SIZE)
+            self.control = mmap.mmap(file.fileno(), _CONTROL_SIZE)
         self.environment = {
             "LD_PRELOAD": str(library),
             "GANNETWEIR_SHIM": str(control),
--- a/gannetweir/lab/soak/stand_in.py
+++ b/gannetweir/lab/soak/stand_in.py
@@ -20,10 +20,10 @@
 
 LOOP_INTERVAL_S = 0.01
 LOOP_DELAY_THRESHOLD_US = 20_000
-EXACT_READING_US = 1_000  # between two readings of a clock that count as one
-_UNACKNOWLEDGED = slice(24, 28)  # of Linux's struct tcp_info: segments
-_LAST_DATA_RECEIVED = slice(52, 56)  # milliseconds ago
-_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # struct linger: on, 0 s
+MAX_READING_SPAN_US = 1_000  # between two readings of a clock that count as one
+_TCPI_UNACKED = slice(24, 28)  # of Linux's struct tcp_info: segments
+_TCPI_LAST_DATA_RECV = slice(52, 56)  # milliseconds ago
+_LINGER_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # struct linger: on, 0 s
 
 
 class ConnectionEndedError(Exception):
@@ -64,13 +64,13 @@
         """
         while True:
             asked_us = now_us()
-            age_ms = self._tcp_info(_LAST_DATA_RECEIVED)
-            if now_us() - asked_us < EXACT_READING_US:  # else this process had no processor in between
+            age_ms = self._tcp_info(_TCPI_LAST_DATA_RECV)
+            if now_us() - asked_us < MAX_READING_SPAN_US:  # else this process had no processor in between
                 return asked_us - age_ms * 1000
 
-    def is_unheard(self) -> bool:
+    def has_unacknowledged_data(self) -> bool:
         """Has the peer's kernel not taken all that was sent? So it is where the peer's listener is full."""
-        return not self.closed and self._tcp_info(_UNACKNOWLEDGED) > 0
+        return not self.closed and self._tcp_info(_TCPI_UNACKED) > 0
 
     def _tcp_info(self, part: slice) -> int:
         return _tcp_info(self.sock, part)
@@ -118,7 +118,7 @@
             return
         self.closed = True
         if reset:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
         anyio.notify_closing(self.sock)
         self.sock.close()
 
@@ -130,7 +130,7 @@
 
 def accept_queue_length(listening: socket.socket) -> int:
     """Count the connections that wait to be accepted. The kernel gives it where it has the unacknowledged."""
-    return _tcp_info(listening, _UNACKNOWLEDGED)
+    return _tcp_info(listening, _TCPI_UNACKED)
 
 
 def listener(port: int = 0) -> socket.socket:
@@ -145,12 +145,12 @@
         raise OSError(code, os.strerror(code))
 
 
-async def connect(port: int, within_s: float = 2.0) -> Connection:
-    """A connection to a port on loopback. Raises `OSError`, and `TimeoutError` after `within_s`."""
+async def connect(port: int, timeout_s: float = 2.0) -> Connection:
+    """A connection to a port on loopback. Raises `OSError`, and `TimeoutError` after `timeout_s`."""
     sock = socket.socket()
     sock.setblocking(False)
     try:
-        with anyio.fail_after(within_s):
+        with anyio.fail_after(timeout_s):
             if sock.connect_ex(("127.0.0.1", port)):
                 await anyio.wait_writable(sock)
                 _raise_if_failed(sock)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -313,8 +313,8 @@
         unheard = stand_in.Connection(one_too_many)
         for connection in heard:
             connection.sock.send(b"OPEN")
-        wait_until(lambda: not any(connection.is_unheard() for connection in heard))
-        assert unheard.is_unheard()
+        wait_until(lambda: not any(connection.has_unacknowledged_data() for connection in heard))
+        assert unheard.has_unacknowledged_data()
         for connection in (*heard, unheard):
             connection.sock.close()
 
