--- a/gannetweir/lab/soak/command.py
+++ b/gannetweir/lab/soak/command.py
@@ -1,4 +1,4 @@
-"""`gannetweir lab soak`: runs seed after seed, prints what each showed, keeps the records of a bad one."""
+"""`gannetweir lab soak`: runs a soak per seed, prints the findings, keeps the records of failed runs."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
     "BUSY",
     "ERR",
     "attempts",
-    "troubles",
-    "stand-in late, ms",
+    "faults",
+    "loop delay, ms",
     "broken rules",
 )
-MAX_SHOWN_FINDINGS = 20  # findings of one seed
+MAX_SHOWN_FINDINGS = 20  # findings per seed
 
 
 def table_row(seed: int, verdict: Verdict) -> tuple[str, ...]:
-    """One seed's line of the table."""
+    """Return the row of a seed in the table."""
     counts = verdict.counts
     broken = Counter(str(finding.rule) for finding in verdict.findings)
     names = "requests", "UP", "BUSY", "ERR", "attempts", "troubles", "latest stand-in, ms"
@@ -39,9 +39,10 @@
 
 
 def soak(seeds: Iterable[int], seconds: float, relays: int, keep: str | None) -> int:
-    """Play the seeds. 1 if a rule was broken in any; the records of such a run are kept.
+    """Run a soak for each seed and keep the records of the runs that broke a rule. Returns the exit code: 1
+    if any run broke a rule, else 0.
 
-    Raises `SoakError` where the library that makes calls fail can't be built.
+    Raises `SoakError` if the library that makes system calls fail can't be built.
     """
     root = Path(keep) if keep else Path(tempfile.mkdtemp(prefix="soak-"))
     rows, broken = [], False
@@ -56,7 +57,7 @@
         broken = broken or bool(verdict.findings)
         if not verdict.findings:
             shutil.rmtree(folder)
-    print_table(f"{seconds:g} s of troubles a seed, {relays} relays", COLUMNS, rows)
+    print_table(f"{seconds:g} s of faults per seed, {relays} relays", COLUMNS, rows)
     if broken:
         print(f"records of the runs that broke a rule: {root}")
     return int(broken)
--- a/gannetweir/lab/soak/evidence.py
+++ b/gannetweir/lab/soak/evidence.py
@@ -1,7 +1,8 @@
-"""The records of a run, by what the rules ask of them, and how exact they are.
+"""The records of a run, indexed for the rules, and the accuracy of their times.
 
-The stand-ins are ordinary processes on a busy machine: what they read may have come earlier, and a relay may
-be late because it had no processor. So a rule counts as broken only where no measured delay explains it.
+The stand-ins are ordinary processes on a busy machine: the data that they read may have arrived earlier, and
+a relay may be late because it had no processor. So a rule counts as broken only if no measured delay explains
+the observation.
 """
 
 from __future__ import annotations
@@ -23,19 +24,24 @@
     RunQueueWait,
 )
 
-PROTOCOL_TOLERANCE_US = 50_000  # that the protocol gives every limit of time
-OBSERVATION_SLACK_US = 60_000  # beyond it, for what stand-ins note: two turns of their loops
-LOOP_DELAY_BEFORE_US = 50_000  # a delay that was noted so long before may reach into a span,
-LOOP_DELAY_AFTER_US = 500_000  # and one that was noted so long after it may have begun in it
-EXIT_NOTICE_US = 500_000  # the death of a process has been noticed by everyone by then
+PROTOCOL_TOLERANCE_US = 50_000  # tolerance of the protocol on every time limit
+# A stand-in may record a time this much late, in addition to the tolerance: two iterations of its event loop.
+OBSERVATION_SLACK_US = 60_000
+# A loop delay that was recorded up to this long before a span may reach into the span.
+LOOP_DELAY_BEFORE_US = 50_000
+# A loop delay that was recorded up to this long after a span may have begun within the span.
+LOOP_DELAY_AFTER_US = 500_000
+# All peers have noticed the end of a process after this time.
+EXIT_NOTICE_US = 500_000
 NEVER_US = 1 << 62
-BROKEN_CONNECTIONS = "broken_at"  # a span in which the kernel of one relay broke its connections to backends
+# Kind of a FaultSpan: the failing calls of one relay reset its connections to backends.
+BROKEN_CONNECTIONS = "broken_at"
 
 RecordType = TypeVar("RecordType")
 
 
 class Evidence:
-    """What one run left behind; read-only. `logs` are the lines that each relay wrote."""
+    """The records and logs of one run; read-only. `logs` holds the lines that each relay logged."""
 
     def __init__(self, records: Sequence[Record], plan: SoakPlan, logs: dict[int, list[str]]) -> None:
         self.records, self.plan, self.logs = records, plan, logs
@@ -44,7 +50,7 @@
         self.faults = self.of_type(FaultSpan)
         self.loop_delays = sorted(self.of_type(LoopDelay), key=lambda delay: delay.at_us)
         self.loop_delay_times = [delay.at_us for delay in self.loop_delays]
-        self.attempts: dict[str, list[AttemptObservation]] = defaultdict(list)  # by request, in their order
+        self.attempts: dict[str, list[AttemptObservation]] = defaultdict(list)  # by request, ordered by time
         for attempt in sorted(self.of_type(AttemptObservation), key=lambda attempt: attempt.first_us):
             if attempt.request in self.clients:
                 self.attempts[attempt.request].append(attempt)
@@ -56,31 +62,31 @@
             self.run_queue_waits[wait.process].append(wait)
 
     def of_type(self, record_type: type[RecordType]) -> list[RecordType]:
-        """The records of one type."""
+        """Return the records of one type."""
         return [record for record in self.records if isinstance(record, record_type)]
 
     def attempts_by_relay(self) -> Iterable[tuple[int, AttemptObservation]]:
-        """Every attempt, with the relay that made it."""
+        """Yield every attempt with the number of the relay that made it."""
         for request, attempts in self.attempts.items():
             relay = self.clients[request].relay
             for attempt in attempts:
                 yield relay, attempt
 
-    # What the machine and the stand-ins had to do with a delay.
+    # Delays that the machine or the stand-ins caused.
 
     def observation_slack_us(self, from_us: int, to_us: int) -> int:
-        """How late a stand-in may have seen what it noted in this time."""
+        """Return how late, at most, a stand-in may have recorded an event of this span."""
         return OBSERVATION_SLACK_US + self.loop_delay_us(from_us, to_us)
 
     def loop_delay_us(self, from_us: int, to_us: int, prefix: str = "") -> int:
-        """The most that the loop of a stand-in was delayed, of those whose names begin with `prefix`."""
+        """Return the longest loop delay around this span of the stand-ins whose names start with `prefix`."""
         begin = bisect_left(self.loop_delay_times, from_us - LOOP_DELAY_BEFORE_US)
         end = bisect_left(self.loop_delay_times, to_us + LOOP_DELAY_AFTER_US)
         delays = self.loop_delays[begin:end]
         return max((delay.late_us for delay in delays if delay.process.startswith(prefix)), default=0)
 
     def run_queue_wait_us(self, from_us: int, to_us: int, *processes: str) -> int:
-        """How long, in this time, these processes were ready to run and had no processor."""
+        """Return for how long, in this span, these processes were ready to run but had no processor."""
         total_us = 0
         for process in processes:
             for wait in self.run_queue_waits[process]:
@@ -89,18 +95,18 @@
         return total_us
 
     def relay_wait_us(self, relay: int, from_us: int, to_us: int) -> int:
-        """The same of one relay."""
+        """Return for how long, in this span, a relay was ready to run but had no processor."""
         return self.run_queue_wait_us(from_us, to_us, relay_name(relay))
 
     def proxy_of(self, backend: str) -> str:
-        """The proxy between the relays and a backend; empty for a backend that a relay has made up."""
+        """Return the proxy of a backend; empty if an UP named a backend that does not exist."""
         number = backend.removeprefix("b")
         return proxy_name(int(number) % self.plan.proxies) if number.isdecimal() else ""
 
-    # What was done to relays and backends.
+    # Faults that were injected into relays and backends.
 
     def was_relay_killed(self, relay: int, from_us: int, to_us: int) -> bool:
-        """Say whether this relay died by force in that time."""
+        """Return whether a process of this relay ended other than by SIGTERM in this span."""
         return any(
             lifetime.relay == relay
             and lifetime.how != "term"
@@ -109,7 +115,7 @@
         )
 
     def were_connections_broken(self, relay: int, at_us: int) -> bool:
-        """Say whether the kernel broke connections of this relay to backends then."""
+        """Return whether failing calls were resetting this relay's connections to backends at this time."""
         return any(
             span.kind == BROKEN_CONNECTIONS
             and span.target == relay_name(relay)
@@ -118,17 +124,19 @@
         )
 
     def had_fault(self, target: str, from_us: int, to_us: int) -> bool:
-        """Say whether anything was done to it in that time."""
+        """Return whether a fault was injected into the target in this span."""
         return any(
             span.target == target and span.from_us < to_us and from_us < span.to_us for span in self.faults
         )
 
     def was_ever_restarted(self, backend: str) -> bool:
-        """Say whether its process was ended in this run, so that its last records may be missing."""
+        """Return whether the backend's process was ended during this run, so that its last records may be
+        missing.
+        """
         kinds = FaultKind.BACKEND_CRASHES, FaultKind.BACKEND_DRAINS
         return any(span.target == backend and span.kind in kinds for span in self.faults)
 
 
 def relay_name(relay: int) -> str:
-    """The name that the records have for a relay."""
+    """Return the name of a relay in the records."""
     return f"n{relay}"
--- a/gannetweir/lab/soak/run.py
+++ b/gannetweir/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of a soak: the fleet, the faults of its seed, the end, and what the judge finds."""
+"""A run of a soak: starts the fleet, injects the faults, shuts the fleet down and judges the records."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from gannetweir.lab.soak.relays import relay_command
 from gannetweir.lab.soak.run_queue import SAMPLE_INTERVAL_S, RunQueueSampler
 
-SETTLE_S = 1.5  # before the first fault and after the last one
-PROCESS_CHECK_INTERVAL_S = 0.05  # of the relays' processes
+SETTLE_S = 1.5  # time without faults, at the start and at the end of a run
+PROCESS_CHECK_INTERVAL_S = 0.05
 
 
 class Soak:
-    """All of one run; every process has ended when `run` returns. Its records stay in `folder`."""
+    """One run. Every process has ended when `run` returns; the records stay in `folder`."""
 
     def __init__(
         self, plan: SoakPlan, folder: Path, commands: Callable[[int], list[str]] | None = None
@@ -33,11 +33,11 @@
         self.injector = FaultInjector(plan, self.fleet, self.records)
 
     async def inject(self, fault: Fault) -> None:
-        """One fault, from its time to its end."""
+        """Wait for the time of a fault, inject the fault and undo it after its duration."""
         await self.injector.inject(fault)
 
     async def run(self, faults: list[Fault] | None = None) -> Verdict:
-        """Run it to its end, and judge it. Without `faults`, those of the plan's seed."""
+        """Run the soak to its end and return the verdict. `faults` defaults to those of the plan's seed."""
         faults = draw_faults(self.plan) if faults is None else faults
         try:
             async with anyio.create_task_group() as tasks:
@@ -60,7 +60,8 @@
         while True:
             for relay in self.fleet.relays:
                 relay.check()
-                if relay.process is None and not relay.is_restarting:  # it crashed: the others go on
+                # A crashed relay is not restarted; the run continues with the others.
+                if relay.process is None and not relay.is_restarting:
                     relay.is_restarting = True
                     self.fleet.withdraw_clients(relay)
             await anyio.sleep(PROCESS_CHECK_INTERVAL_S)
