--- a/gannetweir/lab/soak/fault_injector.py
+++ b/gannetweir/lab/soak/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a plan on a fleet, and undoes each after its time."""
+"""Injects the faults of a plan into a fleet, and undoes each after its duration."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 from gannetweir.lab.soak.relays import START_TIMEOUT_S, RelayProcess
 from gannetweir.lab.soak.shim import Call
 
-DRAIN_NOTICE_S = 0.6  # from a drain's announcement until its backend refuses requests
-DRAIN_DURATION_S = 2.5  # from then on, until its process ends
-RESTART_AFTER_DRAIN_S = 0.5  # until a new process takes its place
-TRUNCATED_CONFIG_S = 0.2  # for which half a configuration stays in place
-SIGNALS_PER_BURST = 10  # of one burst
+DRAIN_NOTICE_S = 0.6  # time from the announcement of a drain until the backend rejects requests
+DRAIN_DURATION_S = 2.5  # time for which a draining backend rejects requests before its process ends
+RESTART_AFTER_DRAIN_S = 0.5  # time from the removal of a drained backend to the start of its new process
+TRUNCATED_CONFIG_S = 0.2  # time for which a truncated configuration stays in place
+SIGNALS_PER_BURST = 10
 OVERRIDE_RETRY_S = 0.05
-BACKENDS_PER_FAULT = 3  # one of so many backends has a fault of its own at a time
+BACKENDS_PER_FAULT = 3  # at most one in this number of backends has a fault at a time
 NETWORK_FAULTS = {
     FaultKind.NETWORK_DELAY: "late",
     FaultKind.NETWORK_SILENT: "silent",
     FaultKind.NETWORK_PIECES: "pieces",
     FaultKind.NETWORK_RESETS: "reset",
-}  # what a proxy is commanded
+}  # value of `fault` in the command to the proxies
 BACKEND_FAULTS = {
     FaultKind.BACKEND_HANGS: "hang",
     FaultKind.BACKEND_SLOW: "slow",
     FaultKind.BACKEND_RESETS: "reset",
     FaultKind.BACKEND_ERRORS: "error",
-}  # what a backend is commanded
+}  # value of `fault` in the command to the backend
 BACKEND_RESTART_FAULTS = FaultKind.BACKEND_DRAINS, FaultKind.BACKEND_CRASHES
 
 
 class FaultInjector:
-    """Draws from its own random numbers what a plan leaves open."""
+    """Injects faults. What a fault leaves open is drawn from a random generator of its own."""
 
     def __init__(self, plan: SoakPlan, fleet: SoakFleet, records: RecordFile) -> None:
         self.plan, self.fleet, self.records = plan, fleet, records
         self.rng = random.Random(f"soak {plan.seed}")
-        self.faulty_backends: set[str] = set()  # backends with a fault of their own
+        self.faulty_backends: set[str] = set()
 
     async def inject(self, fault: Fault) -> None:
-        """One fault, from its time to its end."""
+        """Wait for the time of a fault, inject the fault, undo it after its duration and record its span."""
         await anyio.sleep(fault.at_s)
         began_us = now_us()
         target = await self._inject_and_undo(fault)
@@ -53,7 +53,9 @@
             self.records.write(FaultSpan(fault.kind, target, began_us, now_us()))
 
     async def _inject_and_undo(self, fault: Fault) -> str:
-        """Whom it struck; empty if it could not be done now."""
+        """Inject a fault and undo it. Returns the name of its target; empty if the fault can't be injected
+        now.
+        """
         kind = fault.kind
         if kind in BACKEND_FAULTS or kind in NETWORK_FAULTS or kind in BACKEND_RESTART_FAULTS:
             return await self._inject_at_backend(fault)
@@ -151,7 +153,7 @@
             client.send_command(leave=True)
 
     async def _override_backend(self, relay: RelayProcess, fault: Fault) -> None:
-        """Take a backend offline, and back. A call that is not answered `ok` is not relied on."""
+        """Take a backend offline and back online. The judge relies only on an answer `ok` to OFFLINE."""
         name = f"b{fault.backend}"
         if not (await relay.call_admin(f"OFFLINE {name}")).startswith("ok"):
             return
@@ -170,7 +172,7 @@
             relay.is_restarting = False
 
     async def _restart_relay(self, relay: RelayProcess, kind: FaultKind) -> None:
-        """End a relay as a planned restart does, or kill it, and start it again."""
+        """Terminate a relay as in a planned restart, or kill it, and start a new process."""
         relay.is_restarting = True
         try:
             if kind is FaultKind.KILL:
--- a/gannetweir/lab/soak/fleet.py
+++ b/gannetweir/lab/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of one soak: relays, and the stand-ins for all that they speak to."""
+"""The processes of a soak: the relays, and the stand-ins for clients, proxies, backends and discovery."""
 
 from __future__ import annotations
 
@@ -26,16 +26,19 @@
 from gannetweir.lab.soak.shim import Call, Shim, build
 from gannetweir.lab.soak.stand_in_process import StandInProcess
 
-SLOW_START_STEPS = 8  # in which a backend that has started comes to its capacity
-EXIT_TO_DISCOVERY_S = 0.3  # from the end of a backend's process until discovery knows of it
-WITHDRAWAL_DELAY_S = 0.2, 0.4  # how long new clients still come to a relay that was asked to end
+SLOW_START_STEPS = 8  # number of steps in which a started backend reaches its capacity
+EXIT_TO_DISCOVERY_S = 0.3  # time from the end of a backend's process to the update of discovery
+# Minimum and maximum time for which new clients still connect to a relay that was sent SIGTERM or SIGKILL.
+WITHDRAWAL_DELAY_S = 0.2, 0.4
 POLL_INTERVAL_S = 0.02
-ACCEPT_QUEUE_WAIT_S = 5.0  # for clients to be accepted, where a relay has no processor
-FINAL_RECORDS_S = 0.5  # from the end of the relays to that of the stand-ins
+# A relay without a processor gets this long to accept the clients in the queue of its listener.
+ACCEPT_QUEUE_WAIT_S = 5.0
+# After the end of the relays the stand-ins run on for this long, to write their last records.
+FINAL_RECORDS_S = 0.5
 
 
 class SoakFleet:
-    """Starts, restarts and ends the processes. `start` comes first; `end_all` ends every one of them."""
+    """Starts, restarts and ends the processes. Call `start` first; `end_all` ends all processes."""
 
     def __init__(
         self, plan: SoakPlan, folder: Path, relay_command: Callable[[int], list[str]], records: RecordFile
@@ -46,12 +49,12 @@
         self.clients: list[StandInProcess] = []
         self.relays: list[RelayProcess] = []
         self.discovery: StandInProcess | None = None
-        self.membership: dict[str, dict[str, Any]] = {}  # as discovery knows it
+        self.membership: dict[str, dict[str, Any]] = {}  # the entries of discovery, by backend
         self.membership_version = 1
         self.tasks: anyio.abc.TaskGroup
 
     async def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start everything; returns once the first relay is ready."""
+        """Start all processes. Returns once the first relay is ready."""
         self.tasks = tasks
         discovery_ports = await self._start_backends_and_discovery()
         library = build(self.folder)
@@ -69,7 +72,7 @@
             await anyio.sleep(POLL_INTERVAL_S)
 
     async def _start_backends_and_discovery(self) -> list[list[int]]:
-        """Start the backends, the proxies before them, and discovery. Its ports, for each relay."""
+        """Start the backends, their proxies and discovery. Returns the ports of discovery for each relay."""
         names = [f"b{number}" for number in range(self.plan.backends)]
         ports = {name: await self._start_backend(name) for name in names}
         for number in range(self.plan.proxies):
@@ -100,14 +103,14 @@
         return int((await process.wait_started())["port"])
 
     def change_membership(self, name: str, **fields: object) -> None:
-        """Let discovery learn something of a backend."""
+        """Change fields of a backend's entry, and send the entry to discovery."""
         self.membership_version += 1
         defaults = {"site": "a", "class": "m", "health": "Ready", "share": 1.0, "born_ms": 0}
         self.membership[name] = defaults | self.membership.get(name, {}) | fields | {"host": name}
         self.command_discovery(**self.membership[name])
 
     def cached_membership(self) -> dict[str, Any]:
-        """The endpoint list as a relay is started with it."""
+        """Return the endpoint list for the configuration of a relay."""
         listed = [host for host in self.membership.values() if host["health"] != "Gone"]
         return {"seq": self.membership_version, "whole": True, "hosts": listed}
 
@@ -117,12 +120,14 @@
         self.discovery.send_command(**values)
 
     def command_proxies(self, **values: object) -> None:
-        """Send a command to all proxies; the one of the backend heeds it."""
+        """Send a command to all proxies. Only the proxy of the backend is affected."""
         for proxy in self.proxies:
             proxy.send_command(**values)
 
     async def admit_clients(self, relay: RelayProcess) -> None:
-        """Let the front send clients to a relay, once it is ready."""
+        """Wait until a relay is ready, then let clients connect to the relay. Kills a relay that is not ready
+        in time.
+        """
         if await relay.wait_ready():
             for client in self.clients:
                 client.send_command(admit=relay.number, port=relay.port)
@@ -130,12 +135,14 @@
             relay.kill("no start")
 
     def withdraw_clients(self, relay: RelayProcess) -> None:
-        """Let the front send no more clients to a relay."""
+        """Let no new clients connect to a relay."""
         for client in self.clients:
             client.send_command(withdraw=relay.number)
 
     async def restart_backend(self, name: str, after_s: float, number: signal.Signals) -> None:
-        """Its process ends, discovery learns of that, and a new one starts that has to warm up."""
+        """End a backend's process with a signal, remove the backend from discovery, and start a new process
+        in slow start after a delay.
+        """
         process = self.backends[name]
         process.process.send_signal(number)
         await anyio.to_thread.run_sync(process.process.wait)
@@ -159,7 +166,7 @@
                 process.send_command(warmth=capacity_factor)
 
     def named_processes(self) -> Iterator[tuple[str, int]]:
-        """Name and id of every process whose waits for a processor the judge allows for."""
+        """Yield name and id of every process for whose waits the judge allows."""
         for relay in self.relays:
             for process in (relay.process, relay.replaced):
                 if process is not None:
@@ -170,8 +177,8 @@
             yield proxy_name(number), proxy.process.pid
 
     async def finish(self) -> None:
-        """Ask all relays to end while clients still come, as at a release. Nobody takes over a shared
-        listener here, so its clients go elsewhere first.
+        """Send SIGTERM to all relays while clients still connect, as at a release. No process takes over a
+        shared listener here, so the clients of such relays are withdrawn first.
         """
         for relay in self.relays:
             if relay.listener is not None:
@@ -189,8 +196,9 @@
         await anyio.sleep(FINAL_RECORDS_S)
 
     async def _wait_for_shared_listeners(self) -> None:
-        """Wait until the relays have accepted who waits at a shared listener. It outlives its relay: clients
-        that a busy machine has left in its queue would wait there for a successor, and none comes.
+        """Wait until the relays have accepted all clients in the queues of shared listeners. A shared
+        listener outlives its relay: clients that a busy machine has left in the queue would wait for a
+        successor that never starts.
         """
         listeners = [relay.listener for relay in self.relays if relay.process and relay.listener]
         with anyio.move_on_after(ACCEPT_QUEUE_WAIT_S):
@@ -198,7 +206,7 @@
                 await anyio.sleep(POLL_INTERVAL_S)
 
     def end_all(self) -> None:
-        """End every process, whatever state it is in."""
+        """End all processes, whatever their state."""
         for relay in self.relays:
             relay.kill("soak")
             relay.close_unread_stderr()
@@ -208,7 +216,7 @@
             self.discovery.end()
 
     def logs(self) -> dict[int, list[str]]:
-        """The lines that each relay wrote to its standard error."""
+        """Return the lines that each relay wrote to its log file."""
         found = {}
         for relay in self.relays:
             text = relay.log_path.read_text(errors="replace") if relay.log_path.exists() else ""
--- a/gannetweir/lab/soak/relays.py
+++ b/gannetweir/lab/soak/relays.py
@@ -1,4 +1,4 @@
-"""The relay processes of a soak: their configuration, their start, their end, and their descriptors."""
+"""The relay processes of a soak: configuration, start, shutdown and descriptors."""
 
 from __future__ import annotations
 
@@ -21,18 +21,16 @@
 from gannetweir.lab.soak.shim import Shim
 from gannetweir.lab.soak.stand_in import ConnectionEndedError
 
-START_TIMEOUT_S = 30.0  # a relay that is not ready by then has failed to start
-UNREAD_STDERR_INTERVAL = 4  # the last relay of so many has a standard error that nobody reads
+START_TIMEOUT_S = 30.0  # a relay that is not ready after this time has failed to start
+# The standard error of the last relay of every group of this size is a pipe that is never read.
+UNREAD_STDERR_INTERVAL = 4
 _PORT_NUMBERS = itertools.count()
-FIRST_PORT, PORTS_PER_BLOCK, PORT_BLOCKS = (
-    18_000,
-    100,
-    140,
-)  # below those that Linux gives to outgoing connections
+# All ports lie below the range from which Linux assigns local ports to outgoing connections.
+FIRST_PORT, PORTS_PER_BLOCK, PORT_BLOCKS = 18_000, 100, 140
 
 
 class RelayProcess:
-    """One relay's name, address and folder, and the process that serves it now."""
+    """A relay with its name, address and folder, and the process that currently serves."""
 
     def __init__(
         self,
@@ -48,31 +46,34 @@
         self.discovery_ports, self.records, self.command = discovery, records, command
         self.listener: socket.socket | None = None
         if shares_listener(number):
-            self.listener = stand_in.listener(_free_port())  # never one that the kernel chooses
+            # Not a port of the kernel's choice: the shim takes every connection with a local port from 32768
+            # on for a connection to a backend.
+            self.listener = stand_in.listener(_free_port())
             self.port = int(self.listener.getsockname()[1])
         else:
             self.port = _free_port()
-        self.admin_ports = [_free_port(), _free_port()]  # for operators; the process that runs has the first
-        self.replaced: subprocess.Popen[bytes] | None = None  # during an upgrade, the one that drains
-        self.discovery_index = 0  # which of discovery's addresses it is configured with
+        # The current process has the first port; the process of an upgrade gets the second.
+        self.admin_ports = [_free_port(), _free_port()]
+        self.replaced: subprocess.Popen[bytes] | None = None  # the draining process during an upgrade
+        self.discovery_index = 0  # index into `discovery_ports` of the configured address
         self.process: subprocess.Popen[bytes] | None = None
         self.lifetime = ProcessLifetime(number, 0)
-        self.is_restarting = False  # it is being ended and started
-        self.unread_stderr: int | None = None  # its standard error, where nobody reads that
+        self.is_restarting = False
+        self.unread_stderr: int | None = None  # read end of the pipe for a standard error that is never read
         (folder / f"shared{number}").mkdir(exist_ok=True)
 
     @property
     def log_path(self) -> Path:
-        """What it wrote to standard error."""
+        """The file for standard output and, unless that is a pipe, standard error."""
         return self.folder / f"relay{self.number}.log"
 
     @property
     def config_path(self) -> Path:
-        """The file that the platform wrote for it."""
+        """The configuration file that the platform writes for the relay."""
         return self.folder / f"relay{self.number}.json"
 
     def write_config(self, membership: dict[str, Any]) -> None:
-        """Put a complete configuration in place."""
+        """Write a complete configuration file."""
         data = {
             "name": f"n{self.number}",
             "listen": f"127.0.0.1:{self.port}",
@@ -86,7 +87,7 @@
         self.config_path.write_bytes(orjson.dumps(data))
 
     def start(self, membership: dict[str, Any]) -> None:
-        """Start a process; `ready` waits for it."""
+        """Start a process. `wait_ready` waits until the process answers."""
         self.write_config(membership)
         env = {
             "PATH": os.environ.get("PATH", ""),
@@ -115,18 +116,18 @@
             if isinstance(error, int):
                 os.close(error)
         self.lifetime = ProcessLifetime(self.number, now_us())
-        for host in membership["hosts"]:  # a process has been notified of what it is started with
+        for host in membership["hosts"]:  # the process knows these states from its configuration
             state = host["host"], host["health"], host["born_ms"]
             self.records.write(WatchEventSent(self.number, *state, self.lifetime.started_us))
 
     def close_unread_stderr(self) -> None:
-        """Close the end of the pipe that nobody read."""
+        """Close the read end of the pipe that is never read."""
         if self.unread_stderr is not None:
             os.close(self.unread_stderr)
             self.unread_stderr = None
 
     async def wait_ready(self) -> bool:
-        """Returns once it answers PONG, or its time is over."""
+        """Wait for the first PONG. Returns False if the process ends or the timeout passes first."""
         with anyio.move_on_after(START_TIMEOUT_S):
             while self.process is not None and self.process.poll() is None:
                 if await self._answers_ping():
@@ -150,7 +151,7 @@
             connection.close()
 
     async def call_admin(self, line: str) -> str:
-        """Return what the admin listener answers; empty if it does not."""
+        """Send a call to the admin listener and return its answer; empty if there is none."""
         try:
             with anyio.fail_after(1.0):
                 connection = await stand_in.connect(self.admin_ports[0], 0.5)
@@ -163,7 +164,9 @@
             return ""
 
     async def upgrade(self, membership: dict[str, Any]) -> None:
-        """A second process takes over the listener; the first is asked to end once the second is healthy."""
+        """Start a second process on the shared listener, and send SIGTERM to the first once the second is
+        healthy.
+        """
         replaced, lifetime = self.process, self.lifetime
         assert replaced is not None
         self.admin_ports.reverse()
@@ -183,12 +186,12 @@
         self.records.write(lifetime)
 
     def signal(self, number: signal.Signals) -> None:
-        """Send one, if it lives."""
+        """Send a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     async def terminate(self) -> None:
-        """After SIGTERM: wait for its exit, and kill it if that does not come."""
+        """Send SIGTERM, wait for the exit of the process, and kill a process that does not exit in time."""
         self.lifetime.asked_to_end_us = now_us()
         self.signal(signal.SIGTERM)
         if self.process is not None:
@@ -197,7 +200,9 @@
         self.kill("late" if late else "term")
 
     async def _wait_for_exit(self, process: subprocess.Popen[bytes]) -> None:
-        """Until its exit, or its time is over. Time in which it had no processor is not counted."""
+        """Wait until a process exits or the grace period has passed. The time for which the process had no
+        processor does not count.
+        """
         requested_us, waited_before_us = now_us(), waited_us(process.pid)
         while process.poll() is None:
             excluded_us = waited_us(process.pid) - waited_before_us
@@ -206,18 +211,18 @@
             await anyio.sleep(0.01)
 
     def kill(self, how: str) -> None:
-        """It is over: kill what is left, and write its life down."""
+        """Kill the process if it still runs, and record its lifetime. `how` says how the process ended."""
         if self.process is None:
             return
         self.process.kill()
         self.lifetime.code = self.process.wait()
-        self.lifetime.ended_us = now_us()  # after it: nothing that this process did comes later
+        self.lifetime.ended_us = now_us()  # taken after the exit: the process did nothing later
         self.lifetime.how = how
         self.records.write(self.lifetime)
         self.process = None
 
     def check(self) -> None:
-        """Count its descriptors, and notice that it has died unasked."""
+        """Count the descriptors of the relay, and record a process that has exited without SIGTERM."""
         if self.process is None:
             return
         if self.process.poll() is not None and not self.lifetime.asked_to_end_us:
@@ -232,12 +237,12 @@
 
 
 def _count_descriptors(pid: int) -> int:
-    """Count the open descriptors of a process. Raises `OSError` if it has ended."""
+    """Return the number of open descriptors of a process. Raises `OSError` if the process has ended."""
     return len(list(Path(f"/proc/{pid}/fd").iterdir()))
 
 
 def _free_port() -> int:
-    """A port that is free now, and that neither the kernel nor a soak beside this one is likely to take."""
+    """Return a port that is free now, and that neither the kernel nor a concurrent soak is likely to take."""
     while True:
         port = (
             FIRST_PORT + os.getpid() % PORT_BLOCKS * PORTS_PER_BLOCK + next(_PORT_NUMBERS) % PORTS_PER_BLOCK
@@ -250,5 +255,5 @@
 
 
 def relay_command() -> list[str]:
-    """How a relay is started."""
+    """Return the command that starts a relay."""
     return [sys.executable, "-m", "gannetweir", "serve"]
