--- a/gannetweir/lab/soak/backend.py
+++ b/gannetweir/lab/soak/backend.py
@@ -16,33 +16,35 @@
 from gannetweir.lab.soak.records import BackendObservation, RecordFile, now_us
 from gannetweir.lab.soak.stand_in import Connection, ConnectionEndedError
 
-SETUP_S = 0.002, 0.006
-SLOW_S = 0.4
-MEAN_DRAIN_MIGRATION_S = 1.5
-ERROR_PROBABILITY = 0.5  # of a request, while that fault is on
-RESET_PROBABILITY = 0.05  # of a connection, each tenth of a second while that fault is on
+SETUP_S = 0.002, 0.006  # minimum and maximum time to the answer
+SLOW_S = 0.4  # time to the answer during the fault "slow"
+MEAN_DRAIN_MIGRATION_S = 1.5  # mean time until a draining backend sends MOVE on a connection
+ERROR_PROBABILITY = 0.5  # per request, during the fault "error"
+RESET_PROBABILITY = 0.05  # per connection and tenth of a second, during the fault "reset"
 
 
 class Backend:
-    """Answers first lines and probes, returns each line at once; faults are switched by commands."""
+    """Answers first lines and probes, and echoes each later line. Commands switch faults on and off."""
 
     def __init__(self, name: str, capacity: float, records: RecordFile) -> None:
         self.name, self.capacity, self.records = name, capacity, records
         self.rng = random.Random(name)
-        self.fault = ""  # hang: says nothing; slow; reset: breaks what has begun; error: ERR to every other
+        # The current fault: "hang" sends nothing, "slow" answers late, "reset" resets connections, "error"
+        # answers some requests with ERR. Empty without a fault.
+        self.fault = ""
         self.is_draining = False
         self.capacity_factor = 1.0
         self.established: dict[Connection, None] = {}
         self.served_count = 0
 
     async def handle_command(self, command: dict[str, Any]) -> None:
-        """Switch a fault, the drain, or what it has of its capacity while it warms up."""
+        """Set the fault, the drain, or the fraction of the capacity during the slow start."""
         self.fault = command.get("fault", self.fault)
         self.is_draining = command.get("draining", self.is_draining)
         self.capacity_factor = command.get("warmth", self.capacity_factor)
 
     async def handle(self, connection: Connection) -> None:
-        """One connection: probes, or a client's."""
+        """Serve a connection: load probes, or one request."""
         while True:
             line = await connection.read_line()
             if line.startswith(b"OPEN "):
@@ -111,7 +113,7 @@
 
 
 def main(name: str, folder: str, capacity: str) -> None:
-    """Run until standard input ends."""
+    """Run the backend until standard input ends."""
 
     async def run(records: RecordFile, tasks: anyio.abc.TaskGroup) -> None:
         backend, sock = Backend(name, float(capacity), records), stand_in.listener()
--- a/gannetweir/lab/soak/clients.py
+++ b/gannetweir/lab/soak/clients.py
@@ -1,8 +1,9 @@
-"""Clients behind a front.
+"""Stand-in clients behind a load balancer.
 
 Run as: python -m gannetweir.lab.soak.clients NAME FOLDER SEED RATE CONNECTION_S DEADLINE_FACTOR
 
-Requests come at times drawn ahead (open loop). Some clients write slowly, leave early, or send nonsense.
+Requests start at random times that don't depend on the answers (open loop). Some clients write slowly,
+disconnect early or send invalid data.
 """
 
 from __future__ import annotations
@@ -19,20 +20,22 @@
 from gannetweir.lab.soak.records import ClientObservation, RecordFile, now_us
 from gannetweir.lab.soak.stand_in import Connection, ConnectionEndedError
 
-LINE_INTERVAL_S = 0.5  # between two lines of an established connection
-MAX_RETRIES = 2  # of a client that was rejected, moved or reset
+LINE_INTERVAL_S = 0.5  # time between two lines of an established connection
+MAX_RETRIES = 2  # per client that was rejected, moved or reset
 RETRY_DELAYS_S = 0.0, 0.1, 0.3
-INVALID_INPUT_PROBABILITY = 0.03  # of a client that speaks no protocol
-SLOW_WRITE_PROBABILITY = 0.1  # of a client that writes its first line in pieces
+INVALID_INPUT_PROBABILITY = 0.03  # share of clients that send data that is not in the protocol
+SLOW_WRITE_PROBABILITY = 0.1  # share of clients that write the first line in pieces
 SLOW_PIECE_BYTES, SLOW_PIECE_S = 20, 0.004
-EARLY_DISCONNECT_PROBABILITY = 0.08  # of a client that does not wait for its answer
-RESET_WITHOUT_ANSWER_PROBABILITY = 0.5  # that a client that gives up breaks the connection
-RESET_AFTER_SERVICE_PROBABILITY = 0.2  # that one that was served does
+EARLY_DISCONNECT_PROBABILITY = 0.08  # share of clients that disconnect before the answer
+# Clients that stop waiting for an answer, and clients that were served, end their connection with a reset at
+# these probabilities.
+RESET_WITHOUT_ANSWER_PROBABILITY = 0.5
+RESET_AFTER_SERVICE_PROBABILITY = 0.2
 INVALID_INPUTS = (b"\xff\xfe\r\n", b"OPEN x\r\n", b"x" * 5000, b"PING", b"OPEN 1 2 c=none,d=1\r\n")
 
 
 class Clients:
-    """Draws requests, and the front's choice of a relay for each."""
+    """Generates requests, and chooses a relay for each as a load balancer does."""
 
     def __init__(
         self,
@@ -45,17 +48,17 @@
     ) -> None:
         self.name, self.records = name, records
         self.requests_per_s = requests_per_s
-        self.connection_s = connection_s  # the mean time for which an established connection is used
+        self.connection_s = connection_s  # mean duration of an established connection
         self.deadline_factor = deadline_factor
         self.rng = random.Random(f"{seed} {name}")
-        self.relay_ports: dict[int, int] = {}  # relays that the front sends to
+        self.relay_ports: dict[int, int] = {}  # ports of the admitted relays
         self.idle_connections: list[Connection] = []
         self.request_count = 0
         self.is_stopped = False
         self.tasks: anyio.abc.TaskGroup
 
     async def handle_command(self, command: dict[str, Any]) -> None:
-        """Admit or withdraw a relay, open idle connections to one, or begin no more requests."""
+        """Admit or withdraw a relay, open or close idle connections, or stop starting requests."""
         if "admit" in command:
             self.relay_ports[command["admit"]] = command["port"]
         elif "withdraw" in command:
@@ -77,7 +80,7 @@
                 return
 
     async def run(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Begin requests in an open loop, until the command to stop."""
+        """Start requests in an open loop until the command to stop."""
         self.tasks = tasks
         due_s = anyio.current_time()
         while not self.is_stopped:
@@ -154,12 +157,13 @@
             observation.unheard = connection.has_unacknowledged_data()
             connection.close(reset=self.rng.random() < RESET_WITHOUT_ANSWER_PROBABILITY)
             if disconnects_early:
-                observation.left_us = now_us()  # after the close: the relay can't have known before
+                # Taken after the close: the relay can't have noticed the disconnect earlier.
+                observation.left_us = now_us()
             return
         if observation.answer == "UP":
             await self._exchange_lines(connection, observation)
         else:
-            with anyio.move_on_after(2.0):  # until the relay ends it
+            with anyio.move_on_after(2.0):  # the relay closes the connection
                 await connection.read()
 
     async def _exchange_lines(self, connection: Connection, observation: ClientObservation) -> None:
@@ -190,7 +194,7 @@
 
     @staticmethod
     async def _wait_for_move(connection: Connection, until_s: float) -> bool:
-        """Rest until then; say whether MOVE came."""
+        """Wait until a given time, or for a line. Returns whether the line is MOVE."""
         with anyio.CancelScope(deadline=until_s):
             return (await connection.read_line()).strip() == b"MOVE"
         return False
@@ -199,7 +203,7 @@
 def main(
     name: str, folder: str, seed: str, requests_per_s: str, connection_s: str, deadline_factor: str
 ) -> None:
-    """Run until standard input ends."""
+    """Run the clients until standard input ends."""
 
     async def run(records: RecordFile, tasks: anyio.abc.TaskGroup) -> None:
         clients = Clients(
--- a/gannetweir/lab/soak/discovery.py
+++ b/gannetweir/lab/soak/discovery.py
@@ -1,8 +1,9 @@
-"""A stand-in discovery with ports for each relay.
+"""A stand-in discovery service with ports for each relay.
 
 Run as: python -m gannetweir.lab.soak.discovery FOLDER RELAYS
 
-A relay's two ports are its old and its new address of discovery. All that is written to it is recorded.
+Each relay has two ports, so that a reload can change its address of discovery. All states that are sent to a
+relay are recorded.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 from gannetweir.lab.soak.stand_in import Connection
 
 HEARTBEAT_INTERVAL_S = 2.0
-ADDRESSES_PER_RELAY = 2  # of discovery, for each relay
+ADDRESSES_PER_RELAY = 2
 
 
 class Discovery:
-    """The endpoint list, its changes, and the faults: down, silent, slow, indented."""
+    """Serves the endpoint list and its changes, with the faults down, silent, slow and indented."""
 
     def __init__(self, records: RecordFile) -> None:
         self.records = records
@@ -33,11 +34,12 @@
         self.history: list[tuple[int, dict[str, Any]]] = []
         self.changed = anyio.Event()
         self.is_down = self.is_indented = False
-        self.silent_since = 0  # watches that were open then say nothing; 0: none is silent
+        # Watches that were opened before this time send nothing; 0 if no watch is silent.
+        self.silent_since = 0
         self.delay_s = 0.0
 
     async def handle_command(self, command: dict[str, Any]) -> None:
-        """Change an entry, or switch a fault."""
+        """Change an entry, or switch a fault on or off."""
         if "host" in command:
             self._change_entry(command)
         self.is_down = command.get("down", self.is_down)
@@ -70,7 +72,7 @@
         return [entry for entry in self.entries.values() if entry["health"] != "Gone"]
 
     async def handle(self, relay: int, connection: Connection) -> None:
-        """One call of a relay's."""
+        """Serve an HTTP request of a relay: a poll or a watch."""
         target = (await connection.read_line()).split(b" ")[1].decode()
         while (await connection.read_line()).strip():
             pass
@@ -126,7 +128,7 @@
 
 
 def main(folder: str, relays: str) -> None:
-    """Run until standard input ends."""
+    """Run discovery until standard input ends."""
 
     async def run(records: RecordFile, tasks: anyio.abc.TaskGroup) -> None:
         discovery, ports = Discovery(records), []
--- a/gannetweir/lab/soak/proxy.py
+++ b/gannetweir/lab/soak/proxy.py
@@ -1,8 +1,8 @@
-"""The proxy between relays and backends.
+"""A stand-in network proxy between relays and backends.
 
 Run as: python -m gannetweir.lab.soak.proxy NAME FOLDER BACKEND=PORT ...
 
-It sees every attempt as the network does, where it comes from the relay, and disturbs what passes.
+The proxy observes every attempt where it leaves the relay, and injects network faults into the connections.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 FAULTS = ("", "late", "silent", "pieces", "reset")
 FORWARD_DELAY_S = 0.3, 1.0
 PIECE_BYTES = 7
-RESET_PROBABILITY = 0.2  # of the connections, while that fault is on
+RESET_PROBABILITY = 0.2  # per piece of data, during the fault "reset"
 
 
 class Proxy:
-    """One listener for each backend; a fault is switched for each."""
+    """Has a listener and a current fault for each backend."""
 
     def __init__(self, name: str, records: RecordFile) -> None:
         self.records, self.rng = records, random.Random(name)
@@ -37,17 +37,17 @@
         self.faults: dict[str, str] = {}
 
     async def handle_command(self, command: dict[str, Any]) -> None:
-        """Switch the fault of one backend, or give it another port after its restart."""
+        """Set the fault of a backend, or its new port after a restart."""
         backend = str(command["backend"])
         self.ports[backend] = command.get("port", self.ports.get(backend, 0))
         self.faults[backend] = command.get("fault", self.faults.get(backend, ""))
 
     def fault(self, backend: str) -> str:
-        """What is wrong with the way to a backend now."""
+        """Return the current fault of the connections to a backend; empty if there is none."""
         return self.faults.get(backend, "")
 
     async def handle(self, backend: str, relay_side: Connection) -> None:
-        """Join a relay's connection to the backend."""
+        """Connect to the backend and forward between the relay and the backend."""
         try:
             backend_side = await stand_in.connect(self.ports[backend])
         except (OSError, TimeoutError):
@@ -61,8 +61,8 @@
 
 
 class ProxiedConnection:
-    """One connection through the proxy, and the attempt on it if it carries one. What a relay sends is read
-    at once, whatever is wrong with the way: its times are the network's, not the fault's.
+    """A connection through the proxy, with the attempt that it may carry. Data from a relay is read at once,
+    even during a fault, so that its recorded times don't include the delays of faults.
     """
 
     def __init__(self, proxy: Proxy, backend: str, relay_side: Connection, backend_side: Connection) -> None:
@@ -74,7 +74,7 @@
         self.forward_at = anyio.current_time() + (proxy.rng.uniform(*FORWARD_DELAY_S) if is_delayed else 0.0)
 
     async def run(self) -> None:
-        """Until both sides have ended, or one was broken."""
+        """Forward until both sides have ended or one was reset."""
         try:
             async with anyio.create_task_group() as tasks:
                 for source, sink in (
@@ -91,7 +91,7 @@
     async def _read(
         self, source: Connection, send: MemoryObjectSendStream[bytes | ConnectionEndedError]
     ) -> None:
-        with send, suppress(anyio.BrokenResourceError):  # nobody passes it on any more
+        with send, suppress(anyio.BrokenResourceError):  # forwarding has ended
             try:
                 while True:
                     data = await source.read()
@@ -139,7 +139,7 @@
             raise ConnectionEndedError(True)
 
     def _observe_first_line(self, data: bytes) -> None:
-        """The first line that a relay writes, as it comes."""
+        """Record the arrival of the first line that a relay writes."""
         if self.attempt is None and data[:1] == b"O":
             self.attempt = AttemptObservation("", self.backend, "", self.relay_side.received_us())
         if self.attempt is None or self.attempt.whole_us:
@@ -152,7 +152,7 @@
 
 
 def main(name: str, folder: str, *backends: str) -> None:
-    """Run until standard input ends."""
+    """Run the proxy until standard input ends."""
 
     async def run(records: RecordFile, tasks: anyio.abc.TaskGroup) -> None:
         proxy, listening_ports = Proxy(name, records), {}
--- a/gannetweir/lab/soak/shim.c
+++ b/gannetweir/lab/soak/shim.c
@@ -1,8 +1,8 @@
-/* Makes system calls of one process fail for a moment, as Linux documents they may, and moves its wall clock.
+/* Makes system calls of one process fail with errors that Linux documents for them, and shifts its wall clock.
  *
- * Preloaded into a relay by `gannetweir lab soak`. The rates stand in a file that the soak maps and changes
- * while the relay runs (GANNETWEIR_SHIM); the order of failures comes from GANNETWEIR_SHIM_SEED. A failing call
- * has had no effect, except that short reads and writes have moved some of the bytes.
+ * Preloaded into a relay by `gannetweir lab soak`. GANNETWEIR_SHIM names a file with the failure rates, which the
+ * soak maps and changes while the relay runs. GANNETWEIR_SHIM_SEED seeds the sequence of failures. A failing call
+ * has no effect, except that short reads and writes transfer some of the bytes.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -29,14 +29,14 @@
 struct control {
     int64_t wall_offset_ns;
     uint32_t per_mille[CALLS];
-    uint32_t failed[CALLS]; /* counted here, read by the soak */
+    uint32_t failed[CALLS]; /* incremented here, read by the soak */
 };
 
 static struct control *control;
 static uint64_t state;
 
 __attribute__((constructor)) static void start(void) {
-    prctl(PR_SET_PDEATHSIG, SIGKILL); /* a soak that is killed has no relay survive it */
+    prctl(PR_SET_PDEATHSIG, SIGKILL); /* no relay outlives a soak that is killed */
     const char *path = getenv("GANNETWEIR_SHIM"), *seed = getenv("GANNETWEIR_SHIM_SEED");
     int (*real_open)(const char *, int, ...) = dlsym(RTLD_NEXT, "open");
     int fd = path ? real_open(path, O_RDWR | O_CLOEXEC) : -1;
@@ -99,7 +99,7 @@
     return real(fd, data, size, flags);
 }
 
-/* Is this the relay's side of a connection that it has made itself? Its own port is then the kernel's choice. */
+/* Returns whether the relay opened this connection: the kernel then chose the local port, from 32768 on. */
 static int to_backend(int fd) {
     struct sockaddr_in own;
     socklen_t length = sizeof own;
@@ -107,7 +107,7 @@
     return own.sin_family == AF_INET && ntohs(own.sin_port) >= 32768;
 }
 
-/* As a network ends a connection: this read says so, the peer sees a reset. */
+/* Ends a connection as a failing network does: this read returns an error, and the peer sees a reset. */
 static int break_connection(int fd) {
     static const int errors[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
     struct sockaddr nothing = {.sa_family = AF_UNSPEC};
--- a/gannetweir/lab/soak/shim.py
+++ b/gannetweir/lab/soak/shim.py
@@ -1,4 +1,4 @@
-"""The preloaded library that makes system calls fail: built here, switched by a mapped file."""
+"""Builds the preloaded library that makes system calls fail, and controls it through a mapped file."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class SoakError(ValueError):
-    """Why a soak can't be run."""
+    """Raised if a soak can't be run."""
 
 
 class Call(IntEnum):
-    """What can be made to fail, in the order of the library's control block."""
+    """The kinds of system calls that can be made to fail, in the order of the library's control block."""
 
     ACCEPT = 0
     SOCKET = 1
     CONNECT = 2
     SEND = 3
     RECV = 4
-    SHORT = 5  # reads and writes move some of the bytes
-    WAIT = 6
-    DISK = 7  # writes, syncs, renames and locks of files
-    WATCH = 8  # the event loop can't watch one descriptor more
-    BROKEN = 9  # connections to backends end as a network ends them
+    SHORT = 5  # send and recv transfer only some of the bytes
+    WAIT = 6  # epoll_wait is interrupted
+    DISK = 7  # write, fsync, rename and flock of files
+    WATCH = 8  # epoll_ctl can't add a descriptor
+    BROKEN = 9  # recv fails with a network error on a connection to a backend, and the peer sees a reset
 
 
 _OFFSET = struct.Struct("<q")
@@ -38,7 +38,7 @@
 
 
 def build(folder: Path) -> Path:
-    """Compile the library into `folder`. Raises `SoakError` where there is no C compiler, or it fails."""
+    """Compile the library into `folder`. Raises `SoakError` without a C compiler, or if it fails."""
     compiler = next(filter(None, map(shutil.which, COMPILERS)), None)
     if compiler is None:
         raise SoakError(f"soak: no C compiler ({', '.join(COMPILERS)}) for the library that makes calls fail")
@@ -51,7 +51,7 @@
 
 
 class Shim:
-    """The switches of one process. `environment` is what the process is started with."""
+    """Controls the library in one process, which has to be started with `environment`."""
 
     def __init__(self, library: Path, control: Path, seed: int) -> None:
         control.write_bytes(bytes(_CONTROL_SIZE))
@@ -64,14 +64,14 @@
         }
 
     def fail(self, call: Call, per_mille: int) -> None:
-        """So many of a thousand such calls fail from now on."""
+        """Make calls of this kind fail from now on, at a rate per thousand."""
         _RATE.pack_into(self.control, _OFFSET.size + call * _RATE.size, per_mille)
 
     def failed(self, call: Call) -> int:
-        """How many have failed so far."""
+        """Return how many calls of this kind have failed so far."""
         offset = _OFFSET.size + (len(Call) + call) * _RATE.size
         return int(_RATE.unpack_from(self.control, offset)[0])
 
     def step_wall_clock(self, seconds: float) -> None:
-        """The wall clock is off by so much from now on; the monotonic one runs on."""
+        """Shift the wall clock of the process from now on; the monotonic clock is unaffected."""
         _OFFSET.pack_into(self.control, 0, int(seconds * 1e9))
--- a/gannetweir/lab/soak/stand_in.py
+++ b/gannetweir/lab/soak/stand_in.py
@@ -1,6 +1,7 @@
-"""What the stand-in processes of a soak share: connections by the line, commands on standard input, a beat.
+"""The parts shared by all stand-in processes of a soak: line connections, commands on standard input, and a
+measurement of event loop delays.
 
-They use none of the relay's drivers: a mistake there must not hide itself on both sides.
+The stand-ins use none of the relay's drivers, so that a fault in a driver can't hide itself on both sides.
 """
 
 from __future__ import annotations
@@ -20,14 +21,15 @@
 
 LOOP_INTERVAL_S = 0.01
 LOOP_DELAY_THRESHOLD_US = 20_000
-MAX_READING_SPAN_US = 1_000  # between two readings of a clock that count as one
-_TCPI_UNACKED = slice(24, 28)  # of Linux's struct tcp_info: segments
-_TCPI_LAST_DATA_RECV = slice(52, 56)  # milliseconds ago
-_LINGER_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # struct linger: on, 0 s
+MAX_READING_SPAN_US = 1_000  # two clock readings that are at most this far apart count as simultaneous
+# Fields of Linux's struct tcp_info. For a listener tcpi_unacked is the length of the accept queue.
+_TCPI_UNACKED = slice(24, 28)  # segments
+_TCPI_LAST_DATA_RECV = slice(52, 56)  # milliseconds since the last data arrived
+_LINGER_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # struct linger: l_onoff 1, l_linger 0 s
 
 
 class ConnectionEndedError(Exception):
-    """The peer has ended the connection. `reset`: by breaking it."""
+    """The peer has closed the connection, or reset the connection if `reset`."""
 
     def __init__(self, reset: bool) -> None:
         super().__init__()
@@ -35,7 +37,7 @@
 
 
 class Connection:
-    """A non-blocking socket, read by lines or by pieces."""
+    """A non-blocking socket that is read by lines or in pieces."""
 
     def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(False)
@@ -43,7 +45,7 @@
         self.sock, self.buffer, self.closed = sock, b"", False
 
     async def read(self) -> bytes:
-        """What came next. Raises `ConnectionEndedError`."""
+        """Return the next data. Raises `ConnectionEndedError`."""
         while True:
             if self.closed:
                 raise ConnectionEndedError(True)
@@ -59,17 +61,18 @@
             return data
 
     def received_us(self) -> int:
-        """When the kernel received the last data, which may have been read much later. Exact to two ticks of
-        its clock (8 ms), as it counts in ticks.
+        """Return when the kernel received the last data, which may have been read much later. The kernel
+        counts in ticks of 4 ms, so the time is accurate to two ticks (8 ms).
         """
         while True:
             asked_us = now_us()
             age_ms = self._tcp_info(_TCPI_LAST_DATA_RECV)
-            if now_us() - asked_us < MAX_READING_SPAN_US:  # else this process had no processor in between
+            # A longer span means that this process had no processor between the two readings.
+            if now_us() - asked_us < MAX_READING_SPAN_US:
                 return asked_us - age_ms * 1000
 
     def has_unacknowledged_data(self) -> bool:
-        """Has the peer's kernel not taken all that was sent? So it is where the peer's listener is full."""
+        """Return whether sent data is not acknowledged by the peer's kernel, as with a full accept queue."""
         return not self.closed and self._tcp_info(_TCPI_UNACKED) > 0
 
     def _tcp_info(self, part: slice) -> int:
@@ -82,14 +85,14 @@
             raise ConnectionEndedError(True) from None
 
     async def read_line(self) -> bytes:
-        """The next line with its end. Raises `ConnectionEndedError`."""
+        """Return the next line with its line end. Raises `ConnectionEndedError`."""
         while b"\n" not in self.buffer:
             self.buffer += await self.read()
         line, end, self.buffer = self.buffer.partition(b"\n")
         return line + end
 
     async def write(self, data: bytes) -> None:
-        """Write all of it. Raises `ConnectionEndedError` where the peer broke the connection."""
+        """Write all data. Raises `ConnectionEndedError` if the connection was reset or is closed."""
         while data:
             if self.closed:
                 raise ConnectionEndedError(True)
@@ -104,7 +107,7 @@
                 raise ConnectionEndedError(True) from None
 
     def finish_writing(self) -> None:
-        """End the sending side."""
+        """Shut down the sending direction."""
         if self.closed:
             return
         try:
@@ -113,7 +116,7 @@
             return
 
     def close(self, reset: bool = False) -> None:
-        """Close it; `reset`: so that the peer sees a reset."""
+        """Close the connection, with a reset if `reset`."""
         if self.closed:
             return
         self.closed = True
@@ -129,12 +132,12 @@
 
 
 def accept_queue_length(listening: socket.socket) -> int:
-    """Count the connections that wait to be accepted. The kernel gives it where it has the unacknowledged."""
+    """Return the number of connections in the accept queue of a listener."""
     return _tcp_info(listening, _TCPI_UNACKED)
 
 
 def listener(port: int = 0) -> socket.socket:
-    """A listener on loopback."""
+    """Return a listener on loopback; port 0 lets the kernel choose."""
     sock = socket.create_server(("127.0.0.1", port), backlog=512)
     sock.setblocking(False)
     return sock
@@ -146,7 +149,7 @@
 
 
 async def connect(port: int, timeout_s: float = 2.0) -> Connection:
-    """A connection to a port on loopback. Raises `OSError`, and `TimeoutError` after `timeout_s`."""
+    """Connect to a port on loopback. Raises `OSError`, and `TimeoutError` after `timeout_s`."""
     sock = socket.socket()
     sock.setblocking(False)
     try:
@@ -161,7 +164,7 @@
 
 
 async def serve(sock: socket.socket, handle: Callable[[Connection], Awaitable[None]]) -> None:
-    """Accept until cancelled, a task for each connection; its end is closed here."""
+    """Accept connections until cancelled. Each gets a task with `handle`, and is closed afterwards."""
 
     async def handle_and_close(connection: Connection) -> None:
         try:
@@ -188,7 +191,7 @@
 
 
 async def serve_commands(handle_command: Callable[[dict[str, Any]], Awaitable[None]]) -> None:
-    """Read commands from standard input, a JSON line each, until it ends."""
+    """Read commands from standard input, one JSON line each, until end of file."""
     number, buffer = sys.stdin.fileno(), b""
     os.set_blocking(number, False)
     while True:
@@ -205,7 +208,7 @@
 
 
 async def record_loop_delays(name: str, records: RecordFile) -> None:
-    """Write down when the loop of this process was delayed."""
+    """Record the delays of this process's event loop that exceed the threshold."""
     while True:
         started_us = now_us()
         await anyio.sleep(LOOP_INTERVAL_S)
@@ -217,7 +220,7 @@
 def run_process(
     name: str, folder: str, main: Callable[[RecordFile, anyio.abc.TaskGroup], Awaitable[None]]
 ) -> None:
-    """Run a stand-in until standard input ends. `main` returns at that moment."""
+    """Run a stand-in until `main` returns, which is at the end of standard input."""
 
     async def run() -> None:
         records = RecordFile(Path(folder) / f"{name}.jsonl")
@@ -230,5 +233,5 @@
 
 
 def report_started(**values: object) -> None:
-    """Tell the soak something, once, on standard output (the ports)."""
+    """Report to the soak, once, on standard output that the process has started, with its ports."""
     print(orjson.dumps(values).decode(), flush=True)
--- a/gannetweir/lab/soak/stand_in_process.py
+++ b/gannetweir/lab/soak/stand_in_process.py
@@ -1,4 +1,4 @@
-"""A stand-in process of a soak, from the side that starts it."""
+"""Starts, commands and ends a stand-in process of a soak."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import anyio.to_thread
 import orjson
 
-END_TIMEOUT_S = 5.0  # for its last records
+END_TIMEOUT_S = 5.0  # time to write the last records and exit
 
 
 class StandInProcess:
@@ -21,20 +21,22 @@
         self.process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
 
     async def wait_started(self) -> dict[str, Any]:
-        """What it reports once it runs."""
+        """Wait for the report of the started process and return its values."""
         assert self.process.stdout is not None
         line = await anyio.to_thread.run_sync(self.process.stdout.readline)
         return dict(orjson.loads(line))
 
     def send_command(self, **values: object) -> None:
-        """Send one command; nothing if it has died."""
+        """Send a command; does nothing if the process has ended."""
         assert self.process.stdin is not None
         with suppress(OSError):
             self.process.stdin.write(orjson.dumps(values) + b"\n")
             self.process.stdin.flush()
 
     def end(self) -> None:
-        """Close its input, at whose end it writes its last records, and wait for its exit."""
+        """Close standard input, upon which the process writes its last records, and wait for the exit. Kills
+        the process after a timeout.
+        """
         assert self.process.stdin is not None
         with suppress(OSError):
             self.process.stdin.close()
@@ -44,6 +46,6 @@
             self.kill()
 
     def kill(self) -> None:
-        """End it now."""
+        """Kill the process and wait for its exit."""
         self.process.kill()
         self.process.wait()
