--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -68,47 +68,67 @@
     return AttemptObservation("r1", backend, LINE.format(300), at, **(values | changes))  # type: ignore[arg-type]
 
 
-AT_B1 = BackendObservation("r1", "b1", 10 * SECOND + 1000, "UP", "b1.1.r1")
-SERVED: list[Record] = [client(), attempt(), AT_B1]
-GIVEN_UP = attempt("b0", 10 * SECOND + 500, relay_ended_us=10 * SECOND + 900)
+RECEIVED_BY_B1 = BackendObservation("r1", "b1", 10 * SECOND + 1000, "UP", "b1.1.r1")
+SERVED_REQUEST: list[Record] = [client(), attempt(), RECEIVED_BY_B1]
+ABANDONED_ATTEMPT = attempt("b0", 10 * SECOND + 500, relay_ended_us=10 * SECOND + 900)
 UNANSWERED = {"answer": "", "receipt": "", "answered_us": 0, "left_us": 0}
-KILLED = ProcessLifetime(0, 0, SECOND, 10 * SECOND, 10 * SECOND, "kill", -9)
-BROKEN: dict[str, tuple[SoakRule, list[Record]]] = {
+KILLED_RELAY = ProcessLifetime(0, 0, SECOND, 10 * SECOND, 10 * SECOND, "kill", -9)
+VIOLATION_CASES: dict[str, tuple[SoakRule, list[Record]]] = {
     "reset": (SoakRule.LOST, [client(**UNANSWERED, end="reset", ended_us=10 * SECOND)]),
     "no answer": (SoakRule.LOST, [client(**UNANSWERED)]),
-    "too late": (SoakRule.LOST, [client(answered_us=11_700_000, left_us=12 * SECOND), attempt(), AT_B1]),
-    "made up": (SoakRule.FABRICATED, [client(receipt="b1.1.r2"), attempt(), AT_B1]),
+    "answer too late": (
+        SoakRule.LOST,
+        [client(answered_us=11_700_000, left_us=12 * SECOND), attempt(), RECEIVED_BY_B1],
+    ),
+    "UP that no backend sent": (SoakRule.FABRICATED, [client(receipt="b1.1.r2"), attempt(), RECEIVED_BY_B1]),
     "MOVE in place of an answer": (SoakRule.LOST, [client(answer="MOVE", receipt="", left_us=0)]),
-    "no answer, with a processor": (
+    "no answer, client waited longer than the relay for a processor": (
         SoakRule.LOST,
         [
             client(**UNANSWERED, gave_up_us=21 * SECOND),
             RunQueueWait("n0", 11 * SECOND, 20 * SECOND, 8 * SECOND),
         ],
     ),
-    "not heard, with a processor": (
+    "first line not acknowledged, though the relay had a processor": (
         SoakRule.LOST,
         [client(**UNANSWERED, gave_up_us=11_200_000, unheard=True)],
     ),
-    "two at once": (
+    "two attempts at once": (
         SoakRule.OVERLAP,
-        [client(cls="free"), attempt("b0", relay_ended_us=10_900_000), attempt(at=10 * SECOND + 2000), AT_B1],
+        [
+            client(cls="free"),
+            attempt("b0", relay_ended_us=10_900_000),
+            attempt(at=10 * SECOND + 2000),
+            RECEIVED_BY_B1,
+        ],
     ),
-    "never ended": (
+    "attempt that never ended": (
         SoakRule.OVERLAP,
-        [client(cls="free"), attempt("b0", relay_ended_us=0), attempt(), AT_B1],
+        [client(cls="free"), attempt("b0", relay_ended_us=0), attempt(), RECEIVED_BY_B1],
+    ),
+    "retry of class once": (SoakRule.REPEAT, [client(), ABANDONED_ATTEMPT, attempt(), RECEIVED_BY_B1]),
+    "retry in another cell": (
+        SoakRule.REPEAT,
+        [client(cls="cell"), ABANDONED_ATTEMPT, attempt(), RECEIVED_BY_B1],
+    ),
+    "first line changed": (
+        SoakRule.ALTERED,
+        [client(line=LINE.format(1000) + "4"), attempt(), RECEIVED_BY_B1],
     ),
-    "once, twice": (SoakRule.REPEAT, [client(), GIVEN_UP, attempt(), AT_B1]),
-    "another cell": (SoakRule.REPEAT, [client(cls="cell"), GIVEN_UP, attempt(), AT_B1]),
-    "first line": (SoakRule.ALTERED, [client(line=LINE.format(1000) + "4"), attempt(), AT_B1]),
-    "later line": (SoakRule.ALTERED, [client(echo_wrong=True), attempt(), AT_B1]),
-    "drain told": (SoakRule.DRAIN, [*SERVED, WatchEventSent(0, "b1", "Terminating", 0, 9 * SECOND)]),
-    "drain not heard": (SoakRule.DRAIN, [*SERVED, MembershipChange("b1", "Terminating", 0, 3 * SECOND)]),
-    "client gone": (
+    "later line changed": (SoakRule.ALTERED, [client(echo_wrong=True), attempt(), RECEIVED_BY_B1]),
+    "drain sent to the relay": (
+        SoakRule.DRAIN,
+        [*SERVED_REQUEST, WatchEventSent(0, "b1", "Terminating", 0, 9 * SECOND)],
+    ),
+    "drain not sent within the limit": (
+        SoakRule.DRAIN,
+        [*SERVED_REQUEST, MembershipChange("b1", "Terminating", 0, 3 * SECOND)],
+    ),
+    "attempt after disconnect": (
         SoakRule.ATTEMPT_AFTER_DISCONNECT,
         [client(**UNANSWERED | {"left_us": 9 * SECOND}), attempt()],
     ),
-    "client gone, with a processor": (
+    "attempt after disconnect, later than the relay's wait for a processor": (
         SoakRule.ATTEMPT_AFTER_DISCONNECT,
         [
             client(**UNANSWERED | {"left_us": 9 * SECOND}),
@@ -116,7 +136,7 @@
             RunQueueWait("n0", 9 * SECOND, 10 * SECOND, 700_000),
         ],
     ),
-    "client gone, others without a processor": (
+    "attempt after disconnect, another relay without a processor": (
         SoakRule.ATTEMPT_AFTER_DISCONNECT,
         [
             client(**UNANSWERED | {"left_us": 9 * SECOND}),
@@ -124,93 +144,102 @@
             RunQueueWait("n1", 9 * SECOND, 10 * SECOND, SECOND),
         ],
     ),
-    "no MOVE": (
+    "closed without MOVE": (
         SoakRule.CLOSED_WITHOUT_MOVE,
-        [client(left_us=0, end="eof", ended_us=11 * SECOND), attempt(), AT_B1],
+        [client(left_us=0, end="eof", ended_us=11 * SECOND), attempt(), RECEIVED_BY_B1],
+    ),
+    "line delayed": (
+        SoakRule.LINE_DELAYED,
+        [client(echo_us=1_200_000, echo_at_us=10_100_000), attempt(), RECEIVED_BY_B1],
     ),
-    "held": (SoakRule.LINE_DELAYED, [client(echo_us=1_200_000, echo_at_us=10_100_000), attempt(), AT_B1]),
-    "cold": (
+    "overload in slow start": (
         SoakRule.SLOW_START,
         [
             BackendStart("b1", SECOND, 100.0),
             *(BackendObservation(str(n), "b1", SECOND + n) for n in range(40)),
         ],
     ),
-    "out by hand": (
+    "attempt at an offline backend": (
         SoakRule.OPERATOR_OVERRIDE,
-        [*SERVED, OverrideCall(0, "b1", True, 9 * SECOND), OverrideCall(0, "b1", False, 12 * SECOND)],
+        [*SERVED_REQUEST, OverrideCall(0, "b1", True, 9 * SECOND), OverrideCall(0, "b1", False, 12 * SECOND)],
     ),
-    "start": (SoakRule.START, [ProcessLifetime(0, 0, 11 * SECOND, 12 * SECOND, 13 * SECOND, "term")]),
-    "no start": (SoakRule.START, [ProcessLifetime(0, 0, 0, 0, 30 * SECOND, "no start", -9)]),
-    "exit": (SoakRule.EXIT, [ProcessLifetime(0, 0, SECOND, 2 * SECOND, 6 * SECOND, "late", -9)]),
+    "ready too late": (
+        SoakRule.START,
+        [ProcessLifetime(0, 0, 11 * SECOND, 12 * SECOND, 13 * SECOND, "term")],
+    ),
+    "never ready": (SoakRule.START, [ProcessLifetime(0, 0, 0, 0, 30 * SECOND, "no start", -9)]),
+    "no exit in time": (SoakRule.EXIT, [ProcessLifetime(0, 0, SECOND, 2 * SECOND, 6 * SECOND, "late", -9)]),
     "crash": (SoakRule.CRASH, [ProcessLifetime(0, 0, SECOND, 0, 2 * SECOND, "crash", 1)]),
-    "bad exit": (SoakRule.CRASH, [ProcessLifetime(0, 0, SECOND, 2 * SECOND, 3 * SECOND, "term", 1)]),
-    "descriptors": (SoakRule.DESCRIPTORS, [ProcessLifetime(0, 0, SECOND, 2, 3, "term", 0, 101)]),
+    "exit code 1 after SIGTERM": (
+        SoakRule.CRASH,
+        [ProcessLifetime(0, 0, SECOND, 2 * SECOND, 3 * SECOND, "term", 1)],
+    ),
+    "too many descriptors": (SoakRule.DESCRIPTORS, [ProcessLifetime(0, 0, SECOND, 2, 3, "term", 0, 101)]),
 }
-ALLOWED: dict[str, list[Record]] = {
-    "served": SERVED,
-    "answered late, without a processor": [
+ALLOWED_CASES: dict[str, list[Record]] = {
+    "served": SERVED_REQUEST,
+    "answered late, relay without a processor": [
         client(answered_us=12_700_000, left_us=13 * SECOND),
         attempt(),
-        AT_B1,
+        RECEIVED_BY_B1,
         RunQueueWait("n0", 11 * SECOND, 13 * SECOND, 1_600_000),
     ],
-    "no answer, without a processor": [
+    "no answer, relay without a processor": [
         client(**UNANSWERED, gave_up_us=21 * SECOND),
         RunQueueWait("n0", 11 * SECOND, 21 * SECOND, 10 * SECOND),
     ],
-    "not heard, without a processor": [
+    "first line not acknowledged, relay without a processor": [
         client(**UNANSWERED, gave_up_us=21 * SECOND, unheard=True),
         RunQueueWait("n0", 10 * SECOND, 11 * SECOND, 200_000),
     ],
-    "left while its relay had no processor": [
+    "attempt after disconnect, relay without a processor": [
         client(**UNANSWERED | {"left_us": 9 * SECOND}),
         attempt(),
         RunQueueWait("n0", 9 * SECOND, 10 * SECOND, 900_000),
     ],
-    "its answer read after its relay was killed": [
+    "answer read after the relay was killed": [
         client(left_us=0, end="reset", ended_us=10 * SECOND + 6000),
         attempt(),
-        AT_B1,
-        KILLED,
+        RECEIVED_BY_B1,
+        KILLED_RELAY,
     ],
-    "its relay was killed": [client(**UNANSWERED, end="reset", ended_us=10 * SECOND + 1), KILLED],
-    "refused, then elsewhere": [
+    "relay was killed": [client(**UNANSWERED, end="reset", ended_us=10 * SECOND + 1), KILLED_RELAY],
+    "rejected, then retried at another backend": [
         client(),
-        GIVEN_UP,
+        ABANDONED_ATTEMPT,
         BackendObservation("r1", "b0", 10 * SECOND, "BUSY"),
-        *SERVED[1:],
+        *SERVED_REQUEST[1:],
     ],
-    "read late, and in another order": [
+    "observed late and out of order": [
         client(cls="free", receipt="b0.1.r1"),
         attempt("b0", 10 * SECOND + 500),
         attempt("b1", 10 * SECOND + 40_000, relay_ended_us=10 * SECOND + 40_010),
     ],
-    "the same cell": [client(cls="cell", receipt="b3.1.r1"), GIVEN_UP, attempt("b3")],
-    "back in use": [
-        *SERVED,
+    "retry in the same cell": [client(cls="cell", receipt="b3.1.r1"), ABANDONED_ATTEMPT, attempt("b3")],
+    "drain, then ready again": [
+        *SERVED_REQUEST,
         WatchEventSent(0, "b1", "Terminating", 0, 8 * SECOND),
         WatchEventSent(0, "b1", "Ready", 1, 9 * SECOND),
     ],
-    "called back before": [
-        *SERVED,
+    "online again before the attempt": [
+        *SERVED_REQUEST,
         OverrideCall(0, "b1", True, 8 * SECOND),
         OverrideCall(0, "b1", False, 9 * SECOND),
     ],
-    "out elsewhere": [
-        *SERVED,
+    "offline at another relay": [
+        *SERVED_REQUEST,
         OverrideCall(1, "b1", True, 8 * SECOND),
         OverrideCall(1, "b1", False, 12 * SECOND),
     ],
-    "told elsewhere": [*SERVED, WatchEventSent(1, "b1", "Terminating", 0, 8 * SECOND)],
-    "left, came back, leaves again": [
-        *SERVED,
+    "drain sent to another relay": [*SERVED_REQUEST, WatchEventSent(1, "b1", "Terminating", 0, 8 * SECOND)],
+    "gone, ready again, then drain": [
+        *SERVED_REQUEST,
         MembershipChange("b1", "Gone", 0, SECOND),
         MembershipChange("b1", "Ready", 1, 2 * SECOND),
         MembershipChange("b1", "Terminating", 1, 9 * SECOND),
     ],
     "discovery was down": [
-        *SERVED,
+        *SERVED_REQUEST,
         MembershipChange("b1", "Terminating", 0, 3 * SECOND),
         FaultSpan("discovery_down", "discovery", 2 * SECOND, 5 * SECOND),
     ],
@@ -219,27 +248,27 @@
         attempt(),
         BackendObservation("r1", "b1", 10 * SECOND, "UP", "b1.1.r1", 11 * SECOND),
     ],
-    "broken by its relay's kernel": [
+    "reset by the relay's kernel": [
         client(left_us=0, end="reset", ended_us=11 * SECOND),
         attempt(),
-        AT_B1,
+        RECEIVED_BY_B1,
         FaultSpan("broken_at", "n0", 10 * SECOND, 12 * SECOND),
     ],
-    "cut by the network": [
+    "reset by the network": [
         client(left_us=0, end="reset", ended_us=11 * SECOND),
         attempt(cut_us=11 * SECOND),
-        AT_B1,
+        RECEIVED_BY_B1,
     ],
 }
 
 
-@pytest.mark.parametrize("case", BROKEN)
+@pytest.mark.parametrize("case", VIOLATION_CASES)
 def test_the_judge_finds_a_broken_rule(case: str) -> None:
-    rule, records = BROKEN[case]
+    rule, records = VIOLATION_CASES[case]
     assert {finding.rule for finding in judge(records, PLAN, {}).findings} == {rule}
 
 
-def test_the_judge_reads_what_a_relay_says_of_itself() -> None:
+def test_the_judge_reads_the_violations_that_a_relay_logs() -> None:
     logs = {
         0: ["n0: invariant violated rule=overlap"],
         1: ['{"membership_version":1,"violations":2}'],
@@ -250,13 +279,13 @@
     assert {finding.rule for finding in verdict.findings} == {SoakRule.INVARIANT}
 
 
-def test_every_rule_of_the_judge_is_shown_to_catch_something() -> None:
-    assert {rule for rule, _ in BROKEN.values()} | {SoakRule.INVARIANT} == set(SoakRule)
+def test_every_rule_of_the_judge_has_a_case_that_breaks_it() -> None:
+    assert {rule for rule, _ in VIOLATION_CASES.values()} | {SoakRule.INVARIANT} == set(SoakRule)
 
 
-@pytest.mark.parametrize("case", ALLOWED)
-def test_the_judge_finds_nothing_in_what_is_allowed(case: str) -> None:
-    assert not judge(ALLOWED[case], PLAN, {}).findings
+@pytest.mark.parametrize("case", ALLOWED_CASES)
+def test_the_judge_has_no_finding_in_an_allowed_case(case: str) -> None:
+    assert not judge(ALLOWED_CASES[case], PLAN, {}).findings
 
 
 def test_a_seed_draws_the_same_faults_again_and_they_overlap() -> None:
@@ -270,13 +299,13 @@
 
 
 def wait_until(condition: Callable[[], bool]) -> None:
-    give_up = time.monotonic() + 20.0
+    deadline_s = time.monotonic() + 20.0
     while not condition():
-        assert time.monotonic() < give_up
+        assert time.monotonic() < deadline_s
         time.sleep(0.001)
 
 
-def test_waits_for_a_processor_are_written_by_name_and_none_of_an_ended_process(tmp_path: Path) -> None:
+def test_waits_for_a_processor_are_recorded_by_name_and_none_of_an_ended_process(tmp_path: Path) -> None:
     sampler = RunQueueSampler(RecordFile(tmp_path / "soak.jsonl"))
     busy = [subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(2)]
     for process in busy:  # on one processor, so that each has to wait for the other
@@ -291,7 +320,7 @@
     assert [wait.process for wait in waits if isinstance(wait, RunQueueWait)] == ["n0", "n1"]
 
 
-def test_a_stand_in_knows_when_data_came_however_late_it_reads() -> None:
+def test_a_stand_in_knows_when_data_arrived_however_late_it_reads() -> None:
     clock_grain_us = 8_000  # the kernel's own times are whole ticks of 4 ms, read twice
     with stand_in.listener() as listening, socket.create_connection(listening.getsockname()) as sender:
         reader = stand_in.Connection(listening.accept()[0])
@@ -304,22 +333,24 @@
         reader.sock.close()
 
 
-def test_a_stand_in_knows_that_a_full_listener_has_not_taken_its_line() -> None:
+def test_a_stand_in_knows_that_a_full_listener_has_not_acknowledged_its_line() -> None:
     with socket.create_server(("127.0.0.1", 0), backlog=1) as listening:
-        heard = [stand_in.Connection(socket.create_connection(listening.getsockname())) for _ in range(2)]
-        one_too_many = socket.socket()
-        one_too_many.setblocking(False)
-        one_too_many.connect_ex(listening.getsockname())
-        unheard = stand_in.Connection(one_too_many)
-        for connection in heard:
+        in_backlog = [
+            stand_in.Connection(socket.create_connection(listening.getsockname())) for _ in range(2)
+        ]
+        extra_socket = socket.socket()
+        extra_socket.setblocking(False)
+        extra_socket.connect_ex(listening.getsockname())
+        beyond_backlog = stand_in.Connection(extra_socket)
+        for connection in in_backlog:
             connection.sock.send(b"OPEN")
-        wait_until(lambda: not any(connection.has_unacknowledged_data() for connection in heard))
-        assert unheard.has_unacknowledged_data()
-        for connection in (*heard, unheard):
+        wait_until(lambda: not any(connection.has_unacknowledged_data() for connection in in_backlog))
+        assert beyond_backlog.has_unacknowledged_data()
+        for connection in (*in_backlog, beyond_backlog):
             connection.sock.close()
 
 
-def test_a_stand_in_knows_how_many_wait_to_be_accepted() -> None:
+def test_a_stand_in_knows_the_length_of_an_accept_queue() -> None:
     with stand_in.listener() as listening:
         clients = [socket.create_connection(listening.getsockname()) for _ in range(2)]
         wait_until(lambda: stand_in.accept_queue_length(listening) == 2)
@@ -329,7 +360,9 @@
             client_socket.close()
 
 
-def test_without_a_compiler_the_soak_says_so(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+def test_building_the_shim_without_a_compiler_raises_an_error(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
     monkeypatch.setattr(shutil, "which", lambda name: None)
     with pytest.raises(shim.SoakError, match="no C compiler"):
         shim.build(tmp_path)
@@ -352,7 +385,7 @@
 RULES_OF_ONE_RELAY = [rule for rule in SoakRule if rule is not SoakRule.SLOW_START]
 
 
-def test_relays_that_break_a_rule_are_found_by_a_soak_and_a_sound_one_is_not(tmp_path: Path) -> None:
+def test_a_soak_finds_relays_that_break_a_rule_and_no_finding_in_a_correct_relay(tmp_path: Path) -> None:
     broken_rules: list[SoakRule | None] = [*RULES_OF_ONE_RELAY, None]
     plan = SoakPlan(
         seed=2,
@@ -381,7 +414,7 @@
     assert not verdict.rules_broken_by(broken_rules.index(None)), verdict.findings
 
 
-def test_a_fleet_that_overloads_a_backend_in_its_slow_start_is_found_by_a_soak(tmp_path: Path) -> None:
+def test_a_soak_finds_a_fleet_that_overloads_a_backend_in_slow_start(tmp_path: Path) -> None:
     plan = SoakPlan(
         seed=2, seconds=5, relays=3, backends=6, requests_per_s=150, client_processes=2, accepts_fail=0
     )
@@ -395,7 +428,7 @@
     soak = [sys.executable, "-m", "gannetweir.lab", "soak", "--seeds", "1", "--keep", str(tmp_path)]
     process = subprocess.Popen(soak, stdout=subprocess.DEVNULL)
 
-    def left() -> list[str]:
+    def remaining_processes() -> list[str]:
         """The processes that know of this run, by what they were started with."""
         found = []
         for entry in Path("/proc").glob("[0-9]*"):
@@ -407,17 +440,17 @@
                     found.append(entry.name)
         return found
 
-    def waits_until(done: Callable[[int], bool]) -> bool:
-        give_up = time.monotonic() + 20.0
-        while time.monotonic() < give_up:
-            if done(len(left())):
+    def count_reaches(done: Callable[[int], bool]) -> bool:
+        deadline_s = time.monotonic() + 20.0
+        while time.monotonic() < deadline_s:
+            if done(len(remaining_processes())):
                 return True
             time.sleep(0.05)
         return False
 
     try:
-        assert waits_until(lambda count: count > 20)
+        assert count_reaches(lambda count: count > 20)
     finally:
         process.kill()
         process.wait()
-    assert waits_until(lambda count: not count), left()
+    assert count_reaches(lambda count: not count), remaining_processes()
