--- a/gannetweir/lab/soak/request_rules.py
+++ b/gannetweir/lab/soak/request_rules.py
@@ -30,9 +30,8 @@
 
 def _wait_end_us(client: ClientObservation) -> int:
     """Return when the client got its answer, or stopped waiting for one."""
-    gave_up_us = (
-        client.gave_up_us or client.deadline_us + ANSWER_DELAY_LIMIT_US
-    )  # older records don't say when
+    # Records of earlier versions lack `gave_up_us`.
+    gave_up_us = client.gave_up_us or client.deadline_us + ANSWER_DELAY_LIMIT_US
     return client.ended_us or client.answered_us or gave_up_us
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its judge finds each rule that a relay breaks on purpose, and nothing of a sound one."""
+"""The soak: the judge finds every rule that a faulty relay breaks, and has no finding in a correct relay."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def client(**changes: object) -> ClientObservation:
-    """A request of class `once` that was served, and whose client left after a second."""
+    """Return a served request of class `once` whose client disconnected a second after its first line."""
     values: dict[str, object] = {
         "request": "r1",
         "relay": 0,
@@ -308,7 +308,7 @@
 def test_waits_for_a_processor_are_recorded_by_name_and_none_of_an_ended_process(tmp_path: Path) -> None:
     sampler = RunQueueSampler(RecordFile(tmp_path / "soak.jsonl"))
     busy = [subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(2)]
-    for process in busy:  # on one processor, so that each has to wait for the other
+    for process in busy:  # both on one processor, so that each has to wait for the other
         os.sched_setaffinity(process.pid, {min(os.sched_getaffinity(0))})
     wait_until(lambda: all(waited_us(process.pid) > 10_000 for process in busy))
     sampler.sample((f"n{number}", process.pid) for number, process in enumerate(busy))
@@ -321,7 +321,7 @@
 
 
 def test_a_stand_in_knows_when_data_arrived_however_late_it_reads() -> None:
-    clock_grain_us = 8_000  # the kernel's own times are whole ticks of 4 ms, read twice
+    clock_grain_us = 8_000  # two readings of kernel times, which are multiples of a tick of 4 ms
     with stand_in.listener() as listening, socket.create_connection(listening.getsockname()) as sender:
         reader = stand_in.Connection(listening.accept()[0])
         before_us = now_us()
@@ -371,7 +371,7 @@
 def run_soak(
     plan: SoakPlan, folder: Path, broken_rules: Sequence[SoakRule | None], faults: list[Fault]
 ) -> Verdict:
-    """A run in which each relay breaks its rule; one with `None` breaks none."""
+    """Run a soak in which relay N breaks the Nth rule, or none if that is `None`. Returns the verdict."""
 
     def command(number: int) -> list[str]:
         rule = broken_rules[number]
@@ -429,7 +429,7 @@
     process = subprocess.Popen(soak, stdout=subprocess.DEVNULL)
 
     def remaining_processes() -> list[str]:
-        """The processes that know of this run, by what they were started with."""
+        """Return the ids of the processes with the folder of this run in their arguments or environment."""
         found = []
         for entry in Path("/proc").glob("[0-9]*"):
             with contextlib.suppress(OSError):
