--- a/gannetweir/lab/model/backends.py
+++ b/gannetweir/lab/model/backends.py
@@ -8,7 +8,7 @@
 from gannetweir.lab.model.clock import SimulatedClock
 
 SLOW_START_MIN_SHARE, SLOW_START_WINDOW_US = 0.12, 23_000_000  # of a backend's capacity; until it is warm
-HARD_LIMIT = 1.6  # connections over the present capacity, from which a backend answers BUSY
+HARD_LIMIT_FACTOR = 1.6  # connections over the present capacity, from which a backend answers BUSY
 BUSY_AFTER_US = 1_000.0
 MIN_SETUP_US, MAX_SETUP_US = 4_000, 12_000  # a backend's own work, beside the session store's
 MIN_REPORT_AGE_US, MAX_REPORT_AGE_US = 400_000, 1_500_000  # how long one load report is given
@@ -99,7 +99,7 @@
         """Answer a first line that has just arrived. Each set-up calls the session store first."""
         if self.is_silent or self.is_removed:
             return BackendAnswer("", 0.0)
-        if self.is_draining or self.open_connections >= HARD_LIMIT * self.current_capacity():
+        if self.is_draining or self.open_connections >= HARD_LIMIT_FACTOR * self.current_capacity():
             return BackendAnswer("BUSY", BUSY_AFTER_US)
         store_us = self.store.schedule_call()
         setup_us = store_us + self.rng.uniform(MIN_SETUP_US, MAX_SETUP_US) * self.slowdown
--- a/gannetweir/lab/model/checker.py
+++ b/gannetweir/lab/model/checker.py
@@ -19,7 +19,7 @@
 MAX_ATTEMPTS = 6
 DRAIN_GRACE_US = 500_000
 ANSWER_SLACK_US = 20_000  # the settings' answer slack
-SLOW_START_COUNT_US = 1_500_000  # the window in which set-ups at a backend in its slow start are counted
+SETUP_WINDOW_US = 1_500_000  # the window in which set-ups at a backend in its slow start are counted
 MAX_VIOLATIONS = 100  # recorded as text; all are counted
 
 
@@ -57,16 +57,16 @@
         """Set-ups in one window, with two standard deviations and two more for chance."""
         warming_share = (1.0 - self.min_share) * (now_us - self.started_us) / self.window_us
         warmed_share = min(1.0, self.min_share + warming_share)
-        mean_setups = self.full_setups_per_s * warmed_share * SLOW_START_COUNT_US / 1e6
+        mean_setups = self.full_setups_per_s * warmed_share * SETUP_WINDOW_US / 1e6
         return float(mean_setups + 2.0 * mean_setups**0.5 + 2.0)
 
     def add_arrival(self, now_us: int, start_was_known: bool) -> None:
         """Count a set-up, and forget those before the window."""
         self.arrivals.append((now_us, start_was_known))
-        while self.arrivals[0][0] <= now_us - SLOW_START_COUNT_US:
+        while self.arrivals[0][0] <= now_us - SETUP_WINDOW_US:
             self.arrivals.popleft()
 
-    def is_blamed_on_relays(self) -> bool:
+    def is_mostly_from_notified_relays(self) -> bool:
         """Whether over two thirds of the window came from relays that knew of the start."""
         return 3 * sum(start_was_known for _, start_was_known in self.arrivals) > 2 * len(self.arrivals)
 
@@ -146,7 +146,7 @@
         budget.add_arrival(now_us, start_was_known)
         count, allowed = len(budget.arrivals), budget.setups_allowed(now_us)
         self.counts["cold_share"] = max(self.counts["cold_share"], int(100 * count / allowed))
-        if count > allowed and budget.is_blamed_on_relays():
+        if count > allowed and budget.is_mostly_from_notified_relays():
             text = f"{count} set-ups at {endpoint} in a window that bears {allowed:.1f}"
             self._record_violation("cold", request_number, now_us, text)
             budget.arrivals.clear()
@@ -176,8 +176,8 @@
     def finish(self, now_us: int) -> list[str]:
         """End the run: find what was never answered. All violations."""
         for request_number, trace in self.traces.items():
-            is_owed = not trace.answers and not trace.client_disconnected
-            if is_owed and now_us > trace.last_answer_us:
+            is_unanswered = not trace.answers and not trace.client_disconnected
+            if is_unanswered and now_us > trace.last_answer_us:
                 self._record_violation("unanswered", request_number, now_us, f"a {trace.request_class}")
         return self.violations
 
--- a/gannetweir/lab/model/client_population.py
+++ b/gannetweir/lab/model/client_population.py
@@ -15,10 +15,10 @@
 from gannetweir.lab.model.relay import SimulatedRelay
 
 MIN_RETURN_US, MAX_RETURN_US = 140_000, 1_000_000  # a client's wait where no relay has told it one
-REFUSED_RETURN_US = 500_000  # the wait after a connect to a dead relay was refused
-DRAIN_SEEN_AFTER_US = 300_000  # the front's next ping shows that a relay drains
-DEATH_SEEN_AFTER_US = 3 * SECOND_US
-MAX_CHOICES = 20  # of a relay: where all seem to leave, the last one drawn is taken
+RETURN_AFTER_REFUSAL_US = 500_000  # the wait after a connect to a dead relay was refused
+DRAIN_DETECTION_US = 300_000  # the front's next ping shows that a relay drains
+DEATH_DETECTION_US = 3 * SECOND_US
+MAX_RELAY_DRAWS = 20  # of a relay: where all seem to leave, the last one drawn is taken
 GROUP_STEP = 0x9E3779B97F4A7C15  # spreads small numbers of groups over 64 bits
 GROUP_MASK = (1 << 64) - 1
 
@@ -54,7 +54,9 @@
         if self.clock.elapsed_us >= self.arrivals_end_us:
             return
         rng, traffic = self.arrivals_rng, self.plan.traffic
-        request_class = rng.choices(range(len(traffic)), [one.arrival_share for one in traffic])[0]
+        request_class = rng.choices(
+            range(len(traffic)), [class_traffic.arrival_share for class_traffic in traffic]
+        )[0]
         duration_us = rng.expovariate(1.0 / traffic[request_class].mean_duration_us)
         group = rng.randrange(1, self.plan.groups + 1) * GROUP_STEP & GROUP_MASK
         relay = self._choose_relay(rng)
@@ -65,7 +67,7 @@
     def _choose_relay(self, rng: random.Random) -> SimulatedRelay:
         """A relay as the front chooses it, which knows of drains and deaths only some time later."""
         relay = rng.choice(self.relays)
-        for _ in range(MAX_CHOICES):
+        for _ in range(MAX_RELAY_DRAWS):
             if not self._is_known_unavailable(relay):
                 break
             relay = rng.choice(self.relays)
@@ -73,13 +75,13 @@
 
     def _is_known_unavailable(self, relay: SimulatedRelay) -> bool:
         now_us = self.clock.now_us
-        if relay.draining_since_us and now_us > relay.draining_since_us + DRAIN_SEEN_AFTER_US:
+        if relay.draining_since_us and now_us > relay.draining_since_us + DRAIN_DETECTION_US:
             return True
-        return bool(relay.dead_since_us) and now_us > relay.dead_since_us + DEATH_SEEN_AFTER_US
+        return bool(relay.dead_since_us) and now_us > relay.dead_since_us + DEATH_DETECTION_US
 
     def _send_request(self, client: SimulatedClient) -> None:
         if client.relay.dead_since_us:
-            self._schedule_return(client, REFUSED_RETURN_US, client.retries_made, client.has_returned)
+            self._schedule_return(client, RETURN_AFTER_REFUSAL_US, client.retries_made, client.has_returned)
             return
         self.request_count += 1
         client.request_number = self.request_count
@@ -121,8 +123,8 @@
             retries_made,
             has_returned,
         )
-        self.clock.call_later(wait_us, lambda: self._send_unless_over(returning))
+        self.clock.call_later(wait_us, lambda: self._send_unless_ended(returning))
 
-    def _send_unless_over(self, client: SimulatedClient) -> None:
+    def _send_unless_ended(self, client: SimulatedClient) -> None:
         if self.clock.elapsed_us < self.arrivals_end_us:
             self._send_request(client)
--- a/gannetweir/lab/model/relay.py
+++ b/gannetweir/lab/model/relay.py
@@ -59,7 +59,7 @@
         self.zone = zone
         self.dead_since_us = 0  # 0: it runs
         self.draining_since_us = 0
-        self.missed_updates: list[MembershipUpdate] = []  # while its zone is cut off
+        self.deferred_updates: list[MembershipUpdate] = []  # while its zone is cut off
         self.clients: dict[int, SimulatedClient] = {}  # by the engine's numbers of their requests
         self.log_lines: list[str] = []
         self.wake_at_us = 0  # the earliest timer that is set; 0: none
@@ -99,7 +99,7 @@
     def membership_update_received(self, update: MembershipUpdate) -> None:
         """Apply an update of discovery's, or keep it for later while the zone is cut off."""
         if self.environment.is_cut_off(self.zone):
-            self.missed_updates.append(update)
+            self.deferred_updates.append(update)
             return
         for endpoint in update.endpoints:
             self._report_known(endpoint)
@@ -107,9 +107,9 @@
 
     def zone_connected(self) -> None:
         """Apply what was missed while the zone was cut off, unless it still is."""
-        missed = self.missed_updates
-        self.missed_updates = []
-        for update in missed:
+        deferred = self.deferred_updates
+        self.deferred_updates = []
+        for update in deferred:
             self.membership_update_received(update)
 
     def reload(self, operators_file: str) -> None:
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -22,7 +22,7 @@
 NO_ZONE = -1
 FIRST_UPDATE_US = 200_000  # from a relay's start until its watch has told it the list
 RELAY_RESTART_US = 400_000  # from a relay's exit until it runs again
-LAST_ANSWERS_S = 4  # played after the last arrival, so that all that is owed an answer has it
+FINAL_ANSWERS_S = 4  # played after the last arrival, so that all that is owed an answer has it
 
 
 class World:
@@ -37,7 +37,7 @@
         self.backends = self._new_backends()
         self.by_dial_address = {backend.dial_address: backend for backend in self.backends.values()}
         self.version = 1  # of the membership
-        self.announced = {name: self._endpoint_of(backend) for name, backend in self.backends.items()}
+        self.listed_endpoints = {name: self._endpoint_of(backend) for name, backend in self.backends.items()}
         self.partitioned_zone = NO_ZONE
         self.operators_file = operators_file
         self.relay_starts = plan.relays
@@ -52,7 +52,7 @@
 
     def _new_backends(self) -> dict[str, SimulatedBackend]:
         """A third each of slow, middle and fast machines, spread over the zones."""
-        plan, found = self.plan, dict[str, SimulatedBackend]()
+        plan, new_backends = self.plan, dict[str, SimulatedBackend]()
         for number in range(plan.backends):
             machine_type = number % len(MACHINE_TYPE_CAPACITIES)
             capacity = plan.capacity * MACHINE_TYPE_CAPACITIES[machine_type]
@@ -68,8 +68,8 @@
                     f"unix:/run/b{number}.sock",
                 )
                 backend.address_faults = dict.fromkeys(addresses[: plan.addresses_per_backend], "")
-            found[backend.name] = backend
-        return found
+            new_backends[backend.name] = backend
+        return new_backends
 
     @staticmethod
     def _endpoint_of(backend: SimulatedBackend) -> ListedEndpoint:
@@ -90,7 +90,7 @@
 
     def membership_snapshot(self) -> MembershipUpdate:
         """See `RelayEnvironment`."""
-        return MembershipUpdate(self.version, True, list(self.announced.values()))
+        return MembershipUpdate(self.version, True, list(self.listed_endpoints.values()))
 
     def is_cut_off(self, zone: int) -> bool:
         """See `RelayEnvironment`."""
@@ -126,7 +126,7 @@
 
     def _deliver(self, update: MembershipUpdate) -> None:
         for endpoint in update.endpoints:
-            self.announced[str(endpoint.entry.endpoint_id)] = endpoint
+            self.listed_endpoints[str(endpoint.entry.endpoint_id)] = endpoint
         for relay in self.relays:
             relay.membership_update_received(update)
 
@@ -174,7 +174,10 @@
         backend.is_removed = False
         backend.started_us = self.clock.now_us
         settings = self.plan.settings()
-        mean_duration_us = sum(one.arrival_share * one.mean_duration_us for one in self.plan.traffic)
+        mean_duration_us = sum(
+            class_traffic.arrival_share * class_traffic.mean_duration_us
+            for class_traffic in self.plan.traffic
+        )
         budget = SlowStartBudget(
             self.clock.now_us,
             settings.overload_multiple * backend.capacity / (mean_duration_us / SECOND_US),
@@ -193,6 +196,6 @@
         """Play so long, then as long as the last answers take; what was violated is in the checker."""
         self.clients.arrivals_end_us = int(seconds * SECOND_US)
         self.clock.run_until(self.clients.arrivals_end_us)
-        self.clock.run_until(self.clients.arrivals_end_us + LAST_ANSWERS_S * SECOND_US)
+        self.clock.run_until(self.clients.arrivals_end_us + FINAL_ANSWERS_S * SECOND_US)
         self.checker.finish(self.clock.now_us)
         return self.checker
