--- a/gannetweir/lab/__main__.py
+++ b/gannetweir/lab/__main__.py
@@ -51,7 +51,7 @@
 from rich.progress import Progress, TaskID
 
 from gannetweir.lab.experiments import address_faults, fleet_simulation
-from gannetweir.lab.experiments.budgets import COLUMNS, STEP_S, compare_budgets
+from gannetweir.lab.experiments.budgets import CHART_STEP_S, COLUMNS, compare_budgets
 from gannetweir.lab.experiments.report import bar_chart, markdown, print_table
 from gannetweir.lab.experiments.results import compare
 
@@ -130,7 +130,7 @@
             rows.append(row)
             bar.advance(task)
     print_table(f"{requests} requests each", address_faults.COLUMNS, rows)
-    total = address_faults.simulate_days(seeds)
+    total = address_faults.simulate_scenarios(seeds)
     days = ", ".join(f"{name} {count}" for name, count in total.items())
     print(f"on virtual time: {days}")
     if folder:
@@ -149,7 +149,7 @@
     print_table(f"{seeds} seeds", fleet_simulation.COLUMNS, rows)
     if folder:
         table = markdown(fleet_simulation.COLUMNS, rows)
-        text = fleet_simulation.PAGE.format(seeds=seeds, table=table, seconds=fleet_simulation.DAY_S)
+        text = fleet_simulation.PAGE.format(seeds=seeds, table=table, seconds=fleet_simulation.SCENARIO_S)
         (Path(folder) / "herd.md").write_text(text)  # by the name under which it was kept from the first
     return int(any(row[-1] != "0" for row in rows))
 
@@ -160,7 +160,7 @@
     rows, lines = compare_budgets(Path(args["--file"]), seeds, backends, rate)
     title = f"{backends} backends, {rate:g} new connections a second, failing 40 to 90% from 40 to 70 s"
     print_table(title, COLUMNS, rows)
-    chart = bar_chart(lines, "connections served a second", STEP_S)
+    chart = bar_chart(lines, "connections served a second", CHART_STEP_S)
     print(chart)
     if args["--keep"]:
         table = markdown(COLUMNS, rows)
--- a/gannetweir/lab/emulator/attempts.py
+++ b/gannetweir/lab/emulator/attempts.py
@@ -27,7 +27,7 @@
     3  # what is read now came after the third last beat: each takes two turns of a late loop, and
 )
 # from a listener's event to the first read of the new connection there are three
-_ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 _LAST_DATA_AT, _LAST_ACK_AT, _TCP_INFO_BYTES = 52, 56, 60  # offsets in Linux's `struct tcp_info`
 
 
@@ -106,17 +106,20 @@
                 now = now_ms()
                 attempt.end = self._end_span(connection) if has_ended(connection) else TimeSpan(now, now)
 
-    def _overlap(self, request_number: int, one: ObservedAttempt, other: ObservedAttempt) -> bool:
+    def _overlap(self, request_number: int, first: ObservedAttempt, other: ObservedAttempt) -> bool:
         """Were both out at once? False also if that can't be told, which is kept."""
         ends = [
             a.end or (self._end_span(a.connection) if has_ended(a.connection) else NOT_YET)
-            for a in (one, other)
+            for a in (first, other)
         ]
-        pairs = [(one.first_line, ends[1]), (other.first_line, ends[0])]  # each began before the other's end?
-        if all(line.latest + RESOLUTION_MS < end.earliest for line, end in pairs):
+        line_and_other_end = [
+            (first.first_line, ends[1]),
+            (other.first_line, ends[0]),
+        ]  # each began before the other's end?
+        if all(line.latest + RESOLUTION_MS < end.earliest for line, end in line_and_other_end):
             return True
-        if all(line.earliest + RESOLUTION_MS < end.latest for line, end in pairs):
-            self.undecided_overlaps[request_number] = f"at {one.backend} and {other.backend}"
+        if all(line.earliest + RESOLUTION_MS < end.latest for line, end in line_and_other_end):
+            self.undecided_overlaps[request_number] = f"at {first.backend} and {other.backend}"
         return False
 
     def _first_line_span(self, sock: socket.socket, waited_ms: float) -> TimeSpan:
@@ -142,12 +145,12 @@
         return True
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
-    return any(events & _ENDED for _, events in poll.poll(0))
+    return any(events & _END_EVENTS for _, events in poll.poll(0))
 
 
 def _span_since(sock: socket.socket, offset: int) -> TimeSpan:
     """The moment that a field of the connection's `tcp_info` tells as a time since, in milliseconds."""
-    before = now_ms()
+    before_ms = now_ms()
     info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
-    since = float(struct.unpack_from("=I", info, offset)[0])
-    return TimeSpan(before - since, now_ms() - since)
+    elapsed_ms = float(struct.unpack_from("=I", info, offset)[0])
+    return TimeSpan(before_ms - elapsed_ms, now_ms() - elapsed_ms)
--- a/gannetweir/lab/emulator/backend.py
+++ b/gannetweir/lab/emulator/backend.py
@@ -20,9 +20,9 @@
 from gannetweir.net.sockets import accept_connection
 from gannetweir.net.transport import Spawn, Transport
 
-SLOW_S = 0.15  # a slow address reads nothing for so long
+SLOW_READ_DELAY_S = 0.15  # a slow address reads nothing for so long
 SLOW_START_MIN_SHARE, SLOW_START_WINDOW_S = 0.12, 23.0  # of its capacity; until it is warm
-HARD_LIMIT = 1.6  # connections over the present capacity, from which it answers BUSY
+HARD_LIMIT_FACTOR = 1.6  # connections over the present capacity, from which it answers BUSY
 MIN_SETUP_S, MAX_SETUP_S = 0.002, 0.006  # its own work, beside the session store's
 ACCEPT_RETRY_S = 0.01  # after an accept that failed for a moment
 
@@ -153,7 +153,7 @@
         request_ids: list[str] = []  # one, once its first line has arrived
         try:
             if listener.fault == "slow":
-                await anyio.sleep(SLOW_S)
+                await anyio.sleep(SLOW_READ_DELAY_S)
             await self._read_lines(listener, connection, request_ids)
         except OSError:
             pass
@@ -188,7 +188,7 @@
         """Count the delivery, and set the connection up unless a fault or a limit forbids it; is it up?"""
         listener.first_lines += 1
         self.deliveries[request_id] = self.deliveries.get(request_id, 0) + 1
-        waited_ms = 1000 * SLOW_S if listener.fault == "slow" else 0.0
+        waited_ms = 1000 * SLOW_READ_DELAY_S if listener.fault == "slow" else 0.0
         number = int(request_id, 16)
         self.attempts.first_line_read(number, self.name, connection.sock, waited_ms)
         if listener.fault == "reset":
@@ -198,7 +198,7 @@
                 pass
             return False
         connections = self.other_connections + len(self.established)
-        if self.draining or connections >= HARD_LIMIT * self.current_capacity():
+        if self.draining or connections >= HARD_LIMIT_FACTOR * self.current_capacity():
             self.attempts.attempt_ended(number, connection.sock)
             connection.write(b"BUSY\r\n")
             return False
--- a/gannetweir/lab/emulator/clients.py
+++ b/gannetweir/lab/emulator/clients.py
@@ -18,10 +18,10 @@
 from gannetweir.lab.emulator.relay_process import RelayProcess
 from gannetweir.lab.model.checker import RuleChecker
 
-FRONT_NOTICES_S = 2.5  # a front goes on sending to a relay that died for so long
+DEATH_DETECTION_S = 2.5  # a front goes on sending to a relay that died for so long
 ANSWER_GRACE_S = 1.0  # after a request's time budget: the checker finds what has no answer
 MIN_RETURN_MS, MAX_RETURN_MS = 140, 1000  # a client's wait where no relay has told it one
-RETURNING = "busy", "err", "broken", "moved", "cut"  # answers after which a client may come again
+RETRYABLE_ANSWERS = "busy", "err", "broken", "moved", "cut"  # answers after which a client may come again
 GROUP_STEP = 0x9E3779B97F4A7C15  # spreads small numbers of groups over 64 bits
 GROUP_MASK = (1 << 64) - 1
 READ_BYTES = 4096
@@ -73,12 +73,12 @@
     def choose_relay(self) -> RelayProcess:
         """A relay as the front chooses it: one that died a moment ago is still sent to."""
         now = anyio.current_time()
-        known = [
+        candidates = [
             relay
             for relay in self.relays
-            if relay.dead_since_s < 0 or now - relay.dead_since_s < FRONT_NOTICES_S
+            if relay.dead_since_s < 0 or now - relay.dead_since_s < DEATH_DETECTION_S
         ]
-        return self.rng.choice(known or self.relays)
+        return self.rng.choice(candidates or self.relays)
 
     async def request(
         self,
@@ -91,7 +91,7 @@
         answer, retry_after_ms = await self._request_once(client, due_s, relay, retries_made)
         if answer in ("moved", "cut", "broken"):
             self.counts[answer] += 1
-        if answer in RETURNING and client.retries > retries_made:
+        if answer in RETRYABLE_ANSWERS and client.retries > retries_made:
             wait_ms = retry_after_ms or self.rng.uniform(MIN_RETURN_MS, MAX_RETURN_MS)
             await anyio.sleep(wait_ms / 1000)
             return await self.request(client, retries_made=retries_made + 1)
@@ -113,16 +113,16 @@
                 self.checker.request_sent(
                     number, request_class.name, budget_us, not retries_made, self.now_us()
                 )
-                words = [""]
+                fields = [""]
                 with anyio.move_on_after(request_class.time_budget_ms / 1000 + ANSWER_GRACE_S):
                     await stream.send(line)
-                    words = [*(await stream.receive(READ_BYTES)).decode("ascii", "replace").split(), ""]
-                    answer = {"UP": "up", "BUSY": "busy"}.get(words[0], "err")
+                    fields = [*(await stream.receive(READ_BYTES)).decode("ascii", "replace").split(), ""]
+                    answer = {"UP": "up", "BUSY": "busy"}.get(fields[0], "err")
                     self._record_answer(number, request_class.name, answer, due)
                 if answer == "busy":
-                    retry_after_ms = float(words[1] or 0.0)
+                    retry_after_ms = float(fields[1] or 0.0)
                 if answer == "up":
-                    answer = await self._use_connection(stream, words[1].rpartition("-")[0], client)
+                    answer = await self._use_connection(stream, fields[1].rpartition("-")[0], client)
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
             if number in self.checker.traces:
                 self.checker.client_disconnected(number)  # a dead relay owes no answer
--- a/gannetweir/lab/emulator/discovery.py
+++ b/gannetweir/lab/emulator/discovery.py
@@ -66,10 +66,10 @@
     async def _answer(self, caller: Transport) -> None:
         data = b""
         while b"\r\n\r\n" not in data:
-            more = await caller.read()
-            if not more or len(data) > MAX_REQUEST_BYTES:
+            received = await caller.read()
+            if not received or len(data) > MAX_REQUEST_BYTES:
                 return
-            data += more
+            data += received
         target = data.split(b" ", 2)[1].decode("ascii", "replace")
         await anyio.sleep(self.delay_s)
         if self.is_down:
@@ -91,12 +91,12 @@
         try:
             sent_version = self.version
             newer = [entry for version, entry in self.history if version > since]
-            first = (
+            initial = (
                 {"seq": sent_version, "whole": False, "hosts": newer}
                 if 0 < since <= sent_version
                 else self.snapshot()
             )
-            await self._write_chunk(caller, orjson.dumps(first))
+            await self._write_chunk(caller, orjson.dumps(initial))
             while not self.is_down:
                 with anyio.move_on_after(self.heartbeat_s) as heartbeat:
                     await event.wait()
--- a/gannetweir/lab/emulator/emulator.py
+++ b/gannetweir/lab/emulator/emulator.py
@@ -26,7 +26,7 @@
 from gannetweir.lab.emulator.relay_process import RelayProcess
 from gannetweir.lab.model.checker import RuleChecker
 
-NOTICE_S = 0.5  # from discovery's update until a drain's or a restart's next step
+NEXT_STEP_DELAY_S = 0.5  # from discovery's update until a drain's or a restart's next step
 
 
 class Emulator:
@@ -105,7 +105,7 @@
         """Let discovery list a backend as draining; the backend then migrates its clients bit by bit."""
         self.discovery.change(name, health="Terminating")
         self.checker.relay_notified(name, True, self.now_us())  # a watch is sent it at once
-        await anyio.sleep(NOTICE_S)
+        await anyio.sleep(NEXT_STEP_DELAY_S)
         await self.backends[name].migrate_all(duration_s)
 
     async def restart_backend(self, name: str) -> None:
@@ -114,7 +114,7 @@
         backend.stop()
         self.discovery.change(name, health="Gone")
         self.checker.relay_notified(name, True, self.now_us())
-        await anyio.sleep(NOTICE_S)
+        await anyio.sleep(NEXT_STEP_DELAY_S)
         backend.draining = False
         backend.started_s = anyio.current_time()
         await self.tasks.start(backend.run)
--- a/gannetweir/lab/emulator/relay_process.py
+++ b/gannetweir/lab/emulator/relay_process.py
@@ -18,10 +18,10 @@
 from gannetweir.lab.emulator.discovery import EmulatedDiscovery
 from gannetweir.lab.emulator.plan import EmulatorPlan, platform_settings
 
-START_S = 15.0  # a relay that does not answer by then has failed
-EXIT_S = 5.0  # after that a relay that was told to end is killed
-COUNTERS_S = 5.0  # for the counters after SIGUSR1
-POLL_S = 0.02
+START_TIMEOUT_S = 15.0  # a relay that does not answer by then has failed
+EXIT_TIMEOUT_S = 5.0  # after that a relay that was told to end is killed
+COUNTERS_TIMEOUT_S = 5.0  # for the counters after SIGUSR1
+POLL_INTERVAL_S = 0.02
 MEMORY_MB = 192
 
 
@@ -66,26 +66,28 @@
             "settings": platform_settings(self.plan.relays),
         }
 
-    async def wait_ready(self, within_s: float = START_S) -> None:
+    async def wait_ready(self, timeout_s: float = START_TIMEOUT_S) -> None:
         """Return once it answers a ping; `TimeoutError` if it does not in time."""
-        with anyio.fail_after(within_s):
+        with anyio.fail_after(timeout_s):
             while True:
                 with suppress(OSError, anyio.EndOfStream):
                     async with await anyio.connect_tcp("127.0.0.1", self.port) as stream:
                         await stream.send(b"PING\r\n")
                         if (await stream.receive(100)).startswith(b"PONG"):
                             return
-                await anyio.sleep(POLL_S)
+                await anyio.sleep(POLL_INTERVAL_S)
 
-    async def stop(self, signal_number: signal.Signals = signal.SIGTERM, within_s: float = EXIT_S) -> None:
+    async def stop(
+        self, signal_number: signal.Signals = signal.SIGTERM, timeout_s: float = EXIT_TIMEOUT_S
+    ) -> None:
         """End it with a signal, and kill it if it has not ended in time."""
         if self.process is None:
             return
         self.dead_since_s = anyio.current_time()
         self.process.send_signal(signal_number)
-        with anyio.move_on_after(within_s):
+        with anyio.move_on_after(timeout_s):
             while self.process.poll() is None:
-                await anyio.sleep(POLL_S)
+                await anyio.sleep(POLL_INTERVAL_S)
         self.kill()
 
     def kill(self) -> None:
@@ -105,7 +107,7 @@
         before = len(self._printed_counters())
         if self.process is not None:
             self.process.send_signal(signal.SIGUSR1)
-            with anyio.fail_after(COUNTERS_S):
+            with anyio.fail_after(COUNTERS_TIMEOUT_S):
                 while len(self._printed_counters()) == before:
-                    await anyio.sleep(POLL_S / 2)
+                    await anyio.sleep(POLL_INTERVAL_S / 2)
         return Counter(orjson.loads(self._printed_counters()[-1]))
--- a/gannetweir/lab/emulator/script.py
+++ b/gannetweir/lab/emulator/script.py
@@ -29,22 +29,22 @@
     events: Sequence[ScriptedEvent] = field(default_factory=tuple)
 
 
-async def play(
+async def run_script(
     emulator: Emulator,
     script: Script,
     progress: Callable[[float], None] = lambda share: None,
-    report: Callable[[str], None] = lambda what: None,
+    report: Callable[[str], None] = lambda event_description: None,
 ) -> None:
     """Run a script to its end; `report` is called with each event's description as it begins."""
 
-    async def happen(event: ScriptedEvent) -> None:
+    async def run_event(event: ScriptedEvent) -> None:
         await anyio.sleep(event.at_s)
         report(event.description)
         await event.action(emulator)
 
     async with anyio.create_task_group() as tasks:
         for event in script.events:
-            tasks.start_soon(happen, event)
+            tasks.start_soon(run_event, event)
         await emulator.clients.offer_load(
             script.arrivals_per_s, script.seconds, script.mean_duration_s, progress=progress
         )
--- a/gannetweir/lab/experiments/address_faults.py
+++ b/gannetweir/lab/experiments/address_faults.py
@@ -16,7 +16,7 @@
 from gannetweir.lab.model.world import World
 
 FAMILIES = ("unix", "ipv6", "ipv4")
-KINDS = ("refuse", "hole", "stall", "reset", "slow")
+FAULT_KINDS = ("refuse", "hole", "stall", "reset", "slow")
 COLUMNS = (
     "broken",
     "served",
@@ -34,62 +34,62 @@
 def cases() -> Iterator[BrokenAddresses]:
     """Nothing; each kind at each family it can have; each pair of kinds at two families."""
     yield ()
-    for kind in KINDS:
+    for kind in FAULT_KINDS:
         for family in FAMILIES:
             if (family, kind) != ("unix", "hole"):  # a full queue of a Unix socket refuses
                 yield ((family, kind),)
-    for one, other in combinations(KINDS, 2):
-        for first, second in permutations(FAMILIES, 2):
-            if ("unix", "hole") not in ((first, one), (second, other)):
-                yield (first, one), (second, other)
+    for first_kind, second_kind in combinations(FAULT_KINDS, 2):
+        for first_family, second_family in permutations(FAMILIES, 2):
+            if ("unix", "hole") not in ((first_family, first_kind), (second_family, second_kind)):
+                yield (first_family, first_kind), (second_family, second_kind)
                 break
 
 
-async def run_case(broken: BrokenAddresses, requests: int, at_once: int = 10) -> list[str]:
+async def run_case(broken: BrokenAddresses, requests: int, concurrency: int = 10) -> list[str]:
     """So many requests to one relay before four nodes, each with three addresses, some of them broken."""
     plan = EmulatorPlan(
         backends=4, families=FAMILIES, capacity=4000, other_connections=400, store_calls_per_s=5000
     )
     async with Emulator(plan) as emulator:
-        for node in emulator.backends.values():
-            for text, listener in node.listeners.items():
+        for emulated_backend in emulator.backends.values():
+            for text, listener in emulated_backend.listeners.items():
                 if fault := dict(broken).get(listener.address.family):
-                    node.set_fault(text, fault)
-        answers = await emulator.clients.request_many(requests, at_once)
-        rules = emulator.violations()
-        took = sorted(
-            served.duration_s * 1000 for served in emulator.clients.answered if served.answer == "up"
+                    emulated_backend.set_fault(text, fault)
+        answers = await emulator.clients.request_many(requests, concurrency)
+        found_violations = emulator.violations()
+        durations_ms = sorted(
+            request.duration_s * 1000 for request in emulator.clients.answered if request.answer == "up"
         )
         attempts = [trace.attempts for trace in emulator.checker.traces.values()]
-        delivered, written = await emulator.count_first_lines()
-        if delivered != written:
-            rules.append(f"{delivered} first lines came in, {written} were written")
+        arrived, written = await emulator.count_first_lines()
+        if arrived != written:
+            found_violations.append(f"{arrived} first lines came in, {written} were written")
         name = ", ".join(f"{family} {fault}" for family, fault in broken) or "nothing"
         return [
             name,
             f"{answers['up']}",
             f"{answers['busy'] + answers['err']}",
-            f"{took[len(took) // 2]:.1f}",
-            f"{took[len(took) * 99 // 100]:.1f}",
-            f"{delivered}",
+            f"{durations_ms[len(durations_ms) // 2]:.1f}",
+            f"{durations_ms[len(durations_ms) * 99 // 100]:.1f}",
+            f"{arrived}",
             f"{max(attempts)}",
             f"{emulator.undecided_overlaps()}",
-            f"{len(rules)}",
+            f"{len(found_violations)}",
         ]
 
 
-def _case(broken: BrokenAddresses, requests: int) -> list[str]:
+def _run_case(broken: BrokenAddresses, requests: int) -> list[str]:
     return anyio.run(run_case, broken, requests)
 
 
-def emulate_cases(requests: int, side_by_side: int = 3) -> Iterator[list[str]]:
+def emulate_cases(requests: int, workers: int = 3) -> Iterator[list[str]]:
     """A row for each case."""
-    with ProcessPoolExecutor(side_by_side) as pool:
-        todo = list(cases())
-        yield from pool.map(_case, todo, [requests] * len(todo))
+    with ProcessPoolExecutor(workers) as pool:
+        all_cases = list(cases())
+        yield from pool.map(_run_case, all_cases, [requests] * len(all_cases))
 
 
-def simulate_day(seed: int) -> World:
+def simulate_scenario(seed: int) -> World:
     """A day of 15 s with drawn faults of addresses, played to its end."""
     rng = random.Random(seed)
     world = World(
@@ -100,7 +100,7 @@
     for backend in world.backends.values():
         for address in backend.address_faults:
             if rng.random() < 0.4:
-                fault, begin, paths = rng.choice(KINDS), rng.uniform(0, 8), backend.address_faults
+                fault, begin, paths = rng.choice(FAULT_KINDS), rng.uniform(0, 8), backend.address_faults
                 world.schedule(begin, lambda p=paths, a=address, f=fault: p.__setitem__(a, f))  # type: ignore[misc]
                 end = begin + rng.uniform(1, 6)
                 world.schedule(end, lambda p=paths, a=address: p.__setitem__(a, ""))  # type: ignore[misc]
@@ -108,9 +108,9 @@
     return world
 
 
-def count_day(seed: int) -> Counter[str]:
+def count_scenario(seed: int) -> Counter[str]:
     """The counts of such a day, `broken` among them."""
-    world = simulate_day(seed)
+    world = simulate_scenario(seed)
     checker = world.checker
     counts = Counter({"days": 1, "broken": len(checker.violations), "asked": len(checker.traces)})
     counts["served"], counts["lines in"] = checker.counts["up"], checker.counts["sent"]
@@ -120,12 +120,12 @@
     return counts
 
 
-def simulate_days(seeds: int) -> Counter[str]:
+def simulate_scenarios(seeds: int) -> Counter[str]:
     """All of them together; `most attempts` is the most of any."""
     total: Counter[str] = Counter()
     with ProcessPoolExecutor() as pool:
-        for counts in pool.map(count_day, range(seeds), chunksize=20):
-            most = max(total["most attempts"], counts["most attempts"])
+        for counts in pool.map(count_scenario, range(seeds), chunksize=20):
+            max_attempts = max(total["most attempts"], counts["most attempts"])
             total.update(counts)  # keeps a count of 0, which `+=` drops
-            total["most attempts"] = most
+            total["most attempts"] = max_attempts
     return total
--- a/gannetweir/lab/experiments/budgets.py
+++ b/gannetweir/lab/experiments/budgets.py
@@ -12,11 +12,11 @@
 from gannetweir.lab.model.plan import SECOND_US, WorldPlan
 from gannetweir.lab.model.world import World
 
-FAILING_FROM_S, FAILING_UNTIL_S, LENGTH_S = 40, 70, 150
-AFTER_S = 30  # after the failing, in which the share of the served is counted
+FAILING_FROM_S, FAILING_UNTIL_S, DURATION_S = 40, 70, 150
+RECOVERY_PERIOD_S = 30  # after the failing, in which the share of the served is counted
 RECOVERY_WINDOW_S, RECOVERED_SHARE = 5, 0.95  # so many served over so long: the fleet has recovered
 MIN_FAILURE_RATE, MAX_FAILURE_RATE = 0.4, 0.9
-STEP_S = 2  # of the chart
+CHART_STEP_S = 2  # of the chart
 
 BUDGET_FILE = """gannetweir version=1
 relay {
@@ -68,7 +68,7 @@
 
     def recovered_after_s(self) -> float:
         """From the end of the failing until nearly all are served over a window, and stay so."""
-        last_window_s = LENGTH_S - RECOVERY_WINDOW_S
+        last_window_s = DURATION_S - RECOVERY_WINDOW_S
         unserved = [
             second
             for second in range(FAILING_UNTIL_S, last_window_s)
@@ -94,11 +94,11 @@
 
 
 def _served_per_s(final_answers: Iterable[tuple[int, str]]) -> list[float]:
-    served = [0.0] * (LENGTH_S // STEP_S)
+    served = [0.0] * (DURATION_S // CHART_STEP_S)
     for answered_us, answer in final_answers:
         second = answered_us // SECOND_US
-        if answer == "up" and second < LENGTH_S:
-            served[second // STEP_S] += 1.0 / STEP_S
+        if answer == "up" and second < DURATION_S:
+            served[second // CHART_STEP_S] += 1.0 / CHART_STEP_S
     return served
 
 
@@ -106,7 +106,7 @@
     """Simulate a fleet whose backends fail from 40 to 70 s."""
     world = World(plan, operators_file)
     _schedule_failures(world, random.Random(f"{plan.seed} faults"))
-    checker = world.run(LENGTH_S)
+    checker = world.run(DURATION_S)
     start_us = world.clock.now_us - world.clock.elapsed_us
     timeline = RequestTimeline(checker.traces.values(), start_us)
     while_failing = timeline.between(FAILING_FROM_S, FAILING_UNTIL_S)
@@ -120,7 +120,7 @@
         worst_second=worst_second,
         attempts_per_first_try=attempts / max(1, first_tries),
         served_while_failing=timeline.served_share(FAILING_FROM_S, FAILING_UNTIL_S),
-        served_after=timeline.served_share(FAILING_UNTIL_S, FAILING_UNTIL_S + AFTER_S),
+        served_after=timeline.served_share(FAILING_UNTIL_S, FAILING_UNTIL_S + RECOVERY_PERIOD_S),
         recovered_after_s=timeline.recovered_after_s(),
         violations=len(checker.violations),
         counts=dict(checker.counts),
--- a/gannetweir/lab/experiments/demo.py
+++ b/gannetweir/lab/experiments/demo.py
@@ -12,10 +12,10 @@
 
 from gannetweir.lab.emulator.emulator import Emulator
 from gannetweir.lab.emulator.plan import EmulatorPlan
-from gannetweir.lab.emulator.script import Script, play
+from gannetweir.lab.emulator.script import Script, run_script
 from gannetweir.lab.experiments.experiment_run import parse_experiment, scripted_events
 
-LENGTH_S = 30.0
+DURATION_S = 30.0
 MEAN_DURATION_SHARE = 0.2  # of its length: how long a client stays in the mean
 # What happens, in shares of its length: an experiment like any other.
 DEMO_EXPERIMENT = """
@@ -28,106 +28,112 @@
     }}
 }}
 """
-STEP_SHARES = 0.2, 0.4, 0.5, 0.62, 0.75
+EVENT_TIME_SHARES = 0.2, 0.4, 0.5, 0.62, 0.75
 
 
 def families() -> tuple[str, ...]:
     """What this machine can listen on."""
-    found = ["unix", "ipv4"]
+    usable = ["unix", "ipv4"]
     try:
         with socket.socket(socket.AF_INET6) as probe:
             probe.bind(("::1", 0))
-            found.insert(1, "ipv6")
+            usable.insert(1, "ipv6")
     except OSError:
         pass
-    return tuple(found)
+    return tuple(usable)
 
 
-def _state_table(emulator: Emulator, said: list[str], share: float) -> Group:
+def _state_table(emulator: Emulator, event_lines: list[str], share: float) -> Group:
     table = Table(title=f"gannetweir demo, {share:.0%}")
     for column in ("node", "state", "clients", ""):
         table.add_column(column, justify="right" if column == "clients" else "left")
-    for name, node in emulator.backends.items():
+    for name, backend in emulator.backends.items():
         state = (
             "drains"
-            if node.draining
+            if backend.draining
             else "cold"
-            if node.current_capacity() < 0.99 * node.capacity
+            if backend.current_capacity() < 0.99 * backend.capacity
             else "ready"
         )
-        ways = " ".join(
+        families_text = " ".join(
             f"{listener.address.family}:{listener.fault or listener.first_lines}"
-            for listener in node.listeners.values()
+            for listener in backend.listeners.values()
         )
-        held = emulator.clients.open_connections[name]
-        table.add_row(name, state, str(held), "#" * min(40, held) + f"  {ways}")
+        connections = emulator.clients.open_connections[name]
+        table.add_row(name, state, str(connections), "#" * min(40, connections) + f"  {families_text}")
     counts = ", ".join(f"{emulator.clients.counts[k]} {k}" for k in ("up", "busy", "err", "moved", "broken"))
-    return Group(table, Text(f"clients so far: {counts}"), *(Text(f"  {line}") for line in said[-6:]))
+    return Group(table, Text(f"clients so far: {counts}"), *(Text(f"  {line}") for line in event_lines[-6:]))
 
 
 async def run(seconds: float, live: bool) -> int:
     """Play it; 0 if no rule was broken."""
     console = Console()
-    said: list[str] = []
+    event_lines: list[str] = []
     shares = [0.0]
     plan = EmulatorPlan(relays=2, backends=4, families=families(), capacity=60, store_calls_per_s=400)
-    ways = ", ".join(plan.families)
-    console.print(f"2 relays, a registry and 4 push nodes ({ways}) on loopback, {seconds:g} s")
+    families_text = ", ".join(plan.families)
+    console.print(f"2 relays, a registry and 4 push nodes ({families_text}) on loopback, {seconds:g} s")
     async with Emulator(plan) as emulator:
 
-        def say(text: str) -> None:
-            said.append(f"{anyio.current_time() - emulator.started_s:5.1f} s  {text}")
+        def report_event(text: str) -> None:
+            event_lines.append(f"{anyio.current_time() - emulator.started_s:5.1f} s  {text}")
             if not live:
-                console.print(said[-1])
+                console.print(event_lines[-1])
 
         async def draw() -> None:
-            with Live(_state_table(emulator, said, 0.0), console=console, refresh_per_second=5) as picture:
+            with Live(
+                _state_table(emulator, event_lines, 0.0), console=console, refresh_per_second=5
+            ) as display:
                 while True:
-                    picture.update(_state_table(emulator, said, shares[-1]))
+                    display.update(_state_table(emulator, event_lines, shares[-1]))
                     await anyio.sleep(0.2)
 
-        async with anyio.create_task_group() as beside:
+        async with anyio.create_task_group() as background:
             if live:
-                beside.start_soon(draw)
+                background.start_soon(draw)
             experiment = parse_experiment(
-                DEMO_EXPERIMENT.format(*(share * seconds * 1000 for share in STEP_SHARES))
+                DEMO_EXPERIMENT.format(*(share * seconds * 1000 for share in EVENT_TIME_SHARES))
             )
             events = [event for step in experiment.variants["demo"] for event in scripted_events(step)]
-            life_s = MEAN_DURATION_SHARE * seconds  # the last to come stay for several lives after it
-            await play(emulator, Script(20.0, seconds, life_s, events), shares.append, say)
-            beside.cancel_scope.cancel()
+            mean_duration_s = (
+                MEAN_DURATION_SHARE * seconds
+            )  # the last to come stay for several lives after it
+            await run_script(
+                emulator, Script(20.0, seconds, mean_duration_s, events), shares.append, report_event
+            )
+            background.cancel_scope.cancel()
         if live:
-            for line in said:
+            for line in event_lines:
                 console.print(line)
         broken = emulator.violations()
         durations_s = sorted(s.duration_s for s in emulator.clients.answered if s.answer == "up")
-        asked = len(emulator.clients.answered)
+        answered_count = len(emulator.clients.answered)
         served = len(durations_s)
         attempts = sum(trace.attempts for trace in emulator.checker.traces.values())
         table = Table(title="what came of it")
         for column in ("", "figure"):
             table.add_column(column)
-        for what, figure in (
-            ("requests answered", f"{asked}"),
-            ("served", f"{served} ({served / max(1, asked):.1%})"),
+        for label, figure in (
+            ("requests answered", f"{answered_count}"),
+            ("served", f"{served} ({served / max(1, answered_count):.1%})"),
             (
                 "set-up time, half / 99 of 100",
                 f"{durations_s[served // 2] * 1000:.1f} / {durations_s[served * 99 // 100] * 1000:.1f} ms"
                 if durations_s
                 else "-",
             ),
-            ("attempts a request", f"{attempts / max(1, asked):.3f}"),
+            ("attempts a request", f"{attempts / max(1, answered_count):.3f}"),
             ("moved, and came again", f"{emulator.clients.counts['moved']}"),
             ("rules broken", f"{len(broken)}"),
         ):
-            table.add_row(what, figure)
+            table.add_row(label, figure)
         console.print(table)
         for line in broken[:5]:
             console.print(line)
     return 1 if broken else 0
 
 
-def main(seconds: float = LENGTH_S) -> int:
+def main(seconds: float = DURATION_S) -> int:
     """Run the demo on this terminal; without one it prints what happens line by line."""
     seconds = min(300.0, max(5.0, seconds))
     try:
--- a/gannetweir/lab/experiments/experiment_run.py
+++ b/gannetweir/lab/experiments/experiment_run.py
@@ -34,7 +34,7 @@
 from gannetweir.lab.emulator.address_listener import FAULTS
 from gannetweir.lab.emulator.emulator import Emulator
 from gannetweir.lab.emulator.plan import EmulatorPlan
-from gannetweir.lab.emulator.script import Script, ScriptedEvent, play
+from gannetweir.lab.emulator.script import Script, ScriptedEvent, run_script
 
 FAULT_DESCRIPTIONS = {
     "": "is mended",
@@ -98,13 +98,15 @@
     paths: dict[str, list[int]] = field(default_factory=dict)  # first lines a second, by family
 
 
-def _number(node: Node, told: Any, kind: Callable[[Any], Any], most: float) -> Any:
+def _number(node: Node, raw_value: Any, convert: Callable[[Any], Any], maximum: float) -> Any:
     try:
-        value = kind(told)
+        value = convert(raw_value)
     except (TypeError, ValueError) as error:
         raise ExperimentError(f"line {node.line}: {node.name}: {error}") from None
-    if not 0 < value <= most:
-        raise ExperimentError(f"line {node.line}: {node.name}: {value:g} is not over 0 and at most {most:g}")
+    if not 0 < value <= maximum:
+        raise ExperimentError(
+            f"line {node.line}: {node.name}: {value:g} is not over 0 and at most {maximum:g}"
+        )
     return value
 
 
@@ -116,7 +118,7 @@
         raise ExperimentError(f"line {error.line}: {error}") from None
     if len(nodes) != 1 or nodes[0].name != "experiment" or len(nodes[0].arguments) != 1:
         raise ExperimentError('one `experiment "NAME" { … }`')
-    got: dict[str, Any] = {
+    options: dict[str, Any] = {
         "relays": 1,
         "nodes": 4,
         "base": 0,
@@ -141,7 +143,7 @@
     }
     for node in nodes[0].children:
         if node.name in numbers:
-            got[node.name] = _number(
+            options[node.name] = _number(
                 node, node.arguments[0] if len(node.arguments) == 1 else "", *numbers[node.name]
             )
         elif node.name == "families" and node.arguments and set(node.arguments) <= set(FAMILIES):
@@ -165,16 +167,18 @@
     if len(seeds) * max(1, len(variants)) > MAX_RUNS:
         raise ExperimentError(f"more than {MAX_RUNS} runs")
     plan = EmulatorPlan(
-        relays=got["relays"],
-        backends=got["nodes"],
+        relays=options["relays"],
+        backends=options["nodes"],
         families=families,
         operators_file=operators,
-        other_connections=got["base"],
-        capacity=got["capacity"],
+        other_connections=options["base"],
+        capacity=options["capacity"],
     )
     name = str(nodes[0].arguments[0])
     variants = variants or {"plain": []}
-    return Experiment(name, plan, got["rate"], got["seconds"], got["life"], seeds, variants, sweep)
+    return Experiment(
+        name, plan, options["rate"], options["seconds"], options["life"], seeds, variants, sweep
+    )
 
 
 def _read_step(node: Node) -> dict[str, Any]:
@@ -204,33 +208,33 @@
             if step.get("family", listener.address.family) == listener.address.family
         ]
 
-    async def fault(emulator: Emulator, kind: str) -> None:
+    async def apply_fault(emulator: Emulator, fault: str) -> None:
         for name, text in matching_listeners(emulator):
-            emulator.backends[name].set_fault(text, kind)
+            emulator.backends[name].set_fault(text, fault)
 
-    async def slow(emulator: Emulator, times: float) -> None:
+    async def set_store_slowdown(emulator: Emulator, times: float) -> None:
         emulator.store.slowdown = times
 
-    async def again(emulator: Emulator, sign: signal.Signals) -> None:
-        relay = emulator.relays[int(step["kill" if sign == signal.SIGKILL else "term"])]
-        await relay.stop(sign)
+    async def restart_relay(emulator: Emulator, signal_number: signal.Signals) -> None:
+        relay = emulator.relays[int(step["kill" if signal_number == signal.SIGKILL else "term"])]
+        await relay.stop(signal_number)
         relay.start()
         await relay.wait_ready()
 
-    found: list[ScriptedEvent] = []
+    scripted: list[ScriptedEvent] = []
 
-    def add(at: float, do: Callable[[Emulator], Awaitable[None]], what: str) -> None:
-        found.append(ScriptedEvent(at, do, what))
+    def add(at: float, action: Callable[[Emulator], Awaitable[None]], description: str) -> None:
+        scripted.append(ScriptedEvent(at, action, description))
 
     if "fault" in step:
         where = f"{step.get('node', 'every node')}, {step.get('family', 'every address')}"
         add(
             step["at"],
-            lambda emulator: fault(emulator, step["fault"]),
+            lambda emulator: apply_fault(emulator, step["fault"]),
             f"{where} {FAULT_DESCRIPTIONS[step['fault']]}",
         )
         if "until" in step:
-            add(step["until"], lambda emulator: fault(emulator, ""), f"{where} is mended")
+            add(step["until"], lambda emulator: apply_fault(emulator, ""), f"{where} is mended")
     if "drain" in step:
         add(
             step["at"], lambda emulator: emulator.drain_backend(str(step["drain"])), f"{step['drain']} drains"
@@ -239,15 +243,25 @@
         name = str(step["restart"])
         add(step["at"], lambda emulator: emulator.restart_backend(name), f"{name} dies and comes back cold")
     if "store" in step:
-        add(step["at"], lambda emulator: slow(emulator, float(step["store"])), "slow store")
-        add(step.get("until", step["at"] + 5), lambda emulator: slow(emulator, 1.0), "store as before")
+        add(step["at"], lambda emulator: set_store_slowdown(emulator, float(step["store"])), "slow store")
+        add(
+            step.get("until", step["at"] + 5),
+            lambda emulator: set_store_slowdown(emulator, 1.0),
+            "store as before",
+        )
     if "kill" in step:
-        add(step["at"], lambda emulator: again(emulator, signal.SIGKILL), f"relay {step['kill']} killed")
+        add(
+            step["at"],
+            lambda emulator: restart_relay(emulator, signal.SIGKILL),
+            f"relay {step['kill']} killed",
+        )
     if "term" in step:
         add(
-            step["at"], lambda emulator: again(emulator, signal.SIGTERM), f"relay {step['term']} starts again"
+            step["at"],
+            lambda emulator: restart_relay(emulator, signal.SIGTERM),
+            f"relay {step['term']} starts again",
         )
-    return found
+    return scripted
 
 
 async def run_variant(
@@ -273,15 +287,17 @@
                     paths[family].append(now - last[family])
                     last[family] = now
 
-        events = [event for told in experiment.variants[variant] for event in scripted_events(told)]
-        async with anyio.create_task_group() as beside:
-            beside.start_soon(watch)
-            await play(
+        events = [
+            event for parsed_step in experiment.variants[variant] for event in scripted_events(parsed_step)
+        ]
+        async with anyio.create_task_group() as background:
+            background.start_soon(watch)
+            await run_script(
                 emulator,
                 Script(experiment.arrivals_per_s, experiment.seconds, experiment.mean_duration_s, events),
                 progress,
             )
-            beside.cancel_scope.cancel()
+            background.cancel_scope.cancel()
         broken = emulator.violations()
         for relay in emulator.relays:
             counted = await relay.counters()
@@ -298,20 +314,20 @@
     broken: Sequence[str],
     paths: dict[str, list[int]],
 ) -> ExperimentRun:
-    whole = HdrHistogram(1, 60_000_000, 3)
+    all_durations = HdrHistogram(1, 60_000_000, 3)
     seconds: dict[int, HdrHistogram] = {}
     for served in emulator.clients.answered:
         if served.answer == "up":
             us = max(1, int(served.duration_s * 1e6))
-            whole.record_value(us)
+            all_durations.record_value(us)
             seconds.setdefault(int(served.due_s), HdrHistogram(1, 60_000_000, 3)).record_value(us)
-    asked = max(1, len(emulator.clients.answered))
+    answered_count = max(1, len(emulator.clients.answered))
     figures = {
-        "served": whole.get_total_count() / asked,
-        "p50, ms": whole.get_value_at_percentile(50) / 1000,
-        "p99, ms": whole.get_value_at_percentile(99) / 1000,
-        "most, ms": whole.get_max_value() / 1000,
-        "attempts a request": sum(s.attempts for s in emulator.checker.traces.values()) / asked,
+        "served": all_durations.get_total_count() / answered_count,
+        "p50, ms": all_durations.get_value_at_percentile(50) / 1000,
+        "p99, ms": all_durations.get_value_at_percentile(99) / 1000,
+        "most, ms": all_durations.get_max_value() / 1000,
+        "attempts a request": sum(s.attempts for s in emulator.checker.traces.values()) / answered_count,
         "rules broken": float(len(broken)),
         "overlap not judged": float(emulator.undecided_overlaps()),
         "stand-ins late, ms": emulator.attempt_overlaps.loop_delay.largest_delay_ms,
--- a/gannetweir/lab/experiments/fleet_simulation.py
+++ b/gannetweir/lab/experiments/fleet_simulation.py
@@ -13,15 +13,17 @@
 from gannetweir.lab.model.plan import SECOND_US, Traffic, WorldPlan
 from gannetweir.lab.model.world import World
 
-INCIDENT_S, DAY_S = 12.0, 36.0  # seconds: when the trouble begins, and how long a day is
+INCIDENT_S, SCENARIO_S = 12.0, 36.0  # seconds: when the trouble begins, and how long a day is
 MEAN_DURATION_US = 15.0 * SECOND_US
 BURST_FACTOR = 3.0  # arrivals of a throng, over those of a calm time
 SIZES = (3, 12), (20, 24), (30, 8), (30, 40), (40, 60), (200, 90), (230, 400)  # relays, backends
 
 
-def fleet_plan(seed: int, relays: int, backends: int, life_us: float = MEAN_DURATION_US) -> WorldPlan:
+def fleet_plan(
+    seed: int, relays: int, backends: int, mean_duration_us: float = MEAN_DURATION_US
+) -> WorldPlan:
     """A fleet in three zones, asked for a third of what it can hold; shorter lives mean more set-ups."""
-    rate = backends * 30.0 / (life_us / SECOND_US) / 3.0
+    rate = backends * 30.0 / (mean_duration_us / SECOND_US) / 3.0
     shares = 0.36, 0.34, 0.15, 0.15
     return WorldPlan(
         seed=seed,
@@ -31,7 +33,7 @@
         store_calls_per_s=20.0 * rate,
         groups=2 * backends,
         zones=3,
-        traffic=tuple(Traffic(share, life_us) for share in shares),
+        traffic=tuple(Traffic(share, mean_duration_us) for share in shares),
     )
 
 
@@ -41,18 +43,18 @@
     """Replace backends one after another: each is told to drain, and 2 s later it starts anew."""
     chosen = list(backends)
     for n, backend in enumerate(chosen):
-        at, late = begin + seconds * n / len(chosen), world.rng.uniform(0.2, 1.0) * SECOND_US
+        at, update_delay_us = begin + seconds * n / len(chosen), world.rng.uniform(0.2, 1.0) * SECOND_US
 
-        def drain(backend: SimulatedBackend = backend, late: float = late) -> None:
+        def drain(backend: SimulatedBackend = backend, update_delay_us: float = update_delay_us) -> None:
             backend.is_draining = True
-            world.announce([backend], late)
+            world.announce([backend], update_delay_us)
 
-        def anew(backend: SimulatedBackend = backend, late: float = late) -> None:
+        def replace(backend: SimulatedBackend = backend, update_delay_us: float = update_delay_us) -> None:
             world.replace_backend(backend)
-            world.announce([backend], late)
+            world.announce([backend], update_delay_us)
 
         world.schedule(at, drain)
-        world.schedule(at + 2.0, anew)
+        world.schedule(at + 2.0, replace)
 
 
 def relays_killed(world: World) -> None:
@@ -73,25 +75,25 @@
 
 def zone_lost(world: World) -> None:
     """A zone is lost with its relays; 5 s later both are back, the backends cold."""
-    gone = [backend for backend in world.backends.values() if backend.zone == 0]
+    lost_backends = [backend for backend in world.backends.values() if backend.zone == 0]
     relays = [relay for relay in world.relays if relay.zone == 0]
 
-    def lost() -> None:
-        for backend in gone:
+    def lose_zone() -> None:
+        for backend in lost_backends:
             backend.is_removed = True
         for relay in relays:
             world.kill_relay(relay)
-        world.announce(gone, 2.0 * SECOND_US)
+        world.announce(lost_backends, 2.0 * SECOND_US)
 
-    def back() -> None:
-        for backend in gone:
+    def restore_zone() -> None:
+        for backend in lost_backends:
             world.replace_backend(backend)
-        world.announce(gone, 0.5 * SECOND_US)
+        world.announce(lost_backends, 0.5 * SECOND_US)
         for relay in relays:
             world.start_relay(relay)
 
-    world.schedule(INCIDENT_S, lost)
-    world.schedule(INCIDENT_S + 5.0, back)
+    world.schedule(INCIDENT_S, lose_zone)
+    world.schedule(INCIDENT_S + 5.0, restore_zone)
 
 
 def zone_partitioned(world: World) -> None:
@@ -114,12 +116,12 @@
     for backend in backends[2::8]:
         backend.failure_rate = 0.1
 
-    def vanish(gone: list[SimulatedBackend]) -> None:
-        for backend in gone:
+    def vanish(lost_backends: list[SimulatedBackend]) -> None:
+        for backend in lost_backends:
             backend.is_removed = True
-        world.announce(gone, 0.5 * SECOND_US)
+        world.announce(lost_backends, 0.5 * SECOND_US)
 
-    def anew(backend: SimulatedBackend) -> None:
+    def replace(backend: SimulatedBackend) -> None:
         world.replace_backend(backend)
         world.announce([backend], world.rng.uniform(0.1, 0.5) * SECOND_US)
 
@@ -129,12 +131,12 @@
     world.schedule(1.0, lambda: vanish(joining))  # not there yet
     world.schedule(INCIDENT_S - 2.0, lambda: vanish(crashing))
     for backend in joining + crashing:
-        world.schedule(INCIDENT_S + world.rng.uniform(0.0, 3.0), lambda b=backend: anew(b))  # type: ignore[misc]
+        world.schedule(INCIDENT_S + world.rng.uniform(0.0, 3.0), lambda b=backend: replace(b))  # type: ignore[misc]
     world.schedule(INCIDENT_S, lambda: burst(BURST_FACTOR))
     world.schedule(INCIDENT_S + 12.0, lambda: burst(1.0))
 
 
-DAYS: dict[str, Callable[[World], None]] = {
+SCENARIOS: dict[str, Callable[[World], None]] = {
     "kill": relays_killed,
     "roll": rolling_restart,
     "zone": zone_lost,
@@ -145,11 +147,11 @@
 """The days by the names that stand in the kept tables."""
 
 
-def simulate_day(name: str, plan: WorldPlan) -> World:
+def simulate_scenario(name: str, plan: WorldPlan) -> World:
     """One day, to its end; what broke is in its checker."""
     world = World(plan)
-    DAYS[name](world)
-    world.run(DAY_S)
+    SCENARIOS[name](world)
+    world.run(SCENARIO_S)
     return world
 
 
@@ -177,24 +179,28 @@
 """
 
 
-def day_row(name: str, relays: int, backends: int, seeds: int) -> list[str]:
+def scenario_row(name: str, relays: int, backends: int, seeds: int) -> list[str]:
     """A table's row: means over the seeds, the worst of the cold backends, all that broke."""
-    asked = served = sent = probes = worst = broken = 0
+    requests = served = sent = probes = worst_share = broken = 0
     for seed in range(1, seeds + 1):
-        world = simulate_day(name, fleet_plan(seed, relays, backends))
+        world = simulate_scenario(name, fleet_plan(seed, relays, backends))
         counts = world.checker.counts
-        asked, served, sent = asked + len(world.checker.traces), served + counts["up"], sent + counts["sent"]
+        requests, served, sent = (
+            requests + len(world.checker.traces),
+            served + counts["up"],
+            sent + counts["sent"],
+        )
         probes += sum(relay.engine.counters.counts["load_probes_sent"] for relay in world.relays)
-        worst, broken = max(worst, counts["cold_share"]), broken + len(world.checker.violations)
-    share = f"{worst / 100:.2f}" if worst else "-"
+        worst_share, broken = max(worst_share, counts["cold_share"]), broken + len(world.checker.violations)
+    share = f"{worst_share / 100:.2f}" if worst_share else "-"
     return [
         name,
         str(relays),
         str(backends),
-        str(asked),
-        f"{served / asked:.3f}",
-        f"{sent / asked:.2f}",
-        f"{probes / asked:.1f}",
+        str(requests),
+        f"{served / requests:.3f}",
+        f"{sent / requests:.2f}",
+        f"{probes / requests:.1f}",
         share,
         str(broken),
     ]
@@ -202,6 +208,6 @@
 
 def fleet_table(seeds: int, sizes: Iterable[tuple[int, int]] = SIZES) -> list[list[str]]:
     """Every day at every size."""
-    days = [(name, *size, seeds) for size in sizes for name in DAYS]
+    rows = [(name, *size, seeds) for size in sizes for name in SCENARIOS]
     with ProcessPoolExecutor() as pool:
-        return list(pool.map(day_row, *zip(*days, strict=True)))
+        return list(pool.map(scenario_row, *zip(*rows, strict=True)))
--- a/gannetweir/lab/experiments/report.py
+++ b/gannetweir/lab/experiments/report.py
@@ -13,8 +13,8 @@
 def print_table(title: str, columns: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
     """Print a table."""
     table = Table(title=title)
-    for n, column in enumerate(columns):
-        table.add_column(column, justify="right" if n else "left")
+    for position, column in enumerate(columns):
+        table.add_column(column, justify="right" if position else "left")
     for row in rows:
         table.add_row(*row)
     Console().print(table)
@@ -26,17 +26,17 @@
     return "\n".join([lines[0], "| " + " | ".join(["---"] * len(columns)) + " |", *lines[1:]])
 
 
-def bar_row(values: Sequence[float], most: float) -> str:
+def bar_row(values: Sequence[float], maximum: float) -> str:
     """A row of bars, one a value; `most` is a full one."""
     top = len(BAR_LEVELS) - 1
-    return "".join(BAR_LEVELS[max(0, min(top, round(value / most * top)))] for value in values)
+    return "".join(BAR_LEVELS[max(0, min(top, round(value / maximum * top)))] for value in values)
 
 
 def bar_chart(rows: Sequence[tuple[str, Sequence[float]]], unit: str, step_s: float) -> str:
     """Rows of bars on one scale, with the time under them."""
-    most = max((max(values, default=0.0) for _, values in rows), default=0.0) or 1.0
+    maximum = max((max(values, default=0.0) for _, values in rows), default=0.0) or 1.0
     width = max(len(name) for name, _ in rows)
     length = max(len(values) for _, values in rows)
-    lines = [f"{name:<{width}} |{bar_row(values, most)}|" for name, values in rows]
-    marks = "".join(f"{int(n * step_s):<10}" for n in range(0, length, 10))
-    return "\n".join([f"a full bar is {most:.1f} {unit}", *lines, f"{'s':<{width}}  {marks}".rstrip()])
+    lines = [f"{name:<{width}} |{bar_row(values, maximum)}|" for name, values in rows]
+    marks = "".join(f"{int(position * step_s):<10}" for position in range(0, length, 10))
+    return "\n".join([f"a full bar is {maximum:.1f} {unit}", *lines, f"{'s':<{width}}  {marks}".rstrip()])
--- a/gannetweir/lab/experiments/results.py
+++ b/gannetweir/lab/experiments/results.py
@@ -26,10 +26,10 @@
     names = list(runs[0].figures) if runs else []
     rows = []
     for variant in dict.fromkeys(run.variant for run in runs):
-        mine = [run for run in runs if run.variant == variant]
+        variant_runs = [run for run in runs if run.variant == variant]
         cells = []
         for name in names:
-            values = [run.figures[name] for run in mine]
+            values = [run.figures[name] for run in variant_runs]
             spread = f" ±{statistics.stdev(values):.2f}" if len(values) > 1 else ""
             cells.append(f"{_mean(values):.2f}{spread}")
         rows.append([variant, *cells])
@@ -54,8 +54,8 @@
     chart.x_labels = [str(n) for n in range(longest)]
     for name, values in lines.items():
         chart.add(name, values)
-    drawn: str = chart.render(is_unicode=True, disable_xml_declaration=True)
-    svg = re.sub(r"<!--.*?-->", "", drawn, flags=re.S)  # the library's own notes
+    rendered: str = chart.render(is_unicode=True, disable_xml_declaration=True)
+    svg = re.sub(r"<!--.*?-->", "", rendered, flags=re.S)  # the library's own notes
     path.write_text(svg)
     return svg
 
@@ -67,27 +67,41 @@
     (folder / "results.json").write_bytes(orjson.dumps(data, option=orjson.OPT_INDENT_2))
     columns, rows = results_table(runs)
     families = ", ".join(experiment.plan.families)
-    about = (
+    summary = (
         f"{experiment.plan.relays} relays, {experiment.plan.backends} nodes ({families}), "
         f"{experiment.arrivals_per_s:g} new connections a second for {experiment.seconds:g} s, "
         f"seeds {', '.join(map(str, experiment.seeds))}"
     )
-    (folder / "README.md").write_text(f"# {experiment.name}\n\n{about}.\n\n{markdown(columns, rows)}\n")
+    (folder / "README.md").write_text(f"# {experiment.name}\n\n{summary}.\n\n{markdown(columns, rows)}\n")
     served: dict[str, list[float | None]] = {}
-    slow: dict[str, list[float | None]] = {}
+    p99_ms: dict[str, list[float | None]] = {}
     svgs: list[str] = []
     for variant in dict.fromkeys(run.variant for run in runs):
-        mine = [run for run in runs if run.variant == variant]
+        variant_runs = [run for run in runs if run.variant == variant]
         length = int(experiment.seconds)
-        for place, lines in ((1, served), (2, slow)):
+        for field_index, lines in ((1, served), (2, p99_ms)):
             lines[variant] = [
-                _mean([point[place] for run in mine for point in run.line if int(point[0]) == second]) or None
+                _mean(
+                    [
+                        point[field_index]
+                        for run in variant_runs
+                        for point in run.line
+                        if int(point[0]) == second
+                    ]
+                )
+                or None
                 for second in range(length)
             ]
         if len(experiment.plan.families) > 1:
             by_path: dict[str, list[float | None]] = {
                 family: [
-                    _mean([float(run.paths[family][s]) for run in mine if s < len(run.paths.get(family, ()))])
+                    _mean(
+                        [
+                            float(run.paths[family][s])
+                            for run in variant_runs
+                            if s < len(run.paths.get(family, ()))
+                        ]
+                    )
                     for s in range(length)
                 ]
                 for family in experiment.plan.families
@@ -95,7 +109,7 @@
             name = f"paths-{len(svgs)}.svg"
             title = f"First lines a second by path: {variant}"
             svgs.append(_chart(title, "a second", by_path, folder / name))
-    svgs.insert(0, _chart("Set-up time, 99 of 100", "ms", slow, folder / "setup.svg"))
+    svgs.insert(0, _chart("Set-up time, 99 of 100", "ms", p99_ms, folder / "setup.svg"))
     svgs.insert(1, _chart("Served a second", "a second", served, folder / "served.svg"))
     head = "".join(f"<th>{html.escape(c)}</th>" for c in columns)
     body = "".join("<tr>" + "".join(f"<td>{html.escape(c)}</td>" for c in row) + "</tr>" for row in rows)
@@ -104,7 +118,7 @@
         f"<!doctype html><meta charset=utf-8><title>{html.escape(experiment.name)}</title>"
         "<style>body{font-family:sans-serif;max-width:60em;margin:2em auto}"
         "td,th{padding:.2em .8em;text-align:right}</style>"
-        f"<h1>{html.escape(experiment.name)}</h1><p>{html.escape(about)}</p>"
+        f"<h1>{html.escape(experiment.name)}</h1><p>{html.escape(summary)}</p>"
         f"<table><tr>{head}</tr>{body}</table>{''.join(svgs)}"
         f"<h2>Rules broken</h2><ul>{broken or '<li>none</li>'}</ul>"
     )
@@ -114,11 +128,11 @@
 def read_figures(folder: Path) -> dict[str, dict[str, list[float]]]:
     """The figures of a kept folder: by variant, by name, over the seeds."""
     data: dict[str, Any] = orjson.loads((folder / "results.json").read_bytes())
-    found: dict[str, dict[str, list[float]]] = {}
+    figures_by_variant: dict[str, dict[str, list[float]]] = {}
     for run in data["runs"]:
         for name, value in run["figures"].items():
-            found.setdefault(run["variant"], {}).setdefault(name, []).append(float(value))
-    return found
+            figures_by_variant.setdefault(run["variant"], {}).setdefault(name, []).append(float(value))
+    return figures_by_variant
 
 
 def compare(one: Path, other: Path) -> list[list[str]]:
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gannetweir.lab.experiments.fleet_simulation import fleet_plan, simulate_day
+from gannetweir.lab.experiments.fleet_simulation import fleet_plan, simulate_scenario
 from gannetweir.lab.model.checker import SlowStartBudget
 from gannetweir.placement.events import EndpointEntry, EndpointListUpdate, EndpointStatus, UpdateKind
 from tests.helpers import SECOND, BalancerDriver, number_of
@@ -51,7 +51,7 @@
     ],
 )
 def test_no_warming_endpoint_is_overloaded(day: str, seed: int, life_s: float) -> None:
-    world = simulate_day(day, fleet_plan(seed, RELAYS, 24, life_s * SECOND))
+    world = simulate_scenario(day, fleet_plan(seed, RELAYS, 24, life_s * SECOND))
     assert not world.checker.violations, world.checker.violations[:3]
     assert 0 < world.checker.counts["cold_share"] <= 100
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -26,35 +26,38 @@
 from gannetweir.net.transport import DescriptorCount, Spawn
 
 FAMILIES = ("unix", "ipv6", "ipv4")
-KINDS = ("refuse", "hole", "stall", "reset", "slow")
-ALONE: list[tuple[tuple[str, ...], str]] = [
-    ((kind,), where) for kind in KINDS for where in FAMILIES if (kind, where) != ("hole", "unix")
+FAULT_KINDS = ("refuse", "hole", "stall", "reset", "slow")
+SINGLE_FAULTS: list[tuple[tuple[str, ...], str]] = [
+    ((kind,), family_alone)
+    for kind in FAULT_KINDS
+    for family_alone in FAMILIES
+    if (kind, family_alone) != ("hole", "unix")
 ]
-PAIRS: list[tuple[tuple[str, ...], str]] = [(pair, "") for pair in combinations(KINDS, 2)]
+FAULT_PAIRS: list[tuple[tuple[str, ...], str]] = [(pair, "") for pair in combinations(FAULT_KINDS, 2)]
 
 
-def paths_of(emulator: Emulator, family: str) -> list[tuple[str, str]]:
+def addresses_of(emulator: Emulator, family: str) -> list[tuple[str, str]]:
     """The address of that family of each node."""
     return [
         (name, text)
-        for name, node in emulator.backends.items()
-        for text, door in node.listeners.items()
-        if door.address.family == family
+        for name, backend in emulator.backends.items()
+        for text, listener in backend.listeners.items()
+        if listener.address.family == family
     ]
 
 
-@pytest.mark.parametrize(("faults", "where"), ALONE + PAIRS)
-def test_every_request_is_served_once_over_what_is_sound(faults: tuple[str, ...], where: str) -> None:
+@pytest.mark.parametrize(("faults", "family_alone"), SINGLE_FAULTS + FAULT_PAIRS)
+def test_every_request_is_served_once_over_what_is_sound(faults: tuple[str, ...], family_alone: str) -> None:
     """One or two of three families are broken at every node. All is served, no first line is ever out twice
     at once, and a request that was sent again was first given up.
     """
-    families = (where,) if where else ("ipv6", "unix" if "hole" not in faults[1:] else "ipv4")
+    families = (family_alone,) if family_alone else ("ipv6", "unix" if "hole" not in faults[1:] else "ipv4")
 
     async def run() -> None:
         plan = EmulatorPlan(backends=2, families=FAMILIES, capacity=1000, other_connections=100)
         async with Emulator(plan) as emulator:
             for fault, family in zip(faults, families, strict=True):
-                for name, text in paths_of(emulator, family):
+                for name, text in addresses_of(emulator, family):
                     emulator.backends[name].set_fault(text, fault)
             answers = await emulator.clients.request_many(60, 6)
             assert answers["up"] >= 55, answers
@@ -68,7 +71,7 @@
             assert not emulator.violations(), emulator.checker.violations[:3]
             assert answers["up"] >= emulator.clients.request_count - 5, answers
             sent, written = await emulator.count_first_lines()
-            attempts = [story.attempts for story in emulator.checker.traces.values()]
+            attempts = [trace.attempts for trace in emulator.checker.traces.values()]
             assert sent == written == sum(attempts) and max(attempts) <= 6
             if not {"stall", "reset"} & set(faults):  # nothing was ever out that had to be given up
                 assert sent == answers["up"] and max(attempts) == 1
@@ -81,18 +84,21 @@
         async with Emulator(
             EmulatorPlan(backends=1, families=("ipv6", "ipv4"), capacity=1000, other_connections=100)
         ) as emulator:
-            ((name, v6),) = paths_of(emulator, "ipv6")
-            ((_, v4),) = paths_of(emulator, "ipv4")
-            node = emulator.backends[name]
-            node.set_fault(v6, "refuse")
+            ((name, ipv6_address),) = addresses_of(emulator, "ipv6")
+            ((_, ipv4_address),) = addresses_of(emulator, "ipv4")
+            backend = emulator.backends[name]
+            backend.set_fault(ipv6_address, "refuse")
             assert (await emulator.clients.request_many(30, 3))["up"] == 30
-            assert node.listeners[v6].first_lines == 0 and node.listeners[v4].first_lines == 30
-            node.set_fault(v6, "")
+            assert (
+                backend.listeners[ipv6_address].first_lines == 0
+                and backend.listeners[ipv4_address].first_lines == 30
+            )
+            backend.set_fault(ipv6_address, "")
             with anyio.fail_after(5.0):
-                while not node.listeners[v6].first_lines:
+                while not backend.listeners[ipv6_address].first_lines:
                     await emulator.clients.request_many(3, 1)
-            for text in (v6, v4):
-                node.set_fault(text, "refuse")
+            for text in (ipv6_address, ipv4_address):
+                backend.set_fault(text, "refuse")
             answers = await emulator.clients.request_many(5, 1)
             assert answers["busy"] == 5 and not emulator.violations()
             relay = emulator.relays[0]
@@ -124,22 +130,22 @@
     """Two ways that never come up race; where a descriptor is wanted the second gives way, none else."""
 
     async def run() -> None:
-        nothing = AttemptOverlaps(RuleChecker(), lambda: 0)
-        node = EmulatedBackend(
+        no_attempts = AttemptOverlaps(RuleChecker(), lambda: 0)
+        backend = EmulatedBackend(
             "a",
             loopback_addresses(1, "", ("ipv6", "ipv4")),
             10,
             EmulatedSessionStore(100),
-            nothing,
+            no_attempts,
             random.Random(1),
         )
-        ledger = DescriptorCount()
-        paths = AddressSelector(AddressRules(), 1, 250_000)
-        paths.update_endpoint("a", "", tuple(node.listeners))
+        descriptors = DescriptorCount()
+        selector = AddressSelector(AddressRules(), 1, 250_000)
+        selector.update_endpoint("a", "", tuple(backend.listeners))
         async with anyio.create_task_group() as tasks:
-            await tasks.start(node.run)
-            for text in node.listeners:
-                node.set_fault(text, "hole")
+            await tasks.start(backend.run)
+            for text in backend.listeners:
+                backend.set_fault(text, "hole")
 
             class Host:
                 limits, address_races, room = Limits(), dict[Evictable, None](), True
@@ -155,40 +161,40 @@
                     return spawn_in(tasks)
 
             host = Host()
-            dialer = AddressRaceDriver(host, paths, "a", paths.new_race("a", host.clock()), ledger)
-            lost: list[OSError] = []
+            dialer = AddressRaceDriver(host, selector, "a", selector.new_race("a", host.clock()), descriptors)
+            errors: list[OSError] = []
 
-            async def dial(which: AddressRaceDriver) -> None:
+            async def dial(driver: AddressRaceDriver) -> None:
                 try:
-                    await which.connect()
+                    await driver.connect()
                 except OSError as error:
-                    lost.append(error)
+                    errors.append(error)
 
             tasks.start_soon(dial, dialer)
             with anyio.fail_after(2.0):
-                while ledger.open < 2:
+                while descriptors.open < 2:
                     await anyio.sleep(0.005)
-            assert list(host.address_races) == [dialer] and dialer.evict() and ledger.open == 1
-            assert not dialer.evict() and not lost
+            assert list(host.address_races) == [dialer] and dialer.evict() and descriptors.open == 1
+            assert not dialer.evict() and not errors
             host.room = False  # nothing more begins beside the one that is out
-            other = AddressRaceDriver(host, paths, "a", paths.new_race("a", host.clock()), ledger)
+            other = AddressRaceDriver(host, selector, "a", selector.new_race("a", host.clock()), descriptors)
             tasks.start_soon(dial, other)
             await anyio.sleep(0.2)
-            assert ledger.open == 2 and len(other.race.started_us) == 1
+            assert descriptors.open == 2 and len(other.race.started_us) == 1
             other.stop()
             await anyio.sleep(0.05)
-            assert ledger.open == 1 and len(lost) == 1
-            lost.clear()
+            assert descriptors.open == 1 and len(errors) == 1
+            errors.clear()
             dialer.stop()
-            assert ledger.open == 0
+            assert descriptors.open == 0
             await anyio.sleep(0.05)
-            assert len(lost) == 1 and not host.address_races
+            assert len(errors) == 1 and not host.address_races
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-class FedClock:
+class ManualClock:
     """What a dialer needs of the relay, with a clock that moves only when told."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -211,7 +217,7 @@
 
     async def run() -> None:
         attempts = AttemptOverlaps(RuleChecker(), lambda: 0)
-        node = EmulatedBackend(
+        backend = EmulatedBackend(
             "a",
             loopback_addresses(1, str(tmp_path), (first, "ipv4")),
             10,
@@ -219,70 +225,76 @@
             attempts,
             random.Random(1),
         )
-        paths = AddressSelector(AddressRules(), 1, 250_000)
-        paths.update_endpoint("a", "", tuple(node.listeners))
+        selector = AddressSelector(AddressRules(), 1, 250_000)
+        selector.update_endpoint("a", "", tuple(backend.listeners))
         async with anyio.create_task_group() as tasks:
-            await tasks.start(node.run)
-            host = FedClock(tasks)
+            await tasks.start(backend.run)
+            host = ManualClock(tasks)
 
-            async def taken(times: int) -> set[str]:
+            async def connected_families(times: int) -> set[str]:
                 found = set()
                 for _ in range(times):
-                    endpoint, at = await AddressRaceDriver(
-                        host, paths, "a", paths.new_race("a", 1), DescriptorCount()
+                    endpoint, target_address = await AddressRaceDriver(
+                        host, selector, "a", selector.new_race("a", 1), DescriptorCount()
                     ).connect()
                     endpoint.close()
-                    found.add(at.family)
+                    found.add(target_address.family)
                 return found
 
             tasks.start_soon(host.pass_50_ms)  # between the order to connect and the connect
-            assert await taken(1) == {first} and host.now_us == 50_001
+            assert await connected_families(1) == {first} and host.now_us == 50_001
             assert all(
-                path.connect_time_us == 0 for path in paths.states_by_endpoint["a"].values()
+                path.connect_time_us == 0 for path in selector.states_by_endpoint["a"].values()
             )  # not the path's time
-            assert await taken(29) == {first} and paths.preferred_bypassed == 0
+            assert await connected_families(29) == {first} and selector.preferred_bypassed == 0
             host.now_us = 1
-            node.set_fault(next(iter(node.listeners)), "refuse")
+            backend.set_fault(next(iter(backend.listeners)), "refuse")
             assert (
-                await taken(30) == {"ipv4"} and paths.preferred_bypassed == 29
+                await connected_families(30) == {"ipv4"} and selector.preferred_bypassed == 29
             )  # the first of them learnt it
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-UNIX_TOO = [("unix", "unix"), ("ipv6", "ipv4"), ("ipv4", "unix"), ("unix", "ipv6")]
-TIMED = [("ipv6", "ipv4"), ("ipv4", "ipv4")]
+WITH_UNIX = [("unix", "unix"), ("ipv6", "ipv4"), ("ipv4", "unix"), ("unix", "ipv6")]
+TCP_ONLY = [("ipv6", "ipv4"), ("ipv4", "ipv4")]
 # a line (+) or an end (-) at one of two nodes, (.) a moment in which the kernel's clock moves on, and (|) all
 # of it is read before the rest comes
 ORDERS = [
-    ("+0 -0 +1", 0, UNIX_TOO),
-    ("+0 +1", 1, UNIX_TOO),
-    ("+0 +1 . -0", 1, TIMED),
-    ("+0 -0 +1 -1 +0", 0, UNIX_TOO),  # the second line is read last: node 0 accepts both of its own at once
-    ("+0 -0 +1 +0 . -1", 1, TIMED),
-    ("+0 | . -0 +1", 0, UNIX_TOO),
-    ("+0 | +1 . -0", 1, TIMED),
+    ("+0 -0 +1", 0, WITH_UNIX),
+    ("+0 +1", 1, WITH_UNIX),
+    ("+0 +1 . -0", 1, TCP_ONLY),
+    ("+0 -0 +1 -1 +0", 0, WITH_UNIX),  # the second line is read last: node 0 accepts both of its own at once
+    ("+0 -0 +1 +0 . -1", 1, TCP_ONLY),
+    ("+0 | . -0 +1", 0, WITH_UNIX),
+    ("+0 | +1 . -0", 1, TCP_ONLY),
 ]
-HIDDEN = ["+0 +1 . -0", "+0 | +1 . -0", ". +0 -0 +1 ."]  # what a Unix socket can't tell apart
+UNDECIDABLE_ORDERS = ["+0 +1 . -0", "+0 | +1 . -0", ". +0 -0 +1 ."]  # what a Unix socket can't tell apart
 
 
-def send_in_order(order: str, addresses: list[Address], out: dict[str, socket.socket]) -> None:
+def send_in_order(order: str, addresses: list[Address], open_connections: dict[str, socket.socket]) -> None:
     """Puts all of it into the kernel. `out` is what is open, by node."""
     for step in order.split():
         if step == ".":
             time.sleep(0.05)
         elif step[0] == "-":
-            out.pop(step[1]).close()
+            open_connections.pop(step[1]).close()
         else:
-            at = addresses[int(step[1])]
-            sock = socket.socket({UNIX: socket.AF_UNIX, IPV6: socket.AF_INET6}.get(at.family, socket.AF_INET))
-            sock.connect(at.host if at.family == UNIX else (at.host, at.port))
+            target_address = addresses[int(step[1])]
+            sock = socket.socket(
+                {UNIX: socket.AF_UNIX, IPV6: socket.AF_INET6}.get(target_address.family, socket.AF_INET)
+            )
+            sock.connect(
+                target_address.host
+                if target_address.family == UNIX
+                else (target_address.host, target_address.port)
+            )
             sock.sendall(b"OPEN 1 a c=x,d=2000,g=1\r\n")
-            out[step[1]] = sock
+            open_connections[step[1]] = sock
 
 
-async def told_by_late_stand_ins(
+async def run_late_stand_ins(
     order: str, families: tuple[str, str], folder: str
 ) -> tuple[RuleChecker, AttemptOverlaps]:
     """What two nodes that come to each part of an order late say of it."""
@@ -290,30 +302,31 @@
     checker.request_sent(1, "x", 2_000_000, True, 0)
     attempts = AttemptOverlaps(checker, lambda: 0)  # no beat is run: its last was before all of it
     addresses = [loopback_addresses(n, folder, (family,)) for n, family in enumerate(families)]
-    nodes = [
-        EmulatedBackend(f"b{n}", at, 10, EmulatedSessionStore(1), attempts, random.Random(n))
-        for n, at in enumerate(addresses)
+    emulated_backends = [
+        EmulatedBackend(f"b{n}", target_address, 10, EmulatedSessionStore(1), attempts, random.Random(n))
+        for n, target_address in enumerate(addresses)
     ]
-    out: dict[str, socket.socket] = {}
+    open_connections: dict[str, socket.socket] = {}
     async with anyio.create_task_group() as tasks:
-        for node in nodes:
-            await tasks.start(node.run)
+        for backend in emulated_backends:
+            await tasks.start(backend.run)
         lines = 0
         for part in order.split("|"):
-            send_in_order(part, [at[0] for at in addresses], out)
+            send_in_order(part, [target_address[0] for target_address in addresses], open_connections)
             lines += part.count("+")
             with anyio.fail_after(5.0):
-                while sum(sum(node.deliveries.values()) for node in nodes) < lines:
+                while sum(sum(backend.deliveries.values()) for backend in emulated_backends) < lines:
                     await anyio.lowlevel.checkpoint()
         assert checker.traces[1].attempts == lines
-        for sock in out.values():
+        for sock in open_connections.values():
             sock.close()
         tasks.cancel_scope.cancel()
     return checker, attempts
 
 
 @pytest.mark.parametrize(
-    ("order", "overlaps", "families"), [(o, n, families) for o, n, ways in ORDERS for families in ways]
+    ("order", "overlaps", "families"),
+    [(o, n, families) for o, n, family_pairs in ORDERS for families in family_pairs],
 )
 def test_a_late_stand_in_tells_an_end_before_the_next_line_from_an_overlap(
     order: str, overlaps: int, families: tuple[str, str], tmp_path: Path
@@ -321,17 +334,19 @@
     """All of a part is in the kernel before the stand-ins have their next turn, so only its order counts. An
     end after a line is seen as such where the kernel keeps times: between two TCP connections.
     """
-    checker, attempts = anyio.run(told_by_late_stand_ins, order, families, str(tmp_path))
+    checker, attempts = anyio.run(run_late_stand_ins, order, families, str(tmp_path))
     assert len([text for text in checker.violations if "overlap" in text]) == overlaps, checker.violations
     assert not attempts.undecided_overlaps or UNIX in families
 
 
-@pytest.mark.parametrize(("order", "families"), [(o, f) for o in HIDDEN for f in UNIX_TOO if UNIX in f])
+@pytest.mark.parametrize(
+    ("order", "families"), [(o, f) for o in UNDECIDABLE_ORDERS for f in WITH_UNIX if UNIX in f]
+)
 def test_what_a_late_stand_in_can_not_tell_is_not_judged(
     order: str, families: tuple[str, str], tmp_path: Path
 ) -> None:
     """Beside a Unix socket: an overlap that began and ended while they were late is not passed over."""
-    checker, attempts = anyio.run(told_by_late_stand_ins, order, families, str(tmp_path))
+    checker, attempts = anyio.run(run_late_stand_ins, order, families, str(tmp_path))
     assert list(attempts.undecided_overlaps) == [1] and not checker.violations
 
 
@@ -341,13 +356,13 @@
     checker.request_sent(1, "x", 2_000_000, True, 0)
     attempts = AttemptOverlaps(checker, lambda: 0)
     pairs = [socket.socketpair() for _ in range(2)]
-    for peer, mine in pairs:
+    for peer, accepted in pairs:
         attempts.loop_delay.recent_ticks.extend([now_ms()] * TICKS_REMEMBERED)
-        attempts.first_line_read(1, "a", mine)
+        attempts.first_line_read(1, "a", accepted)
         time.sleep(2 * RESOLUTION_MS / 1000)
         attempts.loop_delay.recent_ticks.extend([now_ms()] * TICKS_REMEMBERED)
         peer.close()
-        attempts.attempt_ended(1, mine)
+        attempts.attempt_ended(1, accepted)
     assert not attempts.undecided_overlaps and not checker.violations
-    for _, mine in pairs:
-        mine.close()
+    for _, accepted in pairs:
+        accepted.close()
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -6,7 +6,7 @@
 
 from gannetweir import core as e
 from gannetweir.core.draining import Draining
-from gannetweir.lab.experiments.fleet_simulation import DAYS, fleet_plan, simulate_day
+from gannetweir.lab.experiments.fleet_simulation import SCENARIOS, fleet_plan, simulate_scenario
 from gannetweir.lab.model.backends import SimulatedBackend
 from gannetweir.lab.model.checker import RuleChecker
 from gannetweir.lab.model.relay import SimulatedRelay
@@ -16,22 +16,24 @@
 from gannetweir.placement.slow_start import SlowStart
 
 
-@pytest.mark.parametrize("day", DAYS)
+@pytest.mark.parametrize("day", SCENARIOS)
 @pytest.mark.parametrize(("relays", "backends", "seed"), [(3, 12, 1), (3, 12, 2), (40, 60, 4)])
 def test_the_rules_hold_at_any_size(day: str, relays: int, backends: int, seed: int) -> None:
-    world = simulate_day(day, fleet_plan(seed, relays, backends))
+    world = simulate_scenario(day, fleet_plan(seed, relays, backends))
     counts = world.checker.counts
     assert not world.checker.violations, world.checker.violations[:3]
-    wanted = 0.75 if day == "throng" else 0.95  # a throng asks for all that the fleet holds, half of it cold
-    assert counts["up"] >= wanted * len(world.checker.traces) > 100
+    min_served_share = (
+        0.75 if day == "throng" else 0.95
+    )  # a throng asks for all that the fleet holds, half of it cold
+    assert counts["up"] >= min_served_share * len(world.checker.traces) > 100
     assert day == "kill" or 0 < counts["cold_share"] <= 100  # cold ones were used, within what they bear
     for relay in world.relays:
         faults = relay.engine.counters.counts
         assert not faults["placement_faults"] and not faults["overdue"]
 
 
-def broken(day: str) -> str:
-    return "\n".join(simulate_day(day, fleet_plan(1, 40, 60)).checker.violations)
+def violations_of(day: str) -> str:
+    return "\n".join(simulate_scenario(day, fleet_plan(1, 40, 60)).checker.violations)
 
 
 def test_a_fleet_that_takes_cold_servers_for_warm_ones_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -40,22 +42,22 @@
     monkeypatch.setattr(SimulatedBackend, "current_capacity", lambda backend: backend.capacity)
     # all groups begin at the same
     monkeypatch.setattr(ready_endpoints, "rendezvous_rank", lambda _group, place: place)
-    assert ": cold: " in broken("join")
+    assert ": cold: " in violations_of("join")
 
 
 def test_relays_that_do_not_heed_the_news_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def deaf(relay: SimulatedRelay, news: MembershipUpdate) -> None:
-        for member in news.endpoints:
-            relay._report_known(member)
+    def report_without_applying(relay: SimulatedRelay, update: MembershipUpdate) -> None:
+        for endpoint in update.endpoints:
+            relay._report_known(endpoint)
 
-    monkeypatch.setattr(SimulatedRelay, "membership_update_received", deaf)
-    assert ": drain: " in broken("roll")
+    monkeypatch.setattr(SimulatedRelay, "membership_update_received", report_without_applying)
+    assert ": drain: " in violations_of("roll")
 
 
 def test_relays_that_end_without_moving_anybody_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Draining, "spread_migrations", lambda *_: None)
     monkeypatch.setattr(Draining, "exit", lambda draining: draining.context.commands.append(e.Exit()))
-    assert ": cut off: " in broken("roll")
+    assert ": cut off: " in violations_of("roll")
 
 
 def test_an_attempt_that_goes_on_beside_the_next_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -81,13 +83,13 @@
 
 
 def test_the_same_seed_plays_the_same_day() -> None:
-    def told(world: World) -> tuple[Any, ...]:
+    def observed(world: World) -> tuple[Any, ...]:
         return (
             world.checker.counts,
             world.clients.final_answers,
             [r.engine.counters.counts for r in world.relays],
         )
 
-    assert told(simulate_day("roll", fleet_plan(5, 3, 12))) == told(
-        simulate_day("roll", fleet_plan(5, 3, 12))
+    assert observed(simulate_scenario("roll", fleet_plan(5, 3, 12))) == observed(
+        simulate_scenario("roll", fleet_plan(5, 3, 12))
     )
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -20,7 +20,7 @@
 from gannetweir.lab.model.world import World
 
 ROOT = Path(__file__).parent.parent
-LATE_MS = 100.0  # by which a machine with cores to spare holds up no loop
+LOOP_DELAY_LIMIT_MS = 100.0  # by which a machine with cores to spare holds up no loop
 SMALL = """experiment "small" {
     relays 1
     nodes 2
@@ -42,23 +42,28 @@
 
 
 def test_the_experiment_in_the_repository_reads() -> None:
-    trial = parse_experiment((ROOT / "experiments/paths.kdl").read_text())
-    assert len(trial.variants) == 5 and trial.plan.families == ("unix", "ipv6", "ipv4")
+    experiment = parse_experiment((ROOT / "experiments/paths.kdl").read_text())
+    assert len(experiment.variants) == 5 and experiment.plan.families == ("unix", "ipv6", "ipv4")
 
 
 def test_a_sweep_is_each_variant_with_each_value() -> None:
-    trial = parse_experiment(SMALL.replace("seeds 1", 'seeds 1\n    sweep "rate" 20 40.5'))
-    named = ["good, rate 20", "good, rate 40.5", "refused, rate 20", "refused, rate 40.5"]
-    assert list(trial.variants) == named
-    assert [trial.with_swept_value(v).arrivals_per_s for v in trial.variants] == [20, 40.5, 20, 40.5]
-    trial = parse_experiment(SMALL.replace("seeds 1", 'seeds 1\n    sweep "nodes" 2 12'))
-    assert [trial.with_swept_value(v).plan.backends for v in trial.variants] == [2, 12, 2, 12]
+    experiment = parse_experiment(SMALL.replace("seeds 1", 'seeds 1\n    sweep "rate" 20 40.5'))
+    variant_names = ["good, rate 20", "good, rate 40.5", "refused, rate 20", "refused, rate 40.5"]
+    assert list(experiment.variants) == variant_names
+    assert [experiment.with_swept_value(v).arrivals_per_s for v in experiment.variants] == [
+        20,
+        40.5,
+        20,
+        40.5,
+    ]
+    experiment = parse_experiment(SMALL.replace("seeds 1", 'seeds 1\n    sweep "nodes" 2 12'))
+    assert [experiment.with_swept_value(v).plan.backends for v in experiment.variants] == [2, 12, 2, 12]
     with pytest.raises(ExperimentError, match="line 11: sweep"):
         parse_experiment(SMALL.replace("seeds 1", 'seeds 1\n    sweep "nodes" 2 1200'))
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected_error"),
     [
         ("rate 40", "rate 4000", "line 7: rate"),
         ("seconds 3", "seconds 0", "line 8: seconds"),
@@ -73,8 +78,8 @@
         ("relays 1", "relais 1", "line 2: relais"),
     ],
 )
-def test_what_is_wrong_is_named_with_its_line(old: str, new: str, said: str) -> None:
-    with pytest.raises(ExperimentError, match=said):
+def test_what_is_wrong_is_named_with_its_line(old: str, new: str, expected_error: str) -> None:
+    with pytest.raises(ExperimentError, match=expected_error):
         parse_experiment(SMALL.replace(old, new, 1))
 
 
@@ -91,7 +96,7 @@
         # clock that stands, all of it is served: the next test
         counts, figures = run["counts"], run["figures"]
         assert figures["rules broken"] == 0
-        overloaded = figures["stand-ins late, ms"] > LATE_MS
+        overloaded = figures["stand-ins late, ms"] > LOOP_DELAY_LIMIT_MS
         assert figures["served"] > 0.9 or (overloaded and counts["attempts failed"] > 0)
         assert (counts.get("busy", 0), counts.get("err", 0)) == (counts["rejected"], counts["failed"])
         assert sum(run["paths"]["unix"]) + sum(run["paths"]["ipv4"]) > 50
@@ -111,7 +116,7 @@
 @pytest.mark.parametrize("variant", ["good", "refused"])
 def test_the_same_load_is_served_whole_on_a_clock_that_stands(variant: str, seed: int) -> None:
     """The relay's decisions without the machine's: nothing fails, and nothing is refused."""
-    kinds = tuple(Traffic(share, 200_000.0) for share in (0.36, 0.34, 0.15, 0.15))
+    traffic_classes = tuple(Traffic(share, 200_000.0) for share in (0.36, 0.34, 0.15, 0.15))
     plan = WorldPlan(
         seed,
         relays=1,
@@ -120,14 +125,14 @@
         capacity=500 / 0.6,
         store_calls_per_s=2000,
         addresses_per_backend=3,
-        traffic=kinds,
+        traffic=traffic_classes,
     )
     world = World(plan)
 
     for backend in world.backends.values():
         backend.open_connections = 50  # beside those of the load, as `base` says
 
-    def unix(fault: str) -> None:
+    def set_unix_fault(fault: str) -> None:
         for backend in world.backends.values():
             backend.address_faults[list(backend.address_faults)[-1]] = fault
 
@@ -136,7 +141,11 @@
         world.announce([world.backends["b1"]])
 
     if variant == "refused":
-        for seconds, call in ((0.5, lambda: unix("refuse")), (1.0, drain), (2.0, lambda: unix(""))):
+        for seconds, call in (
+            (0.5, lambda: set_unix_fault("refuse")),
+            (1.0, drain),
+            (2.0, lambda: set_unix_fault("")),
+        ):
             world.schedule(seconds, call)
     counts = world.run(3).counts
     assert not world.checker.violations and counts["first"] > 80
@@ -152,7 +161,7 @@
 ) -> None:
     monkeypatch.setattr(fleet_simulation, "fleet_table", lambda _: [["kill", *"0" * 8]])
     monkeypatch.setattr(address_faults, "emulate_cases", lambda _: [["nothing", *"0" * 8]])
-    monkeypatch.setattr(address_faults, "simulate_days", lambda _: Counter({"days": 1}))
+    monkeypatch.setattr(address_faults, "simulate_scenarios", lambda _: Counter({"days": 1}))
     rest = ["none.kdl"] if earlier == "hollow" else ["--seeds", "1"]
 
     codes, printed = [], []
@@ -166,15 +175,15 @@
 
 
 def test_only_what_is_beyond_noise_differs(tmp_path: Path) -> None:
-    def kept(name: str, values: list[float]) -> Path:
+    def write_folder(name: str, values: list[float]) -> Path:
         runs = [ExperimentRun("v", n, {"p99, ms": value}, {}, []) for n, value in enumerate(values)]
         write_results(parse_experiment(SMALL), runs, tmp_path / name)
         return tmp_path / name
 
-    base = kept("a", [10.0, 11.0, 9.0])
-    assert [row[-1] for row in compare(base, kept("b", [10.5, 9.5, 11.5]))] == ["within noise"]
-    assert [row[-1] for row in compare(base, kept("c", [20.0, 21.0, 19.0]))] == ["differs"]
-    assert "cannot tell" in compare(base, kept("d", [20.0]))[0][-1]
+    base = write_folder("a", [10.0, 11.0, 9.0])
+    assert [row[-1] for row in compare(base, write_folder("b", [10.5, 9.5, 11.5]))] == ["within noise"]
+    assert [row[-1] for row in compare(base, write_folder("c", [20.0, 21.0, 19.0]))] == ["differs"]
+    assert "cannot tell" in compare(base, write_folder("d", [20.0]))[0][-1]
 
 
 def test_the_demo_ends_by_itself_and_breaks_no_rule(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -7,7 +7,7 @@
 import pytest
 
 from gannetweir.config.operators_file import OperatorsFileError, parse_routing_rules
-from gannetweir.lab.experiments.address_faults import simulate_day
+from gannetweir.lab.experiments.address_faults import simulate_scenario
 from gannetweir.lab.experiments.budgets import BUDGET_FILE, run_failing_fleet
 from gannetweir.lab.model.backends import SimulatedBackend
 from gannetweir.lab.model.checker import RuleChecker
@@ -72,7 +72,7 @@
         relay.reload(file)
 
 
-def hurt(world: World, rng: random.Random) -> None:
+def schedule_random_faults(world: World, rng: random.Random) -> None:
     """Draw faults for a day of 30 s: failing, refusing, silent, slow, draining and vanishing backends, a slow
     store, reloads in the middle.
     """
@@ -89,17 +89,17 @@
             world.schedule(begin, partial(reload_all, world, file))
         elif fault in ("is_draining", "is_removed"):
 
-            def leave(backend: SimulatedBackend = backend, fault: str = fault) -> None:
+            def make_unavailable(backend: SimulatedBackend = backend, fault: str = fault) -> None:
                 setattr(backend, fault, True)
                 world.announce([backend], rng.uniform(0, 2 * SECOND_US))
 
-            def back(backend: SimulatedBackend = backend, fault: str = fault) -> None:
+            def make_available(backend: SimulatedBackend = backend, fault: str = fault) -> None:
                 setattr(backend, fault, False)
                 backend.started_us = world.clock.now_us
                 world.announce([backend], rng.uniform(0, 2 * SECOND_US))
 
-            world.schedule(begin, leave)
-            world.schedule(end + 3, back)
+            world.schedule(begin, make_unavailable)
+            world.schedule(end + 3, make_available)
         else:
             on = {"failure_rate": rng.uniform(0.4, 0.9), "slowdown": 40.0}.get(fault, True)
             off = {"failure_rate": 0.0, "slowdown": 1.0}.get(fault, False)
@@ -111,36 +111,42 @@
 @pytest.mark.parametrize("file", ["", TWO_TIMINGS], ids=["none", "two timings"])
 def test_the_rules_hold_under_drawn_faults(seed: int, file: str) -> None:
     world = World(replace(SMALL, seed=seed), file)
-    hurt(world, random.Random(seed))
+    schedule_random_faults(world, random.Random(seed))
     checker = world.run(30)
     assert not checker.violations, "\n".join(checker.violations[:5])
     answers = checker.counts["up"] + checker.counts["busy"] + checker.counts["err"]
-    left = sum(story.client_disconnected for story in checker.traces.values())
-    assert answers + left >= len(checker.traces) > 150
+    disconnected = sum(trace.client_disconnected for trace in checker.traces.values())
+    assert answers + disconnected >= len(checker.traces) > 150
     assert checker.counts["up"] > 50
     for relay in world.relays:
         assert (
             relay.engine.counters.counts["overdue"] == relay.engine.counters.counts["placement_faults"] == 0
         )
-        if (keeper := relay.engine.route_admission) is not None:
-            held = [tx for tx in relay.engine.requests.values() if tx.admission_permit is not None]
-            assert keeper.relay_permit.limiter.open_connections == len(held)
-            assert sum(keeper.setups_by_endpoint.values()) == sum(tx.counts_as_setup for tx in held)
+        if (relay_admission := relay.engine.route_admission) is not None:
+            with_permit = [
+                open_request
+                for open_request in relay.engine.requests.values()
+                if open_request.admission_permit is not None
+            ]
+            assert relay_admission.relay_permit.limiter.open_connections == len(with_permit)
+            assert sum(relay_admission.setups_by_endpoint.values()) == sum(
+                open_request.counts_as_setup for open_request in with_permit
+            )
 
 
 @pytest.mark.parametrize("first", range(0, 60, 10))
 def test_the_rules_hold_while_addresses_break_and_mend(first: int) -> None:
     """Three addresses a backend; of each kind of fault some, alone and together, over ten seeds."""
-    served = asked = 0
+    served = sent_requests = 0
     for seed in range(first, first + 10):
-        world = simulate_day(seed)
+        world = simulate_scenario(seed)
         checker = world.checker
         assert not checker.violations, checker.violations[:3]
-        served, asked = served + checker.counts["up"], asked + len(checker.traces)
+        served, sent_requests = served + checker.counts["up"], sent_requests + len(checker.traces)
         for relay in world.relays:
             assert relay.engine.address_selector is not None
             assert relay.engine.counters.counts["addresses.unix"] > 0
-    assert served >= 0.97 * asked > 500
+    assert served >= 0.97 * sent_requests > 500
 
 
 def test_a_broken_path_is_no_broken_server() -> None:
@@ -151,25 +157,28 @@
         )
     )
     for backend in world.backends.values():
-        paths, unix = backend.address_faults, next(a for a in backend.address_faults if a.startswith("unix:"))
-        world.schedule(5, partial(paths.__setitem__, unix, "stall"))
-        world.schedule(10, partial(paths.__setitem__, unix, ""))
+        faults, unix_address = (
+            backend.address_faults,
+            next(a for a in backend.address_faults if a.startswith("unix:")),
+        )
+        world.schedule(5, partial(faults.__setitem__, unix_address, "stall"))
+        world.schedule(10, partial(faults.__setitem__, unix_address, ""))
     checker = world.run(20)
     assert not checker.violations
     engines = [relay.engine for relay in world.relays]
     assert sum(engine.counters.counts["address_faults"] for engine in engines) > 0
     assert not any("set aside" in text for relay in world.relays for text in relay.log_lines)
     assert checker.counts["up"] >= 0.97 * len(checker.traces)
-    late = [engine.counters.counts["addresses.unix"] for engine in engines]
-    assert min(late) > 20  # they carry traffic again
+    late_unix_connections = [engine.counters.counts["addresses.unix"] for engine in engines]
+    assert min(late_unix_connections) > 20  # they carry traffic again
 
 
 def test_a_reload_takes_addresses_away_and_gives_others_under_open_connections() -> None:
     """First IPv4 is named for b0, then its Unix socket instead: what is open stays, the new follows."""
 
-    def only(family: int) -> str:
-        ways = list(world.backends["b0"].address_faults)
-        named = f'address "{ways[family]}" "{ways[1]}"'
+    def file_with_address(family: int) -> str:
+        addresses = list(world.backends["b0"].address_faults)
+        named = f'address "{addresses[family]}" "{addresses[1]}"'
         return HEAD + f'server "b0" {{\n {named}\n dial #false\n}}\ndefault {{\n}}\n'
 
     world = World(
@@ -184,22 +193,22 @@
         )
     )
     engine = world.relays[0].engine
-    world.schedule(4, lambda: world.relays[0].reload(only(0)))
-    seen: list[set[str]] = []
+    world.schedule(4, lambda: world.relays[0].reload(file_with_address(0)))
+    addresses_seen: list[set[str]] = []
 
-    def look() -> None:
+    def record_addresses() -> None:
         assert engine.address_selector is not None
-        seen.append({str(a) for a in engine.address_selector.states_by_endpoint["b0"]})
+        addresses_seen.append({str(a) for a in engine.address_selector.states_by_endpoint["b0"]})
 
-    world.schedule(5, look)
-    world.schedule(6, lambda: world.relays[0].reload(only(2)))
-    world.schedule(7, look)
+    world.schedule(5, record_addresses)
+    world.schedule(6, lambda: world.relays[0].reload(file_with_address(2)))
+    world.schedule(7, record_addresses)
     open_before: list[int] = []
     world.schedule(5.9, lambda: open_before.append(engine.current_figures()["open"]))
     world.schedule(6.1, lambda: open_before.append(engine.current_figures()["open"]))
     checker = world.run(12)
-    ways = list(world.backends["b0"].address_faults)
-    assert seen == [{ways[0], ways[1]}, {ways[2], ways[1]}]
+    addresses = list(world.backends["b0"].address_faults)
+    assert addresses_seen == [{addresses[0], addresses[1]}, {addresses[2], addresses[1]}]
     assert not checker.violations and checker.counts["up"] > 60
     assert abs(open_before[0] - open_before[1]) <= 6  # a few come and go; none is cut off by it
 
@@ -215,23 +224,27 @@
     world.schedule(8, partial(reload_all, world, shorter))
     checker = world.run(20)
     assert not checker.violations
-    told = plan.settings()
+    platform_settings = plan.settings()
     start = world.clock.now_us - world.clock.elapsed_us
 
-    def worst(cls: str, begin: float, end: float) -> int:
-        asked = [s for s in checker.traces.values() if s.request_class == cls and s.answered_us >= 0]
-        return max(s.answered_us - s.sent_us for s in asked if begin <= (s.sent_us - start) / 1e6 < end)
+    def slowest_us(traffic_class: str, begin: float, end: float) -> int:
+        sent_requests = [
+            s for s in checker.traces.values() if s.request_class == traffic_class and s.answered_us >= 0
+        ]
+        return max(
+            s.answered_us - s.sent_us for s in sent_requests if begin <= (s.sent_us - start) / 1e6 < end
+        )
 
     for file, begin, end in ((TWO_TIMINGS, 0, 8), (shorter, 8.0, 20)):
-        rules = parse_routing_rules(file, told, Limits())
+        rules = parse_routing_rules(file, platform_settings, Limits())
         relay = World(replace(plan, arrivals_per_s=0.001), file).relays[0]
-        for number, cls in enumerate(plan.classes):
+        for number, traffic_class in enumerate(plan.classes):
             admission = relay.engine.route_admission
             assert admission is not None
             timed = relay.settings.classes[admission.class_index_for(RequestArrived(0, number))]
-            sum_us = worst_case_schedule(timed, told, Limits()).total_us
-            assert worst(cls.name, begin, end) <= sum_us, (cls.name, rules)
-    assert worst("rider-area", 3, 8) > worst("zone-view", 3, 8) > worst("zone-view", 8, 12)
+            sum_us = worst_case_schedule(timed, platform_settings, Limits()).total_us
+            assert slowest_us(traffic_class.name, begin, end) <= sum_us, (traffic_class.name, rules)
+    assert slowest_us("rider-area", 3, 8) > slowest_us("zone-view", 3, 8) > slowest_us("zone-view", 8, 12)
 
 
 def drawn_file(rng: random.Random) -> str:
@@ -247,13 +260,13 @@
     """Drawn files that are accepted, in a world where each connect takes all but a millisecond, no first line
     is answered and no probe either. Nothing is answered after the sum, and the sum is reached.
     """
-    rng, told = random.Random(11), SMALL.settings()
+    rng, platform_settings = random.Random(11), SMALL.settings()
     reached = []
     accepted = 0
     while accepted < 40:
         file = drawn_file(rng)
         try:
-            parse_routing_rules(file, told, Limits())
+            parse_routing_rules(file, platform_settings, Limits())
         except OperatorsFileError:
             continue
         accepted += 1
@@ -266,22 +279,22 @@
             traffic=(Traffic(1.0, retries=0),) * 4,
         )
         world = World(plan, file)
-        keeper = world.relays[0].engine.route_admission
-        assert keeper is not None
-        timed = world.relays[0].settings.classes[keeper.class_index_for(RequestArrived(0, 0))]
+        relay_admission = world.relays[0].engine.route_admission
+        assert relay_admission is not None
+        timed = world.relays[0].settings.classes[relay_admission.class_index_for(RequestArrived(0, 0))]
         for backend in world.backends.values():
             backend.is_silent, backend.connect_delay_us = True, timed.connect_timeout_us - 1_000
         checker = world.run(6)
         assert not checker.violations
-        for number, cls in enumerate(plan.classes):
-            one = world.relays[0].settings.classes[keeper.class_index_for(RequestArrived(0, number))]
+        for number, traffic_class in enumerate(plan.classes):
+            one = world.relays[0].settings.classes[relay_admission.class_index_for(RequestArrived(0, number))]
             # the last step of the sum is the margin that is kept for the answer's way
-            most = worst_case_schedule(one, told, Limits()).total_us - answer_margin_us(
-                int(cls.deadline_us), Limits()
+            most = worst_case_schedule(one, platform_settings, Limits()).total_us - answer_margin_us(
+                int(traffic_class.deadline_us), Limits()
             )
-            worst = checker.longest_answer_us(cls.name)
-            assert worst <= most
-            reached.append(worst / most)
+            slowest_us = checker.longest_answer_us(traffic_class.name)
+            assert slowest_us <= most
+            reached.append(slowest_us / most)
     assert max(reached) > 0.98 and sorted(reached)[len(reached) // 2] > 0.6
 
 
