--- a/gannetweir/lab/model/__init__.py
+++ b/gannetweir/lab/model/__init__.py
@@ -1,1 +1,1 @@
-"""The modelled world: relays with the real engine, clients and backends on virtual time; the checker."""
+"""A simulated fleet on virtual time: relays with the real engine, clients, backends and the rule checker."""
--- a/gannetweir/lab/model/client_population.py
+++ b/gannetweir/lab/model/client_population.py
@@ -1,6 +1,6 @@
-"""The clients of a simulated fleet: when they come, through which relay, and what they do with an answer.
+"""The clients of a simulated fleet: their arrivals, their choice of a relay, and their reaction to an answer.
 
-Open loop: what clients ask is drawn ahead and waits for no answer.
+The load is open-loop: arrivals are drawn ahead and don't wait for answers.
 """
 
 from __future__ import annotations
@@ -14,17 +14,22 @@
 from gannetweir.lab.model.plan import SECOND_US, WorldPlan
 from gannetweir.lab.model.relay import SimulatedRelay
 
-MIN_RETURN_US, MAX_RETURN_US = 140_000, 1_000_000  # a client's wait where no relay has told it one
-RETURN_AFTER_REFUSAL_US = 500_000  # the wait after a connect to a dead relay was refused
-DRAIN_DETECTION_US = 300_000  # the front's next ping shows that a relay drains
+MIN_RETURN_US, MAX_RETURN_US = 140_000, 1_000_000  # a client's wait where the relay gave no Retry-After
+RETURN_AFTER_REFUSAL_US = 500_000  # a client's wait after a dead relay refused its connect
+DRAIN_DETECTION_US = 300_000  # the load balancer's next ping shows that a relay is draining
 DEATH_DETECTION_US = 3 * SECOND_US
-MAX_RELAY_DRAWS = 20  # of a relay: where all seem to leave, the last one drawn is taken
-GROUP_STEP = 0x9E3779B97F4A7C15  # spreads small numbers of groups over 64 bits
+# After this many draws of relays that are all known to be unavailable, the last one drawn is used.
+MAX_RELAY_DRAWS = 20
+GROUP_STEP = 0x9E3779B97F4A7C15  # spreads small group numbers over 64 bits
 GROUP_MASK = (1 << 64) - 1
 
 
 class ClientPopulation:
-    """Draws arrivals from a stream of their own; waits and returning clients' relays from the world's."""
+    """Schedules clients and handles their answers.
+
+    Arrivals have their own random stream; the waits and relays of returning clients are drawn from the
+    world's, so that a change in one does not shift the other.
+    """
 
     def __init__(
         self,
@@ -38,15 +43,15 @@
         self.clock = clock
         self.checker = checker
         self.rng = rng
-        self.relays = relays  # the world's own list: a relay that starts anew takes its place in it
+        self.relays = relays  # the world's own list, in which a restarted relay replaces its predecessor
         self.arrivals_rng = random.Random(f"{plan.seed} arrivals")
-        self.arrivals_end_us = 1 << 62  # nobody comes after that
-        self.arrival_rate_factor = 1.0  # over the plan's arrivals
+        self.arrivals_end_us = 1 << 62  # no client arrives after this time
+        self.arrival_rate_factor = 1.0  # multiplies the plan's arrival rate
         self.request_count = 0
-        self.final_answers: list[tuple[int, str]] = []  # when each came, since the start, and what it was
+        self.final_answers: list[tuple[int, str]] = []  # elapsed time of each answer, and the answer
 
     def schedule_arrival(self) -> None:
-        """Draw when the next client comes."""
+        """Draw the time of the next arrival."""
         rate_per_s = self.plan.arrivals_per_s * self.arrival_rate_factor
         self.clock.call_later(self.arrivals_rng.expovariate(rate_per_s) * SECOND_US, self._arrive)
 
@@ -65,7 +70,7 @@
         self.schedule_arrival()
 
     def _choose_relay(self, rng: random.Random) -> SimulatedRelay:
-        """A relay as the front chooses it, which knows of drains and deaths only some time later."""
+        """Choose a relay as a load balancer would, which detects drains and deaths with a delay."""
         relay = rng.choice(self.relays)
         for _ in range(MAX_RELAY_DRAWS):
             if not self._is_known_unavailable(relay):
@@ -94,7 +99,7 @@
         client.relay.first_line_received(client, time_budget_us)
 
     def answered(self, client: SimulatedClient, answer: str, retry_after_us: int) -> None:
-        """A client stays for its time if it is served; else it may come again after a wait."""
+        """Record an answer. A served client stays for its duration; another may retry after a wait."""
         self.checker.answer_received(client.request_number, answer, self.clock.now_us)
         self.final_answers.append((self.clock.elapsed_us, answer))
         if answer == "up":
@@ -104,7 +109,7 @@
             self._schedule_return(client, wait_us, client.retries_made + 1, has_returned=False)
 
     def return_after_wait(self, client: SimulatedClient) -> None:
-        """A client whose connection was migrated or broken comes again, through any relay."""
+        """Let a client whose connection was migrated or broken return, through any relay."""
         self._schedule_return(client, self._random_wait_us(), 0, has_returned=True)
 
     def _random_wait_us(self) -> float:
--- a/gannetweir/lab/model/clock.py
+++ b/gannetweir/lab/model/clock.py
@@ -1,15 +1,15 @@
-"""Virtual time: what is due next happens next, and the same seed gives the same order."""
+"""Virtual time: scheduled calls run in order of their due times, and the same seed gives the same order."""
 
 from __future__ import annotations
 
 import heapq
 from collections.abc import Callable
 
-START_US = 1_700_000_000_000_000  # an arbitrary Unix time, as a relay's clock would show
+START_US = 1_700_000_000_000_000  # an arbitrary Unix time, since a relay's clock shows Unix time
 
 
 class SimulatedClock:
-    """Owns the calls that are to come. Those due at one moment run in the order in which they were made."""
+    """Owns the scheduled calls. Calls due at the same time run in the order in which they were scheduled."""
 
     def __init__(self) -> None:
         self.now_us = START_US
@@ -17,13 +17,13 @@
         self._scheduled_calls: list[tuple[int, int, Callable[[], None]]] = []
 
     def call_later(self, delay_us: float, callback: Callable[[], None]) -> None:
-        """Call back once, so much later; a delay below 0 counts as 0."""
+        """Schedule one call after a delay. A negative delay counts as 0."""
         self._scheduled_count += 1
         due_us = self.now_us + max(0, int(delay_us))
         heapq.heappush(self._scheduled_calls, (due_us, self._scheduled_count, callback))
 
     def run_until(self, elapsed_us: int) -> None:
-        """Make all calls that are due up to then, counted from the start."""
+        """Run all calls that are due up to this time since the start, and advance the clock to it."""
         until_us = START_US + elapsed_us
         while self._scheduled_calls and self._scheduled_calls[0][0] <= until_us:
             self.now_us, _, callback = heapq.heappop(self._scheduled_calls)
--- a/gannetweir/lab/model/connection_race.py
+++ b/gannetweir/lab/model/connection_race.py
@@ -1,4 +1,4 @@
-"""The race of an endpoint's addresses on virtual time: the decider that serves, with modelled connects."""
+"""A connection race over an endpoint's addresses on virtual time: the real race logic, simulated connects."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from gannetweir.lab.model.backends import SimulatedBackend
 from gannetweir.lab.model.clock import SimulatedClock
 
-SLOW_CONNECT_US = 150_000  # what an address with the fault `slow` adds to a connect
+SLOW_CONNECT_US = 150_000  # extra connect time of an address with the fault `slow`
 
 
 @dataclass(frozen=True, slots=True)
 class RaceTarget:
-    """The endpoint whose addresses race, and what is known of the way there."""
+    """The endpoint whose addresses race, with its address selector and the round trip to it."""
 
     endpoint: str
     backend: SimulatedBackend
@@ -32,7 +32,7 @@
 
 
 class SimulatedConnectionRace:
-    """One race. `on_done` is called once, with the address that won or with None if none connected."""
+    """Runs a connection race. `on_done` is called once, with the winning address or None if all failed."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._carry_out(self._race.start(clock.now_us))
 
     def stop(self) -> None:
-        """Cancel all connects that are under way."""
+        """Cancel all connects that are in progress."""
         self._carry_out(self._race.cancel(self._clock.now_us))
 
     def _carry_out(self, actions: list[RaceAction]) -> None:
--- a/gannetweir/lab/model/environment.py
+++ b/gannetweir/lab/model/environment.py
@@ -1,4 +1,4 @@
-"""What a simulated relay needs of the world around it."""
+"""The interface between a simulated relay and the world that contains it."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 
 
 class RelayEnvironment(Protocol):
-    """The world as one of its relays sees it."""
+    """The world as a simulated relay uses it."""
 
     plan: WorldPlan
     clock: SimulatedClock
     checker: RuleChecker
 
     def backend_at(self, dial_address: str) -> SimulatedBackend:
-        """The backend that listens there."""
+        """The backend that listens at this address."""
 
     def membership_snapshot(self) -> MembershipUpdate:
-        """The membership as discovery has announced it."""
+        """The membership as discovery currently lists it."""
 
     def is_cut_off(self, zone: int) -> bool:
-        """Whether nothing of discovery's reaches this zone."""
+        """Whether discovery's updates cannot reach this zone."""
 
     def is_partitioned(self, zone: int, backend: SimulatedBackend) -> bool:
-        """Whether nothing passes between a zone and a backend."""
+        """Whether a network partition separates a zone from a backend."""
 
     def client_answered(self, client: SimulatedClient, answer: str, retry_after_us: int) -> None:
         """The relay has answered a client: `up`, `busy` or `err`."""
 
     def client_migrated(self, client: SimulatedClient) -> None:
-        """The relay has asked a client to come again."""
+        """The relay has migrated a client: the client is to reconnect."""
 
     def client_broken(self, client: SimulatedClient) -> None:
-        """The relay has ended a client's connection, since the backend did."""
+        """The relay has ended a client's connection because the backend ended its own."""
--- a/gannetweir/lab/model/load_probes.py
+++ b/gannetweir/lab/model/load_probes.py
@@ -1,4 +1,4 @@
-"""The load probes of one simulated relay: over the one address of a backend, or one address after another."""
+"""A simulated relay's load probes, over a backend's single address or over its addresses in turn."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from gannetweir.limits import Limits
 from gannetweir.placement.events import AttemptStatus
 
-SILENT_FAULTS = "stall", "reset"  # of an address: a probe over it gets no answer
+SILENT_FAULTS = "stall", "reset"  # a probe gets no answer over an address with one of these faults
 
 
 class ProbingRelay(Protocol):
-    """The relay that probes."""
+    """The interface of the probing relay."""
 
     limits: Limits
     engine: Engine
 
     def notify_engine(self, report: Callable[[int], object]) -> None:
-        """Report an event to the engine at the present time, and do what it commands."""
+        """Report an event to the engine at the current time, and carry out its commands."""
 
 
 class SimulatedLoadProbe:
-    """One probe of one backend. It ends with one result for the engine."""
+    """A load probe of a backend, which reports a single result to the engine."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._silent_addresses: list[Address] = []
 
     def start(self, is_partitioned: bool) -> None:
-        """Probe the backend's one address."""
+        """Probe a backend that has a single address. A partitioned backend does not answer."""
         report = self._backend.load_report() if not is_partitioned else None
         if report is None:
             timeout_us = self._relay.limits.load_probe_timeout_us
@@ -55,7 +55,7 @@
             self._clock.call_later(self._round_trip_us, lambda: self.end(AttemptStatus.OK, report))
 
     def start_next_address(self) -> None:
-        """Probe the best address that was not tried yet, as `net.load_probes` does."""
+        """Probe the best address not tried yet, as `net.load_probes` does."""
         address_selector = self._relay.engine.address_selector
         assert address_selector is not None
         target = RaceTarget(str(self._endpoint_id), self._backend, address_selector, self._round_trip_us)
@@ -65,11 +65,11 @@
 
     @property
     def answer_timeout_us(self) -> int:
-        """How long one address may take to answer: the probe's time is shared by all."""
+        """The time that one address has to answer: the probe's timeout is divided among all addresses."""
         return self._relay.limits.load_probe_timeout_us // max(1, len(self._backend.address_faults))
 
     def address_silent(self, address: Address) -> None:
-        """An address has not answered: the next one is tried, if there is one and time is left."""
+        """An address has not answered: probe the next one, or end the probe if no address or time is left."""
         self._silent_addresses.append(address)
         if (
             len(self._silent_addresses) < len(self._backend.address_faults)
@@ -80,13 +80,13 @@
             self.end(AttemptStatus.TIMEOUT)
 
     def end(self, status: AttemptStatus, report: tuple[float, ...] = ()) -> None:
-        """Report the result."""
+        """Report the probe's result to the engine."""
         engine, endpoint_id = self._relay.engine, self._endpoint_id
         self._relay.notify_engine(lambda now_us: engine.load_probe_ended(endpoint_id, status, report, now_us))
 
 
 class AddressProbe:
-    """The part of a probe that goes over one address: a race of those that are left, then one question."""
+    """One step of a probe: a race over the remaining addresses, then a question to the winner."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
         self._race = SimulatedConnectionRace(target, clock, self._race_ended, True, excluded)
 
     def end(self, status: AttemptStatus, report: tuple[float, ...] = ()) -> None:
-        """End the whole probe with this result. Nothing, if this part of it is over."""
+        """End the entire probe with this result. Does nothing if this step is over."""
         if self._is_over:
             return
         self._is_over = True
@@ -112,7 +112,7 @@
     def _race_ended(self, address: Address | None) -> None:
         if self._is_over:
             return
-        if address is None:  # the race may not exist yet, so it is not ended from within its start
+        if address is None:  # deferred, since a race that fails during its start is not assigned yet
             self._clock.call_later(0, lambda: self.end(AttemptStatus.CONNECT_FAILED))
             return
         backend = self._target.backend
@@ -129,7 +129,7 @@
         self.end(AttemptStatus.OK, report)
 
     def _unanswered(self, address: Address) -> None:
-        """The next address is tried even where the whole probe's time has just ended it."""
+        """Record the missing answer and go on, even if the probe's timeout has just ended this step."""
         target = self._target
         target.address_selector.record_no_response(target.endpoint, address, self._clock.now_us)
         self._is_over = True
--- a/gannetweir/lab/model/plan.py
+++ b/gannetweir/lab/model/plan.py
@@ -1,4 +1,4 @@
-"""What a simulated fleet is made of: relays, backends, traffic and the settings of the platform."""
+"""The plan of a simulated fleet: relays, backends, traffic and the settings of the platform."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 from gannetweir.placement.settings import RequestClass, Settings
 
 SECOND_US = 1_000_000
-MACHINE_TYPE_CAPACITIES = 0.6, 1.0, 1.4  # of slow, middle and fast machines, over the mean capacity
-CROSS_ZONE_COST = 0.16  # where there are several zones
+MACHINE_TYPE_CAPACITIES = 0.6, 1.0, 1.4  # slow, middle and fast machines, relative to the mean capacity
+CROSS_ZONE_COST = 0.16  # used only if the fleet has several zones
 
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """One class of the traffic, in the order of the plan's classes."""
+    """The traffic of one request class. A plan lists traffic in the order of its classes."""
 
-    arrival_share: float  # of all arrivals
-    mean_duration_us: float = 40 * SECOND_US  # that a served client stays
-    retries: int = 1  # of the client's own, after a wait
+    arrival_share: float  # the class's share of all arrivals
+    mean_duration_us: float = 40 * SECOND_US  # how long a served client stays connected, on average
+    retries: int = 1  # retries that the client itself makes, each after a wait
 
 
 @dataclass(frozen=True, slots=True)
 class WorldPlan:
-    """What a world is made of. The same plan with the same seed plays the same."""
+    """The parameters of a simulated world. Equal plans, seed included, give equal runs."""
 
     seed: int = 1
     relays: int = 3
     backends: int = 12
-    arrivals_per_s: float = 2.5  # new connections a second
-    capacity: float = 30.0  # connections that a backend can hold, on average
-    store_calls_per_s: float = 50.0  # calls that the session store takes
+    arrivals_per_s: float = 2.5  # new connections
+    capacity: float = 30.0  # connections per backend, on average
+    store_calls_per_s: float = 50.0  # the rate at which the session store serves calls
     groups: int = 40
     sockets: int = 8192
     one_way_delay_us: float = 400.0
@@ -45,7 +45,7 @@
     traffic: tuple[Traffic, ...] = (Traffic(0.36), Traffic(0.34), Traffic(0.15), Traffic(0.15))
 
     def settings(self, zone: int = 0) -> Settings:
-        """The settings with which the platform would start a relay of that zone."""
+        """Returns the settings with which the platform would start a relay in this zone."""
         return Settings(
             classes=list(self.classes),
             relay_count=self.relays,
--- a/gannetweir/lab/model/relay.py
+++ b/gannetweir/lab/model/relay.py
@@ -1,4 +1,4 @@
-"""One relay on virtual time: the real engine, and what its drivers would do with modelled connections."""
+"""A relay on virtual time: the real engine, with simulated connections in place of the network drivers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from gannetweir.placement.settings import Settings
 from gannetweir.routing.route_admission import RouteAdmission, platform_classes, with_routed_classes
 
-MAX_LOG_LINES = 10_000  # remembered of one relay, for the tests
+MAX_LOG_LINES = 10_000  # log lines kept per relay for the tests
 
 ClientCommand = (
     core.StartForwarding
@@ -42,7 +42,10 @@
 
 
 class SimulatedRelay:
-    """From a start until its end; a start anew is another one. It owns its clients and their attempts."""
+    """A relay process from its start to its exit; a restart is a new object.
+
+    Owns its clients and their attempts.
+    """
 
     def __init__(
         self,
@@ -57,12 +60,12 @@
         self.on_exit = on_exit
         self.name = name
         self.zone = zone
-        self.dead_since_us = 0  # 0: it runs
-        self.draining_since_us = 0
-        self.deferred_updates: list[MembershipUpdate] = []  # while its zone is cut off
-        self.clients: dict[int, SimulatedClient] = {}  # by the engine's numbers of their requests
+        self.dead_since_us = 0  # 0 means that the relay is running
+        self.draining_since_us = 0  # 0 means that the relay is not draining
+        self.deferred_updates: list[MembershipUpdate] = []  # received while the relay's zone is cut off
+        self.clients: dict[int, SimulatedClient] = {}  # by the engine's request ids
         self.log_lines: list[str] = []
-        self.wake_at_us = 0  # the earliest timer that is set; 0: none
+        self.wake_at_us = 0  # due time of the earliest timer; 0 means that no timer is set
         self.upstreams = SimulatedUpstreams(self, environment)
         platform_settings = environment.plan.settings(zone)
         self.limits = replace(
@@ -86,7 +89,7 @@
         self.carry_out()
 
     def _report_known(self, endpoint: ListedEndpoint) -> None:
-        """Tell the checker what this relay knows of an endpoint from now on."""
+        """Report to the checker which state and start of an endpoint this relay knows from now on."""
         entry = endpoint.entry
         self.environment.checker.relay_notified(
             str(entry.endpoint_id),
@@ -97,7 +100,7 @@
         )
 
     def membership_update_received(self, update: MembershipUpdate) -> None:
-        """Apply an update of discovery's, or keep it for later while the zone is cut off."""
+        """Apply an update from discovery, or defer it while the zone is cut off."""
         if self.environment.is_cut_off(self.zone):
             self.deferred_updates.append(update)
             return
@@ -106,14 +109,14 @@
         self.notify_engine(lambda now_us: self.engine.endpoint_update_received(update, now_us))
 
     def zone_connected(self) -> None:
-        """Apply what was missed while the zone was cut off, unless it still is."""
+        """Apply the updates deferred while the zone was cut off. If the zone still is, they stay deferred."""
         deferred = self.deferred_updates
         self.deferred_updates = []
         for update in deferred:
             self.membership_update_received(update)
 
     def reload(self, operators_file: str) -> None:
-        """Apply another operators' file, as at SIGHUP."""
+        """Apply a new operators' file, as on SIGHUP."""
         platform_settings = replace(self.settings, classes=platform_classes(self.settings))
         rules, address_rules = parse_operators_file(operators_file, platform_settings, self.limits)
         self.settings = with_routed_classes(platform_settings, rules)
@@ -127,14 +130,14 @@
         self.carry_out()
 
     def notify_engine(self, report: Callable[[int], object]) -> None:
-        """Report an event at the present time, and do what the engine commands. Nothing, if dead."""
+        """Report an event at the current time, and carry out the engine's commands. Ignored if dead."""
         if self.dead_since_us:
             return
         report(self.environment.clock.now_us)
         self.carry_out()
 
     def carry_out(self) -> None:
-        """Do what the engine has commanded; set a timer where it needs an earlier one than is set."""
+        """Carry out the engine's commands, and set a timer if the engine is due before the current one."""
         while self.engine.commands:
             self._carry_out_command(self.engine.commands.popleft())
         clock, due_us = self.environment.clock, self.engine.next_due()
@@ -143,7 +146,7 @@
             clock.call_later(due_us - clock.now_us, lambda: self._timer_expired(due_us))
 
     def _timer_expired(self, due_us: int) -> None:
-        if due_us == self.wake_at_us:  # else an earlier timer has replaced this one
+        if due_us == self.wake_at_us:  # otherwise an earlier timer has replaced this one
             self.wake_at_us = 0
             self.notify_engine(self.engine.advance)
 
@@ -158,7 +161,7 @@
             case core.WriteLogLine():
                 self._remember_log_line(command.text)
             case core.SetEndpointWatch():
-                pass  # the world brings every update by itself
+                pass  # the world delivers every update without a watch
             case core.Exit():
                 self.on_exit(self)
             case _:
@@ -185,7 +188,7 @@
             self.log_lines.append(text)
 
     def first_line_received(self, client: SimulatedClient, time_budget_us: int) -> None:
-        """A client's request has come in; its commands may name the client at once."""
+        """A client's request has arrived. The client is registered first, as commands may name it at once."""
         flags = 0
         if client.has_returned:
             flags |= RequestFlag.RETURNED
@@ -205,7 +208,7 @@
         self.notify_engine(lambda now_us: self.engine.request_opened(request, "", now_us, label))
 
     def client_disconnected(self, client: SimulatedClient) -> None:
-        """The client has ended its connection in good order."""
+        """The client has closed its connection without a reset."""
         request_id = client.request_id
         if request_id in self.clients:
             self.notify_engine(lambda now_us: self.engine.client_disconnected(request_id, False, now_us))
@@ -239,7 +242,7 @@
             probe.start(environment.is_partitioned(self.zone, backend))
 
     def backend_restarted(self, backend: SimulatedBackend) -> None:
-        """Every connection to a backend is reset, since its process has ended."""
+        """Reset every connection to a backend whose process has ended."""
         for client in list(self.clients.values()):
             for attempt in list(client.attempts.values()):
                 if attempt.backend is backend and not attempt.is_over:
--- a/gannetweir/lab/model/upstreams.py
+++ b/gannetweir/lab/model/upstreams.py
@@ -1,4 +1,4 @@
-"""The upstream connections of one simulated relay: what its drivers would do, with modelled connects."""
+"""The upstream connections of a simulated relay, in place of the drivers that use real sockets."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 
 class UpstreamOwner(Protocol):
-    """The relay whose upstream connections these are."""
+    """The interface of the relay that owns the upstream connections."""
 
     name: str
     zone: int
     engine: Engine
 
     def notify_engine(self, report: Callable[[int], object]) -> None:
-        """Report an event to the engine at the present time, and do what it commands."""
+        """Report an event to the engine at the current time, and carry out its commands."""
 
 
 class SimulatedUpstreams:
-    """Opens, serves and ends attempts. Their state is theirs and their client's; none is kept here."""
+    """Opens, serves and ends attempts. Their state is kept in the attempts and their clients, not here."""
 
     def __init__(self, relay: UpstreamOwner, environment: RelayEnvironment) -> None:
         self._relay = relay
         self._environment = environment
 
     def open(self, client: SimulatedClient, command: OpenUpstream) -> None:
-        """Start an attempt: a race of addresses, or one connect."""
+        """Start an attempt with a connection race over the endpoint's addresses, or a single connect."""
         environment = self._environment
         backend = environment.backend_at(command.address)
         attempt = SimulatedAttempt(client, command.attempt, backend)
@@ -47,7 +47,7 @@
         if backend.accepts_connects():
             connect_us = max(connect_us, backend.connect_delay_us)
             environment.clock.call_later(connect_us, lambda: self._connected(attempt))
-        elif not backend.is_removed:  # refused at once; a removed backend's machine says nothing
+        elif not backend.is_removed:  # a connect is refused at once; a removed backend never answers
             environment.clock.call_later(
                 connect_us, lambda: self._ended(attempt, AttemptStatus.CONNECT_FAILED)
             )
@@ -71,7 +71,7 @@
         self._connected(attempt)
 
     def _connected(self, attempt: SimulatedAttempt) -> None:
-        """The first line is written and arrives: the way there is part of the connect's time."""
+        """The first line is written and arrives at once: its network delay is counted in the connect time."""
         if attempt.is_over:
             return
         relay, environment = self._relay, self._environment
@@ -92,7 +92,7 @@
         self._schedule_answer(attempt)
 
     def _schedule_answer(self, attempt: SimulatedAttempt) -> None:
-        answer = attempt.backend.answer()  # drawn also where a fault of the address keeps it back
+        answer = attempt.backend.answer()  # drawn even if the address's fault withholds the answer
         clock, one_way_us = self._environment.clock, self._environment.plan.one_way_delay_us
         answer_us = answer.after_us + one_way_us
         if attempt.address_fault == "reset":
@@ -110,7 +110,7 @@
             return
         attempt.is_established = True
         attempt.backend.open_connections += 1
-        # It is answered, so that another attempt beside it breaks no rule from here on.
+        # The attempt is answered, so a parallel attempt breaks no rule from now on.
         self._environment.checker.attempt_ended(attempt.client.request_number, attempt.number)
         relay = self._relay
         request_id, number = attempt.request_id, attempt.number
@@ -139,7 +139,7 @@
         )
 
     def finish(self, attempt: SimulatedAttempt) -> None:
-        """Close an attempt from this side, whatever its state. Nothing, if it is over."""
+        """Close an attempt from the relay's side, whatever its state. Does nothing if it is over."""
         if attempt.is_over:
             return
         attempt.is_over = True
@@ -151,6 +151,6 @@
             self._environment.checker.attempt_ended(attempt.client.request_number, attempt.number)
 
     def finish_all(self, client: SimulatedClient) -> None:
-        """Close every attempt of a client."""
+        """Close all attempts of a client."""
         for attempt in client.attempts.values():
             self.finish(attempt)
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -1,7 +1,7 @@
-"""A fleet on virtual time: the real engine and placement of each relay, and modelled everything else.
+"""A fleet on virtual time: each relay has the real engine and placement, everything else is simulated.
 
-The relays share nothing. All that is random comes from the seed, a stream of its own for each party: a change
-in one does not shift the others.
+The relays share nothing. All random draws come from the seed, in a separate stream for each party, so that a
+change in one stream does not shift the others.
 """
 
 from __future__ import annotations
@@ -20,13 +20,14 @@
 from gannetweir.placement.events import EndpointEntry, EndpointStatus
 
 NO_ZONE = -1
-FIRST_UPDATE_US = 200_000  # from a relay's start until its watch has told it the list
-RELAY_RESTART_US = 400_000  # from a relay's exit until it runs again
-FINAL_ANSWERS_S = 4  # played after the last arrival, so that all that is owed an answer has it
+FIRST_UPDATE_US = 200_000  # delay between a relay's start and the first endpoint list from its watch
+RELAY_RESTART_US = 400_000  # delay between a relay's exit and its restart
+# The simulation goes on for this time after the last arrival, so that pending requests get their answers.
+FINAL_ANSWERS_S = 4
 
 
 class World:
-    """The fleet, its clients and what happens to them. `schedule` says what is to happen, `run` plays it."""
+    """The fleet, its clients and its faults. `schedule` adds an action, `run` simulates."""
 
     def __init__(self, plan: WorldPlan, operators_file: str = "") -> None:
         self.plan = plan
@@ -36,7 +37,7 @@
         self.store = SessionStore(self.clock, plan.store_calls_per_s)
         self.backends = self._new_backends()
         self.by_dial_address = {backend.dial_address: backend for backend in self.backends.values()}
-        self.version = 1  # of the membership
+        self.version = 1  # membership version
         self.listed_endpoints = {name: self._endpoint_of(backend) for name, backend in self.backends.items()}
         self.partitioned_zone = NO_ZONE
         self.operators_file = operators_file
@@ -51,7 +52,7 @@
         self.clients.schedule_arrival()
 
     def _new_backends(self) -> dict[str, SimulatedBackend]:
-        """A third each of slow, middle and fast machines, spread over the zones."""
+        """Create the backends: a third each of slow, middle and fast machines, spread over the zones."""
         plan, new_backends = self.plan, dict[str, SimulatedBackend]()
         for number in range(plan.backends):
             machine_type = number % len(MACHINE_TYPE_CAPACITIES)
@@ -73,7 +74,7 @@
 
     @staticmethod
     def _endpoint_of(backend: SimulatedBackend) -> ListedEndpoint:
-        """A backend as discovery lists it."""
+        """Returns a backend as discovery lists it."""
         state = EndpointStatus.READY
         if backend.is_removed:
             state = EndpointStatus.REMOVED
@@ -115,11 +116,11 @@
         self.clients.return_after_wait(client)
 
     def schedule(self, seconds: float, action: Callable[[], None]) -> None:
-        """Let something happen so long after the start."""
+        """Schedule an action at a time since the start."""
         self.clock.call_later(seconds * SECOND_US - self.clock.elapsed_us, action)
 
     def announce(self, changed: Sequence[SimulatedBackend], delay_us: float = 0.0) -> None:
-        """Let discovery tell the relays, after a delay, what has become of these backends by now."""
+        """Let discovery publish the current state of these backends. Relays receive it after a delay."""
         self.version += 1
         update = MembershipUpdate(self.version, False, [self._endpoint_of(backend) for backend in changed])
         self.clock.call_later(delay_us, lambda: self._deliver(update))
@@ -131,18 +132,18 @@
             relay.membership_update_received(update)
 
     def kill_relay(self, relay: SimulatedRelay) -> None:
-        """End a relay at once: its clients come again, and the front goes on sending for a while."""
+        """End a relay at once. Its clients return; new clients may choose it until its death is detected."""
         relay.dead_since_us = self.clock.now_us
         clients = list(relay.clients.values())
         relay.clients = {}
         for client in clients:
             relay.upstreams.finish_all(client)
             if not client.is_established:
-                self.checker.client_disconnected(client.request_number)  # a dead relay owes no answer
+                self.checker.client_disconnected(client.request_number)  # no answer from a dead relay
             self.clients.return_after_wait(client)
 
     def start_relay(self, relay: SimulatedRelay) -> None:
-        """Start a relay anew, with nothing but the list; its first watch tells the list once more."""
+        """Restart a relay with only the current endpoint list. Its first watch repeats the list."""
         self.relay_starts += 1
         seed = self.plan.seed * 1000 + self.relay_starts
         started = SimulatedRelay(self, relay.name, seed, self.operators_file, relay.zone, self._relay_exited)
@@ -152,12 +153,12 @@
         )
 
     def restart_relay(self, relay: SimulatedRelay) -> None:
-        """Drain a relay, as at SIGTERM; it is started again once it has exited."""
+        """Drain a relay, as on SIGTERM. The relay is restarted once it has exited."""
         relay.draining_since_us = self.clock.now_us
         relay.notify_engine(relay.engine.drain)
 
     def _relay_exited(self, relay: SimulatedRelay) -> None:
-        """A drain is over; the engine may say so more than once."""
+        """A drain has ended. The engine may report this more than once."""
         if relay.dead_since_us:
             return
         for client in relay.clients.values():
@@ -167,7 +168,7 @@
         self.clock.call_later(RELAY_RESTART_US, lambda: self.start_relay(relay))
 
     def replace_backend(self, backend: SimulatedBackend) -> None:
-        """Start a backend anew: its connections are reset, and its slow start begins."""
+        """Restart a backend: its connections are reset, and its slow start begins."""
         for relay in self.relays:
             relay.backend_restarted(backend)
         backend.is_draining = False
@@ -187,13 +188,13 @@
         self.checker.backend_started(backend.name, budget)
 
     def partition_zone(self, zone: int) -> None:
-        """Let nothing pass between this zone and the others, updates included; `NO_ZONE` mends it."""
+        """Cut a zone off from the others and from membership updates. `NO_ZONE` ends the partition."""
         self.partitioned_zone = zone
         for relay in self.relays:
             relay.zone_connected()
 
     def run(self, seconds: float) -> RuleChecker:
-        """Play so long, then as long as the last answers take; what was violated is in the checker."""
+        """Simulate arrivals for this time, then wait for the last answers. Returns the checker."""
         self.clients.arrivals_end_us = int(seconds * SECOND_US)
         self.clock.run_until(self.clients.arrivals_end_us)
         self.clock.run_until(self.clients.arrivals_end_us + FINAL_ANSWERS_S * SECOND_US)
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -1,4 +1,4 @@
-"""Days that hurt a whole fleet, without the bench: the rules hold at any size, and each check can fail."""
+"""Fleet-wide fault scenarios on virtual time: the rules hold at any fleet size, and each check can fail."""
 
 from typing import Any
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,4 @@
-"""The world on virtual time: the rules under drawn faults, the check's arithmetic against what happens."""
+"""The simulated world: rules under random faults, and computed worst cases against simulated answers."""
 
 import random
 from dataclasses import replace
@@ -73,8 +73,8 @@
 
 
 def schedule_random_faults(world: World, rng: random.Random) -> None:
-    """Draw faults for a day of 30 s: failing, refusing, silent, slow, draining and vanishing backends, a slow
-    store, reloads in the middle.
+    """Schedule random faults in a run of 30 s: failing, refusing, silent, slow, draining and removed
+    backends, a slow session store and reloads.
     """
     names = sorted(world.backends)
     for _ in range(rng.randint(4, 10)):
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("first", range(0, 60, 10))
 def test_the_rules_hold_while_addresses_break_and_mend(first: int) -> None:
-    """Three addresses a backend; of each kind of fault some, alone and together, over ten seeds."""
+    """Backends have three addresses with random faults, single or combined, over ten seeds."""
     served = sent_requests = 0
     for seed in range(first, first + 10):
         world = simulate_scenario(seed)
@@ -150,7 +150,9 @@
 
 
 def test_a_broken_path_is_no_broken_server() -> None:
-    """Every Unix socket falls silent for 5 s: attempts time out, and yet no server is set aside."""
+    """Every Unix socket is silent for 5 s. Attempts time out, but no backend is ejected as an outlier: a
+    faulty address is not a faulty backend.
+    """
     world = World(
         WorldPlan(
             seed=2, backends=6, arrivals_per_s=6, groups=20, store_calls_per_s=100, addresses_per_backend=3
@@ -170,11 +172,13 @@
     assert not any("set aside" in text for relay in world.relays for text in relay.log_lines)
     assert checker.counts["up"] >= 0.97 * len(checker.traces)
     late_unix_connections = [engine.counters.counts["addresses.unix"] for engine in engines]
-    assert min(late_unix_connections) > 20  # they carry traffic again
+    assert min(late_unix_connections) > 20  # the Unix sockets carry traffic again
 
 
 def test_a_reload_takes_addresses_away_and_gives_others_under_open_connections() -> None:
-    """First IPv4 is named for b0, then its Unix socket instead: what is open stays, the new follows."""
+    """Two reloads name IPv4 addresses for b0, then its Unix socket instead of one of them. Open connections
+    stay, and new connections use the new addresses.
+    """
 
     def file_with_address(family: int) -> str:
         addresses = list(world.backends["b0"].address_faults)
@@ -210,11 +214,13 @@
     addresses = list(world.backends["b0"].address_faults)
     assert addresses_seen == [{addresses[0], addresses[1]}, {addresses[2], addresses[1]}]
     assert not checker.violations and checker.counts["up"] > 60
-    assert abs(open_before[0] - open_before[1]) <= 6  # a few come and go; none is cut off by it
+    assert abs(open_before[0] - open_before[1]) <= 6  # a few clients come and go; the reload ends none
 
 
 def test_two_classes_keep_their_own_time_in_one_relay_over_a_reload_in_a_rush() -> None:
-    """All backends fall silent in a rush; halfway another file comes. Each class keeps its own sum."""
+    """All backends fall silent under high load, and halfway a reload shortens the timeouts. No request takes
+    longer than the worst-case schedule of its class.
+    """
     plan = replace(SMALL, arrivals_per_s=20.0, traffic=tuple(replace(t, retries=0) for t in SMALL.traffic))
     world = World(plan, TWO_TIMINGS)
     for backend in world.backends.values():
@@ -257,8 +263,9 @@
 
 
 def test_the_sum_of_the_check_is_the_worst_that_happens() -> None:
-    """Drawn files that are accepted, in a world where each connect takes all but a millisecond, no first line
-    is answered and no probe either. Nothing is answered after the sum, and the sum is reached.
+    """Random operators' files that are accepted, in a world where each connect takes its timeout less 1 ms
+    and no first line or load probe is answered. No request takes longer than the computed worst case, and
+    some requests come close to it.
     """
     rng, platform_settings = random.Random(11), SMALL.settings()
     reached = []
@@ -288,7 +295,7 @@
         assert not checker.violations
         for number, traffic_class in enumerate(plan.classes):
             one = world.relays[0].settings.classes[relay_admission.class_index_for(RequestArrived(0, number))]
-            # the last step of the sum is the margin that is kept for the answer's way
+            # The last step of the schedule is the margin reserved for sending the answer.
             most = worst_case_schedule(one, platform_settings, Limits()).total_us - answer_margin_us(
                 int(traffic_class.deadline_us), Limits()
             )
@@ -306,7 +313,7 @@
     assert within.served_after >= 0.95
 
 
-# ---- the checker itself: what it must not let pass
+# ---- The rule checker
 
 
 def checker_of(*calls: tuple[object, ...]) -> RuleChecker:
