--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(("faults", "family_alone"), SINGLE_FAULTS + FAULT_PAIRS)
-def test_every_request_is_served_once_over_what_is_sound(faults: tuple[str, ...], family_alone: str) -> None:
+def test_requests_are_served_once_over_working_addresses(faults: tuple[str, ...], family_alone: str) -> None:
     """One or two of three families are broken at every node. All is served, no first line is ever out twice
     at once, and a request that was sent again was first given up.
     """
@@ -79,7 +79,7 @@
     anyio.run(run)
 
 
-def test_a_mended_path_carries_traffic_again_within_5_s_and_all_broken_is_one_outcome() -> None:
+def test_recovered_address_is_used_within_5_s_and_all_refusing_is_one_outcome() -> None:
     async def run() -> None:
         async with Emulator(
             EmulatorPlan(backends=1, families=("ipv6", "ipv4"), capacity=1000, other_connections=100)
@@ -110,7 +110,7 @@
     anyio.run(run)
 
 
-def test_a_unix_socket_that_a_restart_replaced_is_found_again() -> None:
+def test_unix_socket_replaced_by_a_restart_is_used_again() -> None:
     async def run() -> None:
         async with Emulator(
             EmulatorPlan(backends=2, families=("unix", "ipv4"), capacity=1000, other_connections=100)
@@ -126,7 +126,7 @@
     anyio.run(run)
 
 
-def test_a_second_connect_gives_its_descriptor_back_and_the_first_goes_on() -> None:
+def test_second_connect_is_evicted_and_the_first_continues() -> None:
     """Two ways that never come up race; where a descriptor is wanted the second gives way, none else."""
 
     async def run() -> None:
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize("first", ["unix", "ipv6"])
-def test_the_first_way_carries_all_until_it_refuses(first: str, tmp_path: Path) -> None:
+def test_preferred_address_is_used_until_it_refuses(first: str, tmp_path: Path) -> None:
     """Real sockets under a fed clock: no measure of a busy machine can put a sound way behind."""
 
     async def run() -> None:
@@ -328,7 +328,7 @@
     ("order", "overlaps", "families"),
     [(o, n, families) for o, n, family_pairs in ORDERS for families in family_pairs],
 )
-def test_a_late_stand_in_tells_an_end_before_the_next_line_from_an_overlap(
+def test_late_backends_distinguish_an_end_before_the_next_line_from_an_overlap(
     order: str, overlaps: int, families: tuple[str, str], tmp_path: Path
 ) -> None:
     """All of a part is in the kernel before the stand-ins have their next turn, so only its order counts. An
@@ -342,15 +342,13 @@
 @pytest.mark.parametrize(
     ("order", "families"), [(o, f) for o in UNDECIDABLE_ORDERS for f in WITH_UNIX if UNIX in f]
 )
-def test_what_a_late_stand_in_can_not_tell_is_not_judged(
-    order: str, families: tuple[str, str], tmp_path: Path
-) -> None:
+def test_undecidable_overlaps_are_recorded(order: str, families: tuple[str, str], tmp_path: Path) -> None:
     """Beside a Unix socket: an overlap that began and ended while they were late is not passed over."""
     checker, attempts = anyio.run(run_late_stand_ins, order, families, str(tmp_path))
     assert list(attempts.undecided_overlaps) == [1] and not checker.violations
 
 
-def test_an_attempt_whose_end_a_prompt_stand_in_read_is_judged(tmp_path: Path) -> None:
+def test_overlap_is_decided_if_the_loop_is_on_time(tmp_path: Path) -> None:
     """A loop that was not late leaves nothing open, also between Unix sockets."""
     checker = RuleChecker()
     checker.request_sent(1, "x", 2_000_000, True, 0)
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gannetweir import core as e
+from gannetweir import core
 from gannetweir.core.draining import Draining
 from gannetweir.lab.experiments.fleet_simulation import SCENARIOS, fleet_plan, simulate_scenario
 from gannetweir.lab.model.backends import SimulatedBackend
@@ -16,27 +16,27 @@
 from gannetweir.placement.slow_start import SlowStart
 
 
-@pytest.mark.parametrize("day", SCENARIOS)
+@pytest.mark.parametrize("scenario", SCENARIOS)
 @pytest.mark.parametrize(("relays", "backends", "seed"), [(3, 12, 1), (3, 12, 2), (40, 60, 4)])
-def test_the_rules_hold_at_any_size(day: str, relays: int, backends: int, seed: int) -> None:
-    world = simulate_scenario(day, fleet_plan(seed, relays, backends))
+def test_rules_hold_at_any_fleet_size(scenario: str, relays: int, backends: int, seed: int) -> None:
+    world = simulate_scenario(scenario, fleet_plan(seed, relays, backends))
     counts = world.checker.counts
     assert not world.checker.violations, world.checker.violations[:3]
     min_served_share = (
-        0.75 if day == "throng" else 0.95
+        0.75 if scenario == "throng" else 0.95
     )  # a throng asks for all that the fleet holds, half of it cold
     assert counts["up"] >= min_served_share * len(world.checker.traces) > 100
-    assert day == "kill" or 0 < counts["cold_share"] <= 100  # cold ones were used, within what they bear
+    assert scenario == "kill" or 0 < counts["cold_share"] <= 100  # cold ones were used, within what they bear
     for relay in world.relays:
         faults = relay.engine.counters.counts
         assert not faults["placement_faults"] and not faults["overdue"]
 
 
-def violations_of(day: str) -> str:
-    return "\n".join(simulate_scenario(day, fleet_plan(1, 40, 60)).checker.violations)
+def violations_of(scenario: str) -> str:
+    return "\n".join(simulate_scenario(scenario, fleet_plan(1, 40, 60)).checker.violations)
 
 
-def test_a_fleet_that_takes_cold_servers_for_warm_ones_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_ignoring_slow_start_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SlowStart, "capacity_share", lambda *_: 1.0)
     # and their reports say the same
     monkeypatch.setattr(SimulatedBackend, "current_capacity", lambda backend: backend.capacity)
@@ -45,7 +45,7 @@
     assert ": cold: " in violations_of("join")
 
 
-def test_relays_that_do_not_heed_the_news_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_ignoring_membership_updates_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def report_without_applying(relay: SimulatedRelay, update: MembershipUpdate) -> None:
         for endpoint in update.endpoints:
             relay._report_known(endpoint)
@@ -54,13 +54,13 @@
     assert ": drain: " in violations_of("roll")
 
 
-def test_relays_that_end_without_moving_anybody_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exit_without_migrations_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Draining, "spread_migrations", lambda *_: None)
-    monkeypatch.setattr(Draining, "exit", lambda draining: draining.context.commands.append(e.Exit()))
+    monkeypatch.setattr(Draining, "exit", lambda draining: draining.context.commands.append(core.Exit()))
     assert ": cut off: " in violations_of("roll")
 
 
-def test_an_attempt_that_goes_on_beside_the_next_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_parallel_attempts_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SimulatedRelay, "_close_upstream", lambda *_: None)
     world = World(fleet_plan(1, 3, 12))
     for backend in list(world.backends.values())[:3]:
@@ -68,7 +68,7 @@
     assert any(": overlap: " in line for line in world.run(10).violations)
 
 
-def test_what_one_request_shows_is_caught() -> None:
+def test_rules_of_single_requests_are_checked() -> None:
     checker = RuleChecker()
     for number in (1, 2, 3):
         checker.request_sent(number, "plain", 1_000_000, True, 0)
@@ -82,7 +82,7 @@
     assert rules == ["attempts", "late", "answers", "unanswered"]
 
 
-def test_the_same_seed_plays_the_same_day() -> None:
+def test_same_seed_gives_the_same_run() -> None:
     def observed(world: World) -> tuple[Any, ...]:
         return (
             world.checker.counts,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -41,12 +41,12 @@
 """
 
 
-def test_the_experiment_in_the_repository_reads() -> None:
+def test_experiment_in_the_repository_parses() -> None:
     experiment = parse_experiment((ROOT / "experiments/paths.kdl").read_text())
     assert len(experiment.variants) == 5 and experiment.plan.families == ("unix", "ipv6", "ipv4")
 
 
-def test_a_sweep_is_each_variant_with_each_value() -> None:
+def test_sweep_multiplies_variants_by_values() -> None:
     experiment = parse_experiment(SMALL.replace("seeds 1", 'seeds 1\n    sweep "rate" 20 40.5'))
     variant_names = ["good, rate 20", "good, rate 40.5", "refused, rate 20", "refused, rate 40.5"]
     assert list(experiment.variants) == variant_names
@@ -78,7 +78,7 @@
         ("relays 1", "relais 1", "line 2: relais"),
     ],
 )
-def test_what_is_wrong_is_named_with_its_line(old: str, new: str, expected_error: str) -> None:
+def test_parse_error_names_the_line(old: str, new: str, expected_error: str) -> None:
     with pytest.raises(ExperimentError, match=expected_error):
         parse_experiment(SMALL.replace(old, new, 1))
 
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 6))
 @pytest.mark.parametrize("variant", ["good", "refused"])
-def test_the_same_load_is_served_whole_on_a_clock_that_stands(variant: str, seed: int) -> None:
+def test_same_load_is_served_completely_on_virtual_time(variant: str, seed: int) -> None:
     """The relay's decisions without the machine's: nothing fails, and nothing is refused."""
     traffic_classes = tuple(Traffic(share, 200_000.0) for share in (0.36, 0.34, 0.15, 0.15))
     plan = WorldPlan(
@@ -152,29 +152,29 @@
     assert counts["up"] == counts["first"] + counts["again"] == counts["sent"]
 
 
-@pytest.mark.parametrize(("earlier", "present"), RENAMED_COMMANDS.items())
-def test_a_renamed_command_does_the_same_and_says_its_present_name(
-    earlier: str,
-    present: str,
+@pytest.mark.parametrize(("old_name", "new_name"), RENAMED_COMMANDS.items())
+def test_renamed_command_runs_and_prints_its_current_name(
+    old_name: str,
+    new_name: str,
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     monkeypatch.setattr(fleet_simulation, "fleet_table", lambda _: [["kill", *"0" * 8]])
     monkeypatch.setattr(address_faults, "emulate_cases", lambda _: [["nothing", *"0" * 8]])
     monkeypatch.setattr(address_faults, "simulate_scenarios", lambda _: Counter({"days": 1}))
-    rest = ["none.kdl"] if earlier == "hollow" else ["--seeds", "1"]
+    rest = ["none.kdl"] if old_name == "hollow" else ["--seeds", "1"]
 
     codes, printed = [], []
-    for command in (earlier, present):
+    for command in (old_name, new_name):
         codes.append(lab([command, *rest]))
         printed.append(capsys.readouterr())
 
-    assert codes[0] == codes[1] == (2 if earlier == "hollow" else 0)
+    assert codes[0] == codes[1] == (2 if old_name == "hollow" else 0)
     assert printed[0].out == printed[1].out
-    assert printed[0].err == f"lab: {earlier} is now called {present}\n" + printed[1].err
+    assert printed[0].err == f"lab: {old_name} is now called {new_name}\n" + printed[1].err
 
 
-def test_only_what_is_beyond_noise_differs(tmp_path: Path) -> None:
+def test_compare_ignores_noise(tmp_path: Path) -> None:
     def write_folder(name: str, values: list[float]) -> Path:
         runs = [ExperimentRun("v", n, {"p99, ms": value}, {}, []) for n, value in enumerate(values)]
         write_results(parse_experiment(SMALL), runs, tmp_path / name)
@@ -186,14 +186,14 @@
     assert "cannot tell" in compare(base, write_folder("d", [20.0]))[0][-1]
 
 
-def test_the_demo_ends_by_itself_and_breaks_no_rule(capsys: pytest.CaptureFixture[str]) -> None:
+def test_demo_ends_and_breaks_no_rule(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["demo", "--seconds", "6"]) == 0
     out = capsys.readouterr().out
     assert "b2 drains" in out and "rules broken" in out
     assert main(["demo", "--seconds", "x"]) == 2
 
 
-def test_what_serves_loads_neither_the_lab_nor_what_is_switched_off() -> None:
+def test_serving_imports_neither_the_lab_nor_disabled_features() -> None:
     code = (
         "import sys, gannetweir.cli, gannetweir.net.relay as r\n"
         "off = ('gannetweir.lab', 'gannetweir.addresses', 'gannetweir.routing', 'gannetweir.explain', 'ckdl',"
@@ -215,7 +215,7 @@
     return found
 
 
-def test_ctrl_c_ends_every_process_that_was_started() -> None:
+def test_ctrl_c_ends_all_processes() -> None:
     command = [sys.executable, "-u", "-m", "gannetweir", "demo", "--seconds", "15"]
     with subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.STDOUT) as demo:
         assert demo.stdout is not None
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -43,15 +43,15 @@
 SMALL = WorldPlan(backends=12, arrivals_per_s=8.0, groups=30, store_calls_per_s=100.0)
 
 
-def test_the_same_seed_plays_the_same_day() -> None:
-    def day(seed: int) -> tuple[object, ...]:
+def test_same_seed_gives_the_same_run() -> None:
+    def outcome(seed: int) -> tuple[object, ...]:
         world = World(replace(SMALL, seed=seed), TWO_TIMINGS)
         world.schedule(5, lambda: setattr(world.backends["b1"], "failure_rate", 0.7))
         checker = world.run(15)
         return checker.counts, world.clients.final_answers, [s.attempts for s in checker.traces.values()]
 
-    assert day(4) == day(4)
-    assert day(4) != day(5)
+    assert outcome(4) == outcome(4)
+    assert outcome(4) != outcome(5)
 
 
 FAULTS = (
@@ -101,15 +101,15 @@
             world.schedule(begin, make_unavailable)
             world.schedule(end + 3, make_available)
         else:
-            on = {"failure_rate": rng.uniform(0.4, 0.9), "slowdown": 40.0}.get(fault, True)
-            off = {"failure_rate": 0.0, "slowdown": 1.0}.get(fault, False)
-            world.schedule(begin, partial(setattr, backend, fault, on))
-            world.schedule(end, partial(setattr, backend, fault, off))
+            fault_value = {"failure_rate": rng.uniform(0.4, 0.9), "slowdown": 40.0}.get(fault, True)
+            normal_value = {"failure_rate": 0.0, "slowdown": 1.0}.get(fault, False)
+            world.schedule(begin, partial(setattr, backend, fault, fault_value))
+            world.schedule(end, partial(setattr, backend, fault, normal_value))
 
 
 @pytest.mark.parametrize("seed", range(12))
 @pytest.mark.parametrize("file", ["", TWO_TIMINGS], ids=["none", "two timings"])
-def test_the_rules_hold_under_drawn_faults(seed: int, file: str) -> None:
+def test_rules_hold_under_random_faults(seed: int, file: str) -> None:
     world = World(replace(SMALL, seed=seed), file)
     schedule_random_faults(world, random.Random(seed))
     checker = world.run(30)
@@ -134,11 +134,11 @@
             )
 
 
-@pytest.mark.parametrize("first", range(0, 60, 10))
-def test_the_rules_hold_while_addresses_break_and_mend(first: int) -> None:
+@pytest.mark.parametrize("first_seed", range(0, 60, 10))
+def test_rules_hold_while_addresses_fail_and_recover(first_seed: int) -> None:
     """Backends have three addresses with random faults, single or combined, over ten seeds."""
     served = sent_requests = 0
-    for seed in range(first, first + 10):
+    for seed in range(first_seed, first_seed + 10):
         world = simulate_scenario(seed)
         checker = world.checker
         assert not checker.violations, checker.violations[:3]
@@ -149,7 +149,7 @@
     assert served >= 0.97 * sent_requests > 500
 
 
-def test_a_broken_path_is_no_broken_server() -> None:
+def test_silent_unix_sockets_do_not_eject_backends() -> None:
     """Every Unix socket is silent for 5 s. Attempts time out, but no backend is ejected as an outlier: a
     faulty address is not a faulty backend.
     """
@@ -175,15 +175,15 @@
     assert min(late_unix_connections) > 20  # the Unix sockets carry traffic again
 
 
-def test_a_reload_takes_addresses_away_and_gives_others_under_open_connections() -> None:
+def test_reload_replaces_addresses_and_keeps_open_connections() -> None:
     """Two reloads name IPv4 addresses for b0, then its Unix socket instead of one of them. Open connections
     stay, and new connections use the new addresses.
     """
 
     def file_with_address(family: int) -> str:
         addresses = list(world.backends["b0"].address_faults)
-        named = f'address "{addresses[family]}" "{addresses[1]}"'
-        return HEAD + f'server "b0" {{\n {named}\n dial #false\n}}\ndefault {{\n}}\n'
+        address_line = f'address "{addresses[family]}" "{addresses[1]}"'
+        return HEAD + f'server "b0" {{\n {address_line}\n dial #false\n}}\ndefault {{\n}}\n'
 
     world = World(
         WorldPlan(
@@ -207,17 +207,17 @@
     world.schedule(5, record_addresses)
     world.schedule(6, lambda: world.relays[0].reload(file_with_address(2)))
     world.schedule(7, record_addresses)
-    open_before: list[int] = []
-    world.schedule(5.9, lambda: open_before.append(engine.current_figures()["open"]))
-    world.schedule(6.1, lambda: open_before.append(engine.current_figures()["open"]))
+    open_counts: list[int] = []
+    world.schedule(5.9, lambda: open_counts.append(engine.current_figures()["open"]))
+    world.schedule(6.1, lambda: open_counts.append(engine.current_figures()["open"]))
     checker = world.run(12)
     addresses = list(world.backends["b0"].address_faults)
     assert addresses_seen == [{addresses[0], addresses[1]}, {addresses[2], addresses[1]}]
     assert not checker.violations and checker.counts["up"] > 60
-    assert abs(open_before[0] - open_before[1]) <= 6  # a few clients come and go; the reload ends none
+    assert abs(open_counts[0] - open_counts[1]) <= 6  # a few clients come and go; the reload ends none
 
 
-def test_two_classes_keep_their_own_time_in_one_relay_over_a_reload_in_a_rush() -> None:
+def test_each_class_keeps_its_worst_case_over_a_reload_under_load() -> None:
     """All backends fall silent under high load, and halfway a reload shortens the timeouts. No request takes
     longer than the worst-case schedule of its class.
     """
@@ -247,31 +247,34 @@
         for number, traffic_class in enumerate(plan.classes):
             admission = relay.engine.route_admission
             assert admission is not None
-            timed = relay.settings.classes[admission.class_index_for(RequestArrived(0, number))]
-            sum_us = worst_case_schedule(timed, platform_settings, Limits()).total_us
-            assert slowest_us(traffic_class.name, begin, end) <= sum_us, (traffic_class.name, rules)
+            timed_class = relay.settings.classes[admission.class_index_for(RequestArrived(0, number))]
+            worst_case_total_us = worst_case_schedule(timed_class, platform_settings, Limits()).total_us
+            assert slowest_us(traffic_class.name, begin, end) <= worst_case_total_us, (
+                traffic_class.name,
+                rules,
+            )
     assert slowest_us("rider-area", 3, 8) > slowest_us("zone-view", 3, 8) > slowest_us("zone-view", 8, 12)
 
 
-def drawn_file(rng: random.Random) -> str:
+def random_operators_file(rng: random.Random) -> str:
     kind = rng.choice(["fixed", "exponential", "every"])
     attempt, connect, attempts = rng.randint(50, 700), rng.randint(20, 250), rng.randint(1, 6)
-    first = rng.randint(10, 300) if kind != "every" else attempt + connect + rng.randint(0, 200)
-    wait = f'wait "{kind}" first="{first}ms"' if attempts > 1 else ""
+    first_wait_ms = rng.randint(10, 300) if kind != "every" else attempt + connect + rng.randint(0, 200)
+    wait = f'wait "{kind}" first="{first_wait_ms}ms"' if attempts > 1 else ""
     timing = f'connect "{connect}ms"\nattempt "{attempt}ms"\nattempts {attempts}\n{wait}'
     return f"{HEAD}default {{\n{timing}\n}}\n"
 
 
-def test_the_sum_of_the_check_is_the_worst_that_happens() -> None:
+def test_computed_worst_case_bounds_simulated_answers() -> None:
     """Random operators' files that are accepted, in a world where each connect takes its timeout less 1 ms
     and no first line or load probe is answered. No request takes longer than the computed worst case, and
     some requests come close to it.
     """
     rng, platform_settings = random.Random(11), SMALL.settings()
-    reached = []
+    shares_of_worst_case = []
     accepted = 0
     while accepted < 40:
-        file = drawn_file(rng)
+        file = random_operators_file(rng)
         try:
             parse_routing_rules(file, platform_settings, Limits())
         except OperatorsFileError:
@@ -288,24 +291,29 @@
         world = World(plan, file)
         relay_admission = world.relays[0].engine.route_admission
         assert relay_admission is not None
-        timed = world.relays[0].settings.classes[relay_admission.class_index_for(RequestArrived(0, 0))]
+        timed_class = world.relays[0].settings.classes[relay_admission.class_index_for(RequestArrived(0, 0))]
         for backend in world.backends.values():
-            backend.is_silent, backend.connect_delay_us = True, timed.connect_timeout_us - 1_000
+            backend.is_silent, backend.connect_delay_us = True, timed_class.connect_timeout_us - 1_000
         checker = world.run(6)
         assert not checker.violations
         for number, traffic_class in enumerate(plan.classes):
-            one = world.relays[0].settings.classes[relay_admission.class_index_for(RequestArrived(0, number))]
+            class_settings = world.relays[0].settings.classes[
+                relay_admission.class_index_for(RequestArrived(0, number))
+            ]
             # The last step of the schedule is the margin reserved for sending the answer.
-            most = worst_case_schedule(one, platform_settings, Limits()).total_us - answer_margin_us(
-                int(traffic_class.deadline_us), Limits()
-            )
+            worst_case_us = worst_case_schedule(
+                class_settings, platform_settings, Limits()
+            ).total_us - answer_margin_us(int(traffic_class.deadline_us), Limits())
             slowest_us = checker.longest_answer_us(traffic_class.name)
-            assert slowest_us <= most
-            reached.append(slowest_us / most)
-    assert max(reached) > 0.98 and sorted(reached)[len(reached) // 2] > 0.6
+            assert slowest_us <= worst_case_us
+            shares_of_worst_case.append(slowest_us / worst_case_us)
+    assert (
+        max(shares_of_worst_case) > 0.98
+        and sorted(shares_of_worst_case)[len(shares_of_worst_case) // 2] > 0.6
+    )
 
 
-def test_budgets_keep_attempts_at_a_fifth_more_than_requests() -> None:
+def test_budgets_limit_retries_to_a_fifth_of_requests() -> None:
     plan = WorldPlan(seed=3, backends=60, arrivals_per_s=10.0, groups=100, store_calls_per_s=200.0)
     without, within = run_failing_fleet(plan, ""), run_failing_fleet(plan, BUDGET_FILE)
     assert without.violations == within.violations == 0
@@ -316,7 +324,7 @@
 # ---- The rule checker
 
 
-def checker_of(*calls: tuple[object, ...]) -> RuleChecker:
+def run_checker(*calls: tuple[object, ...]) -> RuleChecker:
     checker = RuleChecker()
     checker.request_sent(1, "zone-view", 2 * SECOND_US, True, 0)
     for name, *args in calls:
@@ -354,13 +362,13 @@
         ),
     ],
 )
-def test_the_checker_names_each_broken_rule(rule: str, calls: list[tuple[object, ...]]) -> None:
-    checker = checker_of(*calls)
+def test_checker_reports_each_broken_rule(rule: str, calls: list[tuple[object, ...]]) -> None:
+    checker = run_checker(*calls)
     assert checker.counts[rule] == 1 and len(checker.violations) == 1 and rule in checker.violations[0]
 
 
-def test_the_checker_lets_pass_what_is_right() -> None:
-    assert not checker_of(
+def test_checker_accepts_correct_behaviour() -> None:
+    assert not run_checker(
         ("relay_notified", "b1", True, 0),
         ("attempt_arrived", 1, 0, "b1", 400_000),
         ("attempt_ended", 1, 0),
@@ -369,4 +377,4 @@
         ("attempt_ended", 1, 1),
         ("answer_received", 1, "up", 2 * SECOND_US + 20_000),
     ).violations
-    assert not checker_of(("client_disconnected", 1)).violations
+    assert not run_checker(("client_disconnected", 1)).violations
