--- a/gannetweir/lab/emulator/__init__.py
+++ b/gannetweir/lab/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins on loopback for what a relay meets: push nodes, discovery, clients, faults of addresses."""
+"""Stand-ins on loopback for a relay's peers: backends, discovery and clients, with address faults."""
--- a/gannetweir/lab/emulator/address_listener.py
+++ b/gannetweir/lab/emulator/address_listener.py
@@ -1,4 +1,4 @@
-"""One address on which a backend listens, with the fault that was switched on for it."""
+"""A listening address of an emulated backend, with fault injection."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 FAULTS = ("", "refuse", "hole", "stall", "reset", "slow")
 BACKLOG = 1024
-QUEUE_FILLERS = 4  # connects that fill an accept queue of the length 0
+QUEUE_FILLERS = 4  # the number of connects that fill an accept queue of length 0
 
 
 @dataclass(slots=True)
 class AddressListener:
-    """Owns the listening socket, and what fills its queue where it plays a black hole."""
+    """Owns the listening socket, and the connections that fill its accept queue for the fault `hole`."""
 
     address: Address
     fault: str = ""
     listener: socket.socket | None = None
     queue_fillers: list[socket.socket] = field(default_factory=list)
-    accepted: int = 0  # connections
-    first_lines: int = 0  # that arrived complete
+    accepted: int = 0  # number of connections
+    first_lines: int = 0  # number of complete first lines received
 
     def open(self) -> socket.socket | None:
-        """Listen, as the fault says; the socket to accept from, or None where nothing is accepted."""
+        """Listen as the fault requires. Returns the socket to accept from, or None if nothing is accepted."""
         if self.fault == "refuse":
             return None
         sock = self._bound_socket()
@@ -53,8 +53,8 @@
         return sock
 
     def _fill_accept_queue(self, sock: socket.socket) -> None:
-        """Keep the queue full: a connect gets no answer, as from a black hole. A Unix socket has no such
-        state; there a full queue refuses.
+        """Keep the accept queue full, so that a connect gets no answer, as from a black hole. A full queue of
+        a Unix socket refuses connects instead.
         """
         sock.listen(0)
         for _ in range(QUEUE_FILLERS):
@@ -65,7 +65,7 @@
             self.queue_fillers.append(filler)
 
     def close(self) -> None:
-        """Stop listening; nothing, if it does not listen."""
+        """Stop listening. Does nothing if the address is not listening."""
         if self.listener is not None:
             with suppress(anyio.ClosedResourceError, OSError):
                 anyio.notify_closing(self.listener)
@@ -85,7 +85,10 @@
 
 
 def loopback_addresses(number: int, folder: str, families: tuple[str, ...]) -> list[Address]:
-    """The addresses of a backend, one a family, on ports that are free now. `KeyError` for another family."""
+    """Returns a backend's addresses, one for each family, on free ports.
+
+    Raises `KeyError` for an unknown family.
+    """
     texts = {
         "ipv4": lambda: f"127.0.0.1:{_free_port(socket.AF_INET, '127.0.0.1')}",
         "ipv6": lambda: f"[::1]:{_free_port(socket.AF_INET6, '::1')}",
--- a/gannetweir/lab/emulator/attempts.py
+++ b/gannetweir/lab/emulator/attempts.py
@@ -1,10 +1,11 @@
-"""Which attempts are out at the stand-ins, judged by when the kernel got what came, not by when it was read.
-
-One event loop serves all stand-ins. On a busy machine it can be late: an attempt's end and the next attempt's
-first line wait in the kernel side by side, and are read in any order. So each is given the span of time in
-which it must have come. TCP connections have times in the kernel, for those the span is one moment. For a
-Unix socket it reaches back as far as the loop was late. Two attempts overlap if their spans leave no other
-way, and do not if they leave none to overlap; between the two, the pair is not judged, and that is told.
+"""Detects overlapping attempts at the emulated backends from kernel arrival times instead of read times.
+
+One event loop serves all emulated backends. On a busy machine the loop can be late: an attempt's end and the
+next attempt's first line wait in the kernel together and are read in any order. So each event gets the time
+span in which it must have arrived. For a TCP connection the kernel keeps arrival times, and the span is a
+single moment. For a Unix socket the span reaches back as far as the loop was late. A pair of attempts is an
+overlap if the spans allow nothing else, and no overlap if they exclude one; otherwise the pair is reported
+as undecided.
 """
 
 from __future__ import annotations
@@ -21,19 +22,20 @@
 
 from gannetweir.lab.model.checker import RuleChecker
 
-RESOLUTION_MS = 8.0  # two ticks of the kernel's coarsest usual clock (250 Hz), by which its times are rounded
-TICK_MS = 1.0
-TICKS_REMEMBERED = (
-    3  # what is read now came after the third last beat: each takes two turns of a late loop, and
+RESOLUTION_MS = (
+    8.0  # two ticks of the coarsest usual kernel clock (250 Hz), to which kernel times are rounded
 )
-# from a listener's event to the first read of the new connection there are three
+TICK_MS = 1.0
+# Data that is read now arrived after the third last tick: a tick takes two iterations of a late loop, and
+# three iterations pass between a listener's event and the first read of the new connection.
+TICKS_REMEMBERED = 3
 _END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 _LAST_DATA_AT, _LAST_ACK_AT, _TCP_INFO_BYTES = 52, 56, 60  # offsets in Linux's `struct tcp_info`
 
 
 @dataclass(frozen=True, slots=True)
 class TimeSpan:
-    """When something came, in milliseconds of the monotonic clock: not before `first`, not after `last`."""
+    """The earliest and latest time at which an event can have arrived, in ms of the monotonic clock."""
 
     earliest: float
     latest: float
@@ -44,23 +46,23 @@
 
 @dataclass(slots=True)
 class ObservedAttempt:
-    """One attempt as a stand-in saw it."""
+    """An attempt as an emulated backend observed it."""
 
     backend: str
     connection: socket.socket
     first_line: TimeSpan
-    end: TimeSpan | None = None  # None: it is asked of the kernel whether the end has come
+    end: TimeSpan | None = None  # None until the end is read; the kernel is asked whether it has arrived
 
 
 class LoopDelayMonitor:
-    """How late the stand-ins' loop is: the moments of its last beats."""
+    """Measures how late the event loop is, from the times of its last ticks."""
 
     def __init__(self) -> None:
         self.recent_ticks: deque[float] = deque([now_ms()] * TICKS_REMEMBERED, TICKS_REMEMBERED)
-        self.largest_delay_ms = 0.0  # the longest time between two beats, beyond what was meant
+        self.largest_delay_ms = 0.0  # the longest time between two ticks, less `TICK_MS`
 
     async def run(self) -> None:
-        """Beat until cancelled."""
+        """Record ticks until cancelled."""
         self.recent_ticks.append(now_ms())
         while True:
             now = now_ms()
@@ -69,24 +71,27 @@
             await anyio.sleep(TICK_MS / 1000)
 
     def unread_since_ms(self) -> float:
-        """What is read now has come after this moment."""
+        """Returns the time after which all data that is read now has arrived."""
         return self.recent_ticks[0]
 
 
 class AttemptOverlaps:
-    """The attempts at all backends of one emulator, by its clock `now_us`. Run `loop_delay` beside them."""
+    """Observes the attempts at all backends of an emulator, whose clock is `now_us`.
+
+    The task `loop_delay.run` must run in the background.
+    """
 
     def __init__(self, checker: RuleChecker, now_us: Callable[[], int]) -> None:
         self.checker, self.now_us, self.loop_delay = checker, now_us, LoopDelayMonitor()
-        self.by_request: dict[
-            int, list[ObservedAttempt]
-        ] = {}  # by request, in the order in which their lines were read
-        self.undecided_overlaps: dict[int, str] = {}  # by request: the pair that could not be told apart
+        # By request number, in the order in which the first lines were read.
+        self.by_request: dict[int, list[ObservedAttempt]] = {}
+        # By request number: a pair of attempts of which an overlap can be neither shown nor ruled out.
+        self.undecided_overlaps: dict[int, str] = {}
 
     def first_line_read(
         self, request_number: int, backend: str, connection: socket.socket, waited_ms: float = 0.0
     ) -> None:
-        """A first line has been read from this connection, `waited_ms` after it could have been."""
+        """Record a first line read from this connection, which was deliberately read `waited_ms` late."""
         trace = self.checker.traces.get(request_number)
         if trace is None:
             return
@@ -98,8 +103,8 @@
         earlier.append(new)
 
     def attempt_ended(self, request_number: int, connection: socket.socket) -> None:
-        """The attempt on this connection was answered or given up; call it before an answer is written.
-        Nothing, if that is known.
+        """Record that the attempt on this connection was answered or abandoned. Must be called before an
+        answer is written. Does nothing if the end is already recorded.
         """
         for attempt in self.by_request.get(request_number, []):
             if attempt.connection is connection and attempt.end is None:
@@ -107,15 +112,16 @@
                 attempt.end = self._end_span(connection) if has_ended(connection) else TimeSpan(now, now)
 
     def _overlap(self, request_number: int, first: ObservedAttempt, other: ObservedAttempt) -> bool:
-        """Were both out at once? False also if that can't be told, which is kept."""
+        """Whether both attempts were in flight at once. False if undecided, and the pair is recorded."""
         ends = [
             a.end or (self._end_span(a.connection) if has_ended(a.connection) else NOT_YET)
             for a in (first, other)
         ]
+        # Two attempts overlap if each first line arrived before the end of the other attempt.
         line_and_other_end = [
             (first.first_line, ends[1]),
             (other.first_line, ends[0]),
-        ]  # each began before the other's end?
+        ]
         if all(line.latest + RESOLUTION_MS < end.earliest for line, end in line_and_other_end):
             return True
         if all(line.earliest + RESOLUTION_MS < end.latest for line, end in line_and_other_end):
@@ -128,19 +134,20 @@
         return _span_since(sock, _LAST_DATA_AT)
 
     def _end_span(self, sock: socket.socket) -> TimeSpan:
-        """When the end came that is in the kernel."""
+        """The time span in which the connection's end, which the kernel holds, has arrived."""
         if sock.family == socket.AF_UNIX or sock.fileno() < 0:
             return TimeSpan(self.loop_delay.unread_since_ms(), now_ms())
-        return _span_since(sock, _LAST_ACK_AT)  # the end is the last segment that came, and carries an ACK
+        # The end is the last segment received, and every segment carries an ACK.
+        return _span_since(sock, _LAST_ACK_AT)
 
 
 def now_ms() -> float:
-    """The monotonic clock."""
+    """The monotonic clock in milliseconds."""
     return time.monotonic_ns() / 1e6
 
 
 def has_ended(sock: socket.socket) -> bool:
-    """Has the peer's end or reset reached this socket, whether or not it was read?"""
+    """Whether the peer's end or reset has reached this socket, read or not."""
     if sock.fileno() < 0:
         return True
     poll = select.poll()
@@ -149,7 +156,7 @@
 
 
 def _span_since(sock: socket.socket, offset: int) -> TimeSpan:
-    """The moment that a field of the connection's `tcp_info` tells as a time since, in milliseconds."""
+    """The arrival time from a `tcp_info` field that holds the elapsed time in milliseconds."""
     before_ms = now_ms()
     info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
     elapsed_ms = float(struct.unpack_from("=I", info, offset)[0])
--- a/gannetweir/lab/emulator/backend.py
+++ b/gannetweir/lab/emulator/backend.py
@@ -1,5 +1,5 @@
-"""An emulated backend on real sockets: the protocol's lines, load probes and reports, slow start, its limit,
-drains, and faults for each of its addresses. One backend may listen on IPv4, IPv6 and a Unix socket at once.
+"""An emulated backend on real sockets: protocol lines, load probes and reports, slow start, a connection
+limit, drains, and a fault for each address. A backend may listen on IPv4, IPv6 and a Unix socket at once.
 """
 
 from __future__ import annotations
@@ -20,15 +20,18 @@
 from gannetweir.net.sockets import accept_connection
 from gannetweir.net.transport import Spawn, Transport
 
-SLOW_READ_DELAY_S = 0.15  # a slow address reads nothing for so long
-SLOW_START_MIN_SHARE, SLOW_START_WINDOW_S = 0.12, 23.0  # of its capacity; until it is warm
-HARD_LIMIT_FACTOR = 1.6  # connections over the present capacity, from which it answers BUSY
-MIN_SETUP_S, MAX_SETUP_S = 0.002, 0.006  # its own work, beside the session store's
-ACCEPT_RETRY_S = 0.01  # after an accept that failed for a moment
+SLOW_READ_DELAY_S = 0.15  # the time before an address with the fault `slow` reads anything
+# A backend that has just started serves this share of its capacity, rising to all of it over the window.
+SLOW_START_MIN_SHARE, SLOW_START_WINDOW_S = 0.12, 23.0
+# A backend answers BUSY once its connections reach this multiple of its current capacity.
+HARD_LIMIT_FACTOR = 1.6
+# The backend's own work for a connection set-up, without the session store's.
+MIN_SETUP_S, MAX_SETUP_S = 0.002, 0.006
+ACCEPT_RETRY_S = 0.01  # the wait after a transient accept failure
 
 
 def spawn_in(tasks: anyio.abc.TaskGroup) -> Spawn:
-    """How a transport of these tasks starts what it has to do beside its owner."""
+    """Returns a function by which a transport starts its background work in this task group."""
 
     async def run_in_background(run: Callable[[], Awaitable[Any]]) -> None:
         await run()
@@ -40,16 +43,16 @@
 
 
 class EmulatedSessionStore:
-    """The session store that all backends share: so many calls a second, one after another."""
+    """The session store shared by all backends. It serves calls at a fixed rate, one at a time."""
 
     def __init__(self, calls_per_s: float) -> None:
         self.call_interval_s = 1.0 / calls_per_s
-        self.slowdown = 1.0  # a fault: each call takes so many times as long
+        self.slowdown = 1.0  # fault: the factor by which each call takes longer
         self.idle_from_s = 0.0
         self.calls = 0
 
     async def call(self) -> None:
-        """Make one set-up's call; cancelling it does not take it out of the queue."""
+        """Make the call of one connection set-up. A cancelled call stays in the queue."""
         now = anyio.current_time()
         self.calls += 1
         self.idle_from_s = max(self.idle_from_s, now) + self.call_interval_s * self.slowdown
@@ -57,7 +60,7 @@
 
 
 class EmulatedBackend:
-    """One backend. `attempts`, which all backends share, is told of every first line."""
+    """An emulated backend. It reports every first line to `attempts`, which all backends share."""
 
     def __init__(
         self,
@@ -74,13 +77,13 @@
         self.attempts = attempts
         self.rng = rng
         self.listeners = {str(address): AddressListener(address) for address in addresses}
-        self.established: dict[Transport, str] = {}  # the request of each connection
+        self.established: dict[Transport, str] = {}  # request ids by connection
         self.limits = Limits()
-        self.deliveries: dict[str, int] = {}  # by request, wherever they came in
-        self.failure_rate = 0.0  # share of the set-ups that are answered ERR
-        self.other_connections = 0  # that are reported beside those of the emulator
+        self.deliveries: dict[str, int] = {}  # first lines by request id, over all addresses
+        self.failure_rate = 0.0  # the share of set-ups that are answered ERR
+        self.other_connections = 0  # connections added to the emulator's own in load reports and limits
         self.draining = False
-        self.started_s = 0.0  # 0: long ago
+        self.started_s = 0.0  # 0 means that the slow start is over
         self.slow_start_min_share = SLOW_START_MIN_SHARE
         self.slow_start_window_s = SLOW_START_WINDOW_S
         self.load_probes = 0
@@ -89,7 +92,7 @@
         self.scope = anyio.CancelScope()
 
     def current_capacity(self) -> float:
-        """The connections that it can serve now: less than its capacity while it warms up."""
+        """The number of connections that the backend can serve now, reduced while it is warming up."""
         if not self.started_s:
             return float(self.capacity)
         warmed_share = min(1.0, (anyio.current_time() - self.started_s) / self.slow_start_window_s)
@@ -97,7 +100,7 @@
         return self.capacity * (min_share + (1.0 - min_share) * warmed_share)
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Listen on every address until it is stopped; a stop breaks every connection."""
+        """Listen on every address until `stop`, which breaks every connection."""
         self.scope = anyio.CancelScope()
         try:
             with self.scope:
@@ -115,11 +118,11 @@
             self.established.clear()
 
     def stop(self) -> None:
-        """End as a process that is killed: connections are reset, new ones refused."""
+        """Stop as a killed process would: connections are reset, and new ones are refused."""
         self.scope.cancel()
 
     def set_fault(self, address: str, fault: str) -> None:
-        """Switch a fault of one of its addresses on, or off with an empty one."""
+        """Switch a fault of one of the backend's addresses on, or off with an empty fault."""
         assert fault in FAULTS, fault
         listener = self.listeners[address]
         listener.close()
@@ -137,7 +140,7 @@
         while listener.listener is listening:
             try:
                 sock = await accept_connection(listening)
-            except (anyio.ClosedResourceError, ValueError):  # closed here
+            except (anyio.ClosedResourceError, ValueError):  # this process has closed the listener
                 return
             except OSError as error:
                 if error.errno == errno.EBADF:
@@ -150,7 +153,7 @@
             self.tasks.start_soon(self._serve, listener, Transport(sock, self.limits, spawn_in(self.tasks)))
 
     async def _serve(self, listener: AddressListener, connection: Transport) -> None:
-        request_ids: list[str] = []  # one, once its first line has arrived
+        request_ids: list[str] = []  # holds one id once the first line has arrived
         try:
             if listener.fault == "slow":
                 await anyio.sleep(SLOW_READ_DELAY_S)
@@ -169,7 +172,7 @@
     async def _read_lines(
         self, listener: AddressListener, connection: Transport, request_ids: list[str]
     ) -> None:
-        """Answer lines until the connection ends, or is to be ended."""
+        """Answer lines until the peer ends the connection or an answer requires closing it."""
         buffer = b""
         while data := await connection.read():
             buffer += data
@@ -185,7 +188,10 @@
     async def _first_line_arrived(
         self, listener: AddressListener, connection: Transport, request_id: str
     ) -> bool:
-        """Count the delivery, and set the connection up unless a fault or a limit forbids it; is it up?"""
+        """Count the first line, and set the connection up unless a fault or a limit prevents it.
+
+        Returns whether the connection is established.
+        """
         listener.first_lines += 1
         self.deliveries[request_id] = self.deliveries.get(request_id, 0) + 1
         waited_ms = 1000 * SLOW_READ_DELAY_S if listener.fault == "slow" else 0.0
@@ -194,7 +200,7 @@
         if listener.fault == "reset":
             return False
         if listener.fault == "stall":
-            while await connection.read():  # until the relay gives it up
+            while await connection.read():  # until the relay closes the connection
                 pass
             return False
         connections = self.other_connections + len(self.established)
@@ -209,7 +215,7 @@
         return self._write_answer(connection, request_id)
 
     async def _do_setup_work(self, connection: Transport) -> bool:
-        """Call the session store and work for a moment; False if the relay has closed the connection."""
+        """Call the session store and do the backend's own work. False if the relay closed the connection."""
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as setup_tasks:
                 setup_tasks.start_soon(self._cancel_when_closed, connection.sock, scope)
@@ -229,7 +235,7 @@
 
     @staticmethod
     async def _cancel_when_closed(sock: socket.socket, scope: anyio.CancelScope) -> None:
-        """The relay gives an attempt up by closing it: a set-up that nobody waits for ends."""
+        """Cancel a set-up once the relay abandons the attempt by closing its connection."""
         while True:
             await anyio.wait_readable(sock)
             try:
@@ -246,7 +252,7 @@
         self, listener: AddressListener, connection: Transport, line: bytes, is_established: bool
     ) -> bool:
         if is_established:
-            connection.write(line)  # a sound connection returns a line at once
+            connection.write(line)  # an established connection echoes every line
             return True
         if listener.fault in ("stall", "reset"):
             return listener.fault == "stall"
@@ -263,7 +269,7 @@
         return True
 
     async def migrate_all(self, duration_s: float) -> None:
-        """Drain: ask all clients to come again, spread evenly over so long."""
+        """Drain: ask all clients to reconnect elsewhere, spread evenly over the duration."""
         self.draining = True
         migrated = list(self.established)
         for connection in migrated:
--- a/gannetweir/lab/emulator/clients.py
+++ b/gannetweir/lab/emulator/clients.py
@@ -1,7 +1,7 @@
-"""The clients of an emulated fleet, on real sockets. They report what they see to the rules' checker.
+"""The clients of an emulated fleet, on real sockets. They report their observations to the rule checker.
 
-Open loop: clients come at times drawn ahead and wait for nobody. The time of a request is counted from the
-moment at which it was due.
+The load is open-loop: arrival times are drawn ahead and don't wait for answers. The duration of a request is
+measured from the time at which it was due.
 """
 
 from __future__ import annotations
@@ -18,38 +18,40 @@
 from gannetweir.lab.emulator.relay_process import RelayProcess
 from gannetweir.lab.model.checker import RuleChecker
 
-DEATH_DETECTION_S = 2.5  # a front goes on sending to a relay that died for so long
-ANSWER_GRACE_S = 1.0  # after a request's time budget: the checker finds what has no answer
-MIN_RETURN_MS, MAX_RETURN_MS = 140, 1000  # a client's wait where no relay has told it one
-RETRYABLE_ANSWERS = "busy", "err", "broken", "moved", "cut"  # answers after which a client may come again
-GROUP_STEP = 0x9E3779B97F4A7C15  # spreads small numbers of groups over 64 bits
+DEATH_DETECTION_S = 2.5  # the time for which a load balancer still chooses a dead relay
+ANSWER_GRACE_S = (
+    1.0  # clients wait this long after the time budget; the checker then reports a missing answer
+)
+MIN_RETURN_MS, MAX_RETURN_MS = 140, 1000  # a client's wait where the relay gave no Retry-After
+RETRYABLE_ANSWERS = "busy", "err", "broken", "moved", "cut"  # answers after which a client may return
+GROUP_STEP = 0x9E3779B97F4A7C15  # spreads small group numbers over 64 bits
 GROUP_MASK = (1 << 64) - 1
 READ_BYTES = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class AnsweredRequest:
-    """One request that was answered, for the figures."""
+    """An answered request, recorded for the experiment's figures."""
 
-    due_s: float  # since the fleet ran
+    due_s: float  # since the fleet was ready
     request_class: str
     answer: str
-    duration_s: float  # from the moment at which it was due
+    duration_s: float  # from the time at which the request was due to its answer
 
 
 @dataclass(frozen=True, slots=True)
 class ClientPlan:
-    """One client: what it asks, how long it stays and how often it comes again."""
+    """A client's request class, group, stay and retries."""
 
     class_number: int = 0
     duration_s: float = 0.0
     group: int = 1
     retries: int = 0
-    line_interval_s: float = 2.0  # between two lines that it sends once it is served
+    line_interval_s: float = 2.0  # interval of the lines that a served client sends
 
 
 class EmulatedClients:
-    """Owns what clients were answered, and how many connections stand. Clients are tasks of the callers."""
+    """Owns the clients' answers and the counts of open connections. Each client runs in its caller's task."""
 
     def __init__(
         self,
@@ -64,14 +66,14 @@
         self.checker = checker
         self.now_us = now_us
         self.relays = relays
-        self.started_s = 0.0  # set once the fleet runs
+        self.started_s = 0.0  # set once the fleet is ready
         self.request_count = 0
         self.answered: list[AnsweredRequest] = []
-        self.counts: Counter[str] = Counter()  # by answer, and by how a connection ended
-        self.open_connections: Counter[str] = Counter()  # established ones, by backend
+        self.counts: Counter[str] = Counter()  # by answer or kind of connection end
+        self.open_connections: Counter[str] = Counter()  # established connections by backend
 
     def choose_relay(self) -> RelayProcess:
-        """A relay as the front chooses it: one that died a moment ago is still sent to."""
+        """Choose a relay as a load balancer would: one that died recently may still be chosen."""
         now = anyio.current_time()
         candidates = [
             relay
@@ -87,7 +89,7 @@
         relay: RelayProcess | None = None,
         retries_made: int = 0,
     ) -> str:
-        """Play a client from its first line to its end, returns included; its last answer."""
+        """Run a client from its first line to its end, with its retries. Returns its last answer."""
         answer, retry_after_ms = await self._request_once(client, due_s, relay, retries_made)
         if answer in ("moved", "cut", "broken"):
             self.counts[answer] += 1
@@ -100,7 +102,7 @@
     async def _request_once(
         self, client: ClientPlan, due_s: float, relay: RelayProcess | None, retries_made: int
     ) -> tuple[str, float]:
-        """One connection; its answer, and for how many milliseconds a rejected client was told to wait."""
+        """Make one connection. Returns its answer, and the Retry-After of a rejection in milliseconds."""
         self.request_count += 1
         number = self.request_count
         due = anyio.current_time() if due_s < 0 else due_s
@@ -125,7 +127,7 @@
                     answer = await self._use_connection(stream, fields[1].rpartition("-")[0], client)
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
             if number in self.checker.traces:
-                self.checker.client_disconnected(number)  # a dead relay owes no answer
+                self.checker.client_disconnected(number)  # no answer is expected from a dead relay
             answer = "broken"
         return answer, retry_after_ms
 
@@ -143,8 +145,8 @@
         self.counts[answer] += 1
 
     async def _use_connection(self, stream: anyio.abc.ByteStream, backend: str, client: ClientPlan) -> str:
-        """Stay for the client's time, with a line now and then: `up` at the end, `moved` if it was asked
-        to come again before, `cut` if the connection ended without a word.
+        """Stay connected for the client's duration and send a line at each interval. Returns `up` at the end
+        of the duration, `moved` after an earlier MOVE, or `cut` if the connection ended without MOVE.
         """
         self.open_connections[backend] += 1
         try:
@@ -170,7 +172,7 @@
         groups: int = 40,
         progress: Callable[[float], None] = lambda share: None,
     ) -> None:
-        """Let clients arrive for so long; returns when all of them have had their answers or ended."""
+        """Let clients arrive for this many seconds. Returns once all of them have ended."""
         rng = random.Random(f"{self.seed} arrivals")
         async with anyio.create_task_group() as tasks:
             start = anyio.current_time()
@@ -184,7 +186,7 @@
                 progress((due - start) / seconds)
 
     async def request_many(self, count: int, concurrency: int) -> Counter[str]:
-        """Make so many requests of clients that leave at once, some at a time; how often each answer came."""
+        """Make requests whose clients disconnect at once when served. Returns the count of each answer."""
         answers: Counter[str] = Counter()
         pending = iter(range(count))
 
--- a/gannetweir/lab/emulator/emulator.py
+++ b/gannetweir/lab/emulator/emulator.py
@@ -1,4 +1,4 @@
-"""A fleet on loopback: real relays as processes, and stand-ins for all that they speak to.
+"""A fleet on loopback: real relay processes, and stand-ins for all their peers.
 
 The rules are checked by the same checker as in the simulated world.
 """
@@ -26,12 +26,12 @@
 from gannetweir.lab.emulator.relay_process import RelayProcess
 from gannetweir.lab.model.checker import RuleChecker
 
-NEXT_STEP_DELAY_S = 0.5  # from discovery's update until a drain's or a restart's next step
+NEXT_STEP_DELAY_S = 0.5  # between discovery's update and the next step of a drain or restart
 
 
 class Emulator:
-    """The fleet, its stand-ins and clients. Use it with `async with`: at the end every process that it
-    started has ended, and its folder is gone.
+    """The fleet, its stand-ins and clients, as an async context manager. On exit all relay processes are
+    ended and the temporary folder is removed.
     """
 
     def __init__(self, plan: EmulatorPlan) -> None:
@@ -44,17 +44,17 @@
         self.backends: dict[str, EmulatedBackend] = {}
         self.relays: list[RelayProcess] = []
         self.clients = EmulatedClients(plan.seed, self.rng, self.checker, self.now_us, self.relays)
-        self.tasks: anyio.abc.TaskGroup  # from entering on
+        self.tasks: anyio.abc.TaskGroup  # set by `__aenter__`
         self._created_ns = time.monotonic_ns()
         self._resources = AsyncExitStack()
 
     def now_us(self) -> int:
-        """The time since the fleet was made, for the checker."""
+        """The time since the emulator was created, as used by the checker."""
         return (time.monotonic_ns() - self._created_ns) // 1000
 
     @property
     def started_s(self) -> float:
-        """When all relays were ready, by the event loop's clock."""
+        """The time at which all relays were ready, by the event loop's clock."""
         return self.clients.started_s
 
     async def __aenter__(self) -> Emulator:
@@ -81,7 +81,8 @@
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        for relay in self.relays:  # first, and without waiting: also if this is being cancelled
+        # The relays are killed first, and without an await, so that this also happens during a cancellation.
+        for relay in self.relays:
             relay.kill()
         await self._resources.__aexit__(kind, error, trace)
 
@@ -102,14 +103,14 @@
         self.discovery.change(backend.name, **fields)
 
     async def drain_backend(self, name: str, duration_s: float = 2.0) -> None:
-        """Let discovery list a backend as draining; the backend then migrates its clients bit by bit."""
+        """Let discovery list a backend as draining. The backend then migrates its clients one by one."""
         self.discovery.change(name, health="Terminating")
-        self.checker.relay_notified(name, True, self.now_us())  # a watch is sent it at once
+        self.checker.relay_notified(name, True, self.now_us())  # discovery sends changes to watches at once
         await anyio.sleep(NEXT_STEP_DELAY_S)
         await self.backends[name].migrate_all(duration_s)
 
     async def restart_backend(self, name: str) -> None:
-        """Kill a backend, and start it again in its slow start."""
+        """Kill a backend, and restart it in its slow start."""
         backend = self.backends[name]
         backend.stop()
         self.discovery.change(name, health="Gone")
@@ -122,16 +123,18 @@
         self.discovery.change(name, health="Ready", born_ms=int(time.time() * 1000))
 
     def undecided_overlaps(self) -> int:
-        """Requests of which an overlap can be neither shown nor ruled out: the stand-ins were late."""
+        """The number of requests for which an overlap can be neither shown nor ruled out."""
         return len(self.attempt_overlaps.undecided_overlaps)
 
     def violations(self) -> list[str]:
-        """End the checker's run; all violations of the rules."""
+        """End the checker's run and return all violations."""
         return self.checker.finish(self.now_us())
 
     async def count_first_lines(self) -> tuple[int, int]:
-        """First lines that arrived at the backends, and that the relays have written whole. Each side counts
-        its own, so that a line that was sent twice, lost or made up shows.
+        """Returns the number of first lines that backends received, and that relays wrote completely.
+
+        Backends and relays count independently, so the numbers differ if a line was duplicated, lost or
+        invented.
         """
         counted = sum([await relay.counters() for relay in self.relays], Counter[str]())
         arrived = sum(sum(backend.deliveries.values()) for backend in self.backends.values())
--- a/gannetweir/lab/emulator/plan.py
+++ b/gannetweir/lab/emulator/plan.py
@@ -1,4 +1,4 @@
-"""What an emulated fleet is made of, and the settings with which its relays are started."""
+"""The plan of an emulated fleet, and the platform settings with which its relays are started."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EmulatedRequestClass:
-    """One class of requests, as the platform's settings name it."""
+    """A request class of the platform's settings, with its share of the load."""
 
     name: str
     time_budget_ms: int
     importance: float
-    arrival_share: float  # of all arrivals
+    arrival_share: float  # the class's share of all arrivals
 
 
 CLASSES = (
@@ -35,12 +35,12 @@
     capacity: int = 400
     store_calls_per_s: float = 2000.0
     sockets: int = 1024
-    operators_file: str = ""  # its text; empty: none
-    other_connections: int = 0  # that each backend reports beside those of the emulator
+    operators_file: str = ""  # the file's text; empty means no operators' file
+    other_connections: int = 0  # connections that each backend adds to the emulator's own
 
 
 def platform_settings(relays: int) -> dict[str, Any]:
-    """The platform's settings for each relay of a fleet of so many."""
+    """Returns the platform's settings for a relay of a fleet of this size."""
     return {
         "categories": [
             {
--- a/gannetweir/lab/emulator/relay_process.py
+++ b/gannetweir/lab/emulator/relay_process.py
@@ -1,4 +1,4 @@
-"""A real relay of the emulated fleet, in a process of its own, started as an installation would."""
+"""A real relay of the emulated fleet in a separate process, started as in an installation."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from gannetweir.lab.emulator.discovery import EmulatedDiscovery
 from gannetweir.lab.emulator.plan import EmulatorPlan, platform_settings
 
-START_TIMEOUT_S = 15.0  # a relay that does not answer by then has failed
-EXIT_TIMEOUT_S = 5.0  # after that a relay that was told to end is killed
-COUNTERS_TIMEOUT_S = 5.0  # for the counters after SIGUSR1
+START_TIMEOUT_S = 15.0  # a relay that does not answer within this time has failed to start
+EXIT_TIMEOUT_S = 5.0  # a relay that has not exited this long after its signal is killed
+COUNTERS_TIMEOUT_S = 5.0  # the wait for the counters that a relay prints after SIGUSR1
 POLL_INTERVAL_S = 0.02
 MEMORY_MB = 192
 
 
 class RelayProcess:
-    """One relay, on the same port at every start. It owns its process, and its log in the fleet's folder."""
+    """A relay on the same port at every start. Owns the process, and its log in the fleet's folder."""
 
     def __init__(self, plan: EmulatorPlan, discovery: EmulatedDiscovery, folder: Path, number: int) -> None:
         self.plan = plan
@@ -37,7 +37,7 @@
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = int(free.getsockname()[1])
         self.process: subprocess.Popen[bytes] | None = None
-        self.dead_since_s = -1.0  # -1: it runs, or was not started
+        self.dead_since_s = -1.0  # -1 means running or not started yet
 
     def start(self) -> None:
         """Start the process; `wait_ready` waits until it serves."""
@@ -67,7 +67,7 @@
         }
 
     async def wait_ready(self, timeout_s: float = START_TIMEOUT_S) -> None:
-        """Return once it answers a ping; `TimeoutError` if it does not in time."""
+        """Wait until the relay answers a ping. Raises `TimeoutError` if it does not in time."""
         with anyio.fail_after(timeout_s):
             while True:
                 with suppress(OSError, anyio.EndOfStream):
@@ -80,7 +80,7 @@
     async def stop(
         self, signal_number: signal.Signals = signal.SIGTERM, timeout_s: float = EXIT_TIMEOUT_S
     ) -> None:
-        """End it with a signal, and kill it if it has not ended in time."""
+        """Send the relay a signal, and kill the process if it has not exited in time."""
         if self.process is None:
             return
         self.dead_since_s = anyio.current_time()
@@ -91,7 +91,7 @@
         self.kill()
 
     def kill(self) -> None:
-        """End it at once; nothing if it does not run."""
+        """Kill the process. Does nothing if it is not running."""
         if self.process is not None:
             with suppress(ProcessLookupError):
                 self.process.kill()
@@ -103,7 +103,10 @@
         return [line for line in lines if line[:1] == b"{"]
 
     async def counters(self) -> Counter[str]:
-        """Its counters now, or as it last printed them; `TimeoutError` if it prints none."""
+        """Returns a running relay's current counters, or the last ones that a stopped relay printed.
+
+        Raises `TimeoutError` if a running relay prints none in time.
+        """
         before = len(self._printed_counters())
         if self.process is not None:
             self.process.send_signal(signal.SIGUSR1)
--- a/gannetweir/lab/emulator/script.py
+++ b/gannetweir/lab/emulator/script.py
@@ -1,4 +1,4 @@
-"""What happens to an emulated fleet while it is under load."""
+"""Scripts of events, such as faults and restarts, for an emulated fleet under load."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class ScriptedEvent:
-    """An action on the fleet, so long after the load's start."""
+    """An action on the fleet, `at_s` seconds after the start of the load."""
 
     at_s: float
     action: Callable[[Emulator], Awaitable[None]]
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Script:
-    """One run: its load, and its events."""
+    """The load and the events of a run."""
 
     arrivals_per_s: float
     seconds: float
@@ -35,7 +35,7 @@
     progress: Callable[[float], None] = lambda share: None,
     report: Callable[[str], None] = lambda event_description: None,
 ) -> None:
-    """Run a script to its end; `report` is called with each event's description as it begins."""
+    """Run a script to its end. `report` is called with an event's description when the event begins."""
 
     async def run_event(event: ScriptedEvent) -> None:
         await anyio.sleep(event.at_s)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""A real relay among stand-ins on real sockets: broken addresses, each kind alone and in pairs."""
+"""A real relay with emulated backends on real sockets: address faults of each kind, alone and in pairs."""
 
 import random
 import socket
@@ -37,7 +37,7 @@
 
 
 def addresses_of(emulator: Emulator, family: str) -> list[tuple[str, str]]:
-    """The address of that family of each node."""
+    """Returns the name of each backend with its address of that family."""
     return [
         (name, text)
         for name, backend in emulator.backends.items()
@@ -48,8 +48,8 @@
 
 @pytest.mark.parametrize(("faults", "family_alone"), SINGLE_FAULTS + FAULT_PAIRS)
 def test_requests_are_served_once_over_working_addresses(faults: tuple[str, ...], family_alone: str) -> None:
-    """One or two of three families are broken at every node. All is served, no first line is ever out twice
-    at once, and a request that was sent again was first given up.
+    """One or two of three address families are faulty at every backend. Requests are served over the others,
+    and no request has two attempts in flight at once: a retry starts only after the attempt before has ended.
     """
     families = (family_alone,) if family_alone else ("ipv6", "unix" if "hole" not in faults[1:] else "ipv4")
 
@@ -61,9 +61,8 @@
                     emulator.backends[name].set_fault(text, fault)
             answers = await emulator.clients.request_many(60, 6)
             assert answers["up"] >= 55, answers
-            while (
-                emulator.clients.request_count - emulator.undecided_overlaps() < 60
-            ):  # each that a busy machine hides is asked anew
+            # A request whose overlap is undecided, as on a busy machine, is replaced by another.
+            while emulator.clients.request_count - emulator.undecided_overlaps() < 60:
                 assert emulator.clients.request_count < 240, emulator.attempt_overlaps.undecided_overlaps
                 answers += await emulator.clients.request_many(
                     60 + emulator.undecided_overlaps() - emulator.clients.request_count, 6
@@ -73,7 +72,7 @@
             sent, written = await emulator.count_first_lines()
             attempts = [trace.attempts for trace in emulator.checker.traces.values()]
             assert sent == written == sum(attempts) and max(attempts) <= 6
-            if not {"stall", "reset"} & set(faults):  # nothing was ever out that had to be given up
+            if not {"stall", "reset"} & set(faults):  # without them no attempt fails after its connect
                 assert sent == answers["up"] and max(attempts) == 1
 
     anyio.run(run)
@@ -104,7 +103,7 @@
             relay = emulator.relays[0]
             await relay.stop()
             counts = await relay.counters()
-            # an attempt at a server whose addresses all refuse is one failed connect, not one for each
+            # If all addresses of a backend refuse, an attempt counts one failed connect, not one per address.
             assert counts["attempts.connect_failed"] <= 5
 
     anyio.run(run)
@@ -127,7 +126,7 @@
 
 
 def test_second_connect_is_evicted_and_the_first_continues() -> None:
-    """Two ways that never come up race; where a descriptor is wanted the second gives way, none else."""
+    """Two connects that never complete race. If a descriptor is needed, only the second one is evicted."""
 
     async def run() -> None:
         no_attempts = AttemptOverlaps(RuleChecker(), lambda: 0)
@@ -176,7 +175,7 @@
                     await anyio.sleep(0.005)
             assert list(host.address_races) == [dialer] and dialer.evict() and descriptors.open == 1
             assert not dialer.evict() and not errors
-            host.room = False  # nothing more begins beside the one that is out
+            host.room = False  # without capacity no second connect starts beside the first
             other = AddressRaceDriver(host, selector, "a", selector.new_race("a", host.clock()), descriptors)
             tasks.start_soon(dial, other)
             await anyio.sleep(0.2)
@@ -195,7 +194,7 @@
 
 
 class ManualClock:
-    """What a dialer needs of the relay, with a clock that moves only when told."""
+    """A relay as the connection race driver needs it, with a clock that only the test advances."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self.limits, self.address_races, self.now_us = Limits(), dict[Evictable, None](), 1
@@ -213,7 +212,7 @@
 
 @pytest.mark.parametrize("first", ["unix", "ipv6"])
 def test_preferred_address_is_used_until_it_refuses(first: str, tmp_path: Path) -> None:
-    """Real sockets under a fed clock: no measure of a busy machine can put a sound way behind."""
+    """Real sockets with a manual clock, so that a busy machine's connect times cannot change the ranking."""
 
     async def run() -> None:
         attempts = AttemptOverlaps(RuleChecker(), lambda: 0)
@@ -241,17 +240,15 @@
                     found.add(target_address.family)
                 return found
 
-            tasks.start_soon(host.pass_50_ms)  # between the order to connect and the connect
+            tasks.start_soon(host.pass_50_ms)  # runs between the command to connect and the connect
             assert await connected_families(1) == {first} and host.now_us == 50_001
-            assert all(
-                path.connect_time_us == 0 for path in selector.states_by_endpoint["a"].values()
-            )  # not the path's time
+            # The delay before the connect is not counted in the address's connect time.
+            assert all(path.connect_time_us == 0 for path in selector.states_by_endpoint["a"].values())
             assert await connected_families(29) == {first} and selector.preferred_bypassed == 0
             host.now_us = 1
             backend.set_fault(next(iter(backend.listeners)), "refuse")
-            assert (
-                await connected_families(30) == {"ipv4"} and selector.preferred_bypassed == 29
-            )  # the first of them learnt it
+            # The first of the 30 connects finds out that the preferred address refuses.
+            assert await connected_families(30) == {"ipv4"} and selector.preferred_bypassed == 29
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
@@ -259,22 +256,24 @@
 
 WITH_UNIX = [("unix", "unix"), ("ipv6", "ipv4"), ("ipv4", "unix"), ("unix", "ipv6")]
 TCP_ONLY = [("ipv6", "ipv4"), ("ipv4", "ipv4")]
-# a line (+) or an end (-) at one of two nodes, (.) a moment in which the kernel's clock moves on, and (|) all
-# of it is read before the rest comes
+# The orders of events at two backends: a first line (+) or an end (-) at backend 0 or 1, a pause in which the
+# kernel's clock advances (.), and a point at which everything so far is read before the rest is sent (|).
 ORDERS = [
     ("+0 -0 +1", 0, WITH_UNIX),
     ("+0 +1", 1, WITH_UNIX),
     ("+0 +1 . -0", 1, TCP_ONLY),
-    ("+0 -0 +1 -1 +0", 0, WITH_UNIX),  # the second line is read last: node 0 accepts both of its own at once
+    # The second line is read last, since backend 0 accepts both of its connections at once.
+    ("+0 -0 +1 -1 +0", 0, WITH_UNIX),
     ("+0 -0 +1 +0 . -1", 1, TCP_ONLY),
     ("+0 | . -0 +1", 0, WITH_UNIX),
     ("+0 | +1 . -0", 1, TCP_ONLY),
 ]
-UNDECIDABLE_ORDERS = ["+0 +1 . -0", "+0 | +1 . -0", ". +0 -0 +1 ."]  # what a Unix socket can't tell apart
+# Orders that cannot be told apart if one backend has a Unix socket, for which the kernel keeps no times.
+UNDECIDABLE_ORDERS = ["+0 +1 . -0", "+0 | +1 . -0", ". +0 -0 +1 ."]
 
 
 def send_in_order(order: str, addresses: list[Address], open_connections: dict[str, socket.socket]) -> None:
-    """Puts all of it into the kernel. `out` is what is open, by node."""
+    """Send all events of an order to the kernel. `open_connections` are those still open, by backend."""
     for step in order.split():
         if step == ".":
             time.sleep(0.05)
@@ -297,10 +296,10 @@
 async def run_late_stand_ins(
     order: str, families: tuple[str, str], folder: str
 ) -> tuple[RuleChecker, AttemptOverlaps]:
-    """What two nodes that come to each part of an order late say of it."""
+    """Let two backends read each part of an order late. Returns the checker and the observed attempts."""
     checker = RuleChecker()
     checker.request_sent(1, "x", 2_000_000, True, 0)
-    attempts = AttemptOverlaps(checker, lambda: 0)  # no beat is run: its last was before all of it
+    attempts = AttemptOverlaps(checker, lambda: 0)  # the delay monitor never ticks, so its ticks are all old
     addresses = [loopback_addresses(n, folder, (family,)) for n, family in enumerate(families)]
     emulated_backends = [
         EmulatedBackend(f"b{n}", target_address, 10, EmulatedSessionStore(1), attempts, random.Random(n))
@@ -331,8 +330,8 @@
 def test_late_backends_distinguish_an_end_before_the_next_line_from_an_overlap(
     order: str, overlaps: int, families: tuple[str, str], tmp_path: Path
 ) -> None:
-    """All of a part is in the kernel before the stand-ins have their next turn, so only its order counts. An
-    end after a line is seen as such where the kernel keeps times: between two TCP connections.
+    """All events of a part are in the kernel before the backends read any, so only their order counts. An end
+    after the next line is recognized only between TCP connections, for which the kernel keeps times.
     """
     checker, attempts = anyio.run(run_late_stand_ins, order, families, str(tmp_path))
     assert len([text for text in checker.violations if "overlap" in text]) == overlaps, checker.violations
@@ -343,13 +342,13 @@
     ("order", "families"), [(o, f) for o in UNDECIDABLE_ORDERS for f in WITH_UNIX if UNIX in f]
 )
 def test_undecidable_overlaps_are_recorded(order: str, families: tuple[str, str], tmp_path: Path) -> None:
-    """Beside a Unix socket: an overlap that began and ended while they were late is not passed over."""
+    """With a Unix socket, an overlap that began and ended while the loop was late is undecided."""
     checker, attempts = anyio.run(run_late_stand_ins, order, families, str(tmp_path))
     assert list(attempts.undecided_overlaps) == [1] and not checker.violations
 
 
 def test_overlap_is_decided_if_the_loop_is_on_time(tmp_path: Path) -> None:
-    """A loop that was not late leaves nothing open, also between Unix sockets."""
+    """If the loop is not late, every pair of attempts is decided, also between Unix sockets."""
     checker = RuleChecker()
     checker.request_sent(1, "x", 2_000_000, True, 0)
     attempts = AttemptOverlaps(checker, lambda: 0)
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -22,11 +22,11 @@
     world = simulate_scenario(scenario, fleet_plan(seed, relays, backends))
     counts = world.checker.counts
     assert not world.checker.violations, world.checker.violations[:3]
-    min_served_share = (
-        0.75 if scenario == "throng" else 0.95
-    )  # a throng asks for all that the fleet holds, half of it cold
+    # The throng loads the fleet to its full capacity while half of the backends are in slow start.
+    min_served_share = 0.75 if scenario == "throng" else 0.95
     assert counts["up"] >= min_served_share * len(world.checker.traces) > 100
-    assert scenario == "kill" or 0 < counts["cold_share"] <= 100  # cold ones were used, within what they bear
+    # Backends in slow start were used, within the set-ups that they are allowed.
+    assert scenario == "kill" or 0 < counts["cold_share"] <= 100
     for relay in world.relays:
         faults = relay.engine.counters.counts
         assert not faults["placement_faults"] and not faults["overdue"]
@@ -38,9 +38,9 @@
 
 def test_ignoring_slow_start_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SlowStart, "capacity_share", lambda *_: 1.0)
-    # and their reports say the same
+    # Load reports don't show the slow start either.
     monkeypatch.setattr(SimulatedBackend, "current_capacity", lambda backend: backend.capacity)
-    # all groups begin at the same
+    # All groups start at the same backends.
     monkeypatch.setattr(ready_endpoints, "rendezvous_rank", lambda _group, place: place)
     assert ": cold: " in violations_of("join")
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab's tools: experiments are read strictly, results kept whole, comparisons know noise."""
+"""The lab's tools: strict parsing of experiments, stored results, and comparisons that allow for noise."""
 
 import contextlib
 import signal
@@ -20,7 +20,7 @@
 from gannetweir.lab.model.world import World
 
 ROOT = Path(__file__).parent.parent
-LOOP_DELAY_LIMIT_MS = 100.0  # by which a machine with cores to spare holds up no loop
+LOOP_DELAY_LIMIT_MS = 100.0  # on a machine with idle cores the event loop is never this late
 SMALL = """experiment "small" {
     relays 1
     nodes 2
@@ -90,10 +90,11 @@
     data = orjson.loads((tmp_path / "out/results.json").read_bytes())
     assert [run["variant"] for run in data["runs"]] == ["good", "refused"]
     for run in data["runs"]:
-        # A relay that is kept from the processor for a connect's 250 ms takes the attempt for failed, and
-        # refuses more where most fail. That excuses a share only where attempts failed and the stand-ins' own
-        # loop shows such a machine; and what was not served is what the relay says that it refused. By a
-        # clock that stands, all of it is served: the next test
+        # On an overloaded machine a relay can exceed the connect timeout of 250 ms, count the attempt as
+        # failed, and reject more requests while most attempts fail. So a smaller served share is accepted
+        # only if attempts failed and the emulator's own event loop was late. Requests that were not served
+        # must equal the relay's own counts of rejected and failed. The next test serves the same load on
+        # virtual time.
         counts, figures = run["counts"], run["figures"]
         assert figures["rules broken"] == 0
         overloaded = figures["stand-ins late, ms"] > LOOP_DELAY_LIMIT_MS
@@ -101,8 +102,9 @@
         assert (counts.get("busy", 0), counts.get("err", 0)) == (counts["rejected"], counts["failed"])
         assert sum(run["paths"]["unix"]) + sum(run["paths"]["ipv4"]) > 50
     good, refused = (sum(run["paths"]["ipv4"]) for run in data["runs"])
-    # A way that was measured much slower goes behind, and on a busy machine a measure may say so. Then the
-    # relay has counted it; for no other reason is another taken. With a fed clock: tests/test_emulator.py
+    # The relay ranks an address lower if it measured a much longer connect time, which can happen on a busy
+    # machine, and it counts each preferred address that it passes over. There is no other reason to use IPv4.
+    # tests/test_emulator.py tests this with a manual clock.
     assert good <= data["runs"][0]["counts"]["passed over"] and good < refused
     page = (tmp_path / "out/index.html").read_text()
     assert page.count("<svg") == 4 and "http://" not in page.replace("http://www.w3.org", "")
@@ -115,7 +117,7 @@
 @pytest.mark.parametrize("seed", range(1, 6))
 @pytest.mark.parametrize("variant", ["good", "refused"])
 def test_same_load_is_served_completely_on_virtual_time(variant: str, seed: int) -> None:
-    """The relay's decisions without the machine's: nothing fails, and nothing is refused."""
+    """On virtual time the machine's load has no influence: no attempt fails, and no request is rejected."""
     traffic_classes = tuple(Traffic(share, 200_000.0) for share in (0.36, 0.34, 0.15, 0.15))
     plan = WorldPlan(
         seed,
@@ -130,7 +132,7 @@
     world = World(plan)
 
     for backend in world.backends.values():
-        backend.open_connections = 50  # beside those of the load, as `base` says
+        backend.open_connections = 50  # the experiment's `base`, connections that are not part of the load
 
     def set_unix_fault(fault: str) -> None:
         for backend in world.backends.values():
@@ -205,7 +207,7 @@
 
 
 def children(pid: int) -> set[int]:
-    """The processes that one has started, by /proc."""
+    """Returns the child processes of a process, from /proc."""
     found = set()
     for stat in Path("/proc").glob("[0-9]*/stat"):
         with contextlib.suppress(OSError):
@@ -219,7 +221,7 @@
     command = [sys.executable, "-u", "-m", "gannetweir", "demo", "--seconds", "15"]
     with subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.STDOUT) as demo:
         assert demo.stdout is not None
-        while b"silent" not in (line := demo.stdout.readline()):  # the first fault: all of it runs
+        while b"silent" not in (line := demo.stdout.readline()):  # all processes run at the first fault
             assert line
         started = children(demo.pid)
         assert len(started) == 2
