--- a/gannetweir/lab/__main__.py
+++ b/gannetweir/lab/__main__.py
@@ -66,21 +66,21 @@
 
     experiment = parse_experiment(path.read_text(), path.parent)
     runs: list[ExperimentRun] = []
-    with Progress() as bar:
+    with Progress() as progress:
 
         def run_one(variant: str, seed: int, task: TaskID) -> ExperimentRun:
             async def run() -> ExperimentRun:
                 return await run_variant(
-                    experiment, variant, seed, lambda share: bar.update(task, completed=share)
+                    experiment, variant, seed, lambda share: progress.update(task, completed=share)
                 )
 
             return anyio.run(run)
 
         for variant in experiment.variants:
             for seed in experiment.seeds:
-                task = bar.add_task(f"{variant}, seed {seed}", total=1.0)
+                task = progress.add_task(f"{variant}, seed {seed}", total=1.0)
                 runs.append(run_one(variant, seed, task))
-                bar.update(task, completed=1.0)
+                progress.update(task, completed=1.0)
     write_results(experiment, runs, folder)
     print_table(experiment.name, *results_table(runs))
     print(f"kept in {folder}: results.json, README.md, index.html and charts")
@@ -104,22 +104,22 @@
     all_sizes = parse_fleet(path.read_text())
     experiment = select(all_sizes, relays_option, backends_option, phases)
     runs: list[FleetRun] = []
-    with Progress() as bar:
+    with Progress() as progress:
 
-        def play_size(relays: int, backends: int) -> FleetRun:
+        def run_size(relays: int, backends: int) -> FleetRun:
             phase_shares: dict[str, float] = {}
             total = len(experiment.phases) + 1.0
-            task = bar.add_task(f"{relays} relays, {backends} backends", total=total)
+            task = progress.add_task(f"{relays} relays, {backends} backends", total=total)
 
             def show_progress(phase: str, share: float) -> None:
                 phase_shares[phase] = share
-                bar.update(task, completed=sum(phase_shares.values()))
+                progress.update(task, completed=sum(phase_shares.values()))
 
             return anyio.run(play_fleet, experiment, relays, backends, show_progress)
 
         for backends in experiment.backends:
             for relays in experiment.relays:
-                runs.append(play_size(relays, backends))
+                runs.append(run_size(relays, backends))
                 keep(all_sizes, runs, folder)
     print_table(experiment.name, RUN_COLUMNS, [run_row(run) for run in runs])
     print(f"kept in {folder}: results.json, README.md and charts")
@@ -129,20 +129,20 @@
 def run_address_faults(requests: int, seeds: int, folder: str | None) -> int:
     """Test address faults on sockets and on virtual time. Returns 1 if a rule was violated, otherwise 0."""
     rows = []
-    with Progress() as bar:
-        task = bar.add_task("on sockets", total=len(list(address_faults.cases())))
+    with Progress() as progress:
+        task = progress.add_task("on sockets", total=len(list(address_faults.cases())))
         for row in address_faults.emulate_cases(requests):
             rows.append(row)
-            bar.advance(task)
+            progress.advance(task)
     print_table(f"{requests} requests each", address_faults.COLUMNS, rows)
     total = address_faults.simulate_scenarios(seeds)
-    days = ", ".join(f"{name} {count}" for name, count in total.items())
-    print(f"on virtual time: {days}")
+    totals = ", ".join(f"{name} {count}" for name, count in total.items())
+    print(f"on virtual time: {totals}")
     if folder:
         text = (
             f"# Broken addresses\n\nOne relay, four nodes (a Unix socket, IPv6 and IPv4 each), {requests} "
             f"requests a row, ten at a time.\n\n{markdown(address_faults.COLUMNS, rows)}\n\n"
-            f"On virtual time, three relays, six backends with three addresses, days of 15 s: {days}.\n"
+            f"On virtual time, three relays, six backends with three addresses, days of 15 s: {totals}.\n"
         )
         (Path(folder) / "broken-addresses.md").write_text(text)
     return int(total["broken"] > 0 or any(row[-1] != "0" for row in rows))
--- a/gannetweir/lab/experiments/demo.py
+++ b/gannetweir/lab/experiments/demo.py
@@ -104,7 +104,7 @@
         if live:
             for line in event_lines:
                 console.print(line)
-        broken = emulator.violations()
+        rule_violations = emulator.violations()
         durations_s = sorted(s.duration_s for s in emulator.clients.answered if s.answer == "up")
         answered_count = len(emulator.clients.answered)
         served = len(durations_s)
@@ -123,13 +123,13 @@
             ),
             ("attempts a request", f"{attempts / max(1, answered_count):.3f}"),
             ("migrated and returned", f"{emulator.clients.counts['moved']}"),
-            ("rules broken", f"{len(broken)}"),
+            ("rules broken", f"{len(rule_violations)}"),
         ):
             table.add_row(label, figure)
         console.print(table)
-        for line in broken[:5]:
+        for line in rule_violations[:5]:
             console.print(line)
-    return 1 if broken else 0
+    return 1 if rule_violations else 0
 
 
 def main(seconds: float = DURATION_S) -> int:
--- a/gannetweir/lab/experiments/experiment_run.py
+++ b/gannetweir/lab/experiments/experiment_run.py
@@ -232,14 +232,14 @@
         scripted.append(ScriptedEvent(at, action, description))
 
     if "fault" in step:
-        where = f"{step.get('node', 'every node')}, {step.get('family', 'every address')}"
+        faulty_addresses = f"{step.get('node', 'every node')}, {step.get('family', 'every address')}"
         add(
             step["at"],
             lambda emulator: apply_fault(emulator, step["fault"]),
-            f"{where} {FAULT_DESCRIPTIONS[step['fault']]}",
+            f"{faulty_addresses} {FAULT_DESCRIPTIONS[step['fault']]}",
         )
         if "until" in step:
-            add(step["until"], lambda emulator: apply_fault(emulator, ""), f"{where} recovers")
+            add(step["until"], lambda emulator: apply_fault(emulator, ""), f"{faulty_addresses} recovers")
     if "drain" in step:
         add(
             step["at"], lambda emulator: emulator.drain_backend(str(step["drain"])), f"{step['drain']} drains"
@@ -283,40 +283,40 @@
     """Run a variant with a seed and return its results. `progress` gets the elapsed share of the load."""
     experiment = experiment.with_swept_value(variant)
     plan = replace(experiment.plan, seed=seed)
-    paths: dict[str, list[int]] = {family: [] for family in plan.families}
+    first_lines_per_s: dict[str, list[int]] = {family: [] for family in plan.families}
     async with Emulator(plan) as emulator:
 
-        async def watch() -> None:
-            last = dict.fromkeys(paths, 0)
+        async def count_first_lines() -> None:
+            last = dict.fromkeys(first_lines_per_s, 0)
             while True:
                 await anyio.sleep(1.0)
-                for family in paths:
+                for family in first_lines_per_s:
                     now = sum(
                         listener.first_lines
                         for node in emulator.backends.values()
                         for listener in node.listeners.values()
                         if listener.address.family == family
                     )
-                    paths[family].append(now - last[family])
+                    first_lines_per_s[family].append(now - last[family])
                     last[family] = now
 
         events = [
             event for parsed_step in experiment.variants[variant] for event in scripted_events(parsed_step)
         ]
         async with anyio.create_task_group() as background:
-            background.start_soon(watch)
+            background.start_soon(count_first_lines)
             await run_script(
                 emulator,
                 Script(experiment.arrivals_per_s, experiment.seconds, experiment.mean_duration_s, events),
                 progress,
             )
             background.cancel_scope.cancel()
-        broken = emulator.violations()
+        rule_violations = emulator.violations()
         for relay in emulator.relays:
             counted = await relay.counters()
             for name, counters in RELAY_COUNTERS.items():
                 emulator.clients.counts[name] += sum(counted[counter] for counter in counters)
-        return _figures(experiment, variant, seed, emulator, broken, paths)
+        return _figures(experiment, variant, seed, emulator, rule_violations, first_lines_per_s)
 
 
 def _figures(
@@ -324,16 +324,16 @@
     variant: str,
     seed: int,
     emulator: Emulator,
-    broken: Sequence[str],
-    paths: dict[str, list[int]],
+    rule_violations: Sequence[str],
+    first_lines_per_s: dict[str, list[int]],
 ) -> ExperimentRun:
     all_durations = HdrHistogram(1, 60_000_000, 3)
     seconds: dict[int, HdrHistogram] = {}
     for served in emulator.clients.answered:
         if served.answer == "up":
-            us = max(1, int(served.duration_s * 1e6))
-            all_durations.record_value(us)
-            seconds.setdefault(int(served.due_s), HdrHistogram(1, 60_000_000, 3)).record_value(us)
+            duration_us = max(1, int(served.duration_s * 1e6))
+            all_durations.record_value(duration_us)
+            seconds.setdefault(int(served.due_s), HdrHistogram(1, 60_000_000, 3)).record_value(duration_us)
     answered_count = max(1, len(emulator.clients.answered))
     figures = {
         "served": all_durations.get_total_count() / answered_count,
@@ -341,15 +341,21 @@
         "p99, ms": all_durations.get_value_at_percentile(99) / 1000,
         "most, ms": all_durations.get_max_value() / 1000,
         "attempts a request": sum(s.attempts for s in emulator.checker.traces.values()) / answered_count,
-        "rules broken": float(len(broken)),
+        "rules broken": float(len(rule_violations)),
         "overlap not judged": float(emulator.undecided_overlaps()),
         "stand-ins late, ms": emulator.attempt_overlaps.loop_delay.largest_delay_ms,
     }
     line = [
-        (float(second), float(h.get_total_count()), h.get_value_at_percentile(99) / 1000)
-        for second, h in sorted(seconds.items())
+        (float(second), float(histogram.get_total_count()), histogram.get_value_at_percentile(99) / 1000)
+        for second, histogram in sorted(seconds.items())
         if 0 <= second < experiment.seconds
     ]
     return ExperimentRun(
-        variant, seed, figures, dict(emulator.clients.counts), list(broken[:20]), line, paths
+        variant,
+        seed,
+        figures,
+        dict(emulator.clients.counts),
+        list(rule_violations[:20]),
+        line,
+        first_lines_per_s,
     )
--- a/gannetweir/lab/experiments/fleet_simulation.py
+++ b/gannetweir/lab/experiments/fleet_simulation.py
@@ -38,12 +38,15 @@
 
 
 def schedule_replacement(
-    world: World, backends: Iterable[SimulatedBackend], begin: float, seconds: float
+    world: World, backends: Iterable[SimulatedBackend], begin_s: float, seconds: float
 ) -> None:
     """Replace backends one after another: each is drained, and restarted 2 s later."""
     chosen = list(backends)
     for n, backend in enumerate(chosen):
-        at, update_delay_us = begin + seconds * n / len(chosen), world.rng.uniform(0.2, 1.0) * SECOND_US
+        drain_s, update_delay_us = (
+            begin_s + seconds * n / len(chosen),
+            world.rng.uniform(0.2, 1.0) * SECOND_US,
+        )
 
         def drain(backend: SimulatedBackend = backend, update_delay_us: float = update_delay_us) -> None:
             backend.is_draining = True
@@ -53,8 +56,8 @@
             world.replace_backend(backend)
             world.announce([backend], update_delay_us)
 
-        world.schedule(at, drain)
-        world.schedule(at + 2.0, replace)
+        world.schedule(drain_s, drain)
+        world.schedule(drain_s + 2.0, replace)
 
 
 def relays_killed(world: World) -> None:
@@ -116,7 +119,7 @@
     for backend in backends[2::8]:
         backend.failure_rate = 0.1
 
-    def vanish(lost_backends: list[SimulatedBackend]) -> None:
+    def remove(lost_backends: list[SimulatedBackend]) -> None:
         for backend in lost_backends:
             backend.is_removed = True
         world.announce(lost_backends, 0.5 * SECOND_US)
@@ -125,15 +128,15 @@
         world.replace_backend(backend)
         world.announce([backend], world.rng.uniform(0.1, 0.5) * SECOND_US)
 
-    def burst(times: float) -> None:
-        world.clients.arrival_rate_factor = times
+    def set_rate_factor(rate_factor: float) -> None:
+        world.clients.arrival_rate_factor = rate_factor
 
-    world.schedule(1.0, lambda: vanish(joining))  # these backends join later
-    world.schedule(INCIDENT_S - 2.0, lambda: vanish(crashing))
+    world.schedule(1.0, lambda: remove(joining))  # these backends join later
+    world.schedule(INCIDENT_S - 2.0, lambda: remove(crashing))
     for backend in joining + crashing:
         world.schedule(INCIDENT_S + world.rng.uniform(0.0, 3.0), lambda b=backend: replace(b))  # type: ignore[misc]
-    world.schedule(INCIDENT_S, lambda: burst(BURST_FACTOR))
-    world.schedule(INCIDENT_S + 12.0, lambda: burst(1.0))
+    world.schedule(INCIDENT_S, lambda: set_rate_factor(BURST_FACTOR))
+    world.schedule(INCIDENT_S + 12.0, lambda: set_rate_factor(1.0))
 
 
 SCENARIOS: dict[str, Callable[[World], None]] = {
@@ -183,7 +186,7 @@
 
 def scenario_row(name: str, relays: int, backends: int, seeds: int) -> list[str]:
     """Returns a table row: means over the seeds, the highest slow-start load, and the sum of violations."""
-    requests = served = sent = probes = worst_share = broken = 0
+    requests = served = sent = probes = worst_share = violation_sum = 0
     for seed in range(1, seeds + 1):
         world = simulate_scenario(name, fleet_plan(seed, relays, backends))
         counts = world.checker.counts
@@ -193,7 +196,10 @@
             sent + counts["sent"],
         )
         probes += sum(relay.engine.counters.counts["load_probes_sent"] for relay in world.relays)
-        worst_share, broken = max(worst_share, counts["cold_share"]), broken + len(world.checker.violations)
+        worst_share, violation_sum = (
+            max(worst_share, counts["cold_share"]),
+            violation_sum + len(world.checker.violations),
+        )
     share = f"{worst_share / 100:.2f}" if worst_share else "-"
     return [
         name,
@@ -204,7 +210,7 @@
         f"{sent / requests:.2f}",
         f"{probes / requests:.1f}",
         share,
-        str(broken),
+        str(violation_sum),
     ]
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -117,8 +117,8 @@
             assert (await emulator.clients.request_many(20, 4))["up"] == 20
             await emulator.restart_backend("b1")
             with anyio.fail_after(10.0):
-                before = sum(d.first_lines for d in emulator.backends["b1"].listeners.values())
-                while sum(d.first_lines for d in emulator.backends["b1"].listeners.values()) == before:
+                lines_before = sum(d.first_lines for d in emulator.backends["b1"].listeners.values())
+                while sum(d.first_lines for d in emulator.backends["b1"].listeners.values()) == lines_before:
                     await emulator.clients.request_many(4, 2)
             assert not emulator.violations(), emulator.checker.violations[:3]
 
@@ -147,13 +147,13 @@
                 backend.set_fault(text, "hole")
 
             class Host:
-                limits, address_races, room = Limits(), dict[Evictable, None](), True
+                limits, address_races, capacity_left = Limits(), dict[Evictable, None](), True
 
                 def clock(self) -> int:
                     return int(anyio.current_time() * 1e6)
 
                 def has_capacity(self) -> bool:
-                    return self.room
+                    return self.capacity_left
 
                 @property
                 def spawn(self) -> Spawn:
@@ -175,7 +175,7 @@
                     await anyio.sleep(0.005)
             assert list(host.address_races) == [dialer] and dialer.evict() and descriptors.open == 1
             assert not dialer.evict() and not errors
-            host.room = False  # without capacity no second connect starts beside the first
+            host.capacity_left = False  # without capacity no second connect starts beside the first
             other = AddressRaceDriver(host, selector, "a", selector.new_race("a", host.clock()), descriptors)
             tasks.start_soon(dial, other)
             await anyio.sleep(0.2)
@@ -231,14 +231,14 @@
             host = ManualClock(tasks)
 
             async def connected_families(times: int) -> set[str]:
-                found = set()
+                families_seen = set()
                 for _ in range(times):
                     endpoint, target_address = await AddressRaceDriver(
                         host, selector, "a", selector.new_race("a", 1), DescriptorCount()
                     ).connect()
                     endpoint.close()
-                    found.add(target_address.family)
-                return found
+                    families_seen.add(target_address.family)
+                return families_seen
 
             tasks.start_soon(host.pass_50_ms)  # runs between the command to connect and the connect
             assert await connected_families(1) == {first} and host.now_us == 50_001
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -206,7 +206,7 @@
     subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=True, timeout=60)
 
 
-def children(pid: int) -> set[int]:
+def child_processes(pid: int) -> set[int]:
     """Returns the child processes of a process, from /proc."""
     found = set()
     for stat in Path("/proc").glob("[0-9]*/stat"):
@@ -223,7 +223,7 @@
         assert demo.stdout is not None
         while b"silent" not in (line := demo.stdout.readline()):  # all processes run at the first fault
             assert line
-        started = children(demo.pid)
+        started = child_processes(demo.pid)
         assert len(started) == 2
         demo.send_signal(signal.SIGINT)
         rest = demo.stdout.read()
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -244,10 +244,10 @@
     for file, begin, end in ((TWO_TIMINGS, 0, 8), (shorter, 8.0, 20)):
         rules = parse_routing_rules(file, platform_settings, Limits())
         relay = World(replace(plan, arrivals_per_s=0.001), file).relays[0]
-        for number, traffic_class in enumerate(plan.classes):
+        for class_number, traffic_class in enumerate(plan.classes):
             admission = relay.engine.route_admission
             assert admission is not None
-            timed_class = relay.settings.classes[admission.class_index_for(RequestArrived(0, number))]
+            timed_class = relay.settings.classes[admission.class_index_for(RequestArrived(0, class_number))]
             worst_case_total_us = worst_case_schedule(timed_class, platform_settings, Limits()).total_us
             assert slowest_us(traffic_class.name, begin, end) <= worst_case_total_us, (
                 traffic_class.name,
@@ -296,9 +296,9 @@
             backend.is_silent, backend.connect_delay_us = True, timed_class.connect_timeout_us - 1_000
         checker = world.run(6)
         assert not checker.violations
-        for number, traffic_class in enumerate(plan.classes):
+        for class_number, traffic_class in enumerate(plan.classes):
             class_settings = world.relays[0].settings.classes[
-                relay_admission.class_index_for(RequestArrived(0, number))
+                relay_admission.class_index_for(RequestArrived(0, class_number))
             ]
             # The last step of the schedule is the margin reserved for sending the answer.
             worst_case_us = worst_case_schedule(
@@ -315,10 +315,10 @@
 
 def test_budgets_limit_retries_to_a_fifth_of_requests() -> None:
     plan = WorldPlan(seed=3, backends=60, arrivals_per_s=10.0, groups=100, store_calls_per_s=200.0)
-    without, within = run_failing_fleet(plan, ""), run_failing_fleet(plan, BUDGET_FILE)
-    assert without.violations == within.violations == 0
-    assert without.attempts_per_request > 2.0 and within.attempts_per_request <= 1.35
-    assert within.served_after >= 0.95
+    without_budgets, with_budgets = run_failing_fleet(plan, ""), run_failing_fleet(plan, BUDGET_FILE)
+    assert without_budgets.violations == with_budgets.violations == 0
+    assert without_budgets.attempts_per_request > 2.0 and with_budgets.attempts_per_request <= 1.35
+    assert with_budgets.served_after >= 0.95
 
 
 # ---- The rule checker
