--- a/gannetweir/lab/__main__.py
+++ b/gannetweir/lab/__main__.py
@@ -83,7 +83,7 @@
                 progress.update(task, completed=1.0)
     write_results(experiment, runs, folder)
     print_table(experiment.name, *results_table(runs))
-    print(f"kept in {folder}: results.json, README.md, index.html and charts")
+    print(f"written to {folder}: results.json, README.md, index.html and charts")
     return int(any(run.broken for run in runs))
 
 
@@ -122,7 +122,7 @@
                 runs.append(run_size(relays, backends))
                 keep(all_sizes, runs, folder)
     print_table(experiment.name, RUN_COLUMNS, [run_row(run) for run in runs])
-    print(f"kept in {folder}: results.json, README.md and charts")
+    print(f"written to {folder}: results.json, README.md and charts")
     return int(any(phase.missing for run in runs for phase in run.phases))
 
 
@@ -140,9 +140,9 @@
     print(f"on virtual time: {totals}")
     if folder:
         text = (
-            f"# Broken addresses\n\nOne relay, four nodes (a Unix socket, IPv6 and IPv4 each), {requests} "
+            f"# Address faults\n\nOne relay, four backends (Unix socket, IPv6 and IPv4 each), {requests} "
             f"requests a row, ten at a time.\n\n{markdown(address_faults.COLUMNS, rows)}\n\n"
-            f"On virtual time, three relays, six backends with three addresses, days of 15 s: {totals}.\n"
+            f"On virtual time, three relays, six backends with three addresses, runs of 15 s: {totals}.\n"
         )
         (Path(folder) / "broken-addresses.md").write_text(text)
     return int(total["broken"] > 0 or any(row[-1] != "0" for row in rows))
--- a/gannetweir/lab/emulator/backend.py
+++ b/gannetweir/lab/emulator/backend.py
@@ -200,7 +200,7 @@
         if listener.fault == "reset":
             return False
         if listener.fault == "stall":
-            while await connection.read():  # until the relay closes the connection
+            while await connection.read():  # data is discarded until the relay closes the connection
                 pass
             return False
         connections = self.other_connections + len(self.established)
--- a/gannetweir/lab/emulator/clients.py
+++ b/gannetweir/lab/emulator/clients.py
@@ -36,7 +36,7 @@
     due_s: float  # since the fleet was ready
     request_class: str
     answer: str
-    duration_s: float  # from the time at which the request was due to its answer
+    duration_s: float  # the time between the request's due time and its answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -186,7 +186,10 @@
                 progress((due - start) / seconds)
 
     async def request_many(self, count: int, concurrency: int) -> Counter[str]:
-        """Make requests whose clients disconnect at once when served. Returns the count of each answer."""
+        """Make requests, `concurrency` at a time, whose clients disconnect as soon as they are served.
+
+        Returns the count of each answer.
+        """
         answers: Counter[str] = Counter()
         pending = iter(range(count))
 
--- a/gannetweir/lab/emulator/plan.py
+++ b/gannetweir/lab/emulator/plan.py
@@ -36,7 +36,7 @@
     store_calls_per_s: float = 2000.0
     sockets: int = 1024
     operators_file: str = ""  # the file's text; empty means no operators' file
-    other_connections: int = 0  # connections that each backend adds to the emulator's own
+    other_connections: int = 0  # connections that each backend adds to its own in load reports and limits
 
 
 def platform_settings(relays: int) -> dict[str, Any]:
--- a/gannetweir/lab/experiments/budgets.py
+++ b/gannetweir/lab/experiments/budgets.py
@@ -14,7 +14,7 @@
 
 FAILING_FROM_S, FAILING_UNTIL_S, DURATION_S = 40, 70, 150
 RECOVERY_PERIOD_S = 30  # the period after the failures over which `served_after` is measured
-# The fleet has recovered once this share of the requests in each window is served.
+# The fleet has recovered once every window of this length has at least this share of its requests served.
 RECOVERY_WINDOW_S, RECOVERED_SHARE = 5, 0.95
 MIN_FAILURE_RATE, MAX_FAILURE_RATE = 0.4, 0.9
 CHART_STEP_S = 2
@@ -33,12 +33,12 @@
 class BudgetOutcome:
     """The figures of a run of the failing fleet. Shares are shares of the requests."""
 
-    attempts_per_request: float  # while the backends fail
+    attempts_per_request: float  # measured while the backends fail
     worst_second: float  # attempts per request in the worst second of the failures
-    attempts_per_first_try: float  # while the backends fail, with attempts for the clients' own retries
+    attempts_per_first_try: float  # counts the attempts for the clients' own retries as well
     served_while_failing: float
-    served_after: float  # over the recovery period
-    recovered_after_s: float  # from the end of the failures until the fleet has recovered for good
+    served_after: float  # measured over the recovery period
+    recovered_after_s: float  # the time between the end of the failures and a lasting recovery
     violations: int
     counts: dict[str, int]  # the counts of the rule checker
     served_per_s: list[float]  # a mean for each step of `CHART_STEP_S`
--- a/gannetweir/lab/experiments/results.py
+++ b/gannetweir/lab/experiments/results.py
@@ -145,7 +145,7 @@
     for variant in [v for v in first if v in second]:
         for name in [n for n in first[variant] if n in second[variant]]:
             first_values, other_values = first[variant][name], second[variant][name]
-            verdict = "one run a side: cannot tell"
+            verdict = "a single run: cannot tell"
             if len(first_values) > 1 and len(other_values) > 1:
                 error = math.sqrt(
                     statistics.variance(first_values) / len(first_values)
--- a/gannetweir/lab/model/checker.py
+++ b/gannetweir/lab/model/checker.py
@@ -50,7 +50,7 @@
     """The set-ups that a restarted backend can serve, and the set-ups counted in the current window."""
 
     started_us: int
-    full_setups_per_s: float  # after the slow start, by the settings' overload multiple
+    full_setups_per_s: float  # the rate allowed after the slow start, by the settings' overload multiple
     min_share: float  # the share of `full_setups_per_s` that is allowed at the start
     window_us: int  # the length of the slow start
     # The time of each set-up, and whether its relay knew of the backend's start.
--- a/gannetweir/lab/model/load_probes.py
+++ b/gannetweir/lab/model/load_probes.py
@@ -86,7 +86,7 @@
 
 
 class AddressProbe:
-    """One step of a probe: a race over the remaining addresses, then a question to the winner."""
+    """A step of a load probe: a race over the remaining addresses, then a load report from the winner."""
 
     def __init__(
         self,
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -22,7 +22,7 @@
 NO_ZONE = -1
 FIRST_UPDATE_US = 200_000  # delay between a relay's start and the first endpoint list from its watch
 RELAY_RESTART_US = 400_000  # delay between a relay's exit and its restart
-# The simulation goes on for this time after the last arrival, so that pending requests get their answers.
+# The simulation continues for this time after the last arrival, so that pending requests get their answers.
 FINAL_ANSWERS_S = 4
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -48,8 +48,9 @@
 
 @pytest.mark.parametrize(("faults", "family_alone"), SINGLE_FAULTS + FAULT_PAIRS)
 def test_requests_are_served_once_over_working_addresses(faults: tuple[str, ...], family_alone: str) -> None:
-    """One or two of three address families are faulty at every backend. Requests are served over the others,
-    and no request has two attempts in flight at once: a retry starts only after the attempt before has ended.
+    """Every backend has faults at one or two of its three address families. Requests are served over the
+    others, and no request has two attempts in flight at once: a retry starts only after the attempt before
+    has ended.
     """
     families = (family_alone,) if family_alone else ("ipv6", "unix" if "hole" not in faults[1:] else "ipv4")
 
@@ -72,7 +73,8 @@
             sent, written = await emulator.count_first_lines()
             attempts = [trace.attempts for trace in emulator.checker.traces.values()]
             assert sent == written == sum(attempts) and max(attempts) <= 6
-            if not {"stall", "reset"} & set(faults):  # without them no attempt fails after its connect
+            # Only `stall` and `reset` make an attempt fail after its connect.
+            if not {"stall", "reset"} & set(faults):
                 assert sent == answers["up"] and max(attempts) == 1
 
     anyio.run(run)
@@ -175,7 +177,8 @@
                     await anyio.sleep(0.005)
             assert list(host.address_races) == [dialer] and dialer.evict() and descriptors.open == 1
             assert not dialer.evict() and not errors
-            host.capacity_left = False  # without capacity no second connect starts beside the first
+            # A driver starts no second connect while the host has no capacity.
+            host.capacity_left = False
             other = AddressRaceDriver(host, selector, "a", selector.new_race("a", host.clock()), descriptors)
             tasks.start_soon(dial, other)
             await anyio.sleep(0.2)
