--- a/gannetweir/lab/scale/control_costs.py
+++ b/gannetweir/lab/scale/control_costs.py
@@ -37,17 +37,17 @@
 SIZES = (500, 1_500, 5_000, 15_000)
 ZONES = list("abcdefghijklm")
 SETTINGS = Settings([RequestClass("plain")], zone_names=ZONES, machine_types=["m0", "m1", "m2"])
-M = Resource.MEMBERSHIP
+MEMBERSHIP = Resource.MEMBERSHIP
 
 
-def drawn(count: int, seed: int = 1) -> dict[str, dict[str, Any]]:
+def random_backends(count: int, seed: int = 1) -> dict[str, dict[str, Any]]:
     """So many backends, by name."""
     draw = random.Random(seed)
-    found: dict[str, dict[str, Any]] = {}
-    while len(found) < count:
+    result: dict[str, dict[str, Any]] = {}
+    while len(result) < count:
         name = f"s-{draw.getrandbits(32):08x}"
         address = ".".join(str(draw.randrange(256)) for _ in range(3))
-        found[name] = {
+        result[name] = {
             "host": name,
             "dial": f"10.{address}:8080",
             "site": draw.choice(ZONES),
@@ -57,31 +57,36 @@
             "share": draw.choice([1.0, 1.5]),
             "born_ms": 0 if draw.random() < 0.2 else 1_790_000_000_000 + draw.randrange(30 * 86_400_000),
         }
-    return found
+    return result
 
 
-def seconds(size_bytes: int) -> float:
+def transfer_s(size_bytes: int) -> float:
     """Until the last byte of so many has gone, by the token bucket."""
     return round(max(0, size_bytes - BURST_BYTES) / RATE_BYTES_S, 1)
 
 
-def sent(publisher: Publisher, held: Version) -> Iterator[Slice]:
+def slices_for(publisher: Publisher, held: Version) -> Iterator[Slice]:
     """All that a relay on a version is sent."""
     publisher.subscribe("r", held)
     while (part := publisher.next_slice("r", 0)) is not None:
         yield part
 
 
-def sizes(parts: list[Slice]) -> dict[str, float]:
+def slice_bytes(parts: list[Slice]) -> dict[str, float]:
     """Bytes as JSON and as they go over the wire."""
     plain, wire = (
         sum(len(write_slice(p)) for p in parts),
         sum(len(chunk(write_compressed_slice(p))) for p in parts),
     )
-    return {"plain_bytes": plain, "wire_bytes": wire, "wire_s": seconds(wire), "plain_s": seconds(plain)}
+    return {
+        "plain_bytes": plain,
+        "wire_bytes": wire,
+        "wire_s": transfer_s(wire),
+        "plain_s": transfer_s(plain),
+    }
 
 
-class Turns:
+class TurnTimer:
     """Processor time of each turn, without the collections that fell on it."""
 
     def __init__(self) -> None:
@@ -108,20 +113,20 @@
         gc.callbacks.remove(self._collected)
 
 
-def followed(parts: list[Slice]) -> dict[str, float]:
+def measure_follower(parts: list[Slice]) -> dict[str, float]:
     """A relay without a list takes a snapshot: its turns, with the engine and the module told."""
     engine = Engine(SETTINGS, Limits(), 1, MembershipUpdate(0, True), 0)
-    follower, turns = Follower(M, RelayCheck(lambda: SETTINGS)), Turns()
+    follower, turns = Follower(MEMBERSHIP, RelayCheck(lambda: SETTINGS)), TurnTimer()
     lines = [write_slice(part) for part in parts]
 
     def step() -> None:
         for event in follower.step():
             if isinstance(event, ApplyEntries):
                 hosts = [orjson.loads(entry.body or b"null") for entry in event.entries]
-                news = read_membership(
+                update = read_membership(
                     {"seq": event.version.number, "whole": False, "hosts": hosts}, SETTINGS
                 )
-                engine.endpoint_update_received(news, 1_000_000)
+                engine.endpoint_update_received(update, 1_000_000)
 
     for line in lines:
         part = turns.run(lambda line=line: read_slice(orjson.loads(line)))  # type: ignore[misc]
@@ -138,22 +143,24 @@
     }
 
 
-def measured(count: int) -> dict[str, Any]:
+def measure_size(count: int) -> dict[str, Any]:
     """One size of the list."""
-    hosts = drawn(count)
+    hosts = random_backends(count)
     entries = [Entry(name, canonical_json(host)) for name, host in hosts.items()]
     version = Version(1, 1, Content(entries).digest)
-    parts = list(sent(Publisher(M, version, entries), NO_VERSION))
-    runs = [followed(parts) for _ in range(3)]
-    found: dict[str, Any] = {"backends": count, "slices": len(parts), "snapshot": sizes(parts)}
-    found["relay"] = {name: statistics.median(run[name] for run in runs) for name in runs[0]}
-    lost = [name for name, host in hosts.items() if host["site"] == "a"]
+    parts = list(slices_for(Publisher(MEMBERSHIP, version, entries), NO_VERSION))
+    runs = [measure_follower(parts) for _ in range(3)]
+    result: dict[str, Any] = {"backends": count, "slices": len(parts), "snapshot": slice_bytes(parts)}
+    result["relay"] = {name: statistics.median(run[name] for run in runs) for name in runs[0]}
+    zone_backends = [name for name, host in hosts.items() if host["site"] == "a"]
     changes: dict[str, dict[str, bytes | None]] = {
-        "zone_gone": dict.fromkeys(lost),
-        "zone_draining": {name: canonical_json(hosts[name] | {"health": "Terminating"}) for name in lost},
+        "zone_gone": dict.fromkeys(zone_backends),
+        "zone_draining": {
+            name: canonical_json(hosts[name] | {"health": "Terminating"}) for name in zone_backends
+        },
         "zone_back": {
             name: canonical_json(hosts[name] | {"born_ms": 1_795_000_000_000 + k})
-            for k, name in enumerate(lost)
+            for k, name in enumerate(zone_backends)
         },
     }
     for several in 1, 10, 30:
@@ -161,18 +168,18 @@
         changes[f"delta_{several}"] = {
             name: canonical_json(hosts[name] | {"health": "Terminating"}) for name in names
         }
-    for what, bodies in changes.items():
-        publisher, content = Publisher(M, version, entries), Content(entries)
+    for change, bodies in changes.items():
+        publisher, content = Publisher(MEMBERSHIP, version, entries), Content(entries)
         for name, body in bodies.items():
             content.put(name, body)
         publisher.publish(Change(Version(1, 2, content.digest), bodies))
-        found[what] = {"entries": len(bodies)} | sizes(list(sent(publisher, version)))
-    return found
+        result[change] = {"entries": len(bodies)} | slice_bytes(list(slices_for(publisher, version)))
+    return result
 
 
 def main() -> None:
     """Print the record."""
-    record = {"python": sys.version.split()[0], "sizes": [measured(count) for count in SIZES]}
+    record = {"python": sys.version.split()[0], "sizes": [measure_size(count) for count in SIZES]}
     print(orjson.dumps(record, option=orjson.OPT_INDENT_2).decode())
 
 
