--- a/gannetweir/lab/scale/messages.py
+++ b/gannetweir/lab/scale/messages.py
@@ -193,19 +193,19 @@
     """The message of one line; `ValueError` or `KeyError` if it is none."""
     name, body = orjson.loads(line)
     if name == "Records":
-        return Records([_record(told) for told in body["relays"]])
+        return Records([_record(raw) for raw in body["relays"]])
     if "by_second" in body:
         body["by_second"] = _by_second(body["by_second"])
     if "history" in body:
-        body["history"] = [Publish(**told) for told in body["history"]]
+        body["history"] = [Publish(**raw) for raw in body["history"]]
     message: Message = _TYPES[name](**body)
     return message
 
 
-def _record(told: dict[str, Any]) -> RelayRecord:
-    told["received"] = _by_second(told["received"])
-    return RelayRecord(**told)
+def _record(raw: dict[str, Any]) -> RelayRecord:
+    raw["received"] = _by_second(raw["received"])
+    return RelayRecord(**raw)
 
 
-def _by_second(told: dict[str, int]) -> dict[int, int]:
-    return {int(second): count for second, count in told.items()}
+def _by_second(raw: dict[str, int]) -> dict[int, int]:
+    return {int(second): count for second, count in raw.items()}
--- a/gannetweir/lab/scale/store.py
+++ b/gannetweir/lab/scale/store.py
@@ -19,7 +19,7 @@
 
     def __init__(self, epoch: int = 1, staged: frozenset[Resource] = frozenset()) -> None:
         self.held: dict[Resource, tuple[int, str]] = {}
-        self.kept: dict[str, tuple[float, Sequence[StatusReport]]] = {}
+        self.report_leases: dict[str, tuple[float, Sequence[StatusReport]]] = {}
         self.lease = ("", 0.0)  # who leads, and until when
         self.staged = staged  # resources whose versions wait for `release`
         self.event: anyio.Event | None = None
@@ -53,7 +53,7 @@
 
     def release(self, resource: Resource, number: int) -> None:
         """See `Store`."""
-        self._reachable()
+        self._check_reachable()
         self.numbers[resource] = max(number, self.numbers[resource])
         self._notify_watchers()
 
@@ -61,22 +61,22 @@
         """The store is lost and comes back from a copy of that version's membership: another epoch, one more
         version, so that nothing of what was lost is taken for this.
         """
-        old = self.logs[Resource.MEMBERSHIP].changes_between(0, number)
+        entries_at_number = self.logs[Resource.MEMBERSHIP].changes_between(0, number)
         self._begin(self.epoch + 1)
-        return self.put(Resource.MEMBERSHIP, old)
+        return self.put(Resource.MEMBERSHIP, entries_at_number)
 
     def _notify_watchers(self) -> None:
         if self.event is not None:
             self.event.set()
             self.event = None
 
-    def _reachable(self) -> None:
+    def _check_reachable(self) -> None:
         if self.down:
             raise OSError("the store can't be reached")
 
     def read(self, resource: Resource) -> StoreSnapshot:
         """See `Store`. A staged version is left out: it follows as a change."""
-        self._reachable()
+        self._check_reachable()
         released, log = self.numbers[resource], self.logs[resource]
         entries = dict(self.contents[resource].entries)
         if released < log.newest.number:
@@ -94,7 +94,7 @@
 
     def changes_since(self, resource: Resource, version: Version) -> Iterable[Change] | None:
         """See `Store`."""
-        self._reachable()
+        self._check_reachable()
         log = self.logs[resource]
         if version.epoch != self.epoch or not log.contains(version):
             return None
@@ -102,28 +102,28 @@
 
     def released_number(self, resource: Resource) -> int:
         """See `Store`."""
-        self._reachable()
+        self._check_reachable()
         return self.numbers[resource]
 
     def halt(self, resource: Resource, number: int, reason: str) -> None:
         """See `Store`."""
-        self._reachable()
+        self._check_reachable()
         self.held[resource] = (number, reason)
 
     def put_reports(self, machine: str, reports: Sequence[StatusReport]) -> None:
         """See `Store`."""
-        self._reachable()
-        self.kept[machine] = (anyio.current_time() + LEASE_S, reports)
+        self._check_reachable()
+        self.report_leases[machine] = (anyio.current_time() + LEASE_S, reports)
 
     def reports(self) -> Mapping[str, Sequence[StatusReport]]:
         """See `Store`."""
-        self._reachable()
+        self._check_reachable()
         now = anyio.current_time()
-        return {machine: reports for machine, (until, reports) in self.kept.items() if until > now}
+        return {machine: reports for machine, (until, reports) in self.report_leases.items() if until > now}
 
     def acquire_lease(self, machine: str) -> bool:
         """See `Store`."""
-        self._reachable()
+        self._check_reachable()
         now, (leader, until) = anyio.current_time(), self.lease
         if machine != leader and until > now:
             return False
