--- a/gannetweir/lab/scale/control_page.py
+++ b/gannetweir/lab/scale/control_page.py
@@ -56,13 +56,13 @@
     ]
 
 
-def machines(runs: list[FleetRun]) -> str:
+def machine_section(runs: list[FleetRun]) -> str:
     """The section on control machines."""
     rows = [row for run in runs for row in machine_rows(run)]
     return f"\n### One control machine\n\n{markdown(MACHINE_COLUMNS, rows)}\n"
 
 
-BESIDE_COLUMNS = (
+COMPARISON_COLUMNS = (
     "relays",
     "phase",
     "way",
@@ -77,7 +77,7 @@
 )
 
 
-def _beside_row(run: FleetRun, phase: PhaseFigures) -> list[str]:
+def _comparison_row(run: FleetRun, phase: PhaseFigures) -> list[str]:
     way = "control plane" if run.distribution == "control" else "today's way"
     timed = bool(phase.changes)
     recovered = "never" if phase.recovered_s < 0 else f"{phase.recovered_s:.2f}"
@@ -96,19 +96,19 @@
     ]
 
 
-def beside(runs: list[FleetRun], today: list[FleetRun]) -> str:
+def comparison(runs: list[FleetRun], direct_runs: list[FleetRun]) -> str:
     """Both ways in one table, where the kept runs of today's have the size and the phase; else nothing."""
-    of_size = {(run.relays, run.backends): run for run in today}
+    of_size = {(run.relays, run.backends): run for run in direct_runs}
     rows = []
     for run in runs:
-        other = of_size.get((run.relays, run.backends))
-        theirs = {phase.name: phase for phase in other.phases} if other is not None else {}
+        direct_run = of_size.get((run.relays, run.backends))
+        direct_phases = {phase.name: phase for phase in direct_run.phases} if direct_run is not None else {}
         for phase in run.phases:
-            if other is not None and phase.name in theirs:
-                rows += [_beside_row(other, theirs[phase.name]), _beside_row(run, phase)]
+            if direct_run is not None and phase.name in direct_phases:
+                rows += [_comparison_row(direct_run, direct_phases[phase.name]), _comparison_row(run, phase)]
     if not rows:
         return ""
     return (
         "## The control plane beside today's way\n\nThe same program on the same machine at different times: "
-        f"a run each.\n\n{markdown(BESIDE_COLUMNS, rows)}\n"
+        f"a run each.\n\n{markdown(COMPARISON_COLUMNS, rows)}\n"
     )
--- a/gannetweir/lab/scale/fleet_page.py
+++ b/gannetweir/lab/scale/fleet_page.py
@@ -12,7 +12,7 @@
 IN_FORCE_S = 12.0  # a change has to be in force everywhere within this
 BUDGET_KB_S, BUDGET_SHARE, BUDGET_MB = 10.0, 0.038, 256.0  # for control, a relay
 
-WANTED = f"""\
+GOALS = f"""\
 Wanted: a change in force everywhere within {IN_FORCE_S:g} s; for control, a relay has
 {BUDGET_KB_S:g} KB a second ({BUDGET_KB_S * 10:g} KB in 10 s), {BUDGET_SHARE * 100:g}% of a core and
 {BUDGET_MB:g} MB. The time of a change begins when the store of record has it, also while no server can tell
@@ -23,7 +23,7 @@
 else ran on it. Phases of one size may be of several runs.
 """
 
-UNLIKE = """\
+LIMITATIONS = """\
 ## What a hollow relay is, and what it is not
 
 It runs the code that serves: the driver of the watch, the protocol's state machine, the engine, the decision
@@ -119,10 +119,10 @@
     ]
 
 
-CHECK_COLUMNS = ("relays", "phase", "figure", "hollow", "true", "hollow less true")
+TRUE_RELAY_COLUMNS = ("relays", "phase", "figure", "hollow", "true", "hollow less true")
 
 
-def check_rows(run: FleetRun) -> list[list[str]]:
+def true_relay_rows(run: FleetRun) -> list[list[str]]:
     """Hollow beside true relays, in the phases without a fault."""
     rows = []
 
@@ -149,38 +149,41 @@
     for name in dict.fromkeys(phase.name for run in runs for phase in run.phases):
         rows = [phase_row(run, phase) for run in runs for phase in run.phases if phase.name == name]
         parts.append(f"\n### {name}\n\n{markdown(PHASE_COLUMNS, rows)}")
-    rows = [row for run in runs for row in check_rows(run)]
+    rows = [row for run in runs for row in true_relay_rows(run)]
     if rows:
-        parts.append(f"\n### Hollow and true relays side by side\n\n{markdown(CHECK_COLUMNS, rows)}\n")
+        parts.append(f"\n### Hollow and true relays side by side\n\n{markdown(TRUE_RELAY_COLUMNS, rows)}\n")
     if distribution == "control":
-        parts.append(control_page.machines(runs))
+        parts.append(control_page.machine_section(runs))
     return "\n".join(parts)
 
 
 def page(
-    experiment: FleetExperiment, runs: list[FleetRun], charts: list[str], today: list[FleetRun] | None = None
+    experiment: FleetExperiment,
+    runs: list[FleetRun],
+    charts: list[str],
+    direct_runs: list[FleetRun] | None = None,
 ) -> str:
     """The page of results. `today`: kept runs of today's way, to be shown beside those of another."""
     groups = dict.fromkeys((run.distribution, run.backends) for run in runs)
     sections = [
         _section(d, b, [run for run in runs if (run.distribution, run.backends) == (d, b)]) for d, b in groups
     ]
-    phases = "\n".join(f"- {_in_words(phase)}" for phase in experiment.phases)
+    phases = "\n".join(f"- {_phase_text(phase)}" for phase in experiment.phases)
     head = (
         f"# {experiment.name}\n\nHollow relays in {experiment.hosts} processes at most, "
         f"{experiment.true_relays} true relays beside them, {experiment.zones} zones, the list asked for "
-        f"within {experiment.ask_within_s:g} s. Each figure is of one run.\n\n{WANTED}\nPhases:\n\n{phases}\n"
+        f"within {experiment.ask_within_s:g} s. Each figure is of one run.\n\n{GOALS}\nPhases:\n\n{phases}\n"
     )
     images = "\n".join(f"![{name}]({name})" for name in charts)
     notes = [control_page.NOTES] if experiment.distribution == "control" else []
-    if today and (both := control_page.beside(runs, today)):
+    if direct_runs and (both := control_page.comparison(runs, direct_runs)):
         notes.append(both)
-    return "\n".join([head, UNLIKE, *notes, images, "", *sections, ""])
+    return "\n".join([head, LIMITATIONS, *notes, images, "", *sections, ""])
 
 
-def _in_words(phase: Phase) -> str:
-    told = {key: value for key, value in asdict(phase).items() if value}
-    name = told.pop("name")
+def _phase_text(phase: Phase) -> str:
+    values = {key: value for key, value in asdict(phase).items() if value}
+    name = values.pop("name")
     return f"{name}: " + ", ".join(
-        f"{key} {value:g}" if key != "fault" else value for key, value in told.items()
+        f"{key} {value:g}" if key != "fault" else value for key, value in values.items()
     )
--- a/gannetweir/lab/scale/fleet_results.py
+++ b/gannetweir/lab/scale/fleet_results.py
@@ -18,7 +18,7 @@
 from gannetweir.lab.scale.fleet_page import BUDGET_KB_S, BUDGET_SHARE, IN_FORCE_S, page
 from gannetweir.lab.scale.fleet_run import FleetRun, PhaseFigures
 
-TODAY = "hollow-fleet"  # the folder beside another way's where today's way is kept
+DIRECT_FOLDER = "hollow-fleet"  # the folder beside another way's where today's way is kept
 
 
 def load(folder: Path) -> list[FleetRun]:
@@ -27,9 +27,9 @@
     if not path.exists():
         return []
     runs = []
-    for told in orjson.loads(path.read_bytes())["runs"]:
-        phases = [PhaseFigures(**phase) for phase in told.pop("phases")]
-        runs.append(FleetRun(**told, phases=phases))
+    for saved_run in orjson.loads(path.read_bytes())["runs"]:
+        phases = [PhaseFigures(**phase) for phase in saved_run.pop("phases")]
+        runs.append(FleetRun(**saved_run, phases=phases))
     return runs
 
 
@@ -80,13 +80,13 @@
 def _draw(runs: list[FleetRun], folder: Path) -> list[str]:
     names = []
     for backends in dict.fromkeys(run.backends for run in runs):
-        mine = [run for run in runs if run.backends == backends]
+        same_backends = [run for run in runs if run.backends == backends]
         for name, (title, unit, budget, value) in CHARTS.items():
             lines = {
                 f"{run.relays} relays, {run.distribution}": {
                     phase.name: value(phase) for phase in run.phases if phase.changes or name != "last"
                 }
-                for run in mine
+                for run in same_backends
             }
             file = f"{name}-{backends}.svg"
             _chart(f"{title}, {backends:,} backends", unit, lines, budget, folder / file)
@@ -100,6 +100,6 @@
     runs = merge(load(folder), new)
     data = {"name": experiment.name, "runs": [asdict(run) for run in runs]}
     (folder / "results.json").write_bytes(orjson.dumps(data, option=orjson.OPT_INDENT_2))
-    today = [] if experiment.distribution == "direct" else load(folder.parent / TODAY)
-    (folder / "README.md").write_text(page(experiment, runs, _draw(runs, folder), today))
+    direct_runs = [] if experiment.distribution == "direct" else load(folder.parent / DIRECT_FOLDER)
+    (folder / "README.md").write_text(page(experiment, runs, _draw(runs, folder), direct_runs))
     return runs
