--- a/gannetweir/lab/scale/control_distribution.py
+++ b/gannetweir/lab/scale/control_distribution.py
@@ -22,7 +22,7 @@
     machine_name,
 )
 
-FAULTY = 0  # the machine that faults of one machine befall
+FAULTY_MACHINE = 0  # the machine that faults of one machine befall
 MODES = {
     Fault.MACHINE_SILENT: ServerMode.SILENT,
     Fault.MACHINE_TRICKLES: ServerMode.TRICKLE,
@@ -39,7 +39,7 @@
         port = free_port(hosts)
         self.listen = [f"{host}:{port}" for host in hosts]
         self.machines: list[Child | None] = [None] * machines
-        self.before = ServedTotals()  # what processes that were killed had sent
+        self.sent_by_killed = ServedTotals()  # what processes that were killed had sent
 
     @property
     def servers(self) -> list[str]:
@@ -47,7 +47,7 @@
         return self.listen
 
     @property
-    def for_true_relays(self) -> list[str]:
+    def true_relay_servers(self) -> list[str]:
         """None: `serve` has no setting for the control plane."""
         return []
 
@@ -61,7 +61,7 @@
     async def _start(self, number: int) -> None:
         machine = Child("gannetweir.lab.scale.control_machine", [machine_name(number), self.listen[number]])
         self.machines[number] = machine  # from here on it is told changes: they wait for the call that begins
-        first = self.store.first()
+        first = self.store.initial_list()
         history = list(self.store.history)
         await machine.call(StartMachine(first.version, first.members, self.settings, history))
 
@@ -71,27 +71,27 @@
             for number in range(len(self.machines)):
                 tasks.start_soon(self._call, number, change)
 
-    async def begin(self, fault: Fault) -> None:
+    async def begin_fault(self, fault: Fault) -> None:
         """Of one machine, or of all."""
         if fault is Fault.MACHINE_KILLED:
-            await self._kill(FAULTY)
+            await self._kill(FAULTY_MACHINE)
         elif fault is Fault.MACHINES_RESTARTED:
             for number in range(len(self.machines)):
                 await self._kill(number)
         elif fault in MODES:
-            await self._call(FAULTY, SetMode(MODES[fault]))
+            await self._call(FAULTY_MACHINE, SetMode(MODES[fault]))
 
-    async def end(self, fault: Fault) -> None:
+    async def end_fault(self, fault: Fault) -> None:
         """Back as it was."""
         if fault in MODES:
-            await self._call(FAULTY, SetMode(ServerMode.NORMAL))
+            await self._call(FAULTY_MACHINE, SetMode(ServerMode.NORMAL))
         if fault in (Fault.MACHINE_KILLED, Fault.MACHINE_DIES, Fault.MACHINES_RESTARTED):
             await self.start()
 
     async def _kill(self, number: int) -> None:
         machine = self.machines[number]
         if machine is not None:
-            _add(self.before, await machine.call(AskServed()))
+            _add(self.sent_by_killed, await machine.call(AskServed()))
             machine.kill()
             self.machines[number] = None
 
@@ -109,8 +109,8 @@
 
     async def served(self) -> ServedTotals:
         """What was sent so far; without what a machine that killed itself had sent."""
-        total = ServedTotals(self.before.snapshots, Counter(self.before.sent), {})
-        total.by_second = {name: Counter(counts) for name, counts in self.before.by_second.items()}
+        total = ServedTotals(self.sent_by_killed.snapshots, Counter(self.sent_by_killed.sent), {})
+        total.by_second = {name: Counter(counts) for name, counts in self.sent_by_killed.by_second.items()}
         for number in range(len(self.machines)):
             _add(total, await self._call(number, AskServed()))
         return total
--- a/gannetweir/lab/scale/control_machine.py
+++ b/gannetweir/lab/scale/control_machine.py
@@ -47,22 +47,22 @@
     def __init__(self, name: str, store: MemoryStore, at: SocketAddress) -> None:
         super().__init__(name, store, at, Limits())
         self.mode, self.snapshots = ServerMode.NORMAL, 0
-        self.held: dict[Transport, bytearray] = {}
+        self.withheld: dict[Transport, bytearray] = {}
         self.by_second: Counter[int] = Counter()
-        self.slices_left = 0  # until it dies
+        self.slices_before_kill = 0  # until it dies
 
     def set_mode(self, mode: ServerMode) -> None:
         """From now on; what was kept back goes out with `NORMAL`."""
         self.mode = mode
-        self.slices_left = len(self.watches) // 2
+        self.slices_before_kill = len(self.watches) // 2
         if mode is ServerMode.NORMAL:
-            held, self.held = self.held, {}
-            for endpoint, data in held.items():
+            withheld, self.withheld = self.withheld, {}
+            for endpoint, data in withheld.items():
                 self._write(endpoint, bytes(data))
 
     def _write(self, endpoint: Transport, data: bytes) -> None:
         if self.mode in (ServerMode.SILENT, ServerMode.TRICKLE):
-            self.held.setdefault(endpoint, bytearray()).extend(data)
+            self.withheld.setdefault(endpoint, bytearray()).extend(data)
             return
         self._send(endpoint, data)
 
@@ -75,7 +75,7 @@
         while True:
             await anyio.sleep(TRICKLE_S)
             if self.mode is ServerMode.TRICKLE:
-                for endpoint, data in self.held.items():
+                for endpoint, data in self.withheld.items():
                     self._send(endpoint, bytes(data[:1]))
                     del data[:1]
 
@@ -90,16 +90,16 @@
         def counted(part: Slice) -> bytes:
             if part.resource is Resource.MEMBERSHIP:
                 self.snapshots += part.base is None and part.index == 0
-                self._die_halfway()
+                self._kill_self_halfway()
             return write(part)
 
         await super()._send_slices(transport, relay, machine, counted, heartbeat)
 
-    def _die_halfway(self) -> None:
+    def _kill_self_halfway(self) -> None:
         if self.mode is ServerMode.DIES:
-            if not self.slices_left:
+            if not self.slices_before_kill:
                 os.kill(os.getpid(), signal.SIGKILL)
-            self.slices_left -= 1
+            self.slices_before_kill -= 1
 
 
 class MachineProcess:
@@ -126,24 +126,26 @@
             raise ValueError(f"a control machine does not know {type(message).__name__}")
         return Done()
 
-    def _start(self, told: StartMachine) -> None:
-        members = {str(member["host"]): canonical_json(member) for member in told.members}
-        self.store.load(Resource.MEMBERSHIP, told.version, members)
-        for change in told.history:
+    def _start(self, message: StartMachine) -> None:
+        members = {str(member["host"]): canonical_json(member) for member in message.members}
+        self.store.load(Resource.MEMBERSHIP, message.version, members)
+        for change in message.history:
             self._publish(change)
         self.store.load(
-            Resource.SETTINGS, 1, {key: canonical_json(value) for key, value in told.settings.items()}
+            Resource.SETTINGS, 1, {key: canonical_json(value) for key, value in message.settings.items()}
         )
         self.server = FaultyServer(self.name, self.store, self.at)
         self.tasks.start_soon(self.server.run)
         self.tasks.start_soon(self.server.trickle)
 
-    def _publish(self, told: Publish) -> None:
-        if told.version <= self.store.logs[Resource.MEMBERSHIP].newest.number:
+    def _publish(self, message: Publish) -> None:
+        if message.version <= self.store.logs[Resource.MEMBERSHIP].newest.number:
             return  # it was in what this machine started from
-        version = self.store.put(Resource.MEMBERSHIP, {str(told.member["host"]): canonical_json(told.member)})
-        if version.number != told.version:
-            raise ValueError(f"version {told.version} of the store came as {version.number}")
+        version = self.store.put(
+            Resource.MEMBERSHIP, {str(message.member["host"]): canonical_json(message.member)}
+        )
+        if version.number != message.version:
+            raise ValueError(f"version {message.version} of the store came as {version.number}")
 
 
 async def run(name: str, at: SocketAddress) -> None:
--- a/gannetweir/lab/scale/control_relay.py
+++ b/gannetweir/lab/scale/control_relay.py
@@ -38,34 +38,36 @@
         self.relay, self.started = relay, False
         check = RelayCheck(lambda: relay.settings)
         known = relay.config.known
-        held = [Entry(key, body) for key, body in known.members.items()] if known is not None else []
+        initial_entries = (
+            [Entry(key, body) for key, body in known.members.items()] if known is not None else []
+        )
         self.membership = Follower(
-            Resource.MEMBERSHIP, check, held, known.version if known is not None else 0
+            Resource.MEMBERSHIP, check, initial_entries, known.version if known is not None else 0
         )
-        self.in_force = self.membership.applied_version.number
+        self.applied_number = self.membership.applied_version.number
         followers = {
             Resource.MEMBERSHIP: self.membership,
             Resource.SETTINGS: Follower(Resource.SETTINGS, check),
         }
-        host = EngineHost(relay, f"relay-{relay.record.relay}", self._take_settings, self._in_force)
+        host = EngineHost(relay, f"relay-{relay.record.relay}", self._ignore_settings, self._version_applied)
         servers = {machine_name(n): at for n, at in enumerate(relay.config.servers)}
         draw = random.Random(relay.config.seed).random
-        self.driver = RecordedDriver(host, servers, followers, draw, relay.counted_endpoint)
+        self.driver = RecordedDriver(host, servers, followers, draw, relay.counted_transport)
         self.driver.record = relay.record
-        relay.version, relay.known = lambda: self.in_force, self._known
+        relay.version, relay.known = lambda: self.applied_number, self._known
 
-    def apply_command(self, order: SetEndpointWatch) -> None:
+    def apply_command(self, command: SetEndpointWatch) -> None:
         """See `MembershipDriver`."""
-        if order.enabled and not self.started:
+        if command.enabled and not self.started:
             self.started = True
             self.relay.spawn(self.driver.run)
 
-    def _take_settings(self, settings: Settings) -> None:
+    def _ignore_settings(self, settings: Settings) -> None:
         """Nothing: they are those that the relay was started with, which are its own zone's."""
 
-    def _in_force(self, resource: Resource, version: Version) -> None:
+    def _version_applied(self, resource: Resource, version: Version) -> None:
         if resource is Resource.MEMBERSHIP:
-            self.in_force = version.number
+            self.applied_number = version.number
             self.relay.note_version()
 
     def _known(self) -> KnownList | None:
--- a/gannetweir/lab/scale/direct_distribution.py
+++ b/gannetweir/lab/scale/direct_distribution.py
@@ -21,7 +21,7 @@
         port = free_port(hosts)
         self.listen = [f"{host}:{port}" for host in hosts]
         self.discovery: Child | None = None
-        self.before = ServedTotals()  # what processes that were killed had sent
+        self.sent_by_killed = ServedTotals()  # what processes that were killed had sent
 
     @property
     def servers(self) -> list[str]:
@@ -29,45 +29,47 @@
         return self.listen[:1]
 
     @property
-    def for_true_relays(self) -> list[str]:
+    def true_relay_servers(self) -> list[str]:
         """The same discovery's other addresses."""
         return self.listen[1:]
 
     async def start(self) -> None:
         """Start it with the store's list; it knows no earlier version."""
         self.discovery = Child("gannetweir.lab.scale.discovery_stub", self.listen)
-        await self.discovery.call(self.store.whole())
+        await self.discovery.call(self.store.current_list())
 
     async def publish(self, change: Publish) -> None:
         """Tell it, if it runs; else it starts with it."""
         await self._call(change)
 
-    async def begin(self, fault: Fault) -> None:
+    async def begin_fault(self, fault: Fault) -> None:
         """Killed, silent, trickling or slow."""
-        if fault is Fault.KILLED and self.discovery is not None:
-            self.before = await self.served()
+        if fault is Fault.DISCOVERY_KILLED and self.discovery is not None:
+            self.sent_by_killed = await self.served()
             self.discovery.kill()
             self.discovery = None
-        elif fault is Fault.SILENT:
+        elif fault is Fault.DISCOVERY_SILENT:
             await self._call(SetMode(ServerMode.SILENT))
-        elif fault is Fault.TRICKLES:
+        elif fault is Fault.DISCOVERY_TRICKLES:
             await self._call(SetMode(ServerMode.TRICKLE))
-        elif fault is Fault.ZONE_SLOW:
+        elif fault is Fault.ZONE_RESTARTED_SLOW_LINK:
             await self._call(SetMode(ServerMode.SLOW))
 
-    async def end(self, fault: Fault) -> None:
+    async def end_fault(self, fault: Fault) -> None:
         """Back as it was."""
-        if fault is Fault.KILLED:
+        if fault is Fault.DISCOVERY_KILLED:
             await self.start()
-        elif fault in (Fault.SILENT, Fault.TRICKLES, Fault.ZONE_SLOW):
+        elif fault in (Fault.DISCOVERY_SILENT, Fault.DISCOVERY_TRICKLES, Fault.ZONE_RESTARTED_SLOW_LINK):
             await self._call(SetMode(ServerMode.NORMAL))
 
     async def served(self) -> ServedTotals:
         """What was sent so far, the processes that were killed included."""
         answer = await self._call(AskServed())
         if not isinstance(answer, Served):
-            return self.before
-        return ServedTotals(self.before.snapshots + answer.snapshots, self.before.sent + Counter(answer.sent))
+            return self.sent_by_killed
+        return ServedTotals(
+            self.sent_by_killed.snapshots + answer.snapshots, self.sent_by_killed.sent + Counter(answer.sent)
+        )
 
     def usage(self) -> list[Usage]:
         """Of the process that runs."""
--- a/gannetweir/lab/scale/discovery_stub.py
+++ b/gannetweir/lab/scale/discovery_stub.py
@@ -39,7 +39,7 @@
 TRICKLE_S = 1.0  # between two bytes
 SLOW_S, SLOW_BYTES = 0.1, 1000  # 10 KB a second
 BACKLOG = 4096
-MOST_REQUEST_BYTES = 16384
+MAX_REQUEST_BYTES = 16384
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 _SINCE = re.compile(rb"[?&]since=(\d+)")
 
@@ -78,9 +78,9 @@
             self._snapshot = self.version, self._chunk(True, list(self.members.values()))
         return self._snapshot[1], True
 
-    def _chunk(self, whole: bool, members: list[dict[str, Any]]) -> bytes:
-        told = {"seq": self.version, "whole": whole, "hosts": members}
-        return chunk(orjson.dumps(told, option=orjson.OPT_APPEND_NEWLINE))
+    def _chunk(self, is_snapshot: bool, members: list[dict[str, Any]]) -> bytes:
+        update = {"seq": self.version, "whole": is_snapshot, "hosts": members}
+        return chunk(orjson.dumps(update, option=orjson.OPT_APPEND_NEWLINE))
 
 
 class Watch:
@@ -89,13 +89,13 @@
     def __init__(self, sock: socket.socket, local: str = "") -> None:
         self.sock, self.local = sock, local  # `local`: the own address that it came to
         self.pending: deque[memoryview] = deque()
-        self.waiting = self.closed = False
+        self.awaits_writable = self.closed = False
 
-    def push(self, most: int | None = None) -> int:
+    def send_pending(self, limit: int | None = None) -> int:
         """Send what the kernel takes, `most` bytes at the most; how much it was."""
         total = 0
-        while self.pending and not self.closed and most != total:
-            part = self.pending[0] if most is None else self.pending[0][: most - total]
+        while self.pending and not self.closed and limit != total:
+            part = self.pending[0] if limit is None else self.pending[0][: limit - total]
             try:
                 sent = self.sock.send(part)
             except BlockingIOError:
@@ -135,13 +135,13 @@
             for listener in self.listeners:
                 self.tasks.start_soon(self._accept, listener)
         elif isinstance(message, Publish):
-            told = self.membership.publish(message.version, message.member)
+            update = self.membership.publish(message.version, message.member)
             for watch in self._watches():
-                self._send(watch, told)
+                self._send(watch, update)
         elif isinstance(message, SetMode):
             self.mode = ServerMode(message.mode)
             for watch in self._watches():
-                self._push(watch)
+                self._send_pending(watch)
         elif isinstance(message, AskServed):
             return Served(len(self._watches()), self.snapshots, dict(self.sent))
         else:
@@ -166,8 +166,8 @@
                 if request is None:
                     return
                 since = _SINCE.search(request)
-                first, whole = self.membership.since(int(since[1]) if since else 0)
-                self.snapshots += whole
+                first, is_snapshot = self.membership.since(int(since[1]) if since else 0)
+                self.snapshots += is_snapshot
                 slot[watch] = None
                 self._send(watch, HEAD)
                 self._send(watch, first)
@@ -185,7 +185,7 @@
             await anyio.wait_readable(sock)
             more = sock.recv(4096)
             data += more
-            if not more or len(data) > MOST_REQUEST_BYTES:
+            if not more or len(data) > MAX_REQUEST_BYTES:
                 return None
         return data
 
@@ -198,23 +198,23 @@
 
     def _send(self, watch: Watch, data: bytes) -> None:
         watch.pending.append(memoryview(data))
-        self._push(watch)
+        self._send_pending(watch)
 
-    def _push(self, watch: Watch) -> None:
-        if self.mode is not ServerMode.NORMAL or watch.waiting:
+    def _send_pending(self, watch: Watch) -> None:
+        if self.mode is not ServerMode.NORMAL or watch.awaits_writable:
             return
-        self.sent[watch.local] += watch.push()
+        self.sent[watch.local] += watch.send_pending()
         if watch.pending and not watch.closed:
-            watch.waiting = True
-            self.tasks.start_soon(self._push_rest, watch)
+            watch.awaits_writable = True
+            self.tasks.start_soon(self._send_rest, watch)
 
-    async def _push_rest(self, watch: Watch) -> None:
+    async def _send_rest(self, watch: Watch) -> None:
         with suppress(OSError, anyio.ClosedResourceError):
             await anyio.wait_writable(watch.sock)
-        watch.waiting = False
-        self._push(watch)
+        watch.awaits_writable = False
+        self._send_pending(watch)
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Each watch has a heartbeat every two seconds, whatever else it is sent."""
         while True:
             await anyio.sleep(HEARTBEAT_S / HEARTBEAT_SLOTS)
@@ -222,22 +222,22 @@
             for watch in list(self.slots[self.slot]):
                 self._send(watch, HEARTBEAT)
 
-    async def drip(self, mode: ServerMode, every_s: float, most: int) -> None:
+    async def send_limited(self, mode: ServerMode, interval_s: float, limit: int) -> None:
         """While a mode holds, so many bytes to each watch every so often."""
         while True:
-            await anyio.sleep(every_s)
+            await anyio.sleep(interval_s)
             if self.mode is mode:
                 for watch in self._watches():
-                    self.sent[watch.local] += watch.push(most)
+                    self.sent[watch.local] += watch.send_pending(limit)
 
 
 async def run(listen: list[SocketAddress]) -> None:
     """Until the parent is gone."""
     async with anyio.create_task_group() as tasks:
         stub = DiscoveryStub(tasks, listen)
-        tasks.start_soon(stub.beat)
-        tasks.start_soon(stub.drip, ServerMode.TRICKLE, TRICKLE_S, 1)
-        tasks.start_soon(stub.drip, ServerMode.SLOW, SLOW_S, SLOW_BYTES)
+        tasks.start_soon(stub.send_heartbeats)
+        tasks.start_soon(stub.send_limited, ServerMode.TRICKLE, TRICKLE_S, 1)
+        tasks.start_soon(stub.send_limited, ServerMode.SLOW, SLOW_S, SLOW_BYTES)
         await answer_calls(stub.handle)
         tasks.cancel_scope.cancel()
 
--- a/gannetweir/lab/scale/distribution.py
+++ b/gannetweir/lab/scale/distribution.py
@@ -23,7 +23,7 @@
 
 HOST = "127.0.0.1"
 PORTS = range(20_000, 32_000)  # below those that the kernel gives to connecting sockets
-STARTED_US = 86_400_000_000  # the backends of the first list have run for a day: none is cold
+BACKEND_AGE_US = 86_400_000_000  # the backends of the first list have run for a day: none is cold
 
 
 def free_port(hosts: list[str]) -> int:
@@ -51,12 +51,12 @@
     version: int = 1
     members: dict[str, dict[str, Any]] = field(default_factory=dict)
     changed_ns: dict[int, int] = field(default_factory=dict)
-    first_members: list[dict[str, Any]] = field(default_factory=list)
+    initial_members: list[dict[str, Any]] = field(default_factory=list)
     history: list[Publish] = field(default_factory=list)  # all changes since the first list
 
     def fill(self, backends: int) -> None:
         """The first list."""
-        born_ms = (time.time_ns() // 1000 - STARTED_US) // 1000
+        born_ms = (time.time_ns() // 1000 - BACKEND_AGE_US) // 1000
         for n in range(backends):
             name = f"b{n:05}"
             self.members[name] = {
@@ -69,27 +69,27 @@
                 "block": n % 8,
                 "born_ms": born_ms,
             }
-        self.first_members = list(self.members.values())  # changes replace members, and leave these
+        self.initial_members = list(self.members.values())  # changes replace members, and leave these
 
     def change(self) -> Publish:
         """The next change: a backend is drained, or the one that is drained is back with a new start."""
         self.version += 1
         names = list(self.members)
         name = names[self.version // 2 % len(names)]
-        was = self.members[name]
-        if was["health"] == "Ready":
-            self.members[name] = {**was, "health": "Terminating"}
+        member = self.members[name]
+        if member["health"] == "Ready":
+            self.members[name] = {**member, "health": "Terminating"}
         else:
-            self.members[name] = {**was, "health": "Ready", "born_ms": time.time_ns() // 1_000_000}
+            self.members[name] = {**member, "health": "Ready", "born_ms": time.time_ns() // 1_000_000}
         self.changed_ns[self.version] = time.monotonic_ns()
         self.history.append(Publish(self.version, self.members[name]))
         return self.history[-1]
 
-    def first(self) -> SetMembership:
+    def initial_list(self) -> SetMembership:
         """The first list, from which `history` leads to the present one."""
-        return SetMembership(1, list(self.first_members))
+        return SetMembership(1, list(self.initial_members))
 
-    def whole(self) -> SetMembership:
+    def current_list(self) -> SetMembership:
         """For a server that starts."""
         return SetMembership(self.version, list(self.members.values()))
 
@@ -111,7 +111,7 @@
         """HOST:PORT of each, as relays are told them."""
 
     @property
-    def for_true_relays(self) -> list[str]:
+    def true_relay_servers(self) -> list[str]:
         """HOST:PORT for each true relay beside the hollow ones; none where true relays can't use this way."""
 
     async def start(self) -> None:
@@ -120,10 +120,10 @@
     async def publish(self, change: Publish) -> None:
         """Hand a change of the store to the servers that run."""
 
-    async def begin(self, fault: Fault) -> None:
+    async def begin_fault(self, fault: Fault) -> None:
         """A fault of the servers begins."""
 
-    async def end(self, fault: Fault) -> None:
+    async def end_fault(self, fault: Fault) -> None:
         """It is over."""
 
     async def served(self) -> ServedTotals:
--- a/gannetweir/lab/scale/distributions.py
+++ b/gannetweir/lab/scale/distributions.py
@@ -17,7 +17,7 @@
     return ControlPlane(store, experiment.machines, settings)
 
 
-MAKERS: dict[str, Callable[[Store, FleetExperiment, dict[str, Any]], Distribution]] = {
+FACTORIES: dict[str, Callable[[Store, FleetExperiment, dict[str, Any]], Distribution]] = {
     "direct": lambda store, experiment, settings: Direct(store, experiment.true_relays),
     "control": _control,
 }
--- a/gannetweir/lab/scale/fleet.py
+++ b/gannetweir/lab/scale/fleet.py
@@ -10,7 +10,7 @@
 
 from gannetweir.lab.scale.child import Child, Usage
 from gannetweir.lab.scale.distribution import Distribution, Store
-from gannetweir.lab.scale.distributions import MAKERS
+from gannetweir.lab.scale.distributions import FACTORIES
 from gannetweir.lab.scale.fleet_experiment import REGISTRY_MODES, FleetExperiment
 from gannetweir.lab.scale.messages import (
     AskInForce,
@@ -23,12 +23,12 @@
     RestartRelays,
     StartRelays,
 )
-from gannetweir.lab.scale.true_relay import WholeRelays, platform_settings
+from gannetweir.lab.scale.true_relay import TrueRelays, platform_settings
 
 POLL_S = 0.1  # between two looks at how many relays have a version
 # Of the first lists that one host waits for at once: more would delay one another. A control machine sends
 # each relay 7.5 KB a second, so that a wave waits for bytes and not for the processor: more at once.
-WAVE_ENTRIES = {"direct": 24_000, "control": 48_000}
+WAVE_LIST_ENTRIES = {"direct": 24_000, "control": 48_000}
 
 
 class Fleet:
@@ -38,17 +38,17 @@
         self.experiment, self.relays = experiment, relays
         self.store = Store(experiment.zones)
         self.store.fill(backends)
-        way = experiment.distribution
+        distribution = experiment.distribution
         self.settings = platform_settings(
-            relays, experiment.zones, experiment.ask_within_s, REGISTRY_MODES[way]
+            relays, experiment.zones, experiment.ask_within_s, REGISTRY_MODES[distribution]
         )
-        self.distribution: Distribution = MAKERS[way](self.store, experiment, self.settings)
+        self.distribution: Distribution = FACTORIES[distribution](self.store, experiment, self.settings)
         self.hosts: list[Child] = []
-        self.true: WholeRelays | None = None
+        self.true_relays: TrueRelays | None = None
         self.epoch_ns = time.monotonic_ns()
-        self.empty: list[Usage] = []  # of the hosts, before they had any relay
+        self.initial_host_usage: list[Usage] = []  # of the hosts, before they had any relay
 
-    def second(self) -> int:
+    def current_second(self) -> int:
         """Whole seconds since the epoch of the byte counts."""
         return (time.monotonic_ns() - self.epoch_ns) // 1_000_000_000
 
@@ -63,17 +63,17 @@
             Child("gannetweir.lab.scale.skeleton_host")
             for _ in range(min(self.experiment.hosts, self.relays))
         ]
-        told = Configure(
+        configuration = Configure(
             self.experiment.distribution,
             self.distribution.servers,
             self.settings,
             self.experiment.zones,
             self.epoch_ns,
         )
-        await self.call_all([told] * len(self.hosts))
-        self.empty = self.host_usage()
-        wave = max(1, WAVE_ENTRIES[self.experiment.distribution] // max(1, len(self.store.members)))
-        self.true = WholeRelays(self.settings, self.distribution.for_true_relays)
+        await self.call_all([configuration] * len(self.hosts))
+        self.initial_host_usage = self.host_usage()
+        wave = max(1, WAVE_LIST_ENTRIES[self.experiment.distribution] // max(1, len(self.store.members)))
+        self.true_relays = TrueRelays(self.settings, self.distribution.true_relay_servers)
         await self.call_all([StartRelays(self.relays_of_host(n), wave) for n in range(len(self.hosts))])
 
     async def call_all(self, messages: Sequence[Message]) -> list[Message]:
@@ -94,12 +94,12 @@
         return sum(answer.count for answer in answers if isinstance(answer, InForce))
 
     async def wait_in_force(
-        self, version: int, within_s: float, tell: Callable[[int], None] = lambda _: None
+        self, version: int, within_s: float, report_progress: Callable[[int], None] = lambda _: None
     ) -> bool:
         """Until every hollow relay has a version; False if it takes longer."""
         with anyio.move_on_after(within_s):
             while (count := await self.count_in_force(version)) < self.relays:
-                tell(count)
+                report_progress(count)
                 await anyio.sleep(POLL_S)
             return True
         return False
@@ -122,8 +122,8 @@
         for host in self.hosts:
             host.stop()
         self.distribution.stop()
-        if self.true is not None:
-            self.true.stop()
+        if self.true_relays is not None:
+            self.true_relays.stop()
 
 
 async def with_fleet(fleet: Fleet, use: Callable[[Fleet], Awaitable[Any]]) -> Any:
--- a/gannetweir/lab/scale/fleet_experiment.py
+++ b/gannetweir/lab/scale/fleet_experiment.py
@@ -28,10 +28,10 @@
 from gannetweir.config.kdl import KdlError, Node, parse_document
 from gannetweir.config.kdl_values import parse_duration_us
 
-MOST_RELAYS, MOST_BACKENDS, MOST_HOSTS, MOST_ZONES, MOST_TRUE, MOST_CHANGES = 2000, 20_000, 40, 64, 8, 1000
-MOST_MACHINES = 40
-MOST_PHASE_S = 120.0
-MOST_ENTRIES = 12_000_000  # of all lists together: under half of a machine of 24 GB, at 0.74 KB an entry
+MAX_RELAYS, MAX_BACKENDS, MAX_HOSTS, MAX_ZONES, MAX_TRUE, MAX_CHANGES = 2000, 20_000, 40, 64, 8, 1000
+MAX_MACHINES = 40
+MAX_PHASE_S = 120.0
+MAX_ENTRIES = 12_000_000  # of all lists together: under half of a machine of 24 GB, at 0.74 KB an entry
 # How the relays' settings say that lists come: a control plane pushes them, and the module does not ask.
 REGISTRY_MODES = {"direct": "on_request", "control": "pushed"}
 DISTRIBUTIONS = tuple(REGISTRY_MODES)
@@ -45,14 +45,16 @@
     """What happens in a phase."""
 
     NONE = "none"
-    KILLED = "discovery-killed"  # SIGKILL, and started again without knowledge of earlier versions
-    SILENT = "discovery-silent"  # accepts, reads, and says nothing
-    TRICKLES = "discovery-trickles"  # a byte a second to each watch
-    ZONE = "zone-restarted"  # every relay of one zone, at once
-    ZONE_SLOW = "zone-restarted-slow-link"  # the same where each relay gets 10 KB a second, its budget
-    TENTHS = "restarted-in-tenths"  # all relays
-    ZONE_KNOWN = "zone-restarted-known"  # each with the list that it had, as the platform's `known`
-    TENTHS_KNOWN = "restarted-in-tenths-known"
+    DISCOVERY_KILLED = "discovery-killed"  # SIGKILL, and started again without knowledge of earlier versions
+    DISCOVERY_SILENT = "discovery-silent"  # accepts, reads, and says nothing
+    DISCOVERY_TRICKLES = "discovery-trickles"  # a byte a second to each watch
+    ZONE_RESTARTED = "zone-restarted"  # every relay of one zone, at once
+    ZONE_RESTARTED_SLOW_LINK = (
+        "zone-restarted-slow-link"  # the same where each relay gets 10 KB a second, its budget
+    )
+    RESTARTED_IN_TENTHS = "restarted-in-tenths"  # all relays
+    ZONE_RESTARTED_KNOWN = "zone-restarted-known"  # each with the list that it had, as the platform's `known`
+    RESTARTED_IN_TENTHS_KNOWN = "restarted-in-tenths-known"
     MACHINE_KILLED = "machine-killed"  # the first control machine: SIGKILL, and started again
     MACHINE_SILENT = "machine-silent"  # it accepts, reads, and says nothing
     MACHINE_TRICKLES = "machine-trickles"  # a byte a second on each connection
@@ -60,13 +62,19 @@
     MACHINES_RESTARTED = "machines-restarted"  # all of them at once
 
 
-_RELAYS_FAULTS = {Fault.NONE, Fault.ZONE, Fault.TENTHS}
+_RELAY_FAULTS = {Fault.NONE, Fault.ZONE_RESTARTED, Fault.RESTARTED_IN_TENTHS}
 FAULTS: dict[str, set[Fault]] = {
-    "direct": _RELAYS_FAULTS | {Fault.KILLED, Fault.SILENT, Fault.TRICKLES, Fault.ZONE_SLOW},
-    "control": _RELAYS_FAULTS
+    "direct": _RELAY_FAULTS
+    | {
+        Fault.DISCOVERY_KILLED,
+        Fault.DISCOVERY_SILENT,
+        Fault.DISCOVERY_TRICKLES,
+        Fault.ZONE_RESTARTED_SLOW_LINK,
+    },
+    "control": _RELAY_FAULTS
     | {
-        Fault.ZONE_KNOWN,
-        Fault.TENTHS_KNOWN,
+        Fault.ZONE_RESTARTED_KNOWN,
+        Fault.RESTARTED_IN_TENTHS_KNOWN,
         Fault.MACHINE_KILLED,
         Fault.MACHINE_SILENT,
         Fault.MACHINE_TRICKLES,
@@ -106,28 +114,28 @@
     machines: int = 15
 
 
-def _numbers(node: Node, most: int, least: int = 1) -> tuple[int, ...]:
+def _numbers(node: Node, maximum: int, minimum: int = 1) -> tuple[int, ...]:
     if not node.arguments or not all(
-        type(value) is int and least <= value <= most for value in node.arguments
+        type(value) is int and minimum <= value <= maximum for value in node.arguments
     ):
-        raise FleetError(f"line {node.line}: {node.name}: whole numbers from {least} to {most}")
+        raise FleetError(f"line {node.line}: {node.name}: whole numbers from {minimum} to {maximum}")
     return tuple(node.arguments)
 
 
-def _number(node: Node, most: int, least: int = 1) -> int:
-    values = _numbers(node, most, least)
+def _number(node: Node, maximum: int, minimum: int = 1) -> int:
+    values = _numbers(node, maximum, minimum)
     if len(values) != 1:
         raise FleetError(f"line {node.line}: {node.name}: one number")
     return values[0]
 
 
-def _seconds(node: Node, value: Any, most: float = MOST_PHASE_S) -> float:
+def _seconds(node: Node, value: Any, maximum: float = MAX_PHASE_S) -> float:
     try:
         seconds = parse_duration_us(value) / 1e6
     except ValueError as error:
         raise FleetError(f"line {node.line}: {node.name}: {error}") from None
-    if seconds > most:
-        raise FleetError(f"line {node.line}: {node.name}: {seconds:g} s is over {most:g} s")
+    if seconds > maximum:
+        raise FleetError(f"line {node.line}: {node.name}: {seconds:g} s is over {maximum:g} s")
     return seconds
 
 
@@ -143,8 +151,8 @@
         known = ", ".join(fault.value for fault in Fault)
         raise FleetError(f"line {node.line}: fault: one of {known}") from None
     changes = node.properties.get("changes", 0)
-    if type(changes) is not int or not 0 <= changes <= MOST_CHANGES:
-        raise FleetError(f"line {node.line}: changes: a whole number from 0 to {MOST_CHANGES}")
+    if type(changes) is not int or not 0 <= changes <= MAX_CHANGES:
+        raise FleetError(f"line {node.line}: changes: a whole number from 0 to {MAX_CHANGES}")
     times = {
         key: _seconds(node, node.properties[key])
         for key in ("every", "after", "lasts")
@@ -158,27 +166,27 @@
         times.get("after", 0.0),
         times.get("lasts", 0.0),
     )
-    if changes * phase.every_s > MOST_PHASE_S:
-        raise FleetError(f"line {node.line}: the changes take over {MOST_PHASE_S:g} s")
+    if changes * phase.every_s > MAX_PHASE_S:
+        raise FleetError(f"line {node.line}: the changes take over {MAX_PHASE_S:g} s")
     if not changes and not phase.lasts_s:
         raise FleetError(f"line {node.line}: nothing happens: neither changes nor lasts")
     return phase
 
 
-def _text(node: Node, known: tuple[str, ...]) -> str:
+def _one_of_names(node: Node, known: tuple[str, ...]) -> str:
     if len(node.arguments) != 1 or node.arguments[0] not in known:
         raise FleetError(f"line {node.line}: {node.name}: one of {', '.join(known)}")
     return str(node.arguments[0])
 
 
 _READERS: dict[str, Callable[[Node], Any]] = {
-    "distribution": lambda node: _text(node, DISTRIBUTIONS),
-    "relays": lambda node: _numbers(node, MOST_RELAYS),
-    "backends": lambda node: _numbers(node, MOST_BACKENDS),
-    "hosts": lambda node: _number(node, MOST_HOSTS),
-    "zones": lambda node: _number(node, MOST_ZONES),
-    "machines": lambda node: _number(node, MOST_MACHINES),
-    "true-relays": lambda node: _number(node, MOST_TRUE, 0),
+    "distribution": lambda node: _one_of_names(node, DISTRIBUTIONS),
+    "relays": lambda node: _numbers(node, MAX_RELAYS),
+    "backends": lambda node: _numbers(node, MAX_BACKENDS),
+    "hosts": lambda node: _number(node, MAX_HOSTS),
+    "zones": lambda node: _number(node, MAX_ZONES),
+    "machines": lambda node: _number(node, MAX_MACHINES),
+    "true-relays": lambda node: _number(node, MAX_TRUE, 0),
     "ask-within": lambda node: _seconds(node, node.arguments[0] if node.arguments else None),
     "within": lambda node: _seconds(node, node.arguments[0] if node.arguments else None),
 }
@@ -203,47 +211,45 @@
         raise FleetError(f"line {error.line}: {error}") from None
     if len(nodes) != 1 or nodes[0].name != "experiment" or len(nodes[0].arguments) != 1:
         raise FleetError('one `experiment "NAME" { … }`')
-    told = dict(_DEFAULTS)
+    values = dict(_DEFAULTS)
     phases: list[Phase] = []
     for node in nodes[0].children:
         if node.name == "phase":
             phases.append(_phase(node))
         elif node.name in _READERS:
-            told[node.name] = _READERS[node.name](node)
+            values[node.name] = _READERS[node.name](node)
         else:
             raise FleetError(f"line {node.line}: unknown {node.name}")
     if not phases:
         raise FleetError("no phase")
-    if max(told["relays"]) * max(told["backends"]) > MOST_ENTRIES:
-        raise FleetError(
-            f"relays times backends is over {MOST_ENTRIES:,}: the lists would not fit the memory"
-        )
+    if max(values["relays"]) * max(values["backends"]) > MAX_ENTRIES:
+        raise FleetError(f"relays times backends is over {MAX_ENTRIES:,}: the lists would not fit the memory")
     if len({phase.name for phase in phases}) < len(phases):
         raise FleetError("two phases of one name")
     for phase in phases:
-        if phase.fault not in FAULTS[told["distribution"]]:
-            raise FleetError(f"phase {phase.name!r}: no {phase.fault} with {told['distribution']!r}")
+        if phase.fault not in FAULTS[values["distribution"]]:
+            raise FleetError(f"phase {phase.name!r}: no {phase.fault} with {values['distribution']!r}")
     return FleetExperiment(
         str(nodes[0].arguments[0]),
-        told["distribution"],
-        told["relays"],
-        told["backends"],
-        told["hosts"],
-        told["zones"],
-        told["ask-within"],
-        told["true-relays"],
-        told["within"],
+        values["distribution"],
+        values["relays"],
+        values["backends"],
+        values["hosts"],
+        values["zones"],
+        values["ask-within"],
+        values["true-relays"],
+        values["within"],
         tuple(phases),
-        told["machines"],
+        values["machines"],
     )
 
 
-def _one_of(option: str, told: str | None, sizes: tuple[int, ...]) -> tuple[int, ...]:
-    if told is None:
+def _chosen_size(option: str, text: str | None, sizes: tuple[int, ...]) -> tuple[int, ...]:
+    if text is None:
         return sizes
-    if not told.isdecimal() or int(told) not in sizes:
-        raise FleetError(f"{option}: {told!r} is none of {', '.join(map(str, sizes))}")
-    return (int(told),)
+    if not text.isdecimal() or int(text) not in sizes:
+        raise FleetError(f"{option}: {text!r} is none of {', '.join(map(str, sizes))}")
+    return (int(text),)
 
 
 def select(
@@ -252,8 +258,8 @@
     """Only one of its sizes, or some of its phases by name; `FleetError` if it has no such ones."""
     experiment = replace(
         experiment,
-        relays=_one_of("--relays", relays, experiment.relays),
-        backends=_one_of("--backends", backends, experiment.backends),
+        relays=_chosen_size("--relays", relays, experiment.relays),
+        backends=_chosen_size("--backends", backends, experiment.backends),
     )
     if phases is not None:
         names = [name.strip() for name in phases.split(",")]
--- a/gannetweir/lab/scale/fleet_figures.py
+++ b/gannetweir/lab/scale/fleet_figures.py
@@ -25,7 +25,7 @@
 
     p50: float
     p99: float
-    last: float
+    maximum: float
 
 
 def spread(values: Iterable[float]) -> Spread:
@@ -38,8 +38,8 @@
     """When a relay first had a version or a later one; None if it never did. Versions only grow: a relay that
     is restarted holds none until it has a list, which is no older.
     """
-    at = bisect_left(record.versions, version)
-    return record.applied_ns[at] if at < len(record.versions) else None
+    index = bisect_left(record.versions, version)
+    return record.applied_ns[index] if index < len(record.versions) else None
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,41 +50,41 @@
     missing: int  # pairs of relay and change that never came in force
 
 
-def in_force(records: Sequence[RelayRecord], changed_ns: Mapping[int, int]) -> InForceTimes:
+def in_force_times(records: Sequence[RelayRecord], changed_ns: Mapping[int, int]) -> InForceTimes:
     """The times from each change, by its version, until it is in force on each relay."""
     times: list[float] = []
     missing = 0
     for record in records:
         for version, changed in changed_ns.items():
-            at = in_force_ns(record, version)
-            if at is None:
+            applied_ns = in_force_ns(record, version)
+            if applied_ns is None:
                 missing += 1
             else:
-                times.append((at - changed) / 1e6)
+                times.append((applied_ns - changed) / 1e6)
     return InForceTimes(spread(times), missing)
 
 
-def recovered_s(
+def recovery_s(
     records: Sequence[RelayRecord], version: int, fault_ended_ns: int, begin_ns: int, end_ns: int
 ) -> float:
     """Seconds from a fault's end until the last relay had the version that was the newest then; and for the
     relays that were started from `begin_ns` to `end_ns`, from each start to its first list. -1: never.
     """
-    last = 0
+    longest_ns = 0
     for record in records:
         waits = [(in_force_ns(record, version), fault_ended_ns)]
         for started in record.started_ns:
             if begin_ns <= started < end_ns:
-                at = bisect_left(record.applied_ns, started)
-                waits.append((record.applied_ns[at] if at < len(record.applied_ns) else None, started))
+                index = bisect_left(record.applied_ns, started)
+                waits.append((record.applied_ns[index] if index < len(record.applied_ns) else None, started))
         for reached, since in waits:
             if reached is None:
                 return -1.0
-            last = max(last, reached - since)
-    return last / 1e9
+            longest_ns = max(longest_ns, reached - since)
+    return longest_ns / 1e9
 
 
-def most_in_window(received: Mapping[int, int], begin: int, end: int, window: int = WINDOW_S) -> int:
+def max_in_window(received: Mapping[int, int], begin: int, end: int, window: int = WINDOW_S) -> int:
     """The most bytes in any `window` seconds, of those that came from second `begin` to before `end`. Windows
     slide by a second.
     """
@@ -95,6 +95,6 @@
     return most
 
 
-def total(received: Mapping[int, int], begin: int, end: int) -> int:
+def total_received(received: Mapping[int, int], begin: int, end: int) -> int:
     """The bytes that came from second `begin` to before `end`."""
     return sum(count for second, count in received.items() if begin <= second < end)
--- a/gannetweir/lab/scale/fleet_run.py
+++ b/gannetweir/lab/scale/fleet_run.py
@@ -13,7 +13,13 @@
 from gannetweir.lab.scale.distribution import ServedTotals
 from gannetweir.lab.scale.fleet import Fleet, with_fleet
 from gannetweir.lab.scale.fleet_experiment import Fault, FleetExperiment, Phase
-from gannetweir.lab.scale.fleet_figures import in_force, most_in_window, recovered_s, spread, total
+from gannetweir.lab.scale.fleet_figures import (
+    in_force_times,
+    max_in_window,
+    recovery_s,
+    spread,
+    total_received,
+)
 from gannetweir.lab.scale.messages import RelayRecord
 from gannetweir.lab.scale.server_load import Sampler, ServerLoad, server_load
 
@@ -73,7 +79,7 @@
 
 
 @dataclass(slots=True)
-class _Mark:
+class _Reading:
     """Everything that is counted, at one moment."""
 
     at_ns: int
@@ -86,42 +92,42 @@
 
 
 @dataclass(slots=True)
-class _Played:
+class _PlayedPhase:
     """A phase that was played; its figures come once all records are in."""
 
     phase: Phase
-    begin: _Mark
-    end: _Mark
+    begin: _Reading
+    end: _Reading
     changed_ns: dict[int, int]
     fault_ended_ns: int
     fault_version: int  # the newest when the fault ended
     servers: ServerLoad
 
 
-async def _mark(fleet: Fleet) -> _Mark:
-    return _Mark(
+async def _take_reading(fleet: Fleet) -> _Reading:
+    return _Reading(
         time.monotonic_ns(),
-        fleet.second(),
+        fleet.current_second(),
         os.getloadavg()[0],
         fleet.host_usage(),
         fleet.distribution.usage(),
-        fleet.true.usage() if fleet.true is not None else [],
+        fleet.true_relays.usage() if fleet.true_relays is not None else [],
         await fleet.distribution.served(),
     )
 
 
-class _Player:
+class _PhaseRunner:
     """Plays the phases on a fleet that has started."""
 
-    def __init__(self, fleet: Fleet, tell: Callable[[str, float], None]) -> None:
-        self.fleet, self.tell = fleet, tell
+    def __init__(self, fleet: Fleet, report_progress: Callable[[str, float], None]) -> None:
+        self.fleet, self.report_progress = fleet, report_progress
         self.fault_ended_ns = self.fault_version = 0
 
-    async def play(self, phase: Phase) -> _Played:
+    async def play(self, phase: Phase) -> _PlayedPhase:
         """Changes and fault side by side, then the wait until all is in force."""
         fleet, version = self.fleet, self.fleet.store.version
         sampler = Sampler(fleet.distribution.usage)
-        begin = await _mark(fleet)
+        begin = await _take_reading(fleet)
         self.fault_ended_ns, self.fault_version = begin.at_ns, version
         async with anyio.create_task_group() as beside:
             beside.start_soon(sampler.run)
@@ -131,66 +137,68 @@
             await fleet.wait_in_force(fleet.store.version, fleet.experiment.within_s)
             await anyio.sleep(SETTLE_S)
             beside.cancel_scope.cancel()
-        end = await _mark(fleet)
+        end = await _take_reading(fleet)
         servers = server_load(sampler.samples, begin.served, end.served, (begin.at_ns, end.at_ns))
-        changed = {v: at for v, at in fleet.store.changed_ns.items() if v > version}
-        return _Played(phase, begin, end, changed, self.fault_ended_ns, self.fault_version, servers)
+        changed_at_ns = {v: at for v, at in fleet.store.changed_ns.items() if v > version}
+        return _PlayedPhase(
+            phase, begin, end, changed_at_ns, self.fault_ended_ns, self.fault_version, servers
+        )
 
     async def _change(self, phase: Phase) -> None:
         begun = anyio.current_time()
         for n in range(phase.changes):
             await anyio.sleep_until(begun + n * phase.every_s)
             await self.fleet.distribution.publish(self.fleet.store.change())
-            self.tell(phase.name, (n + 1) / phase.changes)
+            self.report_progress(phase.name, (n + 1) / phase.changes)
 
     async def _fault(self, phase: Phase) -> None:
         await anyio.sleep(phase.after_s)
         fleet, count = self.fleet, self.fleet.relays
-        known = phase.fault in (Fault.ZONE_KNOWN, Fault.TENTHS_KNOWN)
-        if phase.fault in (Fault.ZONE, Fault.ZONE_KNOWN):
+        known = phase.fault in (Fault.ZONE_RESTARTED_KNOWN, Fault.RESTARTED_IN_TENTHS_KNOWN)
+        if phase.fault in (Fault.ZONE_RESTARTED, Fault.ZONE_RESTARTED_KNOWN):
             await fleet.restart(range(0, count, fleet.experiment.zones), known)
-        elif phase.fault in (Fault.TENTHS, Fault.TENTHS_KNOWN):
+        elif phase.fault in (Fault.RESTARTED_IN_TENTHS, Fault.RESTARTED_IN_TENTHS_KNOWN):
             for tenth in range(TENTHS):
                 await fleet.restart(range(tenth, count, TENTHS), known)
                 await anyio.sleep(phase.lasts_s if tenth < TENTHS - 1 else 0)
         else:
-            await fleet.distribution.begin(phase.fault)
-            if phase.fault is Fault.ZONE_SLOW:
+            await fleet.distribution.begin_fault(phase.fault)
+            if phase.fault is Fault.ZONE_RESTARTED_SLOW_LINK:
                 await fleet.restart(range(0, count, fleet.experiment.zones))
             await anyio.sleep(phase.lasts_s)
-            self._fault_is_over()
-            await fleet.distribution.end(phase.fault)
+            self._record_fault_end()
+            await fleet.distribution.end_fault(phase.fault)
             return
-        self._fault_is_over()
+        self._record_fault_end()
 
-    def _fault_is_over(self) -> None:
+    def _record_fault_end(self) -> None:
         self.fault_ended_ns, self.fault_version = time.monotonic_ns(), self.fleet.store.version
 
 
 def _cpu_share(before: list[Usage], after: list[Usage], seconds: float) -> float:
     """Of one core, all processes together. One that was started anew in between counts from its start."""
-    spent = 0
+    used_ns = 0
     for n, usage in enumerate(after):
-        was = before[n].cpu_ns if n < len(before) else 0
-        spent += usage.cpu_ns - was if usage.cpu_ns >= was else usage.cpu_ns
-    return spent / 1e9 / seconds
+        earlier_ns = before[n].cpu_ns if n < len(before) else 0
+        used_ns += usage.cpu_ns - earlier_ns if usage.cpu_ns >= earlier_ns else usage.cpu_ns
+    return used_ns / 1e9 / seconds
 
 
-def _true_kb(played: _Played) -> float:
+def _true_relays_kb_mean(played: _PlayedPhase) -> float:
     """The mean over the true relays: the servers' addresses but the first."""
     before, after = played.begin.served.sent, played.end.served.sent
     sent = [after[host] - before[host] for host in after if host != "127.0.0.1"]
     return sum(sent) / len(sent) / 1000 if sent else 0.0
 
 
-def figures(played: _Played, records: list[RelayRecord]) -> PhaseFigures:
+def phase_figures(played: _PlayedPhase, records: list[RelayRecord]) -> PhaseFigures:
     """The figures of one phase."""
     begin, end, count = played.begin, played.end, len(records)
     seconds = (end.at_ns - begin.at_ns) / 1e9
-    times = in_force(records, played.changed_ns)
-    windows = spread(most_in_window(r.received, begin.second, end.second) / 1000 for r in records)
-    means = [total(r.received, begin.second, end.second) / 1000 for r in records]
-    true = len(end.true)
+    times = in_force_times(records, played.changed_ns)
+    windows = spread(max_in_window(r.received, begin.second, end.second) / 1000 for r in records)
+    means = [total_received(r.received, begin.second, end.second) / 1000 for r in records]
+    true_relay_count = len(end.true)
     return PhaseFigures(
         name=played.phase.name,
         fault=played.phase.fault.value,
@@ -198,42 +206,46 @@
         changes=len(played.changed_ns),
         p50_ms=times.ms.p50,
         p99_ms=times.ms.p99,
-        last_ms=times.ms.last,
+        last_ms=times.ms.maximum,
         missing=times.missing,
-        recovered_s=recovered_s(records, played.fault_version, played.fault_ended_ns, begin.at_ns, end.at_ns),
+        recovered_s=recovery_s(records, played.fault_version, played.fault_ended_ns, begin.at_ns, end.at_ns),
         window_p50_kb=windows.p50,
-        window_most_kb=windows.last,
+        window_most_kb=windows.maximum,
         kb_mean=sum(means) / count,
         relay_cpu_share=_cpu_share(begin.hosts, end.hosts, seconds) / count,
         server_cpu_share=_cpu_share(begin.servers, end.servers, seconds),
         snapshots=end.served.snapshots - begin.served.snapshots,
-        true_cpu_share=_cpu_share(begin.true, end.true, seconds) / true if true else 0.0,
-        true_kb_mean=_true_kb(played),
+        true_cpu_share=_cpu_share(begin.true, end.true, seconds) / true_relay_count
+        if true_relay_count
+        else 0.0,
+        true_kb_mean=_true_relays_kb_mean(played),
         load=begin.load,
         one_server_cpu=_cpu_share(begin.servers, end.servers, seconds) / max(1, len(end.servers)),
-        one_server_cpu_most=played.servers.cpu_most,
+        one_server_cpu_most=played.servers.cpu_max,
         one_server_kb_s=played.servers.kb_s,
-        one_server_kb_most=played.servers.kb_most,
-        one_server_mb_most=played.servers.mb_most,
+        one_server_kb_most=played.servers.kb_max,
+        one_server_mb_most=played.servers.mb_max,
     )
 
 
 async def play_fleet(
-    experiment: FleetExperiment, relays: int, backends: int, tell: Callable[[str, float], None]
+    experiment: FleetExperiment, relays: int, backends: int, report_progress: Callable[[str, float], None]
 ) -> FleetRun:
     """One run. `tell` hears which phase is how far. `LinkError` or `OSError` if a process fails."""
     begun = time.monotonic()
 
     async def use(fleet: Fleet) -> FleetRun:
         start_s = time.monotonic() - begun
-        player = _Player(fleet, tell)
-        tell("start", 1.0)
+        runner = _PhaseRunner(fleet, report_progress)
+        report_progress("start", 1.0)
         await fleet.wait_in_force(fleet.store.version, experiment.within_s)
         await anyio.sleep(SETTLE_S)
         first = fleet.host_usage()
-        held = sum(u.rss_bytes for u in first) - sum(u.rss_bytes for u in fleet.empty)
-        true_list = [size / 1000 for size in fleet.true.list_bytes()] if fleet.true is not None else []
-        played = [await player.play(phase) for phase in experiment.phases]
+        held = sum(u.rss_bytes for u in first) - sum(u.rss_bytes for u in fleet.initial_host_usage)
+        true_list = (
+            [size / 1000 for size in fleet.true_relays.list_bytes()] if fleet.true_relays is not None else []
+        )
+        played = [await runner.play(phase) for phase in experiment.phases]
         records = await fleet.records()
         return FleetRun(
             experiment.distribution,
@@ -248,7 +260,7 @@
             max(sum(u.rss_bytes for u in p.end.servers) for p in played) / 1e6,
             sum(r.watch_failures for r in records),
             sorted({fault for r in records for fault in r.faults})[:5],
-            [figures(one, records) for one in played],
+            [phase_figures(one, records) for one in played],
         )
 
     run: FleetRun = await with_fleet(Fleet(experiment, relays, backends), use)
--- a/gannetweir/lab/scale/membership_drivers.py
+++ b/gannetweir/lab/scale/membership_drivers.py
@@ -14,7 +14,7 @@
     """Today's way: a watch on the one discovery."""
     from gannetweir.net.endpoint_watch import EndpointWatchDriver
 
-    return EndpointWatchDriver(relay, relay.counted_endpoint)
+    return EndpointWatchDriver(relay, relay.counted_transport)
 
 
 def control_driver(relay: SkeletonRelay) -> MembershipDriver:
--- a/gannetweir/lab/scale/server_load.py
+++ b/gannetweir/lab/scale/server_load.py
@@ -12,7 +12,7 @@
 from gannetweir.lab.scale.child import Usage
 from gannetweir.lab.scale.distribution import ServedTotals
 
-EVERY_S = 1.0
+SAMPLE_INTERVAL_S = 1.0
 SECOND_NS = 1_000_000_000
 
 
@@ -35,27 +35,27 @@
         """Until cancelled."""
         while True:
             self.samples.append(Sample(time.monotonic_ns(), self.usage()))
-            await anyio.sleep(EVERY_S)
+            await anyio.sleep(SAMPLE_INTERVAL_S)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
     """Of one server: the largest of any, and the mean over all for the bytes."""
 
-    cpu_most: float  # share of a core between two samples
-    mb_most: float
+    cpu_max: float  # share of a core between two samples
+    mb_max: float
     kb_s: float
-    kb_most: float  # in a second; 0 where no server counts so
+    kb_max: float  # in a second; 0 where no server counts so
 
 
-def _cpu_most(samples: Sequence[Sample]) -> float:
-    most = 0.0
+def _cpu_max(samples: Sequence[Sample]) -> float:
+    maximum = 0.0
     for before, after in pairwise(samples):
-        for was, now in zip(before.servers, after.servers, strict=False):
+        for earlier, later in zip(before.servers, after.servers, strict=False):
             # a process that was started in between has all of its time in that second
-            spent = now.cpu_ns - was.cpu_ns if now.cpu_ns >= was.cpu_ns else now.cpu_ns
-            most = max(most, spent / (after.at_ns - before.at_ns))
-    return most
+            used_ns = later.cpu_ns - earlier.cpu_ns if later.cpu_ns >= earlier.cpu_ns else later.cpu_ns
+            maximum = max(maximum, used_ns / (after.at_ns - before.at_ns))
+    return maximum
 
 
 def server_load(
@@ -69,7 +69,7 @@
     by_second = [counts[second] for counts in after.by_second.values() for second in seconds]
     sizes = [server.rss_bytes for sample in samples for server in sample.servers]
     return ServerLoad(
-        _cpu_most(samples),
+        _cpu_max(samples),
         max(sizes, default=0) / 1e6,
         sent / 1000 / count / ((end_ns - begin_ns) / 1e9),
         max(by_second, default=0) / 1000,
--- a/gannetweir/lab/scale/skeleton_host.py
+++ b/gannetweir/lab/scale/skeleton_host.py
@@ -46,11 +46,11 @@
         elif isinstance(message, StartRelays):
             await self._start_in_waves(message.relays, message.wave)
         elif isinstance(message, RestartRelays):
-            here = [relay for relay in message.relays if relay in self.relays]
-            for relay in here:
-                ended = self.relays[relay]
-                ended.stop()
-                self._start(relay, ended.known() if message.known else None)
+            local_relays = [relay for relay in message.relays if relay in self.relays]
+            for relay in local_relays:
+                previous = self.relays[relay]
+                previous.stop()
+                self._start(relay, previous.known() if message.known else None)
             await anyio.lowlevel.checkpoint()  # they run before the next command can stop them
         elif isinstance(message, AskInForce):
             return InForce(sum(r.version() >= message.version for r in self.relays.values()))
@@ -60,10 +60,12 @@
             raise ValueError(f"a host does not know {type(message).__name__}")
         return Done()
 
-    def _configure(self, told: Configure) -> None:
-        self.configuration = told
-        one = parse_settings(told.settings)
-        self.settings = [parse_settings({**told.settings, "zone": n}) for n in range(told.zones)] or [one]
+    def _configure(self, configuration: Configure) -> None:
+        self.configuration = configuration
+        without_zone = parse_settings(configuration.settings)
+        self.settings = [
+            parse_settings({**configuration.settings, "zone": n}) for n in range(configuration.zones)
+        ] or [without_zone]
 
     def _start(self, relay: int, known: KnownList | None = None) -> SkeletonRelay:
         settings = self.settings[relay % len(self.settings)]
@@ -76,16 +78,16 @@
             known=known,
         )
         record = self.records.setdefault(relay, RelayRecord(relay))
-        made = SkeletonRelay(config, self.clock, record, DRIVERS[self.configuration.distribution])
-        self.relays[relay] = made
-        self.tasks.start_soon(made.run)
-        return made
+        skeleton = SkeletonRelay(config, self.clock, record, DRIVERS[self.configuration.distribution])
+        self.relays[relay] = skeleton
+        self.tasks.start_soon(skeleton.run)
+        return skeleton
 
     async def _start_in_waves(self, relays: list[int], wave: int) -> None:
         for begin in range(0, len(relays), wave):
             started = [self._start(relay) for relay in relays[begin : begin + wave]]
             for relay in started:
-                await relay.listed.wait()
+                await relay.has_list.wait()
 
 
 async def run() -> None:
--- a/gannetweir/lab/scale/skeleton_relay.py
+++ b/gannetweir/lab/scale/skeleton_relay.py
@@ -32,7 +32,7 @@
 class MembershipDriver(Protocol):
     """What brings a relay its membership."""
 
-    def apply_command(self, order: e.SetEndpointWatch) -> None:
+    def apply_command(self, command: e.SetEndpointWatch) -> None:
         """Start a watch in place of the one before, or only end that."""
 
 
@@ -56,7 +56,7 @@
     known: KnownList | None = None  # what it is started with
 
 
-class CountedEndpoint(Transport):
+class CountedTransport(Transport):
     """A connection whose received bytes are counted."""
 
     def __init__(
@@ -83,18 +83,20 @@
         driver: Callable[[SkeletonRelay], MembershipDriver],
     ) -> None:
         self.config, self.clock, self.record = config, clock, record
-        self.engine = e.Engine(config.settings, config.limits, config.seed, self._started_with(), clock())
+        self.engine = e.Engine(
+            config.settings, config.limits, config.seed, self._initial_membership(), clock()
+        )
         # The version that is in force as a whole, and the list that a next start may be given: a driver that
         # brings a version in parts sets its own.
         self.version: Callable[[], int] = lambda: self.engine.endpoint_list.version
         self.known: Callable[[], KnownList | None] = lambda: None
         self.driver = driver(self)
-        self.listed = anyio.Event()  # it has a list
+        self.has_list = anyio.Event()  # it has a list
         self.wake = anyio.Event()
         self.sleep_until = 0
         self.tasks: anyio.abc.TaskGroup  # from `run` on
 
-    def _started_with(self) -> MembershipUpdate:
+    def _initial_membership(self) -> MembershipUpdate:
         known = self.config.known
         if known is None:
             return MembershipUpdate(0, True)
@@ -125,7 +127,7 @@
     def run_engine_call(self, call: Callable[[*Arguments, int], Result], *args: *Arguments) -> Result:
         """Tell the engine something and do what it commands."""
         result = call(*args, self.clock())
-        self._carry_out()
+        self._execute_commands()
         self.note_version()
         return result
 
@@ -136,17 +138,17 @@
         second = (time.monotonic_ns() - self.config.epoch_ns) // SECOND_NS
         self.record.received[second] = self.record.received.get(second, 0) + count
 
-    def counted_endpoint(self, sock: socket.socket, limits: Limits, spawn: Spawn) -> Transport:
+    def counted_transport(self, sock: socket.socket, limits: Limits, spawn: Spawn) -> Transport:
         """For a driver: a connection whose bytes are counted as this relay's."""
-        return CountedEndpoint(sock, limits, spawn, self.received)
+        return CountedTransport(sock, limits, spawn, self.received)
 
     def note_version(self) -> None:
         """Record the version that is in force, if it is another than before."""
         version = self.version()
-        if version and (not self.listed.is_set() or self.record.versions[-1] != version):
+        if version and (not self.has_list.is_set() or self.record.versions[-1] != version):
             self.record.versions.append(version)
             self.record.applied_ns.append(time.monotonic_ns())
-            self.listed.set()
+            self.has_list.set()
 
     # ---- the life of it
 
@@ -155,7 +157,7 @@
         self.record.started_ns.append(time.monotonic_ns())
         async with anyio.create_task_group() as self.tasks:
             self.tasks.start_soon(self._timers)
-            self._carry_out()
+            self._execute_commands()
             self.note_version()
 
     def stop(self) -> None:
@@ -176,7 +178,7 @@
                 await self.wake.wait()
             self.run_engine_call(self.engine.advance)
 
-    def _carry_out(self) -> None:
+    def _execute_commands(self) -> None:
         commands = self.engine.commands
         while commands:
             command = commands.popleft()
--- a/gannetweir/lab/scale/true_relay.py
+++ b/gannetweir/lab/scale/true_relay.py
@@ -36,16 +36,18 @@
     }
 
 
-class WholeRelays:
+class TrueRelays:
     """Some processes that watch the fleet's servers, and one that has no list, for the memory of one."""
 
     def __init__(self, settings: dict[str, Any], servers: list[str]) -> None:
         self.folder = tempfile.TemporaryDirectory(prefix="hollow-fleet-")
-        self.deaf = socket.create_server((HOST, free_port([HOST])))  # accepts in its queue, never answers
+        self.silent_listener = socket.create_server(
+            (HOST, free_port([HOST]))
+        )  # accepts in its queue, never answers
         self.settings = settings
         self.processes = [self._start(n, server) for n, server in enumerate(servers)]
-        nowhere = f"{HOST}:{self.deaf.getsockname()[1]}"
-        self.listless = self._start(len(servers), nowhere) if servers else None
+        silent_address = f"{HOST}:{self.silent_listener.getsockname()[1]}"
+        self.without_list = self._start(len(servers), silent_address) if servers else None
 
     def _start(self, number: int, discovery: str) -> subprocess.Popen[bytes]:
         config = {
@@ -71,17 +73,17 @@
 
     def list_bytes(self) -> list[int]:
         """The resident memory of each that watches, less that of the one without a list."""
-        if self.listless is None:
+        if self.without_list is None:
             return []
-        bare = usage(self.listless.pid).rss_bytes
-        return [one.rss_bytes - bare for one in self.usage()]
+        baseline = usage(self.without_list.pid).rss_bytes
+        return [one.rss_bytes - baseline for one in self.usage()]
 
     def stop(self) -> None:
         """End them in good order."""
-        started = [*self.processes, *([self.listless] if self.listless is not None else [])]
+        started = [*self.processes, *([self.without_list] if self.without_list is not None else [])]
         for process in started:
             process.send_signal(signal.SIGTERM)
         for process in started:
             end(process)
-        self.deaf.close()
+        self.silent_listener.close()
         self.folder.cleanup()
--- a/tests/test_skeleton_control.py
+++ b/tests/test_skeleton_control.py
@@ -13,7 +13,7 @@
 import pytest
 
 from gannetweir.lab.scale.child import Usage
-from gannetweir.lab.scale.control_distribution import FAULTY, ControlPlane
+from gannetweir.lab.scale.control_distribution import FAULTY_MACHINE, ControlPlane
 from gannetweir.lab.scale.distribution import ServedTotals
 from gannetweir.lab.scale.fleet import Fleet, with_fleet
 from gannetweir.lab.scale.fleet_experiment import FAULTS, Fault, FleetError, parse_fleet
@@ -22,7 +22,7 @@
 from gannetweir.lab.scale.server_load import Sample, server_load
 
 EXPERIMENTS = Path(__file__).parent.parent / "experiments"
-SMALL = """experiment "small" {
+SMALL_EXPERIMENT = """experiment "small" {
     distribution "control"
     machines 3
     relays 6
@@ -33,14 +33,14 @@
     phase "ordinary" changes=5 every="20ms"
     phase "zone" fault="zone-restarted" changes=2 every="50ms"
 }"""
-SOON = 20.0  # only a failing test waits so long
+IN_FORCE_TIMEOUT_S = 20.0  # only a failing test waits so long
 
 
-async def change(fleet: Fleet) -> int:
+async def publish_change(fleet: Fleet) -> int:
     """A change, in force on every relay."""
     made = fleet.store.change()
     await fleet.distribution.publish(made)
-    assert await fleet.wait_in_force(made.version, SOON)
+    assert await fleet.wait_in_force(made.version, IN_FORCE_TIMEOUT_S)
     return made.version
 
 
@@ -51,33 +51,33 @@
             assert record.faults == [] and record.versions == sorted(record.versions)
             assert record.versions[-1] == fleet.store.version
 
-    anyio.run(with_fleet, Fleet(parse_fleet(SMALL), 6, 20), checked)
+    anyio.run(with_fleet, Fleet(parse_fleet(SMALL_EXPERIMENT), 6, 20), checked)
 
 
-def test_the_kept_experiment_plays_every_fault_of_its_distribution() -> None:
+def test_the_experiment_plays_every_fault_of_its_distribution() -> None:
     fleet = parse_fleet((EXPERIMENTS / "hollow-control.kdl").read_text())
     assert (fleet.distribution, fleet.machines, fleet.relays) == ("control", 15, (100, 300, 750, 1500))
     assert {phase.fault for phase in fleet.phases} == FAULTS["control"]
-    today = parse_fleet((EXPERIMENTS / "hollow-fleet.kdl").read_text())
-    both = {phase.name for phase in fleet.phases} & {phase.name for phase in today.phases}
+    direct = parse_fleet((EXPERIMENTS / "hollow-fleet.kdl").read_text())
+    both = {phase.name for phase in fleet.phases} & {phase.name for phase in direct.phases}
     assert {"idle", "ordinary state", "zone restarted", "all restarted in tenths"} <= both
 
 
 @pytest.mark.parametrize(
-    ("line", "said"),
+    ("line", "expected"),
     [
         ('phase "p" fault="discovery-killed" changes=1', "phase 'p': no discovery-killed with 'control'"),
         ("machines 41", "line 2: machines: whole numbers from 1 to 40"),
     ],
 )
-def test_a_fault_of_another_distribution_is_refused(line: str, said: str) -> None:
+def test_a_fault_of_another_distribution_is_rejected(line: str, expected: str) -> None:
     with pytest.raises(FleetError) as error:
         parse_fleet(f'experiment "e" {{\n    {line}\n    distribution "control"\n    phase "x" changes=1\n}}')
-    assert said in str(error.value)
+    assert expected in str(error.value)
 
 
 def test_a_run_counts_snapshots_and_each_machines_load(tmp_path: Path) -> None:
-    fleet = parse_fleet(SMALL)
+    fleet = parse_fleet(SMALL_EXPERIMENT)
 
     async def played() -> Any:
         return await play_fleet(fleet, 6, 20, lambda phase, share: None)
@@ -91,10 +91,10 @@
     assert load(tmp_path / "hollow-control") == [run]
     page = (tmp_path / "hollow-control" / "README.md").read_text()
     assert "### One control machine" in page and "beside today's way\n" not in page
-    today = parse_fleet(SMALL.replace('distribution "control"', 'distribution "direct"'))
+    direct = parse_fleet(SMALL_EXPERIMENT.replace('distribution "control"', 'distribution "direct"'))
     other = load(tmp_path / "hollow-control")[0]
     other.distribution, other.phases = "direct", other.phases[:1]
-    keep(today, [other], tmp_path / "hollow-fleet")
+    keep(direct, [other], tmp_path / "hollow-fleet")
     keep(fleet, [run], tmp_path / "hollow-control")
     page = (tmp_path / "hollow-control" / "README.md").read_text()
     shared = page.partition("beside today's way\n")[2].partition("## control")[0]
@@ -103,15 +103,15 @@
 
 def test_a_relay_that_starts_with_its_list_is_sent_no_snapshot() -> None:
     async def use(fleet: Fleet) -> None:
-        await change(fleet)
+        await publish_change(fleet)
         before = (await fleet.distribution.served()).snapshots
         assert before == 6  # each relay's start
         await fleet.restart(range(6), known=True)
         assert await fleet.count_in_force(fleet.store.version) == 6  # it serves at once with what it had
-        await change(fleet)
+        await publish_change(fleet)
         assert (await fleet.distribution.served()).snapshots == before
         await fleet.restart([0])
-        await change(fleet)
+        await publish_change(fleet)
         assert (await fleet.distribution.served()).snapshots == before + 1
 
     play(use)
@@ -124,33 +124,33 @@
     async def use(fleet: Fleet) -> None:
         plane = fleet.distribution
         assert isinstance(plane, ControlPlane)
-        await plane.begin(fault)
-        await change(fleet)
+        await plane.begin_fault(fault)
+        await publish_change(fleet)
         if fault is Fault.MACHINE_DIES:
             await plane.served()  # its end is seen with the next call
-            assert plane.machines[FAULTY] is None
-        await plane.end(fault)
-        assert plane.machines[FAULTY] is not None
-        await change(fleet)
+            assert plane.machines[FAULTY_MACHINE] is None
+        await plane.end_fault(fault)
+        assert plane.machines[FAULTY_MACHINE] is not None
+        await publish_change(fleet)
         assert sum(record.watch_failures for record in await fleet.records()) > 0
 
     play(use)
 
 
-def test_all_machines_come_back_from_the_store() -> None:
+def test_all_machines_restart_from_the_store() -> None:
     async def use(fleet: Fleet) -> None:
-        await fleet.distribution.begin(Fault.MACHINES_RESTARTED)
+        await fleet.distribution.begin_fault(Fault.MACHINES_RESTARTED)
         made = fleet.store.change()
         await fleet.distribution.publish(made)
         assert await fleet.count_in_force(made.version) == 0  # nobody could be told
-        await fleet.distribution.end(Fault.MACHINES_RESTARTED)
-        assert await fleet.wait_in_force(made.version, SOON)
-        await change(fleet)
+        await fleet.distribution.end_fault(Fault.MACHINES_RESTARTED)
+        assert await fleet.wait_in_force(made.version, IN_FORCE_TIMEOUT_S)
+        await publish_change(fleet)
 
     play(use)
 
 
-def test_the_greatest_load_is_of_one_machine_in_one_second() -> None:
+def test_the_maximum_load_is_of_one_machine_in_one_second() -> None:
     second = 1_000_000_000
     samples = [
         Sample(0, [Usage(5, 10), Usage(0, 10)]),
@@ -161,5 +161,5 @@
     after.sent.update({"c00": 6000, "c01": 2000})
     after.by_second = {"c00": Counter({0: 1000, 1: 5000, 9: 90_000})}
     found = server_load(samples, before, after, (0, 2 * second))
-    assert (found.cpu_most, found.mb_most) == (0.5, 40.0)
-    assert (found.kb_s, found.kb_most) == (2.0, 5.0)  # the second 9 is another phase's
+    assert (found.cpu_max, found.mb_max) == (0.5, 40.0)
+    assert (found.kb_s, found.kb_max) == (2.0, 5.0)  # the second 9 is another phase's
--- a/tests/test_skeleton_fleet.py
+++ b/tests/test_skeleton_fleet.py
@@ -18,12 +18,12 @@
 from gannetweir.lab.scale.fleet import Fleet, with_fleet
 from gannetweir.lab.scale.fleet_experiment import FAULTS, Fault, FleetError, parse_fleet, select
 from gannetweir.lab.scale.fleet_figures import (
-    in_force,
-    most_in_window,
+    in_force_times,
+    max_in_window,
     percentile,
-    recovered_s,
+    recovery_s,
     spread,
-    total,
+    total_received,
 )
 from gannetweir.lab.scale.fleet_results import keep, load, merge
 from gannetweir.lab.scale.fleet_run import play_fleet
@@ -44,7 +44,7 @@
 from tests.helpers import settings
 
 EXPERIMENTS = Path(__file__).parent.parent / "experiments"
-SMALL = """experiment "small" {
+SMALL_EXPERIMENT = """experiment "small" {
     relays 6
     backends 20
     hosts 2
@@ -55,13 +55,13 @@
     phase "ordinary" changes=5 every="20ms"
     phase "zone" fault="zone-restarted" changes=2 every="50ms"
 }"""
-SOON = 20.0  # only a failing test waits so long
+IN_FORCE_TIMEOUT_S = 20.0  # only a failing test waits so long
 
 
 # ---- the experiment's file
 
 
-def test_the_kept_experiments_are_read() -> None:
+def test_the_experiment_files_are_valid() -> None:
     fleet = parse_fleet((EXPERIMENTS / "hollow-fleet.kdl").read_text())
     assert fleet.relays == (100, 300, 750, 1500) and fleet.hosts <= 40
     assert {phase.fault for phase in fleet.phases} == FAULTS["direct"]  # those of "control": its own test
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "said"),
+    ("line", "expected"),
     [
         ("relays 0", "line 2: relays: whole numbers from 1 to 2000"),
         ("relays", "line 2: relays: whole numbers"),
@@ -95,20 +95,20 @@
         ('phase "x" changes=1', "two phases of one name"),
     ],
 )
-def test_a_mistake_is_told_with_its_line(line: str, said: str) -> None:
+def test_an_invalid_line_is_reported_with_its_number(line: str, expected: str) -> None:
     with pytest.raises(FleetError) as error:
         parse_fleet(f'experiment "e" {{\n    {line}\n    phase "x" changes=1\n}}')
-    assert said in str(error.value)
+    assert expected in str(error.value)
 
 
-def test_a_size_or_phases_are_chosen_by_what_the_file_names() -> None:
+def test_a_size_or_phases_are_selected_from_the_file() -> None:
     fleet = parse_fleet((EXPERIMENTS / "hollow-fleet.kdl").read_text())
     chosen = select(fleet, "300", "5000", "zone restarted, idle")
     assert (chosen.relays, chosen.backends) == ((300,), (5000,))
     assert [p.name for p in chosen.phases] == ["zone restarted", "idle"]
-    for told in (("301", None, None), (None, "x", None), (None, None, "noon")):
+    for options in (("301", None, None), (None, "x", None), (None, None, "noon")):
         with pytest.raises(FleetError):
-            select(fleet, *told)
+            select(fleet, *options)
 
 
 # ---- figures
@@ -117,40 +117,40 @@
 def test_percentiles_are_values_that_occurred() -> None:
     values = [float(n) for n in range(1, 201)]
     found = spread(reversed(values))
-    assert (found.p50, found.p99, found.last) == (100.0, 198.0, 200.0)
-    assert percentile([7.0], 0.99) == 7.0 and spread([]).last == 0.0
+    assert (found.p50, found.p99, found.maximum) == (100.0, 198.0, 200.0)
+    assert percentile([7.0], 0.99) == 7.0 and spread([]).maximum == 0.0
 
 
 def test_a_later_version_brings_an_earlier_change_in_force() -> None:
     ms = 1_000_000
     one = RelayRecord(0, versions=[1, 2, 4], applied_ns=[0, 12 * ms, 40 * ms])
     other = RelayRecord(1, versions=[1], applied_ns=[0])  # never heard of anything
-    times = in_force([one, other], {2: 10 * ms, 3: 20 * ms, 4: 30 * ms})
-    assert (times.ms.p50, times.ms.last, times.missing) == (10.0, 20.0, 3)
+    times = in_force_times([one, other], {2: 10 * ms, 3: 20 * ms, 4: 30 * ms})
+    assert (times.ms.p50, times.ms.maximum, times.missing) == (10.0, 20.0, 3)
 
 
 def test_windows_of_bytes_slide_and_stay_in_their_phase() -> None:
     received = {0: 500, 9: 5, 10: 7, 18: 1, 19: 3, 29: 900}
-    assert most_in_window(received, 1, 29) == 5 + 7 + 1  # seconds 9 to 18
-    assert most_in_window(received, 10, 20) == 11
+    assert max_in_window(received, 1, 29) == 5 + 7 + 1  # seconds 9 to 18
+    assert max_in_window(received, 10, 20) == 11
     received[30] = 10_000
-    assert most_in_window(received, 28, 30) == 900  # a phase shorter than the window
-    assert total(received, 9, 19) == 13
+    assert max_in_window(received, 28, 30) == 900  # a phase shorter than the window
+    assert total_received(received, 9, 19) == 13
 
 
 def test_recovery_counts_from_the_faults_end_or_from_a_relays_start() -> None:
     second = 1_000_000_000
-    stood = RelayRecord(0, [1, 5], [0, 7 * second], started_ns=[0])
-    assert recovered_s([stood], 5, 4 * second, 0, 9 * second) == 3.0
+    running = RelayRecord(0, [1, 5], [0, 7 * second], started_ns=[0])
+    assert recovery_s([running], 5, 4 * second, 0, 9 * second) == 3.0
     started = RelayRecord(1, [5, 5], [1 * second, 9 * second], started_ns=[0, 3 * second])
-    assert recovered_s([stood, started], 5, 4 * second, 2 * second, 9 * second) == 6.0
-    assert recovered_s([stood], 6, 4 * second, 0, 9 * second) == -1.0
-    listless = RelayRecord(2, [5], [1 * second], started_ns=[0, 3 * second])
-    assert recovered_s([listless], 5, 4 * second, 2 * second, 9 * second) == -1.0
+    assert recovery_s([running, started], 5, 4 * second, 2 * second, 9 * second) == 6.0
+    assert recovery_s([running], 6, 4 * second, 0, 9 * second) == -1.0
+    without_list = RelayRecord(2, [5], [1 * second], started_ns=[0, 3 * second])
+    assert recovery_s([without_list], 5, 4 * second, 2 * second, 9 * second) == -1.0
 
 
-def test_a_run_replaces_the_kept_one_of_its_size_only(tmp_path: Path) -> None:
-    fleet = parse_fleet(SMALL)
+def test_a_run_replaces_only_the_stored_run_of_its_size(tmp_path: Path) -> None:
+    fleet = parse_fleet(SMALL_EXPERIMENT)
 
     async def play() -> Any:
         return await play_fleet(fleet, 6, 20, lambda phase, share: None)
@@ -180,7 +180,7 @@
 # ---- messages and the stand-in discovery
 
 
-def test_messages_come_back_as_they_were() -> None:
+def test_messages_survive_encoding_and_decoding() -> None:
     record = RelayRecord(3, [1, 2], [10, 20], {0: 5, 7: 9}, [1], ["OSError: x"], 2, 1)
     for message in (Records([record]), Publish(4, {"host": "b1"}), SetMode(ServerMode.SILENT)):
         assert decode(encode(message).rstrip(b"\n")) == message
@@ -188,7 +188,7 @@
         decode(b'["Nonsense", {}]')
 
 
-def test_a_watch_is_told_the_list_or_what_it_lacks() -> None:
+def test_a_watch_starts_with_a_snapshot_or_a_delta() -> None:
     store, membership = Store(zones=2), Membership()
     store.fill(3)
     membership.replace(store.version, list(store.members.values()))
@@ -196,32 +196,32 @@
         change = store.change()
         membership.publish(change.version, change.member)
     watch = EndpointWatch("d", 0, settings(), Limits())
-    told, whole = membership.since(0)
-    (news,) = watch.feed(HEAD + told)
-    assert isinstance(news, MembershipUpdate)
-    assert whole and news.complete and news.version == 4 and len(news.endpoints) == 3
+    chunk, is_snapshot = membership.since(0)
+    (update,) = watch.feed(HEAD + chunk)
+    assert isinstance(update, MembershipUpdate)
+    assert is_snapshot and update.complete and update.version == 4 and len(update.endpoints) == 3
     assert watch.feed(HEARTBEAT) == [Heartbeat()]
-    told, whole = membership.since(2)
-    (news,) = EndpointWatch("d", 2, settings(), Limits()).feed(HEAD + told)
-    assert isinstance(news, MembershipUpdate)
-    assert not whole and news.version == 4 and len(news.endpoints) == 2
+    chunk, is_snapshot = membership.since(2)
+    (update,) = EndpointWatch("d", 2, settings(), Limits()).feed(HEAD + chunk)
+    assert isinstance(update, MembershipUpdate)
+    assert not is_snapshot and update.version == 4 and len(update.endpoints) == 2
     assert not membership.since(4)[1]  # nothing has changed
     fresh = Membership()
     fresh.replace(store.version, list(store.members.values()))
     assert fresh.since(2)[1] and not fresh.since(4)[1]  # a restarted one knows no earlier version
 
 
-def test_a_slow_watch_keeps_what_waits_in_order_and_whole() -> None:
+def test_a_slow_watch_sends_pending_data_complete_and_in_order() -> None:
     ours, theirs = socket.socketpair()
     with ours, theirs:
         ours.setblocking(False)
         watch = Watch(ours)
         data = bytes(range(256)) * 8192
         watch.pending.extend([memoryview(data), memoryview(b"end")])
-        assert watch.push(1) == 1  # a trickle
+        assert watch.send_pending(1) == 1  # a trickle
         got = theirs.recv(1 << 22)
         while not got.endswith(b"end"):
-            watch.push()
+            watch.send_pending()
             got += theirs.recv(1 << 22)
         assert got == data + b"end" and not watch.pending
 
@@ -230,25 +230,25 @@
 
 
 def play_faults(*faults: Fault) -> Fleet:
-    fleet = Fleet(parse_fleet(SMALL), 6, 20)
+    fleet = Fleet(parse_fleet(SMALL_EXPERIMENT), 6, 20)
 
     async def use(fleet: Fleet) -> None:
         for fault in faults:
-            await fleet.distribution.begin(fault)
+            await fleet.distribution.begin_fault(fault)
             change = fleet.store.change()
             await fleet.distribution.publish(change)
             assert await fleet.count_in_force(change.version) == 0  # nobody could be told
-            await fleet.distribution.end(fault)
-            assert await fleet.wait_in_force(change.version, SOON)
-        fleet.records_then = await fleet.records()  # type: ignore[attr-defined]
+            await fleet.distribution.end_fault(fault)
+            assert await fleet.wait_in_force(change.version, IN_FORCE_TIMEOUT_S)
+        fleet.final_records = await fleet.records()  # type: ignore[attr-defined]
 
     anyio.run(with_fleet, fleet, use)
     return fleet
 
 
 def test_a_change_during_a_fault_comes_in_force_after_it() -> None:
-    fleet = play_faults(Fault.KILLED, Fault.SILENT)
-    records = fleet.records_then  # type: ignore[attr-defined]
+    fleet = play_faults(Fault.DISCOVERY_KILLED, Fault.DISCOVERY_SILENT)
+    records = fleet.final_records  # type: ignore[attr-defined]
     assert [record.relay for record in sorted(records, key=lambda r: r.relay)] == list(range(6))
     for record in records:
         assert record.versions == sorted(record.versions) and record.versions[-1] == 3
@@ -259,38 +259,38 @@
     async def use(fleet: Fleet) -> None:
         assert isinstance(fleet.distribution, Direct) and fleet.distribution.discovery is not None
         await fleet.restart(range(6))
-        assert await fleet.wait_in_force(1, SOON)
-        with anyio.fail_after(SOON):  # discovery sees an end no sooner than the kernel tells it
+        assert await fleet.wait_in_force(1, IN_FORCE_TIMEOUT_S)
+        with anyio.fail_after(IN_FORCE_TIMEOUT_S):  # discovery sees an end no sooner than the kernel tells it
             while True:
                 served = await fleet.distribution.discovery.call(AskServed())
                 if isinstance(served, Served) and served.watches == 7:  # and the true relay's
                     return
                 await anyio.sleep(0.01)
 
-    anyio.run(with_fleet, Fleet(parse_fleet(SMALL), 6, 20), use)
+    anyio.run(with_fleet, Fleet(parse_fleet(SMALL_EXPERIMENT), 6, 20), use)
 
 
 def test_on_a_slow_link_a_restarted_relay_gets_its_list_in_pieces() -> None:
     async def use(fleet: Fleet) -> None:
-        await fleet.distribution.begin(Fault.ZONE_SLOW)
+        await fleet.distribution.begin_fault(Fault.ZONE_RESTARTED_SLOW_LINK)
         await fleet.restart([0])
-        assert await fleet.wait_in_force(1, SOON)  # 20 backends: 2.6 KB
+        assert await fleet.wait_in_force(1, IN_FORCE_TIMEOUT_S)  # 20 backends: 2.6 KB
         record = next(record for record in await fleet.records() if record.relay == 0)
         assert len(record.started_ns) == 2
-        await fleet.distribution.end(Fault.ZONE_SLOW)
+        await fleet.distribution.end_fault(Fault.ZONE_RESTARTED_SLOW_LINK)
         change = fleet.store.change()
         await fleet.distribution.publish(change)
-        assert await fleet.wait_in_force(change.version, SOON)
+        assert await fleet.wait_in_force(change.version, IN_FORCE_TIMEOUT_S)
 
-    anyio.run(with_fleet, Fleet(parse_fleet(SMALL), 6, 20), use)
+    anyio.run(with_fleet, Fleet(parse_fleet(SMALL_EXPERIMENT), 6, 20), use)
 
 
-def test_a_trickle_of_bytes_is_no_news() -> None:
-    fleet = play_faults(Fault.TRICKLES)
-    assert all(r.versions[-1] == 2 for r in fleet.records_then)  # type: ignore[attr-defined]
+def test_a_trickle_of_bytes_does_not_keep_a_watch_alive() -> None:
+    fleet = play_faults(Fault.DISCOVERY_TRICKLES)
+    assert all(r.versions[-1] == 2 for r in fleet.final_records)  # type: ignore[attr-defined]
 
 
-def test_the_servers_port_is_none_that_a_connecting_socket_may_get() -> None:
+def test_the_server_port_is_outside_the_ephemeral_range() -> None:
     """A relay that connects to a dead server's port from that very port would reach itself."""
     first = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
     ports = {int(server.rpartition(":")[2]) for server in Direct(Store(1), 3).listen}
