--- a/gannetweir/lab/scale/fleet.py
+++ b/gannetweir/lab/scale/fleet.py
@@ -1,4 +1,7 @@
-"""The parent of a hollow fleet: its processes, its relays, and what is asked of them."""
+"""The parent process of a skeleton fleet: starts, commands and stops the processes of its relays and servers.
+
+A skeleton relay is called hollow in the experiments and on the pages of results.
+"""
 
 from __future__ import annotations
 
@@ -25,14 +28,18 @@
 )
 from gannetweir.lab.scale.true_relay import TrueRelays, platform_settings
 
-POLL_S = 0.1  # between two looks at how many relays have a version
-# Of the first lists that one host waits for at once: more would delay one another. A control machine sends
-# each relay 7.5 KB a second, so that a wave waits for bytes and not for the processor: more at once.
+POLL_S = 0.1  # interval between two counts of the relays that have a version
+# Size of a wave, in list entries that one host waits for at once: the relays of larger waves would delay one
+# another. Waves of the control plane are larger, since a control machine sends each relay 7.5 KB a second:
+# they are limited by that rate and not by the processor.
 WAVE_LIST_ENTRIES = {"direct": 24_000, "control": 48_000}
 
 
 class Fleet:
-    """Hosts with hollow relays, the servers of a distribution, and true relays beside them."""
+    """Host processes with skeleton relays, the servers of a distribution, and true relays for comparison.
+
+    Hosts are started by `start`; `stop` ends every process.
+    """
 
     def __init__(self, experiment: FleetExperiment, relays: int, backends: int) -> None:
         self.experiment, self.relays = experiment, relays
@@ -46,18 +53,22 @@
         self.hosts: list[Child] = []
         self.true_relays: TrueRelays | None = None
         self.epoch_ns = time.monotonic_ns()
-        self.initial_host_usage: list[Usage] = []  # of the hosts, before they had any relay
+        # Usage of each host process before it had any relay, the baseline for the memory of relays.
+        self.initial_host_usage: list[Usage] = []
 
     def current_second(self) -> int:
-        """Whole seconds since the epoch of the byte counts."""
+        """Return the number of full seconds since the epoch of the byte counts."""
         return (time.monotonic_ns() - self.epoch_ns) // 1_000_000_000
 
     def relays_of_host(self, host: int) -> list[int]:
-        """The relays of one host. The relays of a zone are spread over all hosts."""
+        """Return the numbers of the relays of one host; each zone's relays are spread over all hosts."""
         return list(range(host, self.relays, len(self.hosts)))
 
     async def start(self) -> None:
-        """Servers first, then true relays, then the hollow ones in waves: each has its list at the end."""
+        """Start the servers, then the true relays, then the skeleton relays in waves.
+
+        When it returns, every skeleton relay has its list.
+        """
         await self.distribution.start()
         self.hosts = [
             Child("gannetweir.lab.scale.skeleton_host")
@@ -77,7 +88,7 @@
         await self.call_all([StartRelays(self.relays_of_host(n), wave) for n in range(len(self.hosts))])
 
     async def call_all(self, messages: Sequence[Message]) -> list[Message]:
-        """One command to each host at the same time; their answers."""
+        """Send one command to each host concurrently; return the answers in the order of the hosts."""
         answers: dict[int, Message] = {}
 
         async def one(n: int) -> None:
@@ -89,14 +100,17 @@
         return [answers[n] for n in range(len(messages))]
 
     async def count_in_force(self, version: int) -> int:
-        """How many hollow relays have a version or a later one."""
+        """Return the number of skeleton relays that have this version or a later one."""
         answers = await self.call_all([AskInForce(version)] * len(self.hosts))
         return sum(answer.count for answer in answers if isinstance(answer, InForce))
 
     async def wait_in_force(
         self, version: int, within_s: float, report_progress: Callable[[int], None] = lambda _: None
     ) -> bool:
-        """Until every hollow relay has a version; False if it takes longer."""
+        """Wait until every skeleton relay has this version; return False after `within_s`.
+
+        `report_progress` is called with the count of each poll that was too low.
+        """
         with anyio.move_on_after(within_s):
             while (count := await self.count_in_force(version)) < self.relays:
                 report_progress(count)
@@ -105,20 +119,20 @@
         return False
 
     async def restart(self, relays: Sequence[int], known: bool = False) -> None:
-        """Restart these hollow relays at once, without a list or with the one that each had."""
+        """Restart these skeleton relays at once, without a list or, if `known`, with their last lists."""
         await self.call_all([RestartRelays(list(relays), known)] * len(self.hosts))
 
     async def records(self) -> list[RelayRecord]:
-        """What was recorded of each hollow relay."""
+        """Return the record of each skeleton relay."""
         answers = await self.call_all([AskRecords()] * len(self.hosts))
         return [record for answer in answers if isinstance(answer, Records) for record in answer.relays]
 
     def host_usage(self) -> list[Usage]:
-        """Of each host."""
+        """Return the usage of each host process."""
         return [host.usage() for host in self.hosts]
 
     def stop(self) -> None:
-        """End every process."""
+        """Stop every process of the fleet."""
         for host in self.hosts:
             host.stop()
         self.distribution.stop()
@@ -127,7 +141,7 @@
 
 
 async def with_fleet(fleet: Fleet, use: Callable[[Fleet], Awaitable[Any]]) -> Any:
-    """Start a fleet, use it, and end it whatever happens."""
+    """Start a fleet, return the result of `use`, and stop the fleet also after an exception."""
     try:
         await fleet.start()
         return await use(fleet)
