--- a/gannetweir/lab/scale/fleet_figures.py
+++ b/gannetweir/lab/scale/fleet_figures.py
@@ -1,4 +1,4 @@
-"""Figures of a hollow fleet's run from its records: pure, no clock."""
+"""Figures of a skeleton fleet's run, computed from the records of its relays: pure functions, no clock."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def percentile(ordered: Sequence[float], share: float) -> float:
-    """The smallest value that `share` of all do not exceed, of values in their order; 0 of none."""
+    """Return the smallest value that `share` of the ordered values do not exceed; 0 if there are none."""
     if not ordered:
         return 0.0
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)]
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Of many values: the median, 99 in 100, and the largest."""
+    """The median, the 99th percentile and the maximum of many values."""
 
     p50: float
     p99: float
@@ -29,14 +29,15 @@
 
 
 def spread(values: Iterable[float]) -> Spread:
-    """The spread of any values; zeros of none."""
+    """Return the spread of the values; zeros if there are none."""
     ordered = sorted(values)
     return Spread(percentile(ordered, 0.5), percentile(ordered, 0.99), ordered[-1] if ordered else 0.0)
 
 
 def in_force_ns(record: RelayRecord, version: int) -> int | None:
-    """When a relay first had a version or a later one; None if it never did. Versions only grow: a relay that
-    is restarted holds none until it has a list, which is no older.
+    """Return when a relay first had this version or a later one; None if it never had.
+
+    Recorded versions never decrease: a restarted relay records none until it has a list, which is not older.
     """
     index = bisect_left(record.versions, version)
     return record.applied_ns[index] if index < len(record.versions) else None
@@ -44,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class InForceTimes:
-    """How long each change took to each relay."""
+    """Times from the changes until they were in force on the relays."""
 
     ms: Spread
-    missing: int  # pairs of relay and change that never came in force
+    missing: int  # pairs of a relay and a change that never came in force there
 
 
 def in_force_times(records: Sequence[RelayRecord], changed_ns: Mapping[int, int]) -> InForceTimes:
-    """The times from each change, by its version, until it is in force on each relay."""
+    """Return the times from each change until it was in force on each relay; `changed_ns` is by version."""
     times: list[float] = []
     missing = 0
     for record in records:
@@ -67,8 +68,11 @@
 def recovery_s(
     records: Sequence[RelayRecord], version: int, fault_ended_ns: int, begin_ns: int, end_ns: int
 ) -> float:
-    """Seconds from a fault's end until the last relay had the version that was the newest then; and for the
-    relays that were started from `begin_ns` to `end_ns`, from each start to its first list. -1: never.
+    """Return the seconds until the last relay was up to date after a fault; -1 if a relay never was.
+
+    For every relay, the time counts from the end of the fault until the relay had `version`, which was the
+    newest version at that end. For each start of a relay from `begin_ns` to before `end_ns`, it counts from the
+    start to the first list.
     """
     longest_ns = 0
     for record in records:
@@ -85,8 +89,9 @@
 
 
 def max_in_window(received: Mapping[int, int], begin: int, end: int, window: int = WINDOW_S) -> int:
-    """The most bytes in any `window` seconds, of those that came from second `begin` to before `end`. Windows
-    slide by a second.
+    """Return the most bytes received in any `window` seconds from second `begin` to before second `end`.
+
+    Windows slide by one second.
     """
     most = 0
     for first in range(begin, max(begin + 1, end - window + 1)):
@@ -96,5 +101,5 @@
 
 
 def total_received(received: Mapping[int, int], begin: int, end: int) -> int:
-    """The bytes that came from second `begin` to before `end`."""
+    """Return the bytes received from second `begin` to before second `end`."""
     return sum(count for second, count in received.items() if begin <= second < end)
--- a/gannetweir/lab/scale/fleet_page.py
+++ b/gannetweir/lab/scale/fleet_page.py
@@ -1,4 +1,4 @@
-"""The page of a hollow fleet's results: what was wanted, what a hollow relay is not, and the tables."""
+"""The page of a skeleton fleet's results: the goals, the limitations of skeleton relays, and the tables."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 from gannetweir.lab.scale.fleet_experiment import Fault, FleetExperiment, Phase
 from gannetweir.lab.scale.fleet_run import FleetRun, PhaseFigures
 
-IN_FORCE_S = 12.0  # a change has to be in force everywhere within this
-BUDGET_KB_S, BUDGET_SHARE, BUDGET_MB = 10.0, 0.038, 256.0  # for control, a relay
+IN_FORCE_S = 12.0  # time within which a change has to be in force on every relay
+# Budget of one relay for control: bandwidth, share of a core, and memory.
+BUDGET_KB_S, BUDGET_SHARE, BUDGET_MB = 10.0, 0.038, 256.0
 
 GOALS = f"""\
 Wanted: a change in force everywhere within {IN_FORCE_S:g} s; for control, a relay has
@@ -69,7 +70,7 @@
 
 
 def phase_row(run: FleetRun, phase: PhaseFigures) -> list[str]:
-    """One run in the table of a phase."""
+    """Return the row of a run in the table of a phase."""
     fault = phase.fault != Fault.NONE
     timed = bool(phase.changes)
     return [
@@ -104,7 +105,7 @@
 
 
 def run_row(run: FleetRun) -> list[str]:
-    """One run in the table of sizes."""
+    """Return the row of a run in the table of sizes."""
     true = ", ".join(f"{size:.0f}" for size in run.true_list_kb) or "-"
     return [
         str(run.relays),
@@ -123,7 +124,7 @@
 
 
 def true_relay_rows(run: FleetRun) -> list[list[str]]:
-    """Hollow beside true relays, in the phases without a fault."""
+    """Return rows that compare skeleton relays with true relays, for the phases without a fault."""
     rows = []
 
     def add(phase: str, figure: str, hollow: float, true: float) -> None:
@@ -163,7 +164,10 @@
     charts: list[str],
     direct_runs: list[FleetRun] | None = None,
 ) -> str:
-    """The page of results. `today`: kept runs of today's way, to be shown beside those of another."""
+    """Return the page of results in Markdown.
+
+    `direct_runs` are stored runs of the direct distribution, for a comparison with those of another one.
+    """
     groups = dict.fromkeys((run.distribution, run.backends) for run in runs)
     sections = [
         _section(d, b, [run for run in runs if (run.distribution, run.backends) == (d, b)]) for d, b in groups
--- a/gannetweir/lab/scale/fleet_results.py
+++ b/gannetweir/lab/scale/fleet_results.py
@@ -1,7 +1,7 @@
-"""Results of hollow fleets kept as a folder: figures as JSON, a page with tables, SVG charts.
+"""Stores the results of skeleton fleets in a folder: figures as JSON, a page with tables, and SVG charts.
 
-Runs are kept by distribution, relays and backends: a run replaces the one before it of the same size, but for
-phases that it did not play. So sizes, and phases of one size, may be played one at a time.
+Runs are stored by distribution, relays and backends. A new run replaces the stored run of its size, except
+for phases that the new run did not play, so that sizes and phases can be played one at a time.
 """
 
 from __future__ import annotations
@@ -18,11 +18,15 @@
 from gannetweir.lab.scale.fleet_page import BUDGET_KB_S, BUDGET_SHARE, IN_FORCE_S, page
 from gannetweir.lab.scale.fleet_run import FleetRun, PhaseFigures
 
-DIRECT_FOLDER = "hollow-fleet"  # the folder beside another way's where today's way is kept
+# The folder with the results of the direct distribution, beside the folders of other distributions.
+DIRECT_FOLDER = "hollow-fleet"
 
 
 def load(folder: Path) -> list[FleetRun]:
-    """The runs that are kept in a folder; none if there is none. `ValueError` if it is no such record."""
+    """Return the runs stored in a folder, or an empty list if there is no record.
+
+    Raises `ValueError` if the record is not JSON, `KeyError` or `TypeError` if its keys are wrong.
+    """
     path = folder / "results.json"
     if not path.exists():
         return []
@@ -34,7 +38,7 @@
 
 
 def merge(kept: list[FleetRun], new: list[FleetRun]) -> list[FleetRun]:
-    """All of them, by size; a new run replaces a kept one of its size, but for phases that it lacks."""
+    """Return all runs, ordered by size. A new run replaces the phases that it has of the stored run."""
     by_size: dict[tuple[str, int, int], FleetRun] = {}
     for run in [*kept, *new]:
         size = run.distribution, run.backends, run.relays
@@ -95,7 +99,7 @@
 
 
 def keep(experiment: FleetExperiment, new: list[FleetRun], folder: Path) -> list[FleetRun]:
-    """Write the folder with these runs and those of other sizes that are there; returns all of them."""
+    """Write new runs, merged with the stored ones, to the folder; return all runs."""
     folder.mkdir(parents=True, exist_ok=True)
     runs = merge(load(folder), new)
     data = {"name": experiment.name, "runs": [asdict(run) for run in runs]}
--- a/gannetweir/lab/scale/fleet_run.py
+++ b/gannetweir/lab/scale/fleet_run.py
@@ -1,4 +1,4 @@
-"""One run of a hollow fleet: its phases in their order, and the figures of each."""
+"""Runs a skeleton fleet of one size through the phases of an experiment, and computes the figures of each."""
 
 from __future__ import annotations
 
@@ -24,13 +24,15 @@
 from gannetweir.lab.scale.server_load import Sampler, ServerLoad, server_load
 
 TENTHS = 10
-SETTLE_S = 2.0  # between two phases: what belongs to one is not counted in the next
+SETTLE_S = 2.0  # wait after the start and each phase, so that late work is not counted in the next phase
 
 
 @dataclass(slots=True)
 class PhaseFigures:
-    """What one phase showed. Milliseconds are from a change until it is in force on a relay; kilobytes are
-    1,000 bytes, received by one relay; shares are of one core.
+    """The figures of one phase.
+
+    Milliseconds are from a change until it is in force on a relay; a kilobyte is 1,000 bytes; shares are of
+    one core. Bytes are those that one relay received, except for the `one_server` figures.
     """
 
     name: str
@@ -40,28 +42,30 @@
     p50_ms: float
     p99_ms: float
     last_ms: float
-    missing: int  # pairs of relay and change that never came in force
-    recovered_s: float  # from the fault's end, or a relay's start, until the last is up to date; -1: never
-    window_p50_kb: float  # of each relay's fullest 10 s
-    window_most_kb: float
-    kb_mean: float  # in the whole phase
-    relay_cpu_share: float  # a hollow relay's, mean
-    server_cpu_share: float  # of the servers together
+    missing: int  # pairs of a relay and a change that never came in force there
+    # Seconds from the end of the fault, or from the start of a relay, until the last relay is up to date;
+    # -1 means that a relay never was.
+    recovered_s: float
+    window_p50_kb: float  # median over the relays of the most kilobytes in any 10 s
+    window_most_kb: float  # maximum over the relays of the same
+    kb_mean: float  # mean over the relays, for the entire phase
+    relay_cpu_share: float  # mean over the skeleton relays
+    server_cpu_share: float  # sum over the servers
     snapshots: int
-    true_cpu_share: float = 0.0  # a true relay's, mean
+    true_cpu_share: float = 0.0  # mean over the true relays
     true_kb_mean: float = 0.0
-    load: float = 0.0  # the machine's, over the minute before the phase
-    # of one server process: mean over all of them, and the largest of any
+    load: float = 0.0  # load average of the machine, over the minute before the phase
+    # Figures of one server process: a mean over all servers, or (`most`) the maximum of any.
     one_server_cpu: float = 0.0  # share of a core
-    one_server_cpu_most: float = 0.0  # in a second
-    one_server_kb_s: float = 0.0  # sent
-    one_server_kb_most: float = 0.0  # in a second; 0: not counted
-    one_server_mb_most: float = 0.0
+    one_server_cpu_most: float = 0.0  # share of a core in one second
+    one_server_kb_s: float = 0.0  # kilobytes sent per second
+    one_server_kb_most: float = 0.0  # kilobytes sent in one second; 0 means not counted
+    one_server_mb_most: float = 0.0  # resident memory
 
 
 @dataclass(slots=True)
 class FleetRun:
-    """One size of a hollow fleet."""
+    """The results of a skeleton fleet of one size."""
 
     distribution: str
     relays: int
@@ -69,10 +73,10 @@
     hosts: int
     cpus: int
     start_s: float
-    relay_kb: float  # memory of a hollow relay with its list
-    true_list_kb: list[float]  # and of the true ones, less that of one without a list
-    host_rss_mb: float  # all hosts together, at their largest
-    server_rss_mb: float
+    relay_kb: float  # memory of a skeleton relay with its list, mean
+    true_list_kb: list[float]  # memory of each true relay, less that of a true relay without a list
+    host_rss_mb: float  # sum over the hosts, maximum over the phases
+    server_rss_mb: float  # sum over the servers, maximum over the phases
     watch_failures: int
     driver_faults: list[str]
     phases: list[PhaseFigures] = field(default_factory=list)
@@ -80,7 +84,7 @@
 
 @dataclass(slots=True)
 class _Reading:
-    """Everything that is counted, at one moment."""
+    """All counters at one moment."""
 
     at_ns: int
     second: int
@@ -93,14 +97,14 @@
 
 @dataclass(slots=True)
 class _PlayedPhase:
-    """A phase that was played; its figures come once all records are in."""
+    """A phase that has ended; its figures are computed after the last phase, from the relays' records."""
 
     phase: Phase
     begin: _Reading
     end: _Reading
     changed_ns: dict[int, int]
     fault_ended_ns: int
-    fault_version: int  # the newest when the fault ended
+    fault_version: int  # the newest version when the fault ended
     servers: ServerLoad
 
 
@@ -117,14 +121,14 @@
 
 
 class _PhaseRunner:
-    """Plays the phases on a fleet that has started."""
+    """Plays phases on a fleet that has been started."""
 
     def __init__(self, fleet: Fleet, report_progress: Callable[[str, float], None]) -> None:
         self.fleet, self.report_progress = fleet, report_progress
         self.fault_ended_ns = self.fault_version = 0
 
     async def play(self, phase: Phase) -> _PlayedPhase:
-        """Changes and fault side by side, then the wait until all is in force."""
+        """Play the changes and the fault concurrently, then wait until all changes are in force."""
         fleet, version = self.fleet, self.fleet.store.version
         sampler = Sampler(fleet.distribution.usage)
         begin = await _take_reading(fleet)
@@ -176,7 +180,10 @@
 
 
 def _cpu_share(before: list[Usage], after: list[Usage], seconds: float) -> float:
-    """Of one core, all processes together. One that was started anew in between counts from its start."""
+    """Return the share of one core that all processes used together.
+
+    A process that was restarted in between is counted from its start.
+    """
     used_ns = 0
     for n, usage in enumerate(after):
         earlier_ns = before[n].cpu_ns if n < len(before) else 0
@@ -185,14 +192,14 @@
 
 
 def _true_relays_kb_mean(played: _PlayedPhase) -> float:
-    """The mean over the true relays: the servers' addresses but the first."""
+    """Return the mean kilobytes per true relay: each has a server address of its own, after the first."""
     before, after = played.begin.served.sent, played.end.served.sent
     sent = [after[host] - before[host] for host in after if host != "127.0.0.1"]
     return sum(sent) / len(sent) / 1000 if sent else 0.0
 
 
 def phase_figures(played: _PlayedPhase, records: list[RelayRecord]) -> PhaseFigures:
-    """The figures of one phase."""
+    """Return the figures of one phase, from its readings and the records of all skeleton relays."""
     begin, end, count = played.begin, played.end, len(records)
     seconds = (end.at_ns - begin.at_ns) / 1e9
     times = in_force_times(records, played.changed_ns)
@@ -231,7 +238,11 @@
 async def play_fleet(
     experiment: FleetExperiment, relays: int, backends: int, report_progress: Callable[[str, float], None]
 ) -> FleetRun:
-    """One run. `tell` hears which phase is how far. `LinkError` or `OSError` if a process fails."""
+    """Play all phases on a fleet of one size.
+
+    `report_progress` is called with the name of a phase and the share of its changes that were made. Raises
+    `LinkError` or `OSError` if a process fails.
+    """
     begun = time.monotonic()
 
     async def use(fleet: Fleet) -> FleetRun:
--- a/gannetweir/lab/scale/link.py
+++ b/gannetweir/lab/scale/link.py
@@ -1,4 +1,4 @@
-"""One line a message over a socket pair, between the parent of a hollow fleet and one of its processes."""
+"""Messages between the parent of a skeleton fleet and one of its processes: lines over a socket pair."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class LinkError(OSError):
-    """The other process has ended, or failed."""
+    """The other process has ended, or its connection failed."""
 
 
 class Link:
-    """One end. `LinkError` if the other is gone."""
+    """One end of the connection. Its methods raise `LinkError` if the other process is gone."""
 
     def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         self.sock, self.buffer, self.lock = sock, bytearray(), anyio.Lock()
 
     async def send(self, message: Message) -> None:
-        """Send one message whole."""
+        """Send one complete message."""
         left = memoryview(encode(message))
         while left:
             try:
@@ -36,7 +36,7 @@
                 raise LinkError(str(error)) from None
 
     async def receive(self) -> Message:
-        """The next message."""
+        """Wait for the next message and return it."""
         searched = 0
         while (end := self.buffer.find(b"\n", searched)) < 0:
             searched = len(self.buffer)
@@ -55,13 +55,13 @@
         return decode(line)
 
     async def call(self, message: Message) -> Message:
-        """Send a command and return its answer; a call at a time."""
+        """Send a command and return its answer; concurrent calls wait for one another."""
         async with self.lock:
             await self.send(message)
             return await self.receive()
 
     def close(self) -> None:
-        """End the connection; the other process then ends by itself."""
+        """Close the connection, upon which the other process ends."""
         self.sock.close()
 
 
--- a/gannetweir/lab/scale/messages.py
+++ b/gannetweir/lab/scale/messages.py
@@ -1,4 +1,4 @@
-"""What the parent of a hollow fleet and its processes say to each other: one JSON object a line, typed."""
+"""The messages between the parent of a skeleton fleet and its processes: typed, one line of JSON each."""
 
 from __future__ import annotations
 
@@ -10,34 +10,35 @@
 
 
 class ServerMode(StrEnum):
-    """How a server of the fleet treats its watches."""
+    """The mode of a server of the fleet, which decides what its watches are sent."""
 
     NORMAL = "normal"
-    SILENT = "silent"  # accepts and reads, sends nothing
-    TRICKLE = "trickle"  # one byte a second to each watch
-    SLOW = "slow"  # 10 KB a second to each watch
-    DIES = "dies"  # a control machine, by SIGKILL, once half of its relays were sent the next change
+    SILENT = "silent"  # the server accepts and reads, sends nothing
+    TRICKLE = "trickle"  # one byte per second to each watch
+    SLOW = "slow"  # 10 KB per second to each watch
+    # A control machine ends itself by SIGKILL after half of its relays were sent the next change.
+    DIES = "dies"
 
 
 def machine_name(number: int) -> str:
-    """What relays know a control machine by."""
+    """Return the name by which relays know a control machine."""
     return f"c{number:02}"
 
 
 @dataclass(slots=True)
 class Configure:
-    """To a host process: what all of its relays are told."""
+    """To a host process: the configuration of all its relays."""
 
     distribution: str
     servers: list[str]  # HOST:PORT
-    settings: dict[str, Any]  # as the platform's configuration tells them
+    settings: dict[str, Any]  # in the form of the platform's file
     zones: int
-    epoch_ns: int  # CLOCK_MONOTONIC at which the second 0 of the byte counts begins
+    epoch_ns: int  # CLOCK_MONOTONIC at the beginning of second 0 of the byte counts
 
 
 @dataclass(slots=True)
 class StartRelays:
-    """Start these relays, at most `wave` at a time without a list; answered once each has one."""
+    """To a host process: start these relays in waves of `wave`; answered when every relay has a list."""
 
     relays: list[int]
     wave: int
@@ -45,8 +46,9 @@
 
 @dataclass(slots=True)
 class RestartRelays:
-    """End those of these relays that are here, and start them again, without a list or with the one that each
-    had; answered at once.
+    """To a host process: restart those of these relays that it runs; answered at once.
+
+    Relays start without a list or, if `known`, with the list that each had.
     """
 
     relays: list[int]
@@ -55,19 +57,19 @@
 
 @dataclass(slots=True)
 class AskInForce:
-    """How many relays have at least this version?"""
+    """To a host process: count the relays that have at least this version."""
 
     version: int
 
 
 @dataclass(slots=True)
 class AskRecords:
-    """All that was recorded of each relay."""
+    """To a host process: return the records of all its relays."""
 
 
 @dataclass(slots=True)
 class SetMembership:
-    """To a server: the whole membership, of which it knows no earlier state."""
+    """To a server: the complete membership; the server knows no earlier version."""
 
     version: int
     members: list[dict[str, Any]]
@@ -75,7 +77,7 @@
 
 @dataclass(slots=True)
 class Publish:
-    """To a server: one member has changed; the version after the change."""
+    """To a server: a change of one member, and the version that the change makes."""
 
     version: int
     member: dict[str, Any]
@@ -83,7 +85,7 @@
 
 @dataclass(slots=True)
 class StartMachine:
-    """To a control machine: begin from the store of record, whose log reaches back to its first version."""
+    """To a control machine: start from the store of record's first version and all changes since then."""
 
     version: int
     members: list[dict[str, Any]]
@@ -93,14 +95,14 @@
 
 @dataclass(slots=True)
 class SetMode:
-    """To a server: treat the watches like this from now on."""
+    """To a server: switch to this mode."""
 
     mode: str
 
 
 @dataclass(slots=True)
 class AskServed:
-    """To a server: what was sent so far."""
+    """To a server: return what has been sent so far."""
 
 
 @dataclass(slots=True)
@@ -110,38 +112,43 @@
 
 @dataclass(slots=True)
 class InForce:
-    """So many relays of a host have the version that was asked for."""
+    """The number of relays of a host that have the version in question."""
 
     count: int
 
 
 @dataclass(slots=True)
 class Served:
-    """What a server has sent, in bytes, by its own address that the watches came to."""
+    """What a server has sent so far.
+
+    Bytes are counted by the local address of the watches' connections; a control machine counts them by its
+    name.
+    """
 
     watches: int
-    snapshots: int  # whole lists begun
+    snapshots: int  # number of snapshots begun
     sent: dict[str, int]
-    by_second: dict[int, int] = field(default_factory=dict)  # a control machine's
+    # Bytes by second of CLOCK_MONOTONIC; only a control machine counts them.
+    by_second: dict[int, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class RelayRecord:
-    """What was recorded of one relay. Times are CLOCK_MONOTONIC in nanoseconds."""
+    """The record of one relay, over all its restarts. Times are CLOCK_MONOTONIC in nanoseconds."""
 
     relay: int
-    versions: list[int] = field(default_factory=list)  # each that came in force, in order
-    applied_ns: list[int] = field(default_factory=list)  # and when
-    received: dict[int, int] = field(default_factory=dict)  # bytes, by second since the epoch
+    versions: list[int] = field(default_factory=list)  # versions that came in force, in order
+    applied_ns: list[int] = field(default_factory=list)  # when each of `versions` came in force
+    received: dict[int, int] = field(default_factory=dict)  # bytes by second since the epoch
     started_ns: list[int] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)  # drivers that failed
+    faults: list[str] = field(default_factory=list)  # errors of drivers
     watch_failures: int = 0
     unsent_probes: int = 0
 
 
 @dataclass(slots=True)
 class Records:
-    """The records of one host's relays."""
+    """The records of all relays of a host."""
 
     relays: list[RelayRecord]
 
@@ -184,13 +191,13 @@
 
 
 def encode(message: Message) -> bytes:
-    """One line."""
+    """Return the message as one line."""
     body = {part.name: getattr(message, part.name) for part in fields(message)}
     return orjson.dumps([type(message).__name__, body], option=orjson.OPT_NON_STR_KEYS) + b"\n"
 
 
 def decode(line: bytes) -> Message:
-    """The message of one line; `ValueError` or `KeyError` if it is none."""
+    """Return the message of one line. Raises `ValueError`, `KeyError` or `TypeError` for any other line."""
     name, body = orjson.loads(line)
     if name == "Records":
         return Records([_record(raw) for raw in body["relays"]])
--- a/gannetweir/lab/scale/store.py
+++ b/gannetweir/lab/scale/store.py
@@ -1,4 +1,4 @@
-"""A store of record in memory, for one process of many control machines."""
+"""A store of record in memory, shared by the control machines of one process."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class MemoryStore:
-    """Holds both resources; `put` makes a version."""
+    """Implements `control.store.Store` for both resources; `put` makes a version."""
 
     def __init__(self, epoch: int = 1, staged: frozenset[Resource] = frozenset()) -> None:
         self.held: dict[Resource, tuple[int, str]] = {}
         self.report_leases: dict[str, tuple[float, Sequence[StatusReport]]] = {}
-        self.lease = ("", 0.0)  # who leads, and until when
-        self.staged = staged  # resources whose versions wait for `release`
+        self.lease = ("", 0.0)  # the machine that leads, and the end of its lease
+        self.staged = staged  # resources whose new versions need `release`
         self.event: anyio.Event | None = None
         self.down = False
         self._begin(epoch)
@@ -30,17 +30,17 @@
         self.epoch = epoch
         self.contents = {resource: Content() for resource in Resource}
         self.logs = {resource: VersionLog(Version(epoch, 0, 0)) for resource in Resource}
-        self.numbers = dict.fromkeys(Resource, 0)  # released
+        self.numbers = dict.fromkeys(Resource, 0)  # numbers of the released versions
 
     def load(self, resource: Resource, number: int, entries: Mapping[str, bytes]) -> None:
-        """Begin a resource at a version that was made elsewhere; nothing is known of earlier ones."""
+        """Start a resource at a version that was made elsewhere; earlier versions are unknown."""
         content = Content(Entry(key, body) for key, body in entries.items())
         self.contents[resource], self.numbers[resource] = content, number
         self.logs[resource] = VersionLog(Version(self.epoch, number, content.digest))
         self._notify_watchers()
 
     def put(self, resource: Resource, entries: Mapping[str, bytes | None]) -> Version:
-        """One change; the version that it makes."""
+        """Apply one change, where None removes an entry, and return the version that it makes."""
         content = self.contents[resource]
         for key, body in entries.items():
             content.put(key, body)
@@ -58,8 +58,10 @@
         self._notify_watchers()
 
     def restore(self, number: int) -> Version:
-        """The store is lost and comes back from a copy of that version's membership: another epoch, one more
-        version, so that nothing of what was lost is taken for this.
+        """Restore the membership from a backup at this version number, after a loss of the store.
+
+        The restored content gets a new epoch and a new version, so that it can't be confused with a version
+        that was lost.
         """
         entries_at_number = self.logs[Resource.MEMBERSHIP].changes_between(0, number)
         self._begin(self.epoch + 1)
@@ -72,10 +74,10 @@
 
     def _check_reachable(self) -> None:
         if self.down:
-            raise OSError("the store can't be reached")
+            raise OSError("the store is unreachable")
 
     def read(self, resource: Resource) -> StoreSnapshot:
-        """See `Store`. A staged version is left out: it follows as a change."""
+        """See `Store`. Versions that are not released are left out: they follow as changes."""
         self._check_reachable()
         released, log = self.numbers[resource], self.logs[resource]
         entries = dict(self.contents[resource].entries)
