--- a/gannetweir/lab/scale/direct_distribution.py
+++ b/gannetweir/lab/scale/direct_distribution.py
@@ -1,4 +1,4 @@
-"""Membership straight from discovery: one process, which each relay of a hollow fleet watches."""
+"""The direct distribution: one discovery process, which each relay of a skeleton fleet watches."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 
 
 class Direct:
-    """Today's way: one discovery, which each relay watches directly. It has an address more for each true
-    relay, so that what it sends to each can be told apart.
+    """One discovery, which each relay watches directly.
+
+    It has an additional address for each true relay, so that the bytes sent to each are counted separately.
     """
 
     def __init__(self, store: Store, true_relays: int = 0) -> None:
@@ -21,29 +22,29 @@
         port = free_port(hosts)
         self.listen = [f"{host}:{port}" for host in hosts]
         self.discovery: Child | None = None
-        self.sent_by_killed = ServedTotals()  # what processes that were killed had sent
+        self.sent_by_killed = ServedTotals()  # sum over the processes that were killed
 
     @property
     def servers(self) -> list[str]:
-        """The discovery that hollow relays are told."""
+        """The address for skeleton relays."""
         return self.listen[:1]
 
     @property
     def true_relay_servers(self) -> list[str]:
-        """The same discovery's other addresses."""
+        """The other addresses of the same discovery."""
         return self.listen[1:]
 
     async def start(self) -> None:
-        """Start it with the store's list; it knows no earlier version."""
+        """Start discovery with the current list of the store; it knows no earlier version."""
         self.discovery = Child("gannetweir.lab.scale.discovery_stub", self.listen)
         await self.discovery.call(self.store.current_list())
 
     async def publish(self, change: Publish) -> None:
-        """Tell it, if it runs; else it starts with it."""
+        """Send a change to discovery if it runs; otherwise its next start includes the change."""
         await self._call(change)
 
     async def begin_fault(self, fault: Fault) -> None:
-        """Killed, silent, trickling or slow."""
+        """Kill discovery, or make it silent, trickling or slow."""
         if fault is Fault.DISCOVERY_KILLED and self.discovery is not None:
             self.sent_by_killed = await self.served()
             self.discovery.kill()
@@ -56,14 +57,14 @@
             await self._call(SetMode(ServerMode.SLOW))
 
     async def end_fault(self, fault: Fault) -> None:
-        """Back as it was."""
+        """Restart discovery, or return it to normal operation."""
         if fault is Fault.DISCOVERY_KILLED:
             await self.start()
         elif fault in (Fault.DISCOVERY_SILENT, Fault.DISCOVERY_TRICKLES, Fault.ZONE_RESTARTED_SLOW_LINK):
             await self._call(SetMode(ServerMode.NORMAL))
 
     async def served(self) -> ServedTotals:
-        """What was sent so far, the processes that were killed included."""
+        """Return what has been sent so far, also by processes that were killed."""
         answer = await self._call(AskServed())
         if not isinstance(answer, Served):
             return self.sent_by_killed
@@ -72,11 +73,11 @@
         )
 
     def usage(self) -> list[Usage]:
-        """Of the process that runs."""
+        """Return the usage of the running process, if there is one."""
         return [self.discovery.usage()] if self.discovery is not None else []
 
     def stop(self) -> None:
-        """End it."""
+        """Stop discovery."""
         if self.discovery is not None:
             self.discovery.stop()
             self.discovery = None
--- a/gannetweir/lab/scale/discovery_stub.py
+++ b/gannetweir/lab/scale/discovery_stub.py
@@ -1,7 +1,7 @@
-"""A stand-in discovery for many watches, in a process of its own: whole lists, deltas and a heartbeat.
+"""A stand-in discovery for many watches, in its own process: snapshots, deltas and heartbeats.
 
-It speaks the chunked HTTP watch that relays know. What it sends to all is encoded once, and what waits for a
-slow watch is kept as references: 1,500 whole lists of 200 KB must not be copied 1,500 times.
+It serves the chunked HTTP watch of relays. Data for all watches is encoded once, and data that is pending for
+slow watches is kept as references: a snapshot of 200 KB for 1,500 relays must not be copied 1,500 times.
 
 python -m gannetweir.lab.scale.discovery_stub HOST:PORT [HOST:PORT ...]
 """
@@ -35,9 +35,10 @@
 from gannetweir.proto.control_calls import chunk
 
 HEARTBEAT_S = 2.0
-HEARTBEAT_SLOTS = 20  # watches keep the phase in which they came: no beat goes to all at once
-TRICKLE_S = 1.0  # between two bytes
-SLOW_S, SLOW_BYTES = 0.1, 1000  # 10 KB a second
+# Heartbeats are spread over the interval: each slot has the watches that connected during its turn.
+HEARTBEAT_SLOTS = 20
+TRICKLE_S = 1.0  # interval between two bytes
+SLOW_S, SLOW_BYTES = 0.1, 1000  # 10 KB per second
 BACKLOG = 4096
 MAX_REQUEST_BYTES = 16384
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -48,7 +49,7 @@
 
 
 class Membership:
-    """The list at its version, and the changes since this process knew it."""
+    """The current list, its version, and the changes since this process got the list."""
 
     def __init__(self) -> None:
         self.version = self.oldest = 0
@@ -57,20 +58,20 @@
         self._snapshot = (0, b"")
 
     def replace(self, version: int, members: list[dict[str, Any]]) -> None:
-        """Begin anew: nothing is known of earlier versions."""
+        """Replace the list; earlier versions are unknown from then on."""
         self.version = self.oldest = version
         self.members = {member["host"]: member for member in members}
         self.changes = []
 
     def publish(self, version: int, member: dict[str, Any]) -> bytes:
-        """Apply a change; the chunk that tells it."""
+        """Apply a change and return the chunk for watches."""
         self.version = version
         self.members[member["host"]] = member
         self.changes.append((version, member))
         return self._chunk(False, [member])
 
     def since(self, version: int) -> tuple[bytes, bool]:
-        """The first chunk of a watch that has this version, and whether it is the whole list."""
+        """Return the first chunk for a watch that has this version, and whether the chunk is a snapshot."""
         if 0 < self.oldest <= version <= self.version:
             latest = {member["host"]: member for at, member in self.changes if at > version}
             return self._chunk(False, list(latest.values())), False
@@ -84,15 +85,15 @@
 
 
 class Watch:
-    """One watch's connection and what still waits to be sent on it."""
+    """The connection of one watch, and the data that is pending on it."""
 
     def __init__(self, sock: socket.socket, local: str = "") -> None:
-        self.sock, self.local = sock, local  # `local`: the own address that it came to
+        self.sock, self.local = sock, local  # `local` is the server's address of the connection
         self.pending: deque[memoryview] = deque()
         self.awaits_writable = self.closed = False
 
     def send_pending(self, limit: int | None = None) -> int:
-        """Send what the kernel takes, `most` bytes at the most; how much it was."""
+        """Send what the kernel accepts, at most `limit` bytes, and return the number of bytes sent."""
         total = 0
         while self.pending and not self.closed and limit != total:
             part = self.pending[0] if limit is None else self.pending[0][: limit - total]
@@ -112,7 +113,7 @@
 
 
 class DiscoveryStub:
-    """Serves watches until its parent is gone."""
+    """Serves watches, with faults that the parent switches on."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup, listen: list[SocketAddress]) -> None:
         self.tasks, self.membership, self.mode = tasks, Membership(), ServerMode.NORMAL
@@ -129,7 +130,7 @@
         return listener
 
     async def handle(self, message: Message) -> Message:
-        """Carry out a command; `ValueError` for one that discovery does not know."""
+        """Execute a command and return its answer. Raises `ValueError` for an unknown command."""
         if isinstance(message, SetMembership):
             self.membership.replace(message.version, message.members)
             for listener in self.listeners:
@@ -145,7 +146,7 @@
         elif isinstance(message, AskServed):
             return Served(len(self._watches()), self.snapshots, dict(self.sent))
         else:
-            raise ValueError(f"discovery does not know {type(message).__name__}")
+            raise ValueError(f"discovery got an unknown command: {type(message).__name__}")
         return Done()
 
     def _watches(self) -> list[Watch]:
@@ -215,7 +216,7 @@
         self._send_pending(watch)
 
     async def send_heartbeats(self) -> None:
-        """Each watch has a heartbeat every two seconds, whatever else it is sent."""
+        """Send each watch a heartbeat every `HEARTBEAT_S`, regardless of other data."""
         while True:
             await anyio.sleep(HEARTBEAT_S / HEARTBEAT_SLOTS)
             self.slot = (self.slot + 1) % HEARTBEAT_SLOTS
@@ -223,7 +224,7 @@
                 self._send(watch, HEARTBEAT)
 
     async def send_limited(self, mode: ServerMode, interval_s: float, limit: int) -> None:
-        """While a mode holds, so many bytes to each watch every so often."""
+        """While the server is in `mode`, send each watch up to `limit` bytes per `interval_s`."""
         while True:
             await anyio.sleep(interval_s)
             if self.mode is mode:
@@ -232,7 +233,7 @@
 
 
 async def run(listen: list[SocketAddress]) -> None:
-    """Until the parent is gone."""
+    """Serve until the parent is gone."""
     async with anyio.create_task_group() as tasks:
         stub = DiscoveryStub(tasks, listen)
         tasks.start_soon(stub.send_heartbeats)
--- a/gannetweir/lab/scale/distribution.py
+++ b/gannetweir/lab/scale/distribution.py
@@ -1,7 +1,7 @@
-"""What servers tell a hollow fleet's relays of changes: their interface, and the store of record behind them.
+"""The interface of servers that distribute the membership to a skeleton fleet, and the store of record.
 
-Another distribution is a class of its own, under its name in `distributions.MAKERS`, and a driver under that
-name in `membership_drivers.DRIVERS`.
+A distribution is a class, listed by name in `distributions.FACTORIES`, and a driver for relays, listed by the
+same name in `membership_drivers.DRIVERS`.
 """
 
 from __future__ import annotations
@@ -22,13 +22,15 @@
 )
 
 HOST = "127.0.0.1"
-PORTS = range(20_000, 32_000)  # below those that the kernel gives to connecting sockets
-BACKEND_AGE_US = 86_400_000_000  # the backends of the first list have run for a day: none is cold
+PORTS = range(20_000, 32_000)  # below the ephemeral ports, which the kernel gives to connecting sockets
+BACKEND_AGE_US = 86_400_000_000  # one day: no backend of the initial list is warming up
 
 
 def free_port(hosts: list[str]) -> int:
-    """A port that is free on each of these addresses. Not one that the kernel gives to connecting sockets: a
-    relay that connects to a dead server's port from that very port would reach itself.
+    """Return a port that is free on each of these addresses. Raises `OSError` if none is found.
+
+    It is never an ephemeral port, which the kernel may give to connecting sockets: a relay that connects to
+    the port of a dead server from that same port would be connected to itself.
     """
     for port in random.sample(PORTS, 200):
         try:
@@ -38,13 +40,14 @@
             return port
         except OSError:
             continue
-    raise OSError(errno.EADDRINUSE, "no free port was found")
+    raise OSError(errno.EADDRINUSE, "found no free port in 200 attempts")
 
 
 @dataclass(slots=True)
 class Store:
-    """The store of record, which holds whatever happens to servers: the membership, its version, and when
-    each change was made (CLOCK_MONOTONIC, nanoseconds).
+    """The store of record, which no fault of servers affects.
+
+    It has the membership, the version, and the time of each change (CLOCK_MONOTONIC, nanoseconds).
     """
 
     zones: int
@@ -52,10 +55,10 @@
     members: dict[str, dict[str, Any]] = field(default_factory=dict)
     changed_ns: dict[int, int] = field(default_factory=dict)
     initial_members: list[dict[str, Any]] = field(default_factory=list)
-    history: list[Publish] = field(default_factory=list)  # all changes since the first list
+    history: list[Publish] = field(default_factory=list)  # all changes since the initial list
 
     def fill(self, backends: int) -> None:
-        """The first list."""
+        """Add this number of backends to the initial list."""
         born_ms = (time.time_ns() // 1000 - BACKEND_AGE_US) // 1000
         for n in range(backends):
             name = f"b{n:05}"
@@ -69,10 +72,11 @@
                 "block": n % 8,
                 "born_ms": born_ms,
             }
-        self.initial_members = list(self.members.values())  # changes replace members, and leave these
+        # Changes replace members and do not modify them, so that the initial members stay as they are.
+        self.initial_members = list(self.members.values())
 
     def change(self) -> Publish:
-        """The next change: a backend is drained, or the one that is drained is back with a new start."""
+        """Make and return the next change: a backend starts to drain, or the draining one has restarted."""
         self.version += 1
         names = list(self.members)
         name = names[self.version // 2 % len(names)]
@@ -86,11 +90,11 @@
         return self.history[-1]
 
     def initial_list(self) -> SetMembership:
-        """The first list, from which `history` leads to the present one."""
+        """Return the initial list; with the changes of `history` it becomes the current list."""
         return SetMembership(1, list(self.initial_members))
 
     def current_list(self) -> SetMembership:
-        """For a server that starts."""
+        """Return the current list, for a server that starts."""
         return SetMembership(self.version, list(self.members.values()))
 
 
@@ -99,38 +103,42 @@
     """What the servers have sent since the fleet's start."""
 
     snapshots: int = 0
-    sent: Counter[str] = field(default_factory=Counter)  # bytes, by the servers' own address
-    by_second: dict[str, Counter[int]] = field(default_factory=dict)  # the same, where a server counts so
+    sent: Counter[str] = field(default_factory=Counter)  # bytes by address or name of the server
+    # Bytes by server and second, for servers that count them by second.
+    by_second: dict[str, Counter[int]] = field(default_factory=dict)
 
 
 class Distribution(Protocol):
-    """The servers of one way. Where a fault is none of theirs they leave it to the fleet."""
+    """The servers of one distribution. They ignore faults that are not faults of servers."""
 
     @property
     def servers(self) -> list[str]:
-        """HOST:PORT of each, as relays are told them."""
+        """HOST:PORT of each server, as relays are configured with."""
 
     @property
     def true_relay_servers(self) -> list[str]:
-        """HOST:PORT for each true relay beside the hollow ones; none where true relays can't use this way."""
+        """HOST:PORT for each true relay; empty if true relays can't use this distribution."""
 
     async def start(self) -> None:
-        """Start the servers with the store's list."""
+        """Start the servers with the list of the store."""
 
     async def publish(self, change: Publish) -> None:
-        """Hand a change of the store to the servers that run."""
+        """Send a change of the store to the running servers."""
 
     async def begin_fault(self, fault: Fault) -> None:
-        """A fault of the servers begins."""
+        """Begin a fault of the servers."""
 
     async def end_fault(self, fault: Fault) -> None:
-        """It is over."""
+        """End the fault."""
 
     async def served(self) -> ServedTotals:
-        """What was sent so far."""
+        """Return what has been sent so far."""
 
     def usage(self) -> list[Usage]:
-        """What each server process has used, in an order that stays; zeros for one that does not run."""
+        """Return the usage of each server process, always in the same order.
+
+        A process that does not run has zeros, or is missing at the end of the list.
+        """
 
     def stop(self) -> None:
-        """End them all."""
+        """Stop all servers."""
--- a/gannetweir/lab/scale/distributions.py
+++ b/gannetweir/lab/scale/distributions.py
@@ -1,6 +1,4 @@
-"""The servers of each distribution, by its name in the experiment's file; the relays' side of each is in
-`membership_drivers.DRIVERS`.
-"""
+"""The servers of each distribution; the drivers for relays are in `membership_drivers.DRIVERS`."""
 
 from __future__ import annotations
 
@@ -21,4 +19,4 @@
     "direct": lambda store, experiment, settings: Direct(store, experiment.true_relays),
     "control": _control,
 }
-"""What starts the servers of each distribution, by its name in the experiment's file."""
+"""Functions that create the servers of a distribution, by its name in the experiment file."""
--- a/gannetweir/lab/scale/fleet_figures.py
+++ b/gannetweir/lab/scale/fleet_figures.py
@@ -71,8 +71,8 @@
     """Return the seconds until the last relay was up to date after a fault; -1 if a relay never was.
 
     For every relay, the time counts from the end of the fault until the relay had `version`, which was the
-    newest version at that end. For each start of a relay from `begin_ns` to before `end_ns`, it counts from the
-    start to the first list.
+    newest version at that end. For each start of a relay from `begin_ns` to before `end_ns`, it counts from
+    the start to the first list.
     """
     longest_ns = 0
     for record in records:
--- a/gannetweir/lab/scale/skeleton_host.py
+++ b/gannetweir/lab/scale/skeleton_host.py
@@ -1,4 +1,4 @@
-"""A process that holds many hollow relays on one event loop: python -m gannetweir.lab.scale.skeleton_host"""
+"""A process that runs many skeleton relays on one event loop: python -m gannetweir.lab.scale.skeleton_host"""
 
 from __future__ import annotations
 
@@ -28,8 +28,10 @@
 
 
 class SkeletonHost:
-    """The relays of one process. Each has a connection, an engine, a list and a record of its own; the event
-    loop, the settings of a zone and the code are shared.
+    """The relays of one process.
+
+    Each relay has its own connection, engine, list and record; the event loop, the settings of a zone and the
+    code are shared.
     """
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -40,7 +42,7 @@
         self.settings: list[Settings] = []  # by zone
 
     async def handle(self, message: Message) -> Message:
-        """Carry out a command; `ValueError` for one that a host does not know."""
+        """Execute a command and return its answer. Raises `ValueError` for an unknown command."""
         if isinstance(message, Configure):
             self._configure(message)
         elif isinstance(message, StartRelays):
@@ -51,13 +53,15 @@
                 previous = self.relays[relay]
                 previous.stop()
                 self._start(relay, previous.known() if message.known else None)
-            await anyio.lowlevel.checkpoint()  # they run before the next command can stop them
+            await (
+                anyio.lowlevel.checkpoint()
+            )  # lets the new relays start before the next command may stop them
         elif isinstance(message, AskInForce):
             return InForce(sum(r.version() >= message.version for r in self.relays.values()))
         elif isinstance(message, AskRecords):
             return Records(list(self.records.values()))
         else:
-            raise ValueError(f"a host does not know {type(message).__name__}")
+            raise ValueError(f"a host process got an unknown command: {type(message).__name__}")
         return Done()
 
     def _configure(self, configuration: Configure) -> None:
@@ -91,7 +95,7 @@
 
 
 async def run() -> None:
-    """Until the parent is gone."""
+    """Serve until the parent is gone."""
     async with anyio.create_task_group() as tasks:
         await answer_calls(SkeletonHost(tasks).handle)
         tasks.cancel_scope.cancel()
--- a/gannetweir/lab/scale/skeleton_relay.py
+++ b/gannetweir/lab/scale/skeleton_relay.py
@@ -1,7 +1,7 @@
-"""A hollow relay: the true control part of a relay, without a listener, clients or flows.
+"""A skeleton relay: the control part of a relay, without a listener, clients or flows.
 
-The membership driver, its protocol, the engine, the decision module, the settings and all timers are those
-that serve; what is left out is said on the page of results.
+The membership driver, its protocol, the engine, the decision module, the settings and all timers are those of
+`gannetweir serve`; the page of results lists what is left out.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 
 
 class MembershipDriver(Protocol):
-    """What brings a relay its membership."""
+    """Gets a relay its membership."""
 
     def apply_command(self, command: e.SetEndpointWatch) -> None:
-        """Start a watch in place of the one before, or only end that."""
+        """Replace the present watch with a new one, or only end the present watch."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownList:
-    """A membership as a relay has it: each entry as canonical JSON, by its name."""
+    """A membership that a relay has: the entries as canonical JSON, by name."""
 
     version: int
     members: Mapping[str, bytes]
@@ -46,18 +46,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SkeletonConfig:
-    """What one hollow relay is told."""
+    """The configuration of one skeleton relay."""
 
     settings: Settings
     limits: Limits
     seed: int
-    servers: tuple[SocketAddress, ...]  # that tell the membership
+    servers: tuple[SocketAddress, ...]  # servers of the membership
     epoch_ns: int
-    known: KnownList | None = None  # what it is started with
+    known: KnownList | None = None  # the list that the relay starts with
 
 
 class CountedTransport(Transport):
-    """A connection whose received bytes are counted."""
+    """A transport that passes the number of received bytes to `count`."""
 
     def __init__(
         self, sock: socket.socket, limits: Limits, spawn: Spawn, count: Callable[[int], None]
@@ -66,14 +66,17 @@
         self.count = count
 
     async def read(self) -> bytes:
-        """As any connection's; see there."""
+        """See `Transport.read`."""
         data = await super().read()
         self.count(len(data))
         return data
 
 
 class SkeletonRelay:
-    """One life of a relay, from a start without a list until it is stopped. The record outlives it."""
+    """A relay from its start, with or without a list, until `stop`.
+
+    A restart creates another instance with the same record.
+    """
 
     def __init__(
         self,
@@ -86,15 +89,15 @@
         self.engine = e.Engine(
             config.settings, config.limits, config.seed, self._initial_membership(), clock()
         )
-        # The version that is in force as a whole, and the list that a next start may be given: a driver that
-        # brings a version in parts sets its own.
+        # These return the version of which every part is in force, and the list for a restart. A driver that
+        # gets a version in parts replaces both.
         self.version: Callable[[], int] = lambda: self.engine.endpoint_list.version
         self.known: Callable[[], KnownList | None] = lambda: None
         self.driver = driver(self)
-        self.has_list = anyio.Event()  # it has a list
+        self.has_list = anyio.Event()
         self.wake = anyio.Event()
         self.sleep_until = 0
-        self.tasks: anyio.abc.TaskGroup  # from `run` on
+        self.tasks: anyio.abc.TaskGroup  # set by `run`
 
     def _initial_membership(self) -> MembershipUpdate:
         known = self.config.known
@@ -103,57 +106,57 @@
         hosts = [orjson.loads(body) for body in known.members.values()]
         return read_cached_membership({"seq": known.version, "hosts": hosts}, self.config.settings)
 
-    # ---- what a driver may know of a relay (`net.host.Host` and `net.pool_watch.Watcher`)
+    # ---- interface for drivers (`net.ports.DriverContext` and `net.endpoint_watch.WatchContext`)
 
     @property
     def settings(self) -> Settings:
-        """The platform's."""
+        """The platform's settings."""
         return self.config.settings
 
     @property
     def limits(self) -> Limits:
-        """Every size, count and time."""
+        """All limits of sizes, counts and times."""
         return self.config.limits
 
     @property
     def discovery(self) -> SocketAddress:
-        """Where the membership is watched."""
+        """The address of the server whose membership is watched."""
         return self.config.servers[0]
 
     def spawn(self, run: Callable[[], Awaitable[Any]]) -> None:
-        """Start a task that can't take the others down."""
+        """Start a task whose exception is recorded and does not end other tasks."""
         self.tasks.start_soon(self._guard, run)
 
     def run_engine_call(self, call: Callable[[*Arguments, int], Result], *args: *Arguments) -> Result:
-        """Tell the engine something and do what it commands."""
+        """Call the engine, execute its commands, and return the result of the call."""
         result = call(*args, self.clock())
         self._execute_commands()
         self.note_version()
         return result
 
-    # ---- what is recorded
+    # ---- records
 
     def received(self, count: int) -> None:
-        """So many bytes have come."""
+        """Count received bytes in the present second."""
         second = (time.monotonic_ns() - self.config.epoch_ns) // SECOND_NS
         self.record.received[second] = self.record.received.get(second, 0) + count
 
     def counted_transport(self, sock: socket.socket, limits: Limits, spawn: Spawn) -> Transport:
-        """For a driver: a connection whose bytes are counted as this relay's."""
+        """Return a transport for a driver's connection, whose received bytes are counted for this relay."""
         return CountedTransport(sock, limits, spawn, self.received)
 
     def note_version(self) -> None:
-        """Record the version that is in force, if it is another than before."""
+        """Record the version in force, if it differs from the last recorded one."""
         version = self.version()
         if version and (not self.has_list.is_set() or self.record.versions[-1] != version):
             self.record.versions.append(version)
             self.record.applied_ns.append(time.monotonic_ns())
             self.has_list.set()
 
-    # ---- the life of it
+    # ---- lifecycle
 
     async def run(self) -> None:
-        """Until `stop`."""
+        """Run until `stop`."""
         self.record.started_ns.append(time.monotonic_ns())
         async with anyio.create_task_group() as self.tasks:
             self.tasks.start_soon(self._timers)
@@ -161,7 +164,7 @@
             self.note_version()
 
     def stop(self) -> None:
-        """End it at once, as SIGKILL would: its connections are closed by the host's kernel."""
+        """Stop the relay at once, as SIGKILL would: its connections are closed, and nothing more is sent."""
         self.tasks.cancel_scope.cancel()
 
     async def _guard(self, run: Callable[[], Awaitable[Any]]) -> None:
@@ -184,7 +187,7 @@
             command = commands.popleft()
             if isinstance(command, e.SetEndpointWatch):
                 self.driver.apply_command(command)
-            elif isinstance(command, e.StartLoadProbe):  # there is nothing to probe
+            elif isinstance(command, e.StartLoadProbe):  # there are no backends to probe
                 self.record.unsent_probes += 1
             elif isinstance(command, e.WriteLogLine) and command.text.startswith("endpoint watch: "):
                 self.record.watch_failures += 1
--- a/gannetweir/lab/scale/true_relay.py
+++ b/gannetweir/lab/scale/true_relay.py
@@ -1,4 +1,4 @@
-"""True relays beside the hollow ones: `gannetweir serve` in processes of their own, without clients."""
+"""True relays for comparison with skeleton relays: processes of `gannetweir serve`, without clients."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def platform_settings(
     relays: int, zones: int, ask_within_s: float, registry_mode: str = "on_request"
 ) -> dict[str, Any]:
-    """What the platform tells each relay of the fleet, hollow or true. No probes: there are no backends."""
+    """Return the settings of every relay of the fleet; probes are off, since there are no backends."""
     return {
         "categories": [
             {"name": "plain", "aim-us": 300_000, "hard-limit-us": 1_800_000, "idempotency": "repeatable"}
@@ -37,13 +37,12 @@
 
 
 class TrueRelays:
-    """Some processes that watch the fleet's servers, and one that has no list, for the memory of one."""
+    """Processes that watch the fleet's servers, and one without a list as the baseline of their memory."""
 
     def __init__(self, settings: dict[str, Any], servers: list[str]) -> None:
         self.folder = tempfile.TemporaryDirectory(prefix="hollow-fleet-")
-        self.silent_listener = socket.create_server(
-            (HOST, free_port([HOST]))
-        )  # accepts in its queue, never answers
+        # The kernel accepts connections for this listener, and nothing answers them.
+        self.silent_listener = socket.create_server((HOST, free_port([HOST])))
         self.settings = settings
         self.processes = [self._start(n, server) for n, server in enumerate(servers)]
         silent_address = f"{HOST}:{self.silent_listener.getsockname()[1]}"
@@ -60,7 +59,7 @@
         path = Path(self.folder.name) / f"{number}.json"
         path.write_bytes(orjson.dumps(config))
         env = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
-        env.pop("TMPDIR", None)  # no folder shared with other processes of the same relay
+        env.pop("TMPDIR", None)  # shares no folder with other processes of the same relay
         return subprocess.Popen(
             [sys.executable, "-m", "gannetweir", "serve"],
             env={**env, "RELAY_CONFIG": str(path)},
@@ -68,18 +67,18 @@
         )
 
     def usage(self) -> list[Usage]:
-        """Of each that watches."""
+        """Return the usage of each process that watches."""
         return [usage(process.pid) for process in self.processes]
 
     def list_bytes(self) -> list[int]:
-        """The resident memory of each that watches, less that of the one without a list."""
+        """Return the resident bytes of each watching process, less those of the process without a list."""
         if self.without_list is None:
             return []
         baseline = usage(self.without_list.pid).rss_bytes
         return [one.rss_bytes - baseline for one in self.usage()]
 
     def stop(self) -> None:
-        """End them in good order."""
+        """Stop all processes with SIGTERM, or with SIGKILL if that takes too long."""
         started = [*self.processes, *([self.without_list] if self.without_list is not None else [])]
         for process in started:
             process.send_signal(signal.SIGTERM)
