--- a/gannetweir/lab/scale/control_costs.py
+++ b/gannetweir/lab/scale/control_costs.py
@@ -1,10 +1,10 @@
-"""What the control plane's messages cost: bytes, seconds at a relay's share, processor time, turns.
+"""Measures the costs of the control plane's messages: bytes, transfer time, processor time and turns.
 
     python -m gannetweir.lab.scale.control_costs > docs/measurements/control-plane.json
 
 The list is drawn from a seed: names of eight hexadecimal digits, addresses, 13 zones, starts within a month.
-The times are one process's processor time; a collection of Python's garbage counts apart, since it falls on
-whichever turn comes next.
+Transfer times are for the bandwidth of one relay. Times of turns are processor time of one process; garbage
+collections are counted separately, since a collection happens in an arbitrary turn.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 def random_backends(count: int, seed: int = 1) -> dict[str, dict[str, Any]]:
-    """So many backends, by name."""
+    """Return this number of random backends, by name."""
     draw = random.Random(seed)
     result: dict[str, dict[str, Any]] = {}
     while len(result) < count:
@@ -61,19 +61,19 @@
 
 
 def transfer_s(size_bytes: int) -> float:
-    """Until the last byte of so many has gone, by the token bucket."""
+    """Return the seconds until the token bucket has let the last byte pass."""
     return round(max(0, size_bytes - BURST_BYTES) / RATE_BYTES_S, 1)
 
 
 def slices_for(publisher: Publisher, held: Version) -> Iterator[Slice]:
-    """All that a relay on a version is sent."""
+    """Yield all slices that the publisher sends to a relay that holds this version."""
     publisher.subscribe("r", held)
     while (part := publisher.next_slice("r", 0)) is not None:
         yield part
 
 
 def slice_bytes(parts: list[Slice]) -> dict[str, float]:
-    """Bytes as JSON and as they go over the wire."""
+    """Return the bytes and transfer times of slices, as JSON and in the compressed form on the wire."""
     plain, wire = (
         sum(len(write_slice(p)) for p in parts),
         sum(len(chunk(write_compressed_slice(p))) for p in parts),
@@ -87,7 +87,7 @@
 
 
 class TurnTimer:
-    """Processor time of each turn, without the collections that fell on it."""
+    """Measures the processor time of each turn, without garbage collections."""
 
     def __init__(self) -> None:
         self.turns: list[float] = []
@@ -102,19 +102,22 @@
             self.collections.append(time.thread_time() - self.begun)
 
     def run(self, work: Callable[[], Any]) -> Any:
-        """One turn."""
+        """Run and time one turn."""
         before, begun = len(self.collections), time.thread_time()
         result = work()
         self.turns.append(time.thread_time() - begun - sum(self.collections[before:]))
         return result
 
     def close(self) -> None:
-        """Hear of no more collections."""
+        """Stop observing garbage collections."""
         gc.callbacks.remove(self._collected)
 
 
 def measure_follower(parts: list[Slice]) -> dict[str, float]:
-    """A relay without a list takes a snapshot: its turns, with the engine and the module told."""
+    """Apply a snapshot to a relay without a list, with its engine and decision module.
+
+    Returns the figures of the turns that it took.
+    """
     engine = Engine(SETTINGS, Limits(), 1, MembershipUpdate(0, True), 0)
     follower, turns = Follower(MEMBERSHIP, RelayCheck(lambda: SETTINGS)), TurnTimer()
     lines = [write_slice(part) for part in parts]
@@ -144,7 +147,7 @@
 
 
 def measure_size(count: int) -> dict[str, Any]:
-    """One size of the list."""
+    """Return the record of one size of the list."""
     hosts = random_backends(count)
     entries = [Entry(name, canonical_json(host)) for name, host in hosts.items()]
     version = Version(1, 1, Content(entries).digest)
@@ -178,7 +181,7 @@
 
 
 def main() -> None:
-    """Print the record."""
+    """Measure all sizes and print the record as JSON."""
     record = {"python": sys.version.split()[0], "sizes": [measure_size(count) for count in SIZES]}
     print(orjson.dumps(record, option=orjson.OPT_INDENT_2).decode())
 
--- a/gannetweir/lab/scale/control_distribution.py
+++ b/gannetweir/lab/scale/control_distribution.py
@@ -1,4 +1,4 @@
-"""The control plane as a hollow fleet's servers: a process for each machine, all after the parent's store."""
+"""The control plane as the servers of a skeleton fleet: a process per machine; the parent owns the store."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     machine_name,
 )
 
-FAULTY_MACHINE = 0  # the machine that faults of one machine befall
+FAULTY_MACHINE = 0  # number of the machine that has the faults of one machine
 MODES = {
     Fault.MACHINE_SILENT: ServerMode.SILENT,
     Fault.MACHINE_TRICKLES: ServerMode.TRICKLE,
@@ -31,7 +31,7 @@
 
 
 class ControlPlane:
-    """So many control machines, each with an address of its own."""
+    """A number of control machines, each at its own address."""
 
     def __init__(self, store: Store, machines: int, settings: dict[str, Any]) -> None:
         self.store, self.settings = store, settings
@@ -39,20 +39,20 @@
         port = free_port(hosts)
         self.listen = [f"{host}:{port}" for host in hosts]
         self.machines: list[Child | None] = [None] * machines
-        self.sent_by_killed = ServedTotals()  # what processes that were killed had sent
+        self.sent_by_killed = ServedTotals()  # sum over the processes that were killed
 
     @property
     def servers(self) -> list[str]:
-        """All machines, in the order of their names."""
+        """The addresses of all machines, in the order of their names."""
         return self.listen
 
     @property
     def true_relay_servers(self) -> list[str]:
-        """None: `serve` has no setting for the control plane."""
+        """Empty, since `gannetweir serve` has no setting for the control plane."""
         return []
 
     async def start(self) -> None:
-        """Start those that do not run, from the store as it is."""
+        """Start the machines that do not run, with the present content of the store."""
         async with anyio.create_task_group() as tasks:
             for number, machine in enumerate(self.machines):
                 if machine is None:
@@ -60,19 +60,20 @@
 
     async def _start(self, number: int) -> None:
         machine = Child("gannetweir.lab.scale.control_machine", [machine_name(number), self.listen[number]])
-        self.machines[number] = machine  # from here on it is told changes: they wait for the call that begins
+        # From here on the machine is sent changes, which wait for the end of the call that starts it.
+        self.machines[number] = machine
         first = self.store.initial_list()
         history = list(self.store.history)
         await machine.call(StartMachine(first.version, first.members, self.settings, history))
 
     async def publish(self, change: Publish) -> None:
-        """Hand it to the machines that run, at the same time."""
+        """Send a change to all running machines concurrently."""
         async with anyio.create_task_group() as tasks:
             for number in range(len(self.machines)):
                 tasks.start_soon(self._call, number, change)
 
     async def begin_fault(self, fault: Fault) -> None:
-        """Of one machine, or of all."""
+        """Begin a fault of one machine or of all machines."""
         if fault is Fault.MACHINE_KILLED:
             await self._kill(FAULTY_MACHINE)
         elif fault is Fault.MACHINES_RESTARTED:
@@ -82,7 +83,7 @@
             await self._call(FAULTY_MACHINE, SetMode(MODES[fault]))
 
     async def end_fault(self, fault: Fault) -> None:
-        """Back as it was."""
+        """Return the machine to normal operation, and restart machines that have ended."""
         if fault in MODES:
             await self._call(FAULTY_MACHINE, SetMode(ServerMode.NORMAL))
         if fault in (Fault.MACHINE_KILLED, Fault.MACHINE_DIES, Fault.MACHINES_RESTARTED):
@@ -108,7 +109,7 @@
             return None
 
     async def served(self) -> ServedTotals:
-        """What was sent so far; without what a machine that killed itself had sent."""
+        """Return what has been sent so far, except by a machine that ended itself."""
         total = ServedTotals(self.sent_by_killed.snapshots, Counter(self.sent_by_killed.sent), {})
         total.by_second = {name: Counter(counts) for name, counts in self.sent_by_killed.by_second.items()}
         for number in range(len(self.machines)):
@@ -116,11 +117,11 @@
         return total
 
     def usage(self) -> list[Usage]:
-        """Of each machine."""
+        """Return the usage of each machine; zeros for one that does not run."""
         return [machine.usage() if machine is not None else Usage(0, 0) for machine in self.machines]
 
     def stop(self) -> None:
-        """End them all."""
+        """Stop all machines."""
         for machine in self.machines:
             if machine is not None:
                 machine.stop()
--- a/gannetweir/lab/scale/control_machine.py
+++ b/gannetweir/lab/scale/control_machine.py
@@ -1,7 +1,7 @@
-"""A control machine of a hollow fleet, in a process of its own, with faults that can be switched on.
+"""A control machine of a skeleton fleet, in its own process, with faults that can be switched on.
 
-The server, the publishers and the token buckets are those that serve; the store of record is followed over
-the link to the parent, which owns it.
+The server, the publishers and the token buckets are those of production; the changes of the store of record
+come over the link from the parent, which owns the store.
 
 python -m gannetweir.lab.scale.control_machine NAME HOST:PORT
 """
@@ -38,21 +38,21 @@
 from gannetweir.net.transport import Transport
 from gannetweir.proto.control_messages import canonical_json
 
-TRICKLE_S = 1.0  # between two bytes
+TRICKLE_S = 1.0  # interval between two bytes
 
 
 class FaultyServer(ControlServer):
-    """Counts what it sends, and keeps it back while a fault says so."""
+    """A control server that counts what it sends, and withholds data during a fault."""
 
     def __init__(self, name: str, store: MemoryStore, at: SocketAddress) -> None:
         super().__init__(name, store, at, Limits())
         self.mode, self.snapshots = ServerMode.NORMAL, 0
         self.withheld: dict[Transport, bytearray] = {}
         self.by_second: Counter[int] = Counter()
-        self.slices_before_kill = 0  # until it dies
+        self.slices_before_kill = 0  # slices of membership still to be sent in mode DIES
 
     def set_mode(self, mode: ServerMode) -> None:
-        """From now on; what was kept back goes out with `NORMAL`."""
+        """Switch to a mode; `NORMAL` sends all withheld data."""
         self.mode = mode
         self.slices_before_kill = len(self.watches) // 2
         if mode is ServerMode.NORMAL:
@@ -71,7 +71,7 @@
         super()._write(endpoint, data)
 
     async def trickle(self) -> None:
-        """While that mode holds, a byte a second on each connection."""
+        """In mode TRICKLE, send one withheld byte per `TRICKLE_S` on each connection."""
         while True:
             await anyio.sleep(TRICKLE_S)
             if self.mode is ServerMode.TRICKLE:
@@ -103,7 +103,7 @@
 
 
 class MachineProcess:
-    """Carries out the parent's commands."""
+    """Executes the commands of the parent."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup, name: str, at: SocketAddress) -> None:
         self.tasks, self.name, self.at = tasks, name, at
@@ -111,7 +111,7 @@
         self.server: FaultyServer | None = None
 
     async def handle(self, message: Message) -> Message:
-        """Carry out a command; `ValueError` for one that a control machine does not know."""
+        """Execute a command and return its answer. Raises `ValueError` for an unknown command."""
         if isinstance(message, StartMachine):
             self._start(message)
         elif isinstance(message, Publish):
@@ -123,7 +123,7 @@
             sent = {self.name: server.bytes_written}
             return Served(len(server.watches), server.snapshots, sent, dict(server.by_second))
         else:
-            raise ValueError(f"a control machine does not know {type(message).__name__}")
+            raise ValueError(f"a control machine got an unknown command: {type(message).__name__}")
         return Done()
 
     def _start(self, message: StartMachine) -> None:
@@ -140,16 +140,16 @@
 
     def _publish(self, message: Publish) -> None:
         if message.version <= self.store.logs[Resource.MEMBERSHIP].newest.number:
-            return  # it was in what this machine started from
+            return  # the history that this machine started from had the change
         version = self.store.put(
             Resource.MEMBERSHIP, {str(message.member["host"]): canonical_json(message.member)}
         )
         if version.number != message.version:
-            raise ValueError(f"version {message.version} of the store came as {version.number}")
+            raise ValueError(f"expected version {message.version} of the store, made {version.number}")
 
 
 async def run(name: str, at: SocketAddress) -> None:
-    """Until the parent is gone."""
+    """Serve until the parent is gone."""
     async with anyio.create_task_group() as tasks:
         await answer_calls(MachineProcess(tasks, name, at).handle)
         tasks.cancel_scope.cancel()
--- a/gannetweir/lab/scale/control_page.py
+++ b/gannetweir/lab/scale/control_page.py
@@ -1,4 +1,4 @@
-"""What the page of a hollow fleet's results says of the control plane, and of it beside today's way."""
+"""The parts of a skeleton fleet's page on the control plane and its comparison with direct distribution."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def machine_rows(run: FleetRun) -> list[list[str]]:
-    """One control machine: the mean over all, and the greatest of any."""
+    """Return a row per phase on one control machine: means over all machines and maxima of any."""
     return [
         [
             str(run.relays),
@@ -57,7 +57,7 @@
 
 
 def machine_section(runs: list[FleetRun]) -> str:
-    """The section on control machines."""
+    """Return the section on control machines."""
     rows = [row for run in runs for row in machine_rows(run)]
     return f"\n### One control machine\n\n{markdown(MACHINE_COLUMNS, rows)}\n"
 
@@ -97,7 +97,7 @@
 
 
 def comparison(runs: list[FleetRun], direct_runs: list[FleetRun]) -> str:
-    """Both ways in one table, where the kept runs of today's have the size and the phase; else nothing."""
+    """Return a table of both distributions, for sizes and phases that both have; empty if there are none."""
     of_size = {(run.relays, run.backends): run for run in direct_runs}
     rows = []
     for run in runs:
--- a/gannetweir/lab/scale/control_relay.py
+++ b/gannetweir/lab/scale/control_relay.py
@@ -1,4 +1,4 @@
-"""A hollow relay's membership from the control plane: the driver that serves, over the relay's engine."""
+"""A skeleton relay's membership from the control plane: the production driver, on the relay's engine."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RecordedDriver(ControlDriver):
-    """Notes each watch that failed, and each version that was turned down."""
+    """Records each watch that failed and each version that was refused with a NACK."""
 
     record: RelayRecord
 
@@ -32,7 +32,10 @@
 
 
 class ControlledMembership:
-    """The first order to watch starts the driver. Any other is ignored: the driver never stops by itself."""
+    """Starts the driver at the first command to watch.
+
+    Later commands are ignored, since the driver retries by itself and never stops.
+    """
 
     def __init__(self, relay: SkeletonRelay) -> None:
         self.relay, self.started = relay, False
@@ -63,7 +66,7 @@
             self.relay.spawn(self.driver.run)
 
     def _ignore_settings(self, settings: Settings) -> None:
-        """Nothing: they are those that the relay was started with, which are its own zone's."""
+        """Do nothing: the relay was started with the same settings, for its own zone."""
 
     def _version_applied(self, resource: Resource, version: Version) -> None:
         if resource is Resource.MEMBERSHIP:
@@ -72,6 +75,7 @@
 
     def _known(self) -> KnownList | None:
         follower = self.membership
-        if follower.unapplied is not None or not follower.applied_version.number:  # half of a version is none
+        # A version of which only a part was applied can't be used.
+        if follower.unapplied is not None or not follower.applied_version.number:
             return None
         return KnownList(follower.applied_version.number, dict(follower.applied.entries))
--- a/gannetweir/lab/scale/membership_drivers.py
+++ b/gannetweir/lab/scale/membership_drivers.py
@@ -1,6 +1,7 @@
-"""What brings a hollow relay its membership, by the distribution's name in the experiment's file.
+"""The drivers that get skeleton relays their membership, by the name of the distribution.
 
-Each driver is imported when a relay of its kind is made: a process of hollow relays has memory for one kind.
+A driver is imported when the first relay that uses it is created, so that a process of skeleton relays needs
+memory for one driver only.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 
 
 def direct_driver(relay: SkeletonRelay) -> MembershipDriver:
-    """Today's way: a watch on the one discovery."""
+    """Create a driver that watches the discovery process."""
     from gannetweir.net.endpoint_watch import EndpointWatchDriver
 
     return EndpointWatchDriver(relay, relay.counted_transport)
 
 
 def control_driver(relay: SkeletonRelay) -> MembershipDriver:
-    """A watch on one of the control machines."""
+    """Create a driver that watches one of the control machines."""
     from gannetweir.lab.scale.control_relay import ControlledMembership
 
     return ControlledMembership(relay)
@@ -28,4 +29,4 @@
     "direct": direct_driver,
     "control": control_driver,
 }
-"""How a hollow relay's driver is built, by the name of the distribution in the experiment's file."""
+"""Functions that create a relay's driver, by the name of the distribution in the experiment file."""
--- a/gannetweir/lab/scale/server_load.py
+++ b/gannetweir/lab/scale/server_load.py
@@ -1,4 +1,4 @@
-"""What one server of a hollow fleet carries: processor time, memory and bytes, on average and at the most."""
+"""The load of one server of a skeleton fleet: processor time, memory and bytes, mean and maximum."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Sample:
-    """Of every server at one moment (CLOCK_MONOTONIC); zeros for one that does not run."""
+    """The usage of every server at one moment (CLOCK_MONOTONIC)."""
 
     at_ns: int
     servers: list[Usage]
@@ -26,13 +26,13 @@
 
 @dataclass(slots=True)
 class Sampler:
-    """Looks at the servers once a second."""
+    """Samples the usage of the servers every `SAMPLE_INTERVAL_S`."""
 
     usage: Callable[[], list[Usage]]
     samples: list[Sample] = field(default_factory=list)
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Sample until cancelled."""
         while True:
             self.samples.append(Sample(time.monotonic_ns(), self.usage()))
             await anyio.sleep(SAMPLE_INTERVAL_S)
@@ -40,19 +40,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """Of one server: the largest of any, and the mean over all for the bytes."""
+    """The load of one server: each maximum is that of any server, `kb_s` is the mean over all servers."""
 
     cpu_max: float  # share of a core between two samples
-    mb_max: float
-    kb_s: float
-    kb_max: float  # in a second; 0 where no server counts so
+    mb_max: float  # resident memory
+    kb_s: float  # kilobytes sent per second
+    kb_max: float  # kilobytes sent in one second; 0 if no server counts bytes by second
 
 
 def _cpu_max(samples: Sequence[Sample]) -> float:
     maximum = 0.0
     for before, after in pairwise(samples):
         for earlier, later in zip(before.servers, after.servers, strict=False):
-            # a process that was started in between has all of its time in that second
+            # For a process that was started between the samples, all its time belongs to this interval.
             used_ns = later.cpu_ns - earlier.cpu_ns if later.cpu_ns >= earlier.cpu_ns else later.cpu_ns
             maximum = max(maximum, used_ns / (after.at_ns - before.at_ns))
     return maximum
@@ -61,7 +61,7 @@
 def server_load(
     samples: Sequence[Sample], before: ServedTotals, after: ServedTotals, span_ns: tuple[int, int]
 ) -> ServerLoad:
-    """From the samples of a phase and what had been sent at its two ends."""
+    """Return the load in a phase, from its samples and the totals sent at its beginning and its end."""
     begin_ns, end_ns = span_ns
     sent = sum(after.sent.values()) - sum(before.sent.values())
     count = max(1, max((len(sample.servers) for sample in samples), default=1))
