--- a/tests/test_skeleton_control.py
+++ b/tests/test_skeleton_control.py
@@ -1,6 +1,6 @@
-"""The control plane in the hollow fleet: machines in real processes, faults, and relays that start again.
+"""The control plane of a skeleton fleet: machines in real processes, faults, and restarts of relays.
 
-Nothing here asserts a time: an order of events is forced by waiting for versions.
+No test asserts a duration: waiting for versions forces the order of events.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
     phase "ordinary" changes=5 every="20ms"
     phase "zone" fault="zone-restarted" changes=2 every="50ms"
 }"""
-IN_FORCE_TIMEOUT_S = 20.0  # only a failing test waits so long
+IN_FORCE_TIMEOUT_S = 20.0  # reached only by a failing test
 
 
 async def publish_change(fleet: Fleet) -> int:
-    """A change, in force on every relay."""
+    """Publish a change, wait until it is in force on every relay, and return its version."""
     made = fleet.store.change()
     await fleet.distribution.publish(made)
     assert await fleet.wait_in_force(made.version, IN_FORCE_TIMEOUT_S)
@@ -88,7 +88,7 @@
     run = anyio.run(played)
     ordinary, zone = run.phases
     assert [phase.missing for phase in run.phases] == [0, 0] and run.driver_faults == []
-    assert (ordinary.snapshots, zone.snapshots) == (0, 2)  # relays 0 and 3, which began without a list
+    assert (ordinary.snapshots, zone.snapshots) == (0, 2)  # relays 0 and 3, which restarted without a list
     assert min(ordinary.one_server_kb_s, ordinary.one_server_kb_most, ordinary.one_server_mb_most) > 0
     keep(fleet, [run], tmp_path / "hollow-control")
     assert load(tmp_path / "hollow-control") == [run]
@@ -108,9 +108,9 @@
     async def use(fleet: Fleet) -> None:
         await publish_change(fleet)
         before = (await fleet.distribution.served()).snapshots
-        assert before == 6  # each relay's start
+        assert before == 6  # one for the start of each relay
         await fleet.restart(range(6), known=True)
-        assert await fleet.count_in_force(fleet.store.version) == 6  # it serves at once with what it had
+        assert await fleet.count_in_force(fleet.store.version) == 6  # each relay has its last version at once
         await publish_change(fleet)
         assert (await fleet.distribution.served()).snapshots == before
         await fleet.restart([0])
@@ -130,7 +130,7 @@
         await plane.begin_fault(fault)
         await publish_change(fleet)
         if fault is Fault.MACHINE_DIES:
-            await plane.served()  # its end is seen with the next call
+            await plane.served()  # the next call notices that the machine has ended
             assert plane.machines[FAULTY_MACHINE] is None
         await plane.end_fault(fault)
         assert plane.machines[FAULTY_MACHINE] is not None
@@ -145,7 +145,7 @@
         await fleet.distribution.begin_fault(Fault.MACHINES_RESTARTED)
         made = fleet.store.change()
         await fleet.distribution.publish(made)
-        assert await fleet.count_in_force(made.version) == 0  # nobody could be told
+        assert await fleet.count_in_force(made.version) == 0  # no machine could send the change
         await fleet.distribution.end_fault(Fault.MACHINES_RESTARTED)
         assert await fleet.wait_in_force(made.version, IN_FORCE_TIMEOUT_S)
         await publish_change(fleet)
@@ -158,11 +158,12 @@
     samples = [
         Sample(0, [Usage(5, 10), Usage(0, 10)]),
         Sample(second, [Usage(5 + second // 2, 40_000_000), Usage(second // 4, 10)]),
-        Sample(2 * second, [Usage(second // 8, 10), Usage(second // 4, 10)]),  # the first was started anew
+        # The first server was restarted before this sample.
+        Sample(2 * second, [Usage(second // 8, 10), Usage(second // 4, 10)]),
     ]
     before, after = ServedTotals(0), ServedTotals(0)
     after.sent.update({"c00": 6000, "c01": 2000})
     after.by_second = {"c00": Counter({0: 1000, 1: 5000, 9: 90_000})}
     found = server_load(samples, before, after, (0, 2 * second))
     assert (found.cpu_max, found.mb_max) == (0.5, 40.0)
-    assert (found.kb_s, found.kb_max) == (2.0, 5.0)  # the second 9 is another phase's
+    assert (found.kb_s, found.kb_max) == (2.0, 5.0)  # second 9 belongs to another phase
--- a/tests/test_skeleton_fleet.py
+++ b/tests/test_skeleton_fleet.py
@@ -1,6 +1,6 @@
-"""The hollow fleet: its file, its figures, its messages, and small fleets in real processes.
+"""Skeleton fleets: the experiment file, figures, messages, and small fleets in real processes.
 
-Nothing here asserts a time: fleets are waited for until a version is in force, and only order is checked.
+No test asserts a duration: each waits until a version is in force, and checks only the order of events.
 """
 
 from __future__ import annotations
@@ -55,16 +55,17 @@
     phase "ordinary" changes=5 every="20ms"
     phase "zone" fault="zone-restarted" changes=2 every="50ms"
 }"""
-IN_FORCE_TIMEOUT_S = 20.0  # only a failing test waits so long
+IN_FORCE_TIMEOUT_S = 20.0  # reached only by a failing test
 
 
-# ---- the experiment's file
+# ---- the experiment file
 
 
 def test_the_experiment_files_are_valid() -> None:
     fleet = parse_fleet((EXPERIMENTS / "hollow-fleet.kdl").read_text())
     assert fleet.relays == (100, 300, 750, 1500) and fleet.hosts <= 40
-    assert {phase.fault for phase in fleet.phases} == FAULTS["direct"]  # those of "control": its own test
+    # test_skeleton_control.py checks the faults of "control".
+    assert {phase.fault for phase in fleet.phases} == FAULTS["direct"]
     assert sum(p.changes for p in fleet.phases if p.fault is Fault.NONE) == 200
     alone = parse_fleet((EXPERIMENTS / "hollow-alone.kdl").read_text())
     assert alone.relays == (8,) and alone.hosts == alone.true_relays == 8  # a process each
@@ -84,7 +85,7 @@
         ("ask-within", "line 2: ask-within: a time with its unit"),
         ('within "3m"', "line 2: within: 180 s exceeds 120 s"),
         ("colour 3", "line 2: unknown node colour"),
-        ('phase "p, q" changes=1', "without a comma"),  # `--phases` has commas between names
+        ('phase "p, q" changes=1', "without a comma"),  # commas separate the names of `--phases`
         ('phase "p"', "line 2: phase without effect"),
         ('phase "p" changes=-1', "line 2: changes: expected an integer from 0 to 1000"),
         ('phase "p" changes=#true', "line 2: changes: expected an integer"),
@@ -124,14 +125,14 @@
 def test_a_later_version_brings_an_earlier_change_in_force() -> None:
     ms = 1_000_000
     one = RelayRecord(0, versions=[1, 2, 4], applied_ns=[0, 12 * ms, 40 * ms])
-    other = RelayRecord(1, versions=[1], applied_ns=[0])  # never heard of anything
+    other = RelayRecord(1, versions=[1], applied_ns=[0])  # got no further version
     times = in_force_times([one, other], {2: 10 * ms, 3: 20 * ms, 4: 30 * ms})
     assert (times.ms.p50, times.ms.maximum, times.missing) == (10.0, 20.0, 3)
 
 
 def test_windows_of_bytes_slide_and_stay_in_their_phase() -> None:
     received = {0: 500, 9: 5, 10: 7, 18: 1, 19: 3, 29: 900}
-    assert max_in_window(received, 1, 29) == 5 + 7 + 1  # seconds 9 to 18
+    assert max_in_window(received, 1, 29) == 5 + 7 + 1  # sums seconds 9 to 18
     assert max_in_window(received, 10, 20) == 11
     received[30] = 10_000
     assert max_in_window(received, 28, 30) == 900  # a phase shorter than the window
@@ -159,8 +160,8 @@
     assert [phase.missing for phase in run.phases] == [0, 0] and run.driver_faults == []
     ordinary, zone = run.phases
     assert ordinary.changes == 5 and ordinary.snapshots == 0
-    assert zone.snapshots == 2 and zone.recovered_s > 0  # relays 0 and 3
-    assert zone.window_most_kb > zone.window_p50_kb  # only those two read the whole list
+    assert zone.snapshots == 2 and zone.recovered_s > 0  # zone 0 has relays 0 and 3
+    assert zone.window_most_kb > zone.window_p50_kb  # only these two relays received a snapshot
     assert run.phases[0].true_kb_mean > 0 and len(run.true_list_kb) == 1
     keep(fleet, [run], tmp_path)
     assert load(tmp_path) == [run]
@@ -171,7 +172,7 @@
     again.start_s = 99.0
     other = load(tmp_path)[0]
     other.relays = 5
-    again.phases = again.phases[1:]  # the one that it lacks stays
+    again.phases = again.phases[1:]  # the phase that the new run lacks stays
     found = merge([run], [other, again])
     assert [r.start_s for r in found] == [other.start_s, 99.0]
     assert found[1].phases == run.phases
@@ -205,10 +206,10 @@
     (update,) = EndpointWatch("d", 2, settings(), Limits()).feed(HEAD + chunk)
     assert isinstance(update, MembershipUpdate)
     assert not is_snapshot and update.version == 4 and len(update.endpoints) == 2
-    assert not membership.since(4)[1]  # nothing has changed
+    assert not membership.since(4)[1]  # an empty delta
     fresh = Membership()
     fresh.replace(store.version, list(store.members.values()))
-    assert fresh.since(2)[1] and not fresh.since(4)[1]  # a restarted one knows no earlier version
+    assert fresh.since(2)[1] and not fresh.since(4)[1]  # after a restart, earlier versions are unknown
 
 
 def test_a_slow_watch_sends_pending_data_complete_and_in_order() -> None:
@@ -218,7 +219,7 @@
         watch = Watch(ours)
         data = bytes(range(256)) * 8192
         watch.pending.extend([memoryview(data), memoryview(b"end")])
-        assert watch.send_pending(1) == 1  # a trickle
+        assert watch.send_pending(1) == 1  # one byte, as in the trickle fault
         got = theirs.recv(1 << 22)
         while not got.endswith(b"end"):
             watch.send_pending()
@@ -226,7 +227,7 @@
         assert got == data + b"end" and not watch.pending
 
 
-# ---- small fleets, an order of events forced by waiting for versions
+# ---- small fleets; waiting for versions forces the order of events
 
 
 def play_faults(*faults: Fault) -> Fleet:
@@ -237,7 +238,7 @@
             await fleet.distribution.begin_fault(fault)
             change = fleet.store.change()
             await fleet.distribution.publish(change)
-            assert await fleet.count_in_force(change.version) == 0  # nobody could be told
+            assert await fleet.count_in_force(change.version) == 0  # no server could send the change
             await fleet.distribution.end_fault(fault)
             assert await fleet.wait_in_force(change.version, IN_FORCE_TIMEOUT_S)
         fleet.final_records = await fleet.records()  # type: ignore[attr-defined]
@@ -252,7 +253,7 @@
     assert [record.relay for record in sorted(records, key=lambda r: r.relay)] == list(range(6))
     for record in records:
         assert record.versions == sorted(record.versions) and record.versions[-1] == 3
-        assert record.faults == [] and record.watch_failures >= 1  # discovery's end was seen
+        assert record.faults == [] and record.watch_failures >= 1  # relays noticed the end of discovery
 
 
 def test_a_restarted_relay_leaves_no_watch_behind() -> None:
@@ -260,10 +261,10 @@
         assert isinstance(fleet.distribution, Direct) and fleet.distribution.discovery is not None
         await fleet.restart(range(6))
         assert await fleet.wait_in_force(1, IN_FORCE_TIMEOUT_S)
-        with anyio.fail_after(IN_FORCE_TIMEOUT_S):  # discovery sees an end no sooner than the kernel tells it
+        with anyio.fail_after(IN_FORCE_TIMEOUT_S):  # discovery notices an end only when the kernel reports it
             while True:
                 served = await fleet.distribution.discovery.call(AskServed())
-                if isinstance(served, Served) and served.watches == 7:  # and the true relay's
+                if isinstance(served, Served) and served.watches == 7:  # 6 skeleton relays and a true relay
                     return
                 await anyio.sleep(0.01)
 
@@ -274,7 +275,7 @@
     async def use(fleet: Fleet) -> None:
         await fleet.distribution.begin_fault(Fault.ZONE_RESTARTED_SLOW_LINK)
         await fleet.restart([0])
-        assert await fleet.wait_in_force(1, IN_FORCE_TIMEOUT_S)  # 20 backends: 2.6 KB
+        assert await fleet.wait_in_force(1, IN_FORCE_TIMEOUT_S)  # the list of 20 backends has 2.6 KB
         record = next(record for record in await fleet.records() if record.relay == 0)
         assert len(record.started_ns) == 2
         await fleet.distribution.end_fault(Fault.ZONE_RESTARTED_SLOW_LINK)
@@ -291,7 +292,7 @@
 
 
 def test_the_server_port_is_outside_the_ephemeral_range() -> None:
-    """A relay that connects to a dead server's port from that very port would reach itself."""
+    """A relay that connects to the port of a dead server from that same port would be connected to itself."""
     first = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
     ports = {int(server.rpartition(":")[2]) for server in Direct(Store(1), 3).listen}
     assert len(ports) == 1 and ports.pop() < first
