--- a/gannetweir/lab/scale/control_distribution.py
+++ b/gannetweir/lab/scale/control_distribution.py
@@ -62,9 +62,9 @@
         machine = Child("gannetweir.lab.scale.control_machine", [machine_name(number), self.listen[number]])
         # From here on the machine is sent changes, which wait for the end of the call that starts it.
         self.machines[number] = machine
-        first = self.store.initial_list()
+        initial_list = self.store.initial_list()
         history = list(self.store.history)
-        await machine.call(StartMachine(first.version, first.members, self.settings, history))
+        await machine.call(StartMachine(initial_list.version, initial_list.members, self.settings, history))
 
     async def publish(self, change: Publish) -> None:
         """Send a change to all running machines concurrently."""
--- a/gannetweir/lab/scale/fleet_experiment.py
+++ b/gannetweir/lab/scale/fleet_experiment.py
@@ -28,7 +28,7 @@
 from gannetweir.config.kdl import KdlError, Node, parse_document
 from gannetweir.config.kdl_values import parse_duration_us
 
-MAX_RELAYS, MAX_BACKENDS, MAX_HOSTS, MAX_ZONES, MAX_TRUE, MAX_CHANGES = 2000, 20_000, 40, 64, 8, 1000
+MAX_RELAYS, MAX_BACKENDS, MAX_HOSTS, MAX_ZONES, MAX_TRUE_RELAYS, MAX_CHANGES = 2000, 20_000, 40, 64, 8, 1000
 MAX_MACHINES = 40
 MAX_PHASE_S = 120.0
 # Entries of the lists of all relays together: at 0.74 KB an entry, less than half of a machine with 24 GB.
@@ -190,7 +190,7 @@
     "hosts": lambda node: _number(node, MAX_HOSTS),
     "zones": lambda node: _number(node, MAX_ZONES),
     "machines": lambda node: _number(node, MAX_MACHINES),
-    "true-relays": lambda node: _number(node, MAX_TRUE, 0),
+    "true-relays": lambda node: _number(node, MAX_TRUE_RELAYS, 0),
     "ask-within": lambda node: _seconds(node, node.arguments[0] if node.arguments else None),
     "within": lambda node: _seconds(node, node.arguments[0] if node.arguments else None),
 }
--- a/gannetweir/lab/scale/fleet_run.py
+++ b/gannetweir/lab/scale/fleet_run.py
@@ -91,7 +91,7 @@
     load: float
     hosts: list[Usage]
     servers: list[Usage]
-    true: list[Usage]
+    true_relays: list[Usage]
     served: ServedTotals
 
 
@@ -205,7 +205,7 @@
     times = in_force_times(records, played.changed_ns)
     windows = spread(max_in_window(r.received, begin.second, end.second) / 1000 for r in records)
     means = [total_received(r.received, begin.second, end.second) / 1000 for r in records]
-    true_relay_count = len(end.true)
+    true_relay_count = len(end.true_relays)
     return PhaseFigures(
         name=played.phase.name,
         fault=played.phase.fault.value,
@@ -222,7 +222,7 @@
         relay_cpu_share=_cpu_share(begin.hosts, end.hosts, seconds) / count,
         server_cpu_share=_cpu_share(begin.servers, end.servers, seconds),
         snapshots=end.served.snapshots - begin.served.snapshots,
-        true_cpu_share=_cpu_share(begin.true, end.true, seconds) / true_relay_count
+        true_cpu_share=_cpu_share(begin.true_relays, end.true_relays, seconds) / true_relay_count
         if true_relay_count
         else 0.0,
         true_kb_mean=_true_relays_kb_mean(played),
@@ -251,9 +251,11 @@
         report_progress("start", 1.0)
         await fleet.wait_in_force(fleet.store.version, experiment.within_s)
         await anyio.sleep(SETTLE_S)
-        first = fleet.host_usage()
-        held = sum(u.rss_bytes for u in first) - sum(u.rss_bytes for u in fleet.initial_host_usage)
-        true_list = (
+        usage_with_lists = fleet.host_usage()
+        relays_bytes = sum(u.rss_bytes for u in usage_with_lists) - sum(
+            u.rss_bytes for u in fleet.initial_host_usage
+        )
+        true_list_kb = (
             [size / 1000 for size in fleet.true_relays.list_bytes()] if fleet.true_relays is not None else []
         )
         played = [await runner.play(phase) for phase in experiment.phases]
@@ -265,8 +267,8 @@
             len(fleet.hosts),
             os.cpu_count() or 1,
             start_s,
-            held / relays / 1000,
-            true_list,
+            relays_bytes / relays / 1000,
+            true_list_kb,
             max(sum(u.rss_bytes for u in p.end.hosts) for p in played) / 1e6,
             max(sum(u.rss_bytes for u in p.end.servers) for p in played) / 1e6,
             sum(r.watch_failures for r in records),
