--- a/gannetweir/lab/scale/direct_distribution.py
+++ b/gannetweir/lab/scale/direct_distribution.py
@@ -11,7 +11,7 @@
 
 
 class Direct:
-    """One discovery, which each relay watches directly.
+    """A discovery process, which each relay watches directly.
 
     It has an additional address for each true relay, so that the bytes sent to each are counted separately.
     """
--- a/gannetweir/lab/scale/fleet_run.py
+++ b/gannetweir/lab/scale/fleet_run.py
@@ -32,7 +32,7 @@
     """The figures of one phase.
 
     Milliseconds are from a change until it is in force on a relay; a kilobyte is 1,000 bytes; shares are of
-    one core. Bytes are those that one relay received, except for the `one_server` figures.
+    one core. Bytes are those that one relay received, except in the figures of one server.
     """
 
     name: str
@@ -192,7 +192,7 @@
 
 
 def _true_relays_kb_mean(played: _PlayedPhase) -> float:
-    """Return the mean kilobytes per true relay: each has a server address of its own, after the first."""
+    """Return the mean kilobytes per true relay: each has its own server address, after the first."""
     before, after = played.begin.served.sent, played.end.served.sent
     sent = [after[host] - before[host] for host in after if host != "127.0.0.1"]
     return sum(sent) / len(sent) / 1000 if sent else 0.0
--- a/gannetweir/lab/scale/link.py
+++ b/gannetweir/lab/scale/link.py
@@ -18,7 +18,7 @@
 
 
 class Link:
-    """One end of the connection. Its methods raise `LinkError` if the other process is gone."""
+    """One end of a socket pair. Sending and receiving raise `LinkError` if the other process is gone."""
 
     def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(False)
--- a/gannetweir/lab/scale/skeleton_host.py
+++ b/gannetweir/lab/scale/skeleton_host.py
@@ -53,9 +53,8 @@
                 previous = self.relays[relay]
                 previous.stop()
                 self._start(relay, previous.known() if message.known else None)
-            await (
-                anyio.lowlevel.checkpoint()
-            )  # lets the new relays start before the next command may stop them
+            # This lets the new relays start before the next command may stop them.
+            await anyio.lowlevel.checkpoint()
         elif isinstance(message, AskInForce):
             return InForce(sum(r.version() >= message.version for r in self.relays.values()))
         elif isinstance(message, AskRecords):
--- a/gannetweir/lab/scale/skeleton_relay.py
+++ b/gannetweir/lab/scale/skeleton_relay.py
@@ -89,8 +89,8 @@
         self.engine = e.Engine(
             config.settings, config.limits, config.seed, self._initial_membership(), clock()
         )
-        # These return the version of which every part is in force, and the list for a restart. A driver that
-        # gets a version in parts replaces both.
+        # `version` returns the version of which every part is in force, and `known` the list for a restart.
+        # A driver that gets a version in parts replaces both.
         self.version: Callable[[], int] = lambda: self.engine.endpoint_list.version
         self.known: Callable[[], KnownList | None] = lambda: None
         self.driver = driver(self)
