--- a/gannetweir/lab/scale/control_distribution.py
+++ b/gannetweir/lab/scale/control_distribution.py
@@ -92,7 +92,7 @@
     async def _kill(self, number: int) -> None:
         machine = self.machines[number]
         if machine is not None:
-            _add(self.sent_by_killed, await machine.call(AskServed()))
+            _add_served(self.sent_by_killed, await machine.call(AskServed()))
             machine.kill()
             self.machines[number] = None
 
@@ -113,7 +113,7 @@
         total = ServedTotals(self.sent_by_killed.snapshots, Counter(self.sent_by_killed.sent), {})
         total.by_second = {name: Counter(counts) for name, counts in self.sent_by_killed.by_second.items()}
         for number in range(len(self.machines)):
-            _add(total, await self._call(number, AskServed()))
+            _add_served(total, await self._call(number, AskServed()))
         return total
 
     def usage(self) -> list[Usage]:
@@ -128,7 +128,7 @@
         self.machines = [None] * len(self.machines)
 
 
-def _add(total: ServedTotals, answer: Message | None) -> None:
+def _add_served(total: ServedTotals, answer: Message | None) -> None:
     if isinstance(answer, Served):
         total.snapshots += answer.snapshots
         total.sent.update(answer.sent)
--- a/gannetweir/lab/scale/fleet.py
+++ b/gannetweir/lab/scale/fleet.py
@@ -91,12 +91,12 @@
         """Send one command to each host concurrently; return the answers in the order of the hosts."""
         answers: dict[int, Message] = {}
 
-        async def one(n: int) -> None:
+        async def call(n: int) -> None:
             answers[n] = await self.hosts[n].call(messages[n])
 
         async with anyio.create_task_group() as tasks:
             for n in range(len(messages)):
-                tasks.start_soon(one, n)
+                tasks.start_soon(call, n)
         return [answers[n] for n in range(len(messages))]
 
     async def count_in_force(self, version: int) -> int:
--- a/gannetweir/lab/scale/fleet_page.py
+++ b/gannetweir/lab/scale/fleet_page.py
@@ -180,8 +180,8 @@
     )
     images = "\n".join(f"![{name}]({name})" for name in charts)
     notes = [control_page.NOTES] if experiment.distribution == "control" else []
-    if direct_runs and (both := control_page.comparison(runs, direct_runs)):
-        notes.append(both)
+    if direct_runs and (comparison := control_page.comparison(runs, direct_runs)):
+        notes.append(comparison)
     return "\n".join([head, LIMITATIONS, *notes, images, "", *sections, ""])
 
 
--- a/gannetweir/lab/scale/fleet_run.py
+++ b/gannetweir/lab/scale/fleet_run.py
@@ -273,7 +273,7 @@
             max(sum(u.rss_bytes for u in p.end.servers) for p in played) / 1e6,
             sum(r.watch_failures for r in records),
             sorted({fault for r in records for fault in r.faults})[:5],
-            [phase_figures(one, records) for one in played],
+            [phase_figures(phase, records) for phase in played],
         )
 
     run: FleetRun = await with_fleet(Fleet(experiment, relays, backends), use)
--- a/gannetweir/lab/scale/true_relay.py
+++ b/gannetweir/lab/scale/true_relay.py
@@ -75,7 +75,7 @@
         if self.without_list is None:
             return []
         baseline = usage(self.without_list.pid).rss_bytes
-        return [one.rss_bytes - baseline for one in self.usage()]
+        return [used.rss_bytes - baseline for used in self.usage()]
 
     def stop(self) -> None:
         """Stop all processes with SIGTERM, or with SIGKILL if that takes too long."""
--- a/tests/test_skeleton_control.py
+++ b/tests/test_skeleton_control.py
@@ -38,10 +38,10 @@
 
 async def publish_change(fleet: Fleet) -> int:
     """Publish a change, wait until it is in force on every relay, and return its version."""
-    made = fleet.store.change()
-    await fleet.distribution.publish(made)
-    assert await fleet.wait_in_force(made.version, IN_FORCE_TIMEOUT_S)
-    return made.version
+    change = fleet.store.change()
+    await fleet.distribution.publish(change)
+    assert await fleet.wait_in_force(change.version, IN_FORCE_TIMEOUT_S)
+    return change.version
 
 
 def play(use: Any) -> None:
@@ -95,13 +95,13 @@
     page = (tmp_path / "hollow-control" / "README.md").read_text()
     assert "### One control machine" in page and "beside today's way\n" not in page
     direct = parse_fleet(SMALL_EXPERIMENT.replace('distribution "control"', 'distribution "direct"'))
-    other = load(tmp_path / "hollow-control")[0]
-    other.distribution, other.phases = "direct", other.phases[:1]
-    keep(direct, [other], tmp_path / "hollow-fleet")
+    direct_run = load(tmp_path / "hollow-control")[0]
+    direct_run.distribution, direct_run.phases = "direct", direct_run.phases[:1]
+    keep(direct, [direct_run], tmp_path / "hollow-fleet")
     keep(fleet, [run], tmp_path / "hollow-control")
     page = (tmp_path / "hollow-control" / "README.md").read_text()
-    shared = page.partition("beside today's way\n")[2].partition("## control")[0]
-    assert shared.count("| today's way |") == shared.count("| control plane |") == 1
+    comparison = page.partition("beside today's way\n")[2].partition("## control")[0]
+    assert comparison.count("| today's way |") == comparison.count("| control plane |") == 1
 
 
 def test_a_relay_that_starts_with_its_list_is_sent_no_snapshot() -> None:
@@ -143,11 +143,11 @@
 def test_all_machines_restart_from_the_store() -> None:
     async def use(fleet: Fleet) -> None:
         await fleet.distribution.begin_fault(Fault.MACHINES_RESTARTED)
-        made = fleet.store.change()
-        await fleet.distribution.publish(made)
-        assert await fleet.count_in_force(made.version) == 0  # no machine could send the change
+        change = fleet.store.change()
+        await fleet.distribution.publish(change)
+        assert await fleet.count_in_force(change.version) == 0  # no machine could send the change
         await fleet.distribution.end_fault(Fault.MACHINES_RESTARTED)
-        assert await fleet.wait_in_force(made.version, IN_FORCE_TIMEOUT_S)
+        assert await fleet.wait_in_force(change.version, IN_FORCE_TIMEOUT_S)
         await publish_change(fleet)
 
     play(use)
@@ -164,6 +164,6 @@
     before, after = ServedTotals(0), ServedTotals(0)
     after.sent.update({"c00": 6000, "c01": 2000})
     after.by_second = {"c00": Counter({0: 1000, 1: 5000, 9: 90_000})}
-    found = server_load(samples, before, after, (0, 2 * second))
-    assert (found.cpu_max, found.mb_max) == (0.5, 40.0)
-    assert (found.kb_s, found.kb_max) == (2.0, 5.0)  # second 9 belongs to another phase
+    server = server_load(samples, before, after, (0, 2 * second))
+    assert (server.cpu_max, server.mb_max) == (0.5, 40.0)
+    assert (server.kb_s, server.kb_max) == (2.0, 5.0)  # second 9 belongs to another phase
--- a/tests/test_skeleton_fleet.py
+++ b/tests/test_skeleton_fleet.py
@@ -117,8 +117,8 @@
 
 def test_percentiles_are_values_that_occurred() -> None:
     values = [float(n) for n in range(1, 201)]
-    found = spread(reversed(values))
-    assert (found.p50, found.p99, found.maximum) == (100.0, 198.0, 200.0)
+    result = spread(reversed(values))
+    assert (result.p50, result.p99, result.maximum) == (100.0, 198.0, 200.0)
     assert percentile([7.0], 0.99) == 7.0 and spread([]).maximum == 0.0
 
 
@@ -168,14 +168,14 @@
     page = (tmp_path / "README.md").read_text()
     assert "### zone" in page and "### Hollow and true relays side by side" in page
     assert (tmp_path / "last-20.svg").read_text().startswith("<svg")
-    again = load(tmp_path)[0]
-    again.start_s = 99.0
-    other = load(tmp_path)[0]
-    other.relays = 5
-    again.phases = again.phases[1:]  # the phase that the new run lacks stays
-    found = merge([run], [other, again])
-    assert [r.start_s for r in found] == [other.start_s, 99.0]
-    assert found[1].phases == run.phases
+    newer_run = load(tmp_path)[0]
+    newer_run.start_s = 99.0
+    smaller_run = load(tmp_path)[0]
+    smaller_run.relays = 5
+    newer_run.phases = newer_run.phases[1:]  # the phase that the new run lacks stays
+    merged = merge([run], [smaller_run, newer_run])
+    assert [r.start_s for r in merged] == [smaller_run.start_s, 99.0]
+    assert merged[1].phases == run.phases
 
 
 # ---- messages and the stand-in discovery
@@ -213,18 +213,18 @@
 
 
 def test_a_slow_watch_sends_pending_data_complete_and_in_order() -> None:
-    ours, theirs = socket.socketpair()
-    with ours, theirs:
-        ours.setblocking(False)
-        watch = Watch(ours)
+    server_end, client_end = socket.socketpair()
+    with server_end, client_end:
+        server_end.setblocking(False)
+        watch = Watch(server_end)
         data = bytes(range(256)) * 8192
         watch.pending.extend([memoryview(data), memoryview(b"end")])
         assert watch.send_pending(1) == 1  # one byte, as in the trickle fault
-        got = theirs.recv(1 << 22)
-        while not got.endswith(b"end"):
+        received = client_end.recv(1 << 22)
+        while not received.endswith(b"end"):
             watch.send_pending()
-            got += theirs.recv(1 << 22)
-        assert got == data + b"end" and not watch.pending
+            received += client_end.recv(1 << 22)
+        assert received == data + b"end" and not watch.pending
 
 
 # ---- small fleets; waiting for versions forces the order of events
