--- a/gannetweir/lab/scale/fleet_experiment.py
+++ b/gannetweir/lab/scale/fleet_experiment.py
@@ -44,12 +44,12 @@
 
 
 class Fault(StrEnum):
-    """The fault of a phase."""
+    """The fault of a phase. Faults of one control machine are faults of the first machine."""
 
     NONE = "none"
-    DISCOVERY_KILLED = "discovery-killed"  # by SIGKILL; restarted without earlier versions
-    DISCOVERY_SILENT = "discovery-silent"  # accepts and reads, sends nothing
-    DISCOVERY_TRICKLES = "discovery-trickles"  # sends each watch one byte a second
+    DISCOVERY_KILLED = "discovery-killed"  # by SIGKILL; restarted without knowledge of earlier versions
+    DISCOVERY_SILENT = "discovery-silent"  # discovery accepts and reads, sends nothing
+    DISCOVERY_TRICKLES = "discovery-trickles"  # discovery sends each watch one byte a second
     ZONE_RESTARTED = "zone-restarted"  # all relays of one zone at once
     # All relays of one zone at once, while each watch is sent 10 KB a second, the budget of a relay.
     ZONE_RESTARTED_SLOW_LINK = "zone-restarted-slow-link"
@@ -57,12 +57,11 @@
     # Relays restart with the list that each had, as with `known` in the platform's file.
     ZONE_RESTARTED_KNOWN = "zone-restarted-known"
     RESTARTED_IN_TENTHS_KNOWN = "restarted-in-tenths-known"
-    MACHINE_KILLED = "machine-killed"  # the first control machine, by SIGKILL; restarted
-    MACHINE_SILENT = "machine-silent"  # the first accepts and reads, sends nothing
-    MACHINE_TRICKLES = "machine-trickles"  # the first sends one byte a second on each connection
-    MACHINE_DIES = (
-        "machine-dies-halfway"  # the first, by SIGKILL, after half of its relays were sent a change
-    )
+    MACHINE_KILLED = "machine-killed"  # by SIGKILL; the machine is restarted
+    MACHINE_SILENT = "machine-silent"  # the machine accepts and reads, sends nothing
+    MACHINE_TRICKLES = "machine-trickles"  # the machine sends one byte a second on each connection
+    # The machine ends itself by SIGKILL after half of its relays were sent the next change.
+    MACHINE_DIES = "machine-dies-halfway"
     MACHINES_RESTARTED = "machines-restarted"  # all control machines at once
 
 
