--- a/gannetweir/lab/scale/control_costs.py
+++ b/gannetweir/lab/scale/control_costs.py
@@ -1,10 +1,10 @@
-"""What the control plane's messages cost: bytes, seconds at a relay's share, processor time, turns.
+"""Measures the costs of the control plane's messages: bytes, transfer time, processor time and turns.
 
     python -m gannetweir.lab.scale.control_costs > docs/measurements/control-plane.json
 
 The list is drawn from a seed: names of eight hexadecimal digits, addresses, 13 zones, starts within a month.
-The times are one process's processor time; a collection of Python's garbage counts apart, since it falls on
-whichever turn comes next.
+Transfer times are for the bandwidth of one relay. Times of turns are processor time of one process; garbage
+collections are counted separately, since a collection happens in an arbitrary turn.
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
 SIZES = (500, 1_500, 5_000, 15_000)
 ZONES = list("abcdefghijklm")
 SETTINGS = Settings([RequestClass("plain")], zone_names=ZONES, machine_types=["m0", "m1", "m2"])
-M = Resource.MEMBERSHIP
+MEMBERSHIP = Resource.MEMBERSHIP
 
 
-def drawn(count: int, seed: int = 1) -> dict[str, dict[str, Any]]:
-    """So many backends, by name."""
+def random_backends(count: int, seed: int = 1) -> dict[str, dict[str, Any]]:
+    """Return this number of random backends, by name."""
     draw = random.Random(seed)
-    found: dict[str, dict[str, Any]] = {}
-    while len(found) < count:
+    result: dict[str, dict[str, Any]] = {}
+    while len(result) < count:
         name = f"s-{draw.getrandbits(32):08x}"
         address = ".".join(str(draw.randrange(256)) for _ in range(3))
-        found[name] = {
+        result[name] = {
             "host": name,
             "dial": f"10.{address}:8080",
             "site": draw.choice(ZONES),
@@ -57,32 +57,37 @@
             "share": draw.choice([1.0, 1.5]),
             "born_ms": 0 if draw.random() < 0.2 else 1_790_000_000_000 + draw.randrange(30 * 86_400_000),
         }
-    return found
+    return result
 
 
-def seconds(size_bytes: int) -> float:
-    """Until the last byte of so many has gone, by the token bucket."""
+def transfer_s(size_bytes: int) -> float:
+    """Return the seconds until the token bucket has let the last byte pass."""
     return round(max(0, size_bytes - BURST_BYTES) / RATE_BYTES_S, 1)
 
 
-def sent(publisher: Publisher, held: Version) -> Iterator[Slice]:
-    """All that a relay on a version is sent."""
+def slices_for(publisher: Publisher, held: Version) -> Iterator[Slice]:
+    """Yield all slices that the publisher sends to a relay that holds this version."""
     publisher.subscribe("r", held)
     while (part := publisher.next_slice("r", 0)) is not None:
         yield part
 
 
-def sizes(parts: list[Slice]) -> dict[str, float]:
-    """Bytes as JSON and as they go over the wire."""
+def slice_bytes(parts: list[Slice]) -> dict[str, float]:
+    """Return the bytes and transfer times of slices, as JSON and in the compressed form on the wire."""
     plain, wire = (
         sum(len(write_slice(p)) for p in parts),
         sum(len(chunk(write_compressed_slice(p))) for p in parts),
     )
-    return {"plain_bytes": plain, "wire_bytes": wire, "wire_s": seconds(wire), "plain_s": seconds(plain)}
+    return {
+        "plain_bytes": plain,
+        "wire_bytes": wire,
+        "wire_s": transfer_s(wire),
+        "plain_s": transfer_s(plain),
+    }
 
 
-class Turns:
-    """Processor time of each turn, without the collections that fell on it."""
+class TurnTimer:
+    """Measures the processor time of each turn, without garbage collections."""
 
     def __init__(self) -> None:
         self.turns: list[float] = []
@@ -97,31 +102,34 @@
             self.collections.append(time.thread_time() - self.begun)
 
     def run(self, work: Callable[[], Any]) -> Any:
-        """One turn."""
+        """Run and time one turn."""
         before, begun = len(self.collections), time.thread_time()
         result = work()
         self.turns.append(time.thread_time() - begun - sum(self.collections[before:]))
         return result
 
     def close(self) -> None:
-        """Hear of no more collections."""
+        """Stop observing garbage collections."""
         gc.callbacks.remove(self._collected)
 
 
-def followed(parts: list[Slice]) -> dict[str, float]:
-    """A relay without a list takes a snapshot: its turns, with the engine and the module told."""
+def measure_follower(parts: list[Slice]) -> dict[str, float]:
+    """Apply a snapshot to a relay without a list, with its engine and decision module.
+
+    Returns the figures of the turns that it took.
+    """
     engine = Engine(SETTINGS, Limits(), 1, MembershipUpdate(0, True), 0)
-    follower, turns = Follower(M, RelayCheck(lambda: SETTINGS)), Turns()
+    follower, turns = Follower(MEMBERSHIP, RelayCheck(lambda: SETTINGS)), TurnTimer()
     lines = [write_slice(part) for part in parts]
 
     def step() -> None:
         for event in follower.step():
             if isinstance(event, ApplyEntries):
                 hosts = [orjson.loads(entry.body or b"null") for entry in event.entries]
-                news = read_membership(
+                update = read_membership(
                     {"seq": event.version.number, "whole": False, "hosts": hosts}, SETTINGS
                 )
-                engine.endpoint_update_received(news, 1_000_000)
+                engine.endpoint_update_received(update, 1_000_000)
 
     for line in lines:
         part = turns.run(lambda line=line: read_slice(orjson.loads(line)))  # type: ignore[misc]
@@ -138,22 +146,24 @@
     }
 
 
-def measured(count: int) -> dict[str, Any]:
-    """One size of the list."""
-    hosts = drawn(count)
+def measure_size(count: int) -> dict[str, Any]:
+    """Return the record of one size of the list."""
+    hosts = random_backends(count)
     entries = [Entry(name, canonical_json(host)) for name, host in hosts.items()]
     version = Version(1, 1, Content(entries).digest)
-    parts = list(sent(Publisher(M, version, entries), NO_VERSION))
-    runs = [followed(parts) for _ in range(3)]
-    found: dict[str, Any] = {"backends": count, "slices": len(parts), "snapshot": sizes(parts)}
-    found["relay"] = {name: statistics.median(run[name] for run in runs) for name in runs[0]}
-    lost = [name for name, host in hosts.items() if host["site"] == "a"]
+    parts = list(slices_for(Publisher(MEMBERSHIP, version, entries), NO_VERSION))
+    runs = [measure_follower(parts) for _ in range(3)]
+    result: dict[str, Any] = {"backends": count, "slices": len(parts), "snapshot": slice_bytes(parts)}
+    result["relay"] = {name: statistics.median(run[name] for run in runs) for name in runs[0]}
+    zone_backends = [name for name, host in hosts.items() if host["site"] == "a"]
     changes: dict[str, dict[str, bytes | None]] = {
-        "zone_gone": dict.fromkeys(lost),
-        "zone_draining": {name: canonical_json(hosts[name] | {"health": "Terminating"}) for name in lost},
+        "zone_gone": dict.fromkeys(zone_backends),
+        "zone_draining": {
+            name: canonical_json(hosts[name] | {"health": "Terminating"}) for name in zone_backends
+        },
         "zone_back": {
             name: canonical_json(hosts[name] | {"born_ms": 1_795_000_000_000 + k})
-            for k, name in enumerate(lost)
+            for k, name in enumerate(zone_backends)
         },
     }
     for several in 1, 10, 30:
@@ -161,18 +171,18 @@
         changes[f"delta_{several}"] = {
             name: canonical_json(hosts[name] | {"health": "Terminating"}) for name in names
         }
-    for what, bodies in changes.items():
-        publisher, content = Publisher(M, version, entries), Content(entries)
+    for change, bodies in changes.items():
+        publisher, content = Publisher(MEMBERSHIP, version, entries), Content(entries)
         for name, body in bodies.items():
             content.put(name, body)
         publisher.publish(Change(Version(1, 2, content.digest), bodies))
-        found[what] = {"entries": len(bodies)} | sizes(list(sent(publisher, version)))
-    return found
+        result[change] = {"entries": len(bodies)} | slice_bytes(list(slices_for(publisher, version)))
+    return result
 
 
 def main() -> None:
-    """Print the record."""
-    record = {"python": sys.version.split()[0], "sizes": [measured(count) for count in SIZES]}
+    """Measure all sizes and print the record as JSON."""
+    record = {"python": sys.version.split()[0], "sizes": [measure_size(count) for count in SIZES]}
     print(orjson.dumps(record, option=orjson.OPT_INDENT_2).decode())
 
 
--- a/gannetweir/lab/scale/control_relay.py
+++ b/gannetweir/lab/scale/control_relay.py
@@ -1,4 +1,4 @@
-"""A hollow relay's membership from the control plane: the driver that serves, over the relay's engine."""
+"""A skeleton relay's membership from the control plane: the production driver, on the relay's engine."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RecordedDriver(ControlDriver):
-    """Notes each watch that failed, and each version that was turned down."""
+    """Records each watch that failed and each version that was refused with a NACK."""
 
     record: RelayRecord
 
@@ -32,44 +32,50 @@
 
 
 class ControlledMembership:
-    """The first order to watch starts the driver. Any other is ignored: the driver never stops by itself."""
+    """Starts the driver at the first command to watch.
+
+    Later commands are ignored, since the driver retries by itself and never stops.
+    """
 
     def __init__(self, relay: SkeletonRelay) -> None:
         self.relay, self.started = relay, False
         check = RelayCheck(lambda: relay.settings)
         known = relay.config.known
-        held = [Entry(key, body) for key, body in known.members.items()] if known is not None else []
+        initial_entries = (
+            [Entry(key, body) for key, body in known.members.items()] if known is not None else []
+        )
         self.membership = Follower(
-            Resource.MEMBERSHIP, check, held, known.version if known is not None else 0
+            Resource.MEMBERSHIP, check, initial_entries, known.version if known is not None else 0
         )
-        self.in_force = self.membership.applied_version.number
+        self.applied_number = self.membership.applied_version.number
         followers = {
             Resource.MEMBERSHIP: self.membership,
             Resource.SETTINGS: Follower(Resource.SETTINGS, check),
         }
-        host = EngineHost(relay, f"relay-{relay.record.relay}", self._take_settings, self._in_force)
+        host = EngineHost(relay, f"relay-{relay.record.relay}", self._ignore_settings, self._version_applied)
         servers = {machine_name(n): at for n, at in enumerate(relay.config.servers)}
         draw = random.Random(relay.config.seed).random
-        self.driver = RecordedDriver(host, servers, followers, draw, relay.counted_endpoint)
+        self.driver = RecordedDriver(host, servers, followers, draw, relay.counted_transport)
         self.driver.record = relay.record
-        relay.version, relay.known = lambda: self.in_force, self._known
+        relay.version, relay.known = lambda: self.applied_number, self._known
 
-    def apply_command(self, order: SetEndpointWatch) -> None:
+    def apply_command(self, command: SetEndpointWatch) -> None:
         """See `MembershipDriver`."""
-        if order.enabled and not self.started:
+        if command.enabled and not self.started:
             self.started = True
             self.relay.spawn(self.driver.run)
 
-    def _take_settings(self, settings: Settings) -> None:
-        """Nothing: they are those that the relay was started with, which are its own zone's."""
+    def _ignore_settings(self, settings: Settings) -> None:
+        """Do nothing: the relay was started with the same settings, for its own zone."""
 
-    def _in_force(self, resource: Resource, version: Version) -> None:
+    def _version_applied(self, resource: Resource, version: Version) -> None:
         if resource is Resource.MEMBERSHIP:
-            self.in_force = version.number
+            self.applied_number = version.number
             self.relay.note_version()
 
     def _known(self) -> KnownList | None:
         follower = self.membership
-        if follower.unapplied is not None or not follower.applied_version.number:  # half of a version is none
+        # A version of which only a part was applied can't be used.
+        if follower.unapplied is not None or not follower.applied_version.number:
             return None
         return KnownList(follower.applied_version.number, dict(follower.applied.entries))
--- a/gannetweir/lab/scale/fleet_page.py
+++ b/gannetweir/lab/scale/fleet_page.py
@@ -1,4 +1,4 @@
-"""The page of a hollow fleet's results: what was wanted, what a hollow relay is not, and the tables."""
+"""The page of a skeleton fleet's results: the goals, the limitations of skeleton relays, and the tables."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 from gannetweir.lab.scale.fleet_experiment import Fault, FleetExperiment, Phase
 from gannetweir.lab.scale.fleet_run import FleetRun, PhaseFigures
 
-IN_FORCE_S = 12.0  # a change has to be in force everywhere within this
-BUDGET_KB_S, BUDGET_SHARE, BUDGET_MB = 10.0, 0.038, 256.0  # for control, a relay
+IN_FORCE_S = 12.0  # time within which a change has to be in force on every relay
+# Budget of one relay for control: bandwidth, share of a core, and memory.
+BUDGET_KB_S, BUDGET_SHARE, BUDGET_MB = 10.0, 0.038, 256.0
 
-WANTED = f"""\
+GOALS = f"""\
 Wanted: a change in force everywhere within {IN_FORCE_S:g} s; for control, a relay has
 {BUDGET_KB_S:g} KB a second ({BUDGET_KB_S * 10:g} KB in 10 s), {BUDGET_SHARE * 100:g}% of a core and
 {BUDGET_MB:g} MB. The time of a change begins when the store of record has it, also while no server can tell
@@ -23,7 +24,7 @@
 else ran on it. Phases of one size may be of several runs.
 """
 
-UNLIKE = """\
+LIMITATIONS = """\
 ## What a hollow relay is, and what it is not
 
 It runs the code that serves: the driver of the watch, the protocol's state machine, the engine, the decision
@@ -69,7 +70,7 @@
 
 
 def phase_row(run: FleetRun, phase: PhaseFigures) -> list[str]:
-    """One run in the table of a phase."""
+    """Return the row of a run in the table of a phase."""
     fault = phase.fault != Fault.NONE
     timed = bool(phase.changes)
     return [
@@ -104,7 +105,7 @@
 
 
 def run_row(run: FleetRun) -> list[str]:
-    """One run in the table of sizes."""
+    """Return the row of a run in the table of sizes."""
     true = ", ".join(f"{size:.0f}" for size in run.true_list_kb) or "-"
     return [
         str(run.relays),
@@ -119,11 +120,11 @@
     ]
 
 
-CHECK_COLUMNS = ("relays", "phase", "figure", "hollow", "true", "hollow less true")
+TRUE_RELAY_COLUMNS = ("relays", "phase", "figure", "hollow", "true", "hollow less true")
 
 
-def check_rows(run: FleetRun) -> list[list[str]]:
-    """Hollow beside true relays, in the phases without a fault."""
+def true_relay_rows(run: FleetRun) -> list[list[str]]:
+    """Return rows that compare skeleton relays with true relays, for the phases without a fault."""
     rows = []
 
     def add(phase: str, figure: str, hollow: float, true: float) -> None:
@@ -149,38 +150,44 @@
     for name in dict.fromkeys(phase.name for run in runs for phase in run.phases):
         rows = [phase_row(run, phase) for run in runs for phase in run.phases if phase.name == name]
         parts.append(f"\n### {name}\n\n{markdown(PHASE_COLUMNS, rows)}")
-    rows = [row for run in runs for row in check_rows(run)]
+    rows = [row for run in runs for row in true_relay_rows(run)]
     if rows:
-        parts.append(f"\n### Hollow and true relays side by side\n\n{markdown(CHECK_COLUMNS, rows)}\n")
+        parts.append(f"\n### Hollow and true relays side by side\n\n{markdown(TRUE_RELAY_COLUMNS, rows)}\n")
     if distribution == "control":
-        parts.append(control_page.machines(runs))
+        parts.append(control_page.machine_section(runs))
     return "\n".join(parts)
 
 
 def page(
-    experiment: FleetExperiment, runs: list[FleetRun], charts: list[str], today: list[FleetRun] | None = None
+    experiment: FleetExperiment,
+    runs: list[FleetRun],
+    charts: list[str],
+    direct_runs: list[FleetRun] | None = None,
 ) -> str:
-    """The page of results. `today`: kept runs of today's way, to be shown beside those of another."""
+    """Return the page of results in Markdown.
+
+    `direct_runs` are stored runs of the direct distribution, for a comparison with those of another one.
+    """
     groups = dict.fromkeys((run.distribution, run.backends) for run in runs)
     sections = [
         _section(d, b, [run for run in runs if (run.distribution, run.backends) == (d, b)]) for d, b in groups
     ]
-    phases = "\n".join(f"- {_in_words(phase)}" for phase in experiment.phases)
+    phases = "\n".join(f"- {_phase_text(phase)}" for phase in experiment.phases)
     head = (
         f"# {experiment.name}\n\nHollow relays in {experiment.hosts} processes at most, "
         f"{experiment.true_relays} true relays beside them, {experiment.zones} zones, the list asked for "
-        f"within {experiment.ask_within_s:g} s. Each figure is of one run.\n\n{WANTED}\nPhases:\n\n{phases}\n"
+        f"within {experiment.ask_within_s:g} s. Each figure is of one run.\n\n{GOALS}\nPhases:\n\n{phases}\n"
     )
     images = "\n".join(f"![{name}]({name})" for name in charts)
     notes = [control_page.NOTES] if experiment.distribution == "control" else []
-    if today and (both := control_page.beside(runs, today)):
-        notes.append(both)
-    return "\n".join([head, UNLIKE, *notes, images, "", *sections, ""])
+    if direct_runs and (comparison := control_page.comparison(runs, direct_runs)):
+        notes.append(comparison)
+    return "\n".join([head, LIMITATIONS, *notes, images, "", *sections, ""])
 
 
-def _in_words(phase: Phase) -> str:
-    told = {key: value for key, value in asdict(phase).items() if value}
-    name = told.pop("name")
+def _phase_text(phase: Phase) -> str:
+    values = {key: value for key, value in asdict(phase).items() if value}
+    name = values.pop("name")
     return f"{name}: " + ", ".join(
-        f"{key} {value:g}" if key != "fault" else value for key, value in told.items()
+        f"{key} {value:g}" if key != "fault" else value for key, value in values.items()
     )
--- a/gannetweir/lab/scale/server_load.py
+++ b/gannetweir/lab/scale/server_load.py
@@ -1,4 +1,4 @@
-"""What one server of a hollow fleet carries: processor time, memory and bytes, on average and at the most."""
+"""The load of one server of a skeleton fleet: processor time, memory and bytes, mean and maximum."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from gannetweir.lab.scale.child import Usage
 from gannetweir.lab.scale.distribution import ServedTotals
 
-EVERY_S = 1.0
+SAMPLE_INTERVAL_S = 1.0
 SECOND_NS = 1_000_000_000
 
 
 @dataclass(slots=True)
 class Sample:
-    """Of every server at one moment (CLOCK_MONOTONIC); zeros for one that does not run."""
+    """The usage of every server at one moment (CLOCK_MONOTONIC)."""
 
     at_ns: int
     servers: list[Usage]
@@ -26,42 +26,42 @@
 
 @dataclass(slots=True)
 class Sampler:
-    """Looks at the servers once a second."""
+    """Samples the usage of the servers every `SAMPLE_INTERVAL_S`."""
 
     usage: Callable[[], list[Usage]]
     samples: list[Sample] = field(default_factory=list)
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Sample until cancelled."""
         while True:
             self.samples.append(Sample(time.monotonic_ns(), self.usage()))
-            await anyio.sleep(EVERY_S)
+            await anyio.sleep(SAMPLE_INTERVAL_S)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """Of one server: the largest of any, and the mean over all for the bytes."""
+    """The load of one server: each maximum is that of any server, `kb_s` is the mean over all servers."""
 
-    cpu_most: float  # share of a core between two samples
-    mb_most: float
-    kb_s: float
-    kb_most: float  # in a second; 0 where no server counts so
+    cpu_max: float  # share of a core between two samples
+    mb_max: float  # resident memory
+    kb_s: float  # kilobytes sent per second
+    kb_max: float  # kilobytes sent in one second; 0 if no server counts bytes by second
 
 
-def _cpu_most(samples: Sequence[Sample]) -> float:
-    most = 0.0
+def _cpu_max(samples: Sequence[Sample]) -> float:
+    maximum = 0.0
     for before, after in pairwise(samples):
-        for was, now in zip(before.servers, after.servers, strict=False):
-            # a process that was started in between has all of its time in that second
-            spent = now.cpu_ns - was.cpu_ns if now.cpu_ns >= was.cpu_ns else now.cpu_ns
-            most = max(most, spent / (after.at_ns - before.at_ns))
-    return most
+        for earlier, later in zip(before.servers, after.servers, strict=False):
+            # For a process that was started between the samples, all its time belongs to this interval.
+            used_ns = later.cpu_ns - earlier.cpu_ns if later.cpu_ns >= earlier.cpu_ns else later.cpu_ns
+            maximum = max(maximum, used_ns / (after.at_ns - before.at_ns))
+    return maximum
 
 
 def server_load(
     samples: Sequence[Sample], before: ServedTotals, after: ServedTotals, span_ns: tuple[int, int]
 ) -> ServerLoad:
-    """From the samples of a phase and what had been sent at its two ends."""
+    """Return the load in a phase, from its samples and the totals sent at its beginning and its end."""
     begin_ns, end_ns = span_ns
     sent = sum(after.sent.values()) - sum(before.sent.values())
     count = max(1, max((len(sample.servers) for sample in samples), default=1))
@@ -69,7 +69,7 @@
     by_second = [counts[second] for counts in after.by_second.values() for second in seconds]
     sizes = [server.rss_bytes for sample in samples for server in sample.servers]
     return ServerLoad(
-        _cpu_most(samples),
+        _cpu_max(samples),
         max(sizes, default=0) / 1e6,
         sent / 1000 / count / ((end_ns - begin_ns) / 1e9),
         max(by_second, default=0) / 1000,
--- a/gannetweir/lab/scale/skeleton_host.py
+++ b/gannetweir/lab/scale/skeleton_host.py
@@ -1,4 +1,4 @@
-"""A process that holds many hollow relays on one event loop: python -m gannetweir.lab.scale.skeleton_host"""
+"""A process that runs many skeleton relays on one event loop: python -m gannetweir.lab.scale.skeleton_host"""
 
 from __future__ import annotations
 
@@ -28,8 +28,10 @@
 
 
 class SkeletonHost:
-    """The relays of one process. Each has a connection, an engine, a list and a record of its own; the event
-    loop, the settings of a zone and the code are shared.
+    """The relays of one process.
+
+    Each relay has its own connection, engine, list and record; the event loop, the settings of a zone and the
+    code are shared.
     """
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -40,30 +42,33 @@
         self.settings: list[Settings] = []  # by zone
 
     async def handle(self, message: Message) -> Message:
-        """Carry out a command; `ValueError` for one that a host does not know."""
+        """Execute a command and return its answer. Raises `ValueError` for an unknown command."""
         if isinstance(message, Configure):
             self._configure(message)
         elif isinstance(message, StartRelays):
             await self._start_in_waves(message.relays, message.wave)
         elif isinstance(message, RestartRelays):
-            here = [relay for relay in message.relays if relay in self.relays]
-            for relay in here:
-                ended = self.relays[relay]
-                ended.stop()
-                self._start(relay, ended.known() if message.known else None)
-            await anyio.lowlevel.checkpoint()  # they run before the next command can stop them
+            local_relays = [relay for relay in message.relays if relay in self.relays]
+            for relay in local_relays:
+                previous = self.relays[relay]
+                previous.stop()
+                self._start(relay, previous.known() if message.known else None)
+            # This lets the new relays start before the next command may stop them.
+            await anyio.lowlevel.checkpoint()
         elif isinstance(message, AskInForce):
             return InForce(sum(r.version() >= message.version for r in self.relays.values()))
         elif isinstance(message, AskRecords):
             return Records(list(self.records.values()))
         else:
-            raise ValueError(f"a host does not know {type(message).__name__}")
+            raise ValueError(f"a host process got an unknown command: {type(message).__name__}")
         return Done()
 
-    def _configure(self, told: Configure) -> None:
-        self.configuration = told
-        one = parse_settings(told.settings)
-        self.settings = [parse_settings({**told.settings, "zone": n}) for n in range(told.zones)] or [one]
+    def _configure(self, configuration: Configure) -> None:
+        self.configuration = configuration
+        without_zone = parse_settings(configuration.settings)
+        self.settings = [
+            parse_settings({**configuration.settings, "zone": n}) for n in range(configuration.zones)
+        ] or [without_zone]
 
     def _start(self, relay: int, known: KnownList | None = None) -> SkeletonRelay:
         settings = self.settings[relay % len(self.settings)]
@@ -76,20 +81,20 @@
             known=known,
         )
         record = self.records.setdefault(relay, RelayRecord(relay))
-        made = SkeletonRelay(config, self.clock, record, DRIVERS[self.configuration.distribution])
-        self.relays[relay] = made
-        self.tasks.start_soon(made.run)
-        return made
+        skeleton = SkeletonRelay(config, self.clock, record, DRIVERS[self.configuration.distribution])
+        self.relays[relay] = skeleton
+        self.tasks.start_soon(skeleton.run)
+        return skeleton
 
     async def _start_in_waves(self, relays: list[int], wave: int) -> None:
         for begin in range(0, len(relays), wave):
             started = [self._start(relay) for relay in relays[begin : begin + wave]]
             for relay in started:
-                await relay.listed.wait()
+                await relay.has_list.wait()
 
 
 async def run() -> None:
-    """Until the parent is gone."""
+    """Serve until the parent is gone."""
     async with anyio.create_task_group() as tasks:
         await answer_calls(SkeletonHost(tasks).handle)
         tasks.cancel_scope.cancel()
--- a/gannetweir/lab/scale/store.py
+++ b/gannetweir/lab/scale/store.py
@@ -1,4 +1,4 @@
-"""A store of record in memory, for one process of many control machines."""
+"""A store of record in memory, shared by the control machines of one process."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class MemoryStore:
-    """Holds both resources; `put` makes a version."""
+    """Implements `control.store.Store` for both resources; `put` makes a version."""
 
     def __init__(self, epoch: int = 1, staged: frozenset[Resource] = frozenset()) -> None:
         self.held: dict[Resource, tuple[int, str]] = {}
-        self.kept: dict[str, tuple[float, Sequence[StatusReport]]] = {}
-        self.lease = ("", 0.0)  # who leads, and until when
-        self.staged = staged  # resources whose versions wait for `release`
+        self.report_leases: dict[str, tuple[float, Sequence[StatusReport]]] = {}
+        self.lease = ("", 0.0)  # the machine that leads, and the end of its lease
+        self.staged = staged  # resources whose new versions need `release`
         self.event: anyio.Event | None = None
         self.down = False
         self._begin(epoch)
@@ -30,17 +30,17 @@
         self.epoch = epoch
         self.contents = {resource: Content() for resource in Resource}
         self.logs = {resource: VersionLog(Version(epoch, 0, 0)) for resource in Resource}
-        self.numbers = dict.fromkeys(Resource, 0)  # released
+        self.numbers = dict.fromkeys(Resource, 0)  # numbers of the released versions
 
     def load(self, resource: Resource, number: int, entries: Mapping[str, bytes]) -> None:
-        """Begin a resource at a version that was made elsewhere; nothing is known of earlier ones."""
+        """Start a resource at a version that was made elsewhere; earlier versions are unknown."""
         content = Content(Entry(key, body) for key, body in entries.items())
         self.contents[resource], self.numbers[resource] = content, number
         self.logs[resource] = VersionLog(Version(self.epoch, number, content.digest))
         self._notify_watchers()
 
     def put(self, resource: Resource, entries: Mapping[str, bytes | None]) -> Version:
-        """One change; the version that it makes."""
+        """Apply one change, where None removes an entry, and return the version that it makes."""
         content = self.contents[resource]
         for key, body in entries.items():
             content.put(key, body)
@@ -53,30 +53,32 @@
 
     def release(self, resource: Resource, number: int) -> None:
         """See `Store`."""
-        self._reachable()
+        self._check_reachable()
         self.numbers[resource] = max(number, self.numbers[resource])
         self._notify_watchers()
 
     def restore(self, number: int) -> Version:
-        """The store is lost and comes back from a copy of that version's membership: another epoch, one more
-        version, so that nothing of what was lost is taken for this.
+        """Restore the membership from a backup at this version number, after a loss of the store.
+
+        The restored content gets a new epoch and a new version, so that it can't be confused with a version
+        that was lost.
         """
-        old = self.logs[Resource.MEMBERSHIP].changes_between(0, number)
+        entries_at_number = self.logs[Resource.MEMBERSHIP].changes_between(0, number)
         self._begin(self.epoch + 1)
-        return self.put(Resource.MEMBERSHIP, old)
+        return self.put(Resource.MEMBERSHIP, entries_at_number)
 
     def _notify_watchers(self) -> None:
         if self.event is not None:
             self.event.set()
             self.event = None
 
-    def _reachable(self) -> None:
+    def _check_reachable(self) -> None:
         if self.down:
-            raise OSError("the store can't be reached")
+            raise OSError("the store is unreachable")
 
     def read(self, resource: Resource) -> StoreSnapshot:
-        """See `Store`. A staged version is left out: it follows as a change."""
-        self._reachable()
+        """See `Store`. Versions that are not released are left out: they follow as changes."""
+        self._check_reachable()
         released, log = self.numbers[resource], self.logs[resource]
         entries = dict(self.contents[resource].entries)
         if released < log.newest.number:
@@ -94,7 +96,7 @@
 
     def changes_since(self, resource: Resource, version: Version) -> Iterable[Change] | None:
         """See `Store`."""
-        self._reachable()
+        self._check_reachable()
         log = self.logs[resource]
         if version.epoch != self.epoch or not log.contains(version):
             return None
@@ -102,28 +104,28 @@
 
     def released_number(self, resource: Resource) -> int:
         """See `Store`."""
-        self._reachable()
+        self._check_reachable()
         return self.numbers[resource]
 
     def halt(self, resource: Resource, number: int, reason: str) -> None:
         """See `Store`."""
-        self._reachable()
+        self._check_reachable()
         self.held[resource] = (number, reason)
 
     def put_reports(self, machine: str, reports: Sequence[StatusReport]) -> None:
         """See `Store`."""
-        self._reachable()
-        self.kept[machine] = (anyio.current_time() + LEASE_S, reports)
+        self._check_reachable()
+        self.report_leases[machine] = (anyio.current_time() + LEASE_S, reports)
 
     def reports(self) -> Mapping[str, Sequence[StatusReport]]:
         """See `Store`."""
-        self._reachable()
+        self._check_reachable()
         now = anyio.current_time()
-        return {machine: reports for machine, (until, reports) in self.kept.items() if until > now}
+        return {machine: reports for machine, (until, reports) in self.report_leases.items() if until > now}
 
     def acquire_lease(self, machine: str) -> bool:
         """See `Store`."""
-        self._reachable()
+        self._check_reachable()
         now, (leader, until) = anyio.current_time(), self.lease
         if machine != leader and until > now:
             return False
