--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -18,7 +18,7 @@
 from gannetweir.lab.emulator.backend import spawn_in
 from gannetweir.lab.emulator.discovery import EmulatedDiscovery
 from gannetweir.lab.scale.lists import host, relay_settings
-from gannetweir.lab.scale.measure import Named, Step, Sweep, processor_us, sweep
+from gannetweir.lab.scale.measure import CostDefinition, ProgressCallback, Sweep, measure_sizes, processor_us
 from gannetweir.lab.scale.processes import backend
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.limits import Limits
@@ -32,21 +32,23 @@
 LOOP_TURNS = 24  # of the event loop, after which every watcher has been written to
 CHANGES = 3  # a round
 
-STAND_IN = Named(
+STAND_IN = CostDefinition(
     "fanout.stand_in",
     "one change to all watchers, stand-in discovery",
     "µs",
     "watchers",
     "lab.registry: each watch's task wakes and serialises for itself, processor time",
 )
-ONCE = Named(
+ONCE = CostDefinition(
     "fanout.once",
     "one change to all watchers, serialised once",
     "µs",
     "watchers",
     "one line, one Endpoint.write a watcher, processor time",
 )
-PROBE = Named("probe", "probes, one after another", "µs", "probes", "run_probe on loopback, processor time")
+PROBE = CostDefinition(
+    "probe", "probes, one after another", "µs", "probes", "run_probe on loopback, processor time"
+)
 
 
 async def _watch(port: int) -> socket.socket:
@@ -179,9 +181,13 @@
 PROBES = Sweep((50, 200, 400, 800), 1600, 3)
 
 
-def measure(step: Step) -> list[Cost]:
+def measure(on_progress: ProgressCallback) -> list[Cost]:
     """Fan-out by watchers, and probes."""
-    found = sweep(WATCHERS, (STAND_IN, ONCE), lambda watchers: asyncio.run(_changes(watchers)), step)
+    found = measure_sizes(
+        WATCHERS, (STAND_IN, ONCE), lambda watchers: asyncio.run(_changes(watchers)), on_progress
+    )
     with backend() as port:
-        probed = sweep(PROBES, (PROBE,), lambda n: {PROBE.key: asyncio.run(_probes(port, n))}, step)
+        probed = measure_sizes(
+            PROBES, (PROBE,), lambda n: {PROBE.key: asyncio.run(_probes(port, n))}, on_progress
+        )
     return found + probed
--- a/gannetweir/lab/scale/fleets.py
+++ b/gannetweir/lab/scale/fleets.py
@@ -8,7 +8,7 @@
 
 from gannetweir.lab.experiments.fleet_simulation import fleet_plan
 from gannetweir.lab.model.world import World
-from gannetweir.lab.scale.measure import Named, Step
+from gannetweir.lab.scale.measure import CostDefinition, ProgressCallback
 from gannetweir.lab.scale.slopes import Cost, Sample
 
 BACKENDS = 60
@@ -16,10 +16,12 @@
 SIZES, CHECK = (2, 12, 40, 200), 300
 SEEDS = 1, 2
 
-PROBES_A_TRY = Named(
+PROBES_A_TRY = CostDefinition(
     "fleet.probes_a_try", "probes a client's try", "", "relays", "whole fleets on virtual time, no faults"
 )
-BACKEND = Named("fleet.probes_a_backend", "probes a second at a backend", "1/s", "relays", "the same fleets")
+BACKEND = CostDefinition(
+    "fleet.probes_a_backend", "probes a second at a backend", "1/s", "relays", "the same fleets"
+)
 
 
 def play(relays: int, seed: int) -> dict[str, float]:
@@ -36,14 +38,14 @@
     }
 
 
-def measure(step: Step) -> list[Cost]:
+def measure(on_progress: ProgressCallback) -> list[Cost]:
     """All fleets, a few at a time."""
     todo = [(size, seed) for size in (CHECK, *SIZES) for seed in SEEDS]
     found: dict[tuple[int, int], dict[str, float]] = {}
     with ProcessPoolExecutor(max_workers=4) as workers:
         for case, figures in zip(todo, workers.map(play, *zip(*todo, strict=True)), strict=True):
             found[case] = figures
-            step()
+            on_progress()
 
     def sample(key: str, size: int) -> Sample:
         return Sample(size, [found[size, seed][key] for seed in SEEDS])
--- a/gannetweir/lab/scale/flips.py
+++ b/gannetweir/lab/scale/flips.py
@@ -9,7 +9,7 @@
 from gannetweir.lab.scale.model import CapacityLoad
 from gannetweir.lab.scale.record import Record
 from gannetweir.lab.scale.slopes import FitRefusedError
-from gannetweir.lab.scale.target import Assumptions, sweep
+from gannetweir.lab.scale.target import Assumptions, swept_assumptions
 from gannetweir.placement.group_placement import MAX_CANDIDATES
 
 STEPS = 60  # of a bisection
@@ -98,7 +98,7 @@
     middle = Assumptions()
     return Finding(
         conclusion.text,
-        {a.name: tried(a) for a in sweep()},
+        {a.name: tried(a) for a in swept_assumptions()},
         edge(lambda n: ratio(replace(middle, backends=round(n))), target.BACKENDS[0], target.BACKENDS[-1]),
         edge(lambda s: ratio(replace(middle, life_s=s)), target.LIVES_S[0], target.LIVES_S[-1]),
     )
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -15,7 +15,14 @@
 from gannetweir.config.settings import parse_settings
 from gannetweir.core import Engine
 from gannetweir.lab.emulator.plan import platform_settings
-from gannetweir.lab.scale.measure import Named, Step, Sweep, elapsed_ms, processor_us, sweep
+from gannetweir.lab.scale.measure import (
+    CostDefinition,
+    ProgressCallback,
+    Sweep,
+    elapsed_ms,
+    measure_sizes,
+    processor_us,
+)
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import MembershipUpdate
@@ -28,44 +35,50 @@
 NOW_US = 1_700_000_000_000_000
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-WIRE = Named("list.wire", "a whole list on the wire", "bytes", "entries", "one JSON line of the watch")
-READ = Named(
+WIRE = CostDefinition(
+    "list.wire", "a whole list on the wire", "bytes", "entries", "one JSON line of the watch"
+)
+READ = CostDefinition(
     "list.read",
     "reading a whole list",
     "µs",
     "entries",
     "EndpointWatch.feed in reads of 8,192 bytes, processor time",
 )
-APPLY = Named(
+APPLY = CostDefinition(
     "list.apply",
     "a first whole list in the engine",
     "µs",
     "entries",
     "Engine.endpoint_update_received on an empty list, module included, processor time",
 )
-REPEAT = Named(
+REPEAT = CostDefinition(
     "list.repeat",
     "the same whole list again in the engine",
     "µs",
     "entries",
     "Engine.endpoint_update_received, module included, processor time",
 )
-MODULE = Named(
+MODULE = CostDefinition(
     "list.module",
     "the same whole list again in the module",
     "µs",
     "entries",
     "Balancer.handle, processor time",
 )
-LONGEST_TURN = Named(
+LONGEST_TURN = CostDefinition(
     "list.hold",
     "longest turn of the event loop for a whole list",
     "ms",
     "entries",
     "the last read of the list and Engine.endpoint_update_received, elapsed",
 )
-MEMORY = Named("list.memory", "memory that a list holds", "KB", "entries", "tracemalloc, engine and list")
-PEAK = Named("list.peak", "memory while a first list is taken", "KB", "entries", "tracemalloc's peak")
+MEMORY = CostDefinition(
+    "list.memory", "memory that a list holds", "KB", "entries", "tracemalloc, engine and list"
+)
+PEAK = CostDefinition(
+    "list.peak", "memory while a first list is taken", "KB", "entries", "tracemalloc's peak"
+)
 
 
 @cache
@@ -168,7 +181,7 @@
 STEPS = TIMES.steps + MEMORIES.steps
 
 
-def measure(step: Step) -> list[Cost]:
+def measure(on_progress: ProgressCallback) -> list[Cost]:
     """All costs of lists."""
-    timed = sweep(TIMES, (WIRE, READ, APPLY, REPEAT, MODULE, LONGEST_TURN), times, step)
-    return timed + sweep(MEMORIES, (MEMORY, PEAK), memory, step)
+    timed = measure_sizes(TIMES, (WIRE, READ, APPLY, REPEAT, MODULE, LONGEST_TURN), times, on_progress)
+    return timed + measure_sizes(MEMORIES, (MEMORY, PEAK), memory, on_progress)
--- a/gannetweir/lab/scale/measure.py
+++ b/gannetweir/lab/scale/measure.py
@@ -8,13 +8,13 @@
 
 from gannetweir.lab.scale.slopes import Cost, Sample
 
-Step = Callable[[], None]
+ProgressCallback = Callable[[], None]
 # The figures of one round at one size, by the key of the cost that each belongs to.
-Measured = Callable[[int], dict[str, float]]
+SizeMeasurement = Callable[[int], dict[str, float]]
 
 
 @dataclass(frozen=True, slots=True)
-class Named:
+class CostDefinition:
     """What a cost is called, and in which unit it is counted."""
 
     key: str
@@ -53,24 +53,29 @@
     return (time.perf_counter_ns() - began) / 1e6
 
 
-def sweep(plan: Sweep, named: Sequence[Named], one: Measured, step: Step) -> list[Cost]:
+def measure_sizes(
+    plan: Sweep,
+    definitions: Sequence[CostDefinition],
+    measure_size: SizeMeasurement,
+    on_progress: ProgressCallback,
+) -> list[Cost]:
     """Measure every size once a round, the check's size last, after the sizes that predict it."""
-    found: dict[str, dict[int, list[float]]] = {name.key: {} for name in named}
+    values_by_size: dict[str, dict[int, list[float]]] = {definition.key: {} for definition in definitions}
     for _ in range(plan.rounds):
         for size in (*plan.sizes, plan.check):
-            for key, value in one(size).items():
-                found[key].setdefault(size, []).append(value)
-            step()
+            for key, value in measure_size(size).items():
+                values_by_size[key].setdefault(size, []).append(value)
+            on_progress()
     return [
         Cost(
-            name.key,
-            name.title,
-            name.unit,
-            name.size_unit,
-            [Sample(size, found[name.key][size]) for size in plan.sizes],
-            Sample(plan.check, found[name.key][plan.check]),
-            name.method,
-            plan.facts.get(name.key, {}),
+            definition.key,
+            definition.title,
+            definition.unit,
+            definition.size_unit,
+            [Sample(size, values_by_size[definition.key][size]) for size in plan.sizes],
+            Sample(plan.check, values_by_size[definition.key][plan.check]),
+            definition.method,
+            plan.facts.get(definition.key, {}),
         )
-        for name in named
+        for definition in definitions
     ]
--- a/gannetweir/lab/scale/model.py
+++ b/gannetweir/lab/scale/model.py
@@ -36,7 +36,7 @@
 
     def setup_us(self, sorted_order: bool = True) -> float:
         """A set-up through a relay; without the sort, as if every group's order were remembered."""
-        return self.record["setup.relay"].each + self.placement_us() * sorted_order
+        return self.record["setup.relay"].mean_per_unit + self.placement_us() * sorted_order
 
     def setups_core(self, sorted_order: bool = True) -> float:
         """Cores for set-ups in the ordinary state."""
@@ -48,7 +48,7 @@
 
     def connections_mb(self, processes: int) -> float:
         """Resident memory of all processes of a machine, lists aside."""
-        memory = self.record["connection.memory.relay"].fitted
+        memory = self.record["connection.memory.relay"].accepted_line
         return (processes * memory.fixed + memory.per_unit * target.RELAY_CONNECTIONS) / 1024
 
     # ---- the control part
@@ -64,7 +64,7 @@
     def probing_core(self, processes: int) -> float:
         """Cores of one process for upkeep by backends: probes, their answers, ticks."""
         ticks = self.record["upkeep.backends"].at(self.assumptions.backends) * self.in_use(processes)
-        return (self.probes_s(processes) * self.record["probe"].each + ticks) / 1e6
+        return (self.probes_s(processes) * self.record["probe"].mean_per_unit + ticks) / 1e6
 
     def standing_core(self) -> float:
         """Cores of all processes for upkeep by connections."""
@@ -88,7 +88,7 @@
 
     def entry_bytes(self) -> float:
         """One entry on the wire."""
-        return self.record["list.wire"].fitted.per_unit
+        return self.record["list.wire"].accepted_line.per_unit
 
     def stall_ms(self) -> float:
         """The longest wait of a line while a whole list is taken."""
@@ -133,10 +133,10 @@
 
 def most_entries(record: Record) -> int:
     """Entries at which a whole list is longer than a line of the watch may be."""
-    wire = record["list.wire"].fitted
+    wire = record["list.wire"].accepted_line
     return math.floor((Limits().endpoint_watch_line_bytes - wire.fixed) / wire.per_unit)
 
 
 def window_entries(record: Record) -> int:
     """Entries that a relay can be told within the time for a change, at its bytes a second."""
-    return math.floor(target.WINDOW_BYTES / record["list.wire"].fitted.per_unit)
+    return math.floor(target.WINDOW_BYTES / record["list.wire"].accepted_line.per_unit)
--- a/gannetweir/lab/scale/module.py
+++ b/gannetweir/lab/scale/module.py
@@ -9,7 +9,14 @@
 
 from gannetweir.core import Engine, OpenUpstream
 from gannetweir.lab.scale.lists import NOW_US, host, relay_settings
-from gannetweir.lab.scale.measure import Named, Step, Sweep, elapsed_ms, processor_us, sweep
+from gannetweir.lab.scale.measure import (
+    CostDefinition,
+    ProgressCallback,
+    Sweep,
+    elapsed_ms,
+    measure_sizes,
+    processor_us,
+)
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import MembershipUpdate
@@ -38,63 +45,63 @@
 LOAD = 0.5  # of its capacity, that every backend reports
 ARRIVES_US = 1000  # between two arrivals
 
-DECISION = Named(
+DECISION = CostDefinition(
     "decision",
     "a placement, its group's order remembered",
     "µs",
     "backends",
     "all Balancer.handle of an arrival",
 )
-NEW_GROUP = Named(
+NEW_GROUP = CostDefinition(
     "decision.new_group",
     "a placement, its group's order not remembered",
     "µs",
     "backends",
     "the same; each sorts all backends, and 256 groups' orders are kept until a backend comes or goes",
 )
-UPDATE = Named(
+UPDATE = CostDefinition(
     "news.backends",
     "news of one entry",
     "µs",
     "backends",
     "Engine.endpoint_update_received, an entry leaves or returns",
 )
-PLAIN = Named(
+PLAIN = CostDefinition(
     "news.plain",
     "news of one entry that stays ready",
     "µs",
     "backends",
     "Engine.endpoint_update_received, its share alone changes",
 )
-PROBES = Named(
+PROBES = CostDefinition(
     "upkeep.probes",
     "upkeep's probes a second of one process that holds connections at every backend",
     "1/s",
     "backends",
     "Balancer on virtual time, 1,500 relays told, 110 million connections spread evenly",
 )
-UPKEEP = Named(
+UPKEEP = CostDefinition(
     "upkeep.backends",
     "upkeep a second in the module",
     "µs",
     "backends",
     "ticks and probes' answers, processor time",
 )
-TICKS = Named(
+TICKS = CostDefinition(
     "upkeep.connections",
     "upkeep a second in the engine",
     "µs",
     "connections",
     "Engine.advance over one second, processor time",
 )
-LONGEST_TURN = Named(
+LONGEST_TURN = CostDefinition(
     "upkeep.hold",
     "longest turn of the event loop for upkeep",
     "ms",
     "connections",
     "one Engine.advance, elapsed",
 )
-UPDATE_BY_CONNECTIONS = Named(
+UPDATE_BY_CONNECTIONS = CostDefinition(
     "news.connections",
     "news of one entry",
     "µs",
@@ -252,12 +259,14 @@
 STANDING = Sweep((2000, 8000, 16000, 32000), 73300, 2)
 
 
-def measure_decisions(step: Step) -> list[Cost]:
+def measure_decisions(on_progress: ProgressCallback) -> list[Cost]:
     """Placements and news by backends."""
-    return sweep(BACKENDS, (DECISION, NEW_GROUP, UPDATE, PLAIN), placement_costs, step)
+    return measure_sizes(BACKENDS, (DECISION, NEW_GROUP, UPDATE, PLAIN), placement_costs, on_progress)
 
 
-def measure_upkeep(step: Step) -> list[Cost]:
+def measure_upkeep(on_progress: ProgressCallback) -> list[Cost]:
     """Upkeep by backends and by connections, and news by connections."""
-    found = sweep(UPKEEPS, (PROBES, UPKEEP), upkeep_cost, step)
-    return found + sweep(STANDING, (TICKS, LONGEST_TURN, UPDATE_BY_CONNECTIONS), engine_upkeep_cost, step)
+    found = measure_sizes(UPKEEPS, (PROBES, UPKEEP), upkeep_cost, on_progress)
+    return found + measure_sizes(
+        STANDING, (TICKS, LONGEST_TURN, UPDATE_BY_CONNECTIONS), engine_upkeep_cost, on_progress
+    )
--- a/gannetweir/lab/scale/page.py
+++ b/gannetweir/lab/scale/page.py
@@ -14,7 +14,7 @@
 from gannetweir.lab.scale.record import Record
 from gannetweir.lab.scale.role_table import rows
 from gannetweir.lab.scale.seen import NEAR
-from gannetweir.lab.scale.slopes import LARGEST_ERROR
+from gannetweir.lab.scale.slopes import MAX_PREDICTION_ERROR
 from gannetweir.lab.scale.tables import Table, count_of, number
 from gannetweir.lab.scale.target import Assumptions, life
 from gannetweir.placement.group_placement import GROUP_ENDPOINTS, MAX_CANDIDATES
@@ -124,7 +124,7 @@
 
 def _topic(record: Record) -> str:
     listeners = t.LARGEST_TOPIC / t.RELAYS
-    each_us = record["line.push.relay"].each
+    each_us = record["line.push.relay"].mean_per_unit
     parts = []
     for backends in t.BACKENDS:
         needs = number(CapacityLoad(record, Assumptions(backends=backends)).topic_backends())
@@ -147,7 +147,7 @@
 def _slopes(record: Record) -> list[str]:
     refused = ", ".join(cost.key for cost in record.costs.values() if cost.refusal) or "none"
     about = f"""A line is fitted over all sizes but the largest, predicts that one, and is refused if the
-        median error of the rounds is over {LARGEST_ERROR:.0%}. Refused: {refused}. What follows from a
+        median error of the rounds is over {MAX_PREDICTION_ERROR:.0%}. Refused: {refused}. What follows from a
         refused one is read between measured sizes, or missing. "Predicted" is from the medians, "error" the
         median of the rounds' own."""
     seen = f"Confirmed: within {NEAR:.0%} of what was seen."
@@ -159,7 +159,7 @@
     ]
 
 
-def text(record: Record) -> str:
+def render(record: Record) -> str:
     """The whole page; `FitRefusedError` if a list's bytes on the wire have no fit, on which most of it
     rests.
     """
@@ -180,9 +180,9 @@
     return "\n\n".join(parts) + "\n"
 
 
-def write(record: Record, folder: Path, page: Path) -> None:
+def write_page(record: Record, folder: Path, page: Path) -> None:
     """Write the charts beside the record, and the page."""
     for name, svg in draw(record).items():
         (folder / name).write_text(svg)
     page.parent.mkdir(parents=True, exist_ok=True)
-    page.write_text(text(record))
+    page.write_text(render(record))
--- a/gannetweir/lab/scale/processes.py
+++ b/gannetweir/lab/scale/processes.py
@@ -29,7 +29,7 @@
         return int(probe.getsockname()[1])
 
 
-class Measured:
+class MeasuredProcess:
     """One process, and what the kernel counts of it."""
 
     def __init__(self, command: Sequence[str], env: dict[str, str], port: int) -> None:
@@ -71,7 +71,7 @@
 def backend() -> Iterator[int]:
     """A backend process; its port."""
     port = free_port()
-    process = Measured(["-m", "gannetweir.lab.scale.comparison_peers", "backend", str(port)], {}, port)
+    process = MeasuredProcess(["-m", "gannetweir.lab.scale.comparison_peers", "backend", str(port)], {}, port)
     try:
         process.wait_for(b"STATS\r\n", b"PONG")
         yield port
@@ -80,11 +80,11 @@
 
 
 @contextmanager
-def proxy(backend_port: int) -> Iterator[Measured]:
+def proxy(backend_port: int) -> Iterator[MeasuredProcess]:
     """A copying proxy before that backend."""
     port = free_port()
     command = ["-m", "gannetweir.lab.scale.comparison_peers", "proxy", str(port), str(backend_port)]
-    process = Measured(command, {}, port)
+    process = MeasuredProcess(command, {}, port)
     try:
         process.wait_for(b"STATS\r\n", b"PONG")
         yield process
@@ -93,7 +93,7 @@
 
 
 @contextmanager
-def relay(hosts: list[dict[str, Any]], discovery: int = 1, pushed: bool = False) -> Iterator[Measured]:
+def relay(hosts: list[dict[str, Any]], discovery: int = 1, pushed: bool = False) -> Iterator[MeasuredProcess]:
     """A real relay that knows these backends, once it answers a ping."""
     with tempfile.TemporaryDirectory() as name:
         port, path = free_port(), Path(name) / "config.json"
@@ -108,7 +108,7 @@
             "settings": settings,
         }
         path.write_bytes(orjson.dumps(data))
-        process = Measured(["-m", "gannetweir", "serve"], {"RELAY_CONFIG": str(path)}, port)
+        process = MeasuredProcess(["-m", "gannetweir", "serve"], {"RELAY_CONFIG": str(path)}, port)
         try:
             process.wait_for(b"PING\r\n", b"PONG")
             yield process
--- a/gannetweir/lab/scale/record.py
+++ b/gannetweir/lab/scale/record.py
@@ -12,30 +12,30 @@
 import orjson
 
 from gannetweir.lab.scale import fanout, fleets, lists, module, relays
-from gannetweir.lab.scale.measure import Step
+from gannetweir.lab.scale.measure import ProgressCallback
 from gannetweir.lab.scale.slopes import Cost, Sample
 
-FILE = "record.json"
+RECORD_FILE = "record.json"
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
+class CostGroup:
     """Costs that are measured together, and how many steps that takes."""
 
-    measure: Callable[[Step], list[Cost]]
+    measure: Callable[[ProgressCallback], list[Cost]]
     steps: int
 
 
-GROUPS: dict[str, Group] = {
-    "lists": Group(lists.measure, lists.STEPS),
-    "decisions": Group(module.measure_decisions, module.BACKENDS.steps),
-    "upkeep": Group(module.measure_upkeep, module.UPKEEPS.steps + module.STANDING.steps),
-    "connections": Group(relays.measure_standing, 2 * relays.STANDING.steps),
-    "lines": Group(relays.measure_lines, relays.LINES.steps),
-    "starts": Group(relays.measure_starts, relays.STARTS.steps),
-    "stalls": Group(relays.measure_stalls, relays.STALLS.steps),
-    "fanout": Group(fanout.measure, fanout.WATCHERS.steps + fanout.PROBES.steps),
-    "fleets": Group(fleets.measure, (len(fleets.SIZES) + 1) * len(fleets.SEEDS)),
+GROUPS: dict[str, CostGroup] = {
+    "lists": CostGroup(lists.measure, lists.STEPS),
+    "decisions": CostGroup(module.measure_decisions, module.BACKENDS.steps),
+    "upkeep": CostGroup(module.measure_upkeep, module.UPKEEPS.steps + module.STANDING.steps),
+    "connections": CostGroup(relays.measure_standing, 2 * relays.STANDING.steps),
+    "lines": CostGroup(relays.measure_lines, relays.LINES.steps),
+    "starts": CostGroup(relays.measure_starts, relays.STARTS.steps),
+    "stalls": CostGroup(relays.measure_stalls, relays.STALLS.steps),
+    "fanout": CostGroup(fanout.measure, fanout.WATCHERS.steps + fanout.PROBES.steps),
+    "fleets": CostGroup(fleets.measure, (len(fleets.SIZES) + 1) * len(fleets.SEEDS)),
 }
 
 
@@ -51,10 +51,10 @@
 
     def add(self, group: str, costs: Iterable[Cost], seconds: float) -> None:
         """What a group measured, in place of what it measured before."""
-        found = {cost.key: cost for cost in costs}
-        self.costs |= found
+        costs_by_key = {cost.key: cost for cost in costs}
+        self.costs |= costs_by_key
         self.groups[group] = {
-            "costs": list(found),
+            "costs": list(costs_by_key),
             "seconds": round(seconds, 1),
             "python": platform.python_version(),
             "processors": os.cpu_count(),
@@ -65,17 +65,17 @@
         """Write the record."""
         folder.mkdir(parents=True, exist_ok=True)
         data = {"groups": self.groups, "costs": [asdict(cost) for cost in self.costs.values()]}
-        (folder / FILE).write_bytes(orjson.dumps(data, option=orjson.OPT_INDENT_2) + b"\n")
+        (folder / RECORD_FILE).write_bytes(orjson.dumps(data, option=orjson.OPT_INDENT_2) + b"\n")
 
 
 def read_record(folder: Path) -> Record:
     """The record of a folder; `OSError` if there is none, `ValueError` if it is no record."""
-    data = orjson.loads((folder / FILE).read_bytes())
+    data = orjson.loads((folder / RECORD_FILE).read_bytes())
     try:
         costs = [_cost(entry) for entry in data["costs"]]
         return Record({cost.key: cost for cost in costs}, data["groups"])
     except (KeyError, TypeError) as error:
-        raise ValueError(f"{folder / FILE}: no record: {error!r}") from None
+        raise ValueError(f"{folder / RECORD_FILE}: no record: {error!r}") from None
 
 
 def _cost(entry: dict[str, Any]) -> Cost:
--- a/gannetweir/lab/scale/relays.py
+++ b/gannetweir/lab/scale/relays.py
@@ -12,8 +12,8 @@
 
 from gannetweir.lab.scale.clients import ClientConnections
 from gannetweir.lab.scale.lists import host, line
-from gannetweir.lab.scale.measure import Named, Step, Sweep, sweep
-from gannetweir.lab.scale.processes import Measured, backend, hosts_at, proxy, relay
+from gannetweir.lab.scale.measure import CostDefinition, ProgressCallback, Sweep, measure_sizes
+from gannetweir.lab.scale.processes import MeasuredProcess, backend, hosts_at, proxy, relay
 from gannetweir.lab.scale.slopes import Cost, Sample
 
 HOSTS = 400  # so that a process holds a few connections at each, as it would at the target
@@ -27,26 +27,36 @@
 STALLS = Sweep((500, 1500, 5000, 8000), 15000, 3)
 
 
-def _memory(who: str) -> Named:
-    return Named(f"connection.memory.{who}", f"a {who}'s resident memory", "KB", "connections", "VmRSS")
+def _memory(who: str) -> CostDefinition:
+    return CostDefinition(
+        f"connection.memory.{who}", f"a {who}'s resident memory", "KB", "connections", "VmRSS"
+    )
 
 
-def _setups(who: str) -> Named:
+def _setups(who: str) -> CostDefinition:
     title = f"set-ups through a {who}, in all"
     method = "processor time since its start; a relay's probes included; 8 set-ups at once"
-    return Named(f"setup.{who}", title, "µs", "set-ups", method)
+    return CostDefinition(f"setup.{who}", title, "µs", "set-ups", method)
 
 
-def _lines(who: str, way: str, title: str) -> Named:
+def _lines(who: str, way: str, title: str) -> CostDefinition:
     method = f"processor time a second, open loop over {LINE_CONNECTIONS} connections"
-    return Named(f"line.{way}.{who}", f"{title} through a {who}", "µs/s", "lines/s", method)
+    return CostDefinition(f"line.{way}.{who}", f"{title} through a {who}", "µs/s", "lines/s", method)
 
 
-START = Named("start.time", "a relay's start until it answers", "ms", "entries", "from exec to PONG, elapsed")
-START_CPU = Named("start.processor", "a relay's start until it answers", "µs", "entries", "processor time")
-START_MEMORY = Named("start.memory", "a relay's resident memory just started", "KB", "entries", "VmRSS")
-START_PEAK = Named("start.peak", "a relay's most resident memory at its start", "KB", "entries", "VmHWM")
-STALL = Named(
+START = CostDefinition(
+    "start.time", "a relay's start until it answers", "ms", "entries", "from exec to PONG, elapsed"
+)
+START_CPU = CostDefinition(
+    "start.processor", "a relay's start until it answers", "µs", "entries", "processor time"
+)
+START_MEMORY = CostDefinition(
+    "start.memory", "a relay's resident memory just started", "KB", "entries", "VmRSS"
+)
+START_PEAK = CostDefinition(
+    "start.peak", "a relay's most resident memory at its start", "KB", "entries", "VmHWM"
+)
+STALL = CostDefinition(
     "list.stall",
     "longest wait of a line while a whole list is taken",
     "ms",
@@ -55,7 +65,9 @@
 )
 
 
-async def _stand(process: Measured, who: str, step: Step) -> dict[str, dict[int, float]]:
+async def _stand(
+    process: MeasuredProcess, who: str, on_progress: ProgressCallback
+) -> dict[str, dict[int, float]]:
     """One process from its start on: memory and processor time at each size."""
     crowd = ClientConnections(process.port)
     memory, spent = dict[int, float](), dict[int, float]()
@@ -65,13 +77,13 @@
             await crowd.grow(size)
             await asyncio.sleep(SETTLE_S)
             memory[size], spent[size] = process.memory_kb(), process.processor_us() - before
-            step()
+            on_progress()
     finally:
         crowd.close()
     return {_memory(who).key: memory, _setups(who).key: spent}
 
 
-def _costs(names: list[Named], plan: Sweep, rounds: list[dict[str, dict[int, float]]]) -> list[Cost]:
+def _costs(names: list[CostDefinition], plan: Sweep, rounds: list[dict[str, dict[int, float]]]) -> list[Cost]:
     found = []
     for name in names:
         samples = {s: Sample(s, [one[name.key][s] for one in rounds]) for s in (*plan.sizes, plan.check)}
@@ -81,15 +93,15 @@
     return found
 
 
-def measure_standing(step: Step) -> list[Cost]:
+def measure_standing(on_progress: ProgressCallback) -> list[Cost]:
     """Set-ups and standing connections, through a relay and through a proxy."""
     rounds: dict[str, list[dict[str, dict[int, float]]]] = {"relay": [], "proxy": []}
     for _ in range(STANDING.rounds):
         with backend() as port:
             with relay(hosts_at(port, HOSTS)) as process:
-                rounds["relay"].append(asyncio.run(_stand(process, "relay", step)))
+                rounds["relay"].append(asyncio.run(_stand(process, "relay", on_progress)))
             with proxy(port) as process:
-                rounds["proxy"].append(asyncio.run(_stand(process, "proxy", step)))
+                rounds["proxy"].append(asyncio.run(_stand(process, "proxy", on_progress)))
     return [
         cost
         for who, all_of in rounds.items()
@@ -97,7 +109,7 @@
     ]
 
 
-async def _lines_at(process: Measured, per_s: int, way: str) -> float:
+async def _lines_at(process: MeasuredProcess, per_s: int, way: str) -> float:
     """Processor microseconds a second at so many lines a second, scaled from the lines that did pass."""
     crowd = ClientConnections(process.port)
     try:
@@ -119,7 +131,7 @@
 DIRECTIONS = {"both": "a line there and back, counted as two,", "push": "a backend's line"}
 
 
-def measure_lines(step: Step) -> list[Cost]:
+def measure_lines(on_progress: ProgressCallback) -> list[Cost]:
     """Plain lines, both ways and from the backend alone, through a relay and through a proxy."""
     names = [_lines(who, way, title) for way, title in DIRECTIONS.items() for who in ("relay", "proxy")]
     with ExitStack() as stack:
@@ -136,10 +148,10 @@
                 for who, process in sides.items()
             }
 
-        return sweep(LINES, names, one, step)
+        return measure_sizes(LINES, names, one, on_progress)
 
 
-def measure_starts(step: Step) -> list[Cost]:
+def measure_starts(on_progress: ProgressCallback) -> list[Cost]:
     """A relay's start by the entries of the list that it is given."""
 
     def one(entries: int) -> dict[str, float]:
@@ -152,7 +164,7 @@
                 START_PEAK.key: process.memory_kb("VmHWM"),
             }
 
-    return sweep(STARTS, (START, START_CPU, START_MEMORY, START_PEAK), one, step)
+    return measure_sizes(STARTS, (START, START_CPU, START_MEMORY, START_PEAK), one, on_progress)
 
 
 class Discovery:
@@ -184,7 +196,7 @@
             self.watch.close()
 
 
-async def _stall(process: Measured, discovery: Discovery, data: bytes) -> float:
+async def _stall(process: MeasuredProcess, discovery: Discovery, data: bytes) -> float:
     """The longest wait of a line, in milliseconds, until the relay has been quiet for a while."""
     crowd = ClientConnections(process.port)
     try:
@@ -201,7 +213,7 @@
         crowd.close()
 
 
-def measure_stalls(step: Step) -> list[Cost]:
+def measure_stalls(on_progress: ProgressCallback) -> list[Cost]:
     """How long a whole list from discovery keeps the lines of a real relay waiting."""
     version = 1
     with backend() as port:
@@ -217,4 +229,4 @@
             finally:
                 discovery.close()
 
-        return sweep(STALLS, (STALL,), one, step)
+        return measure_sizes(STALLS, (STALL,), one, on_progress)
--- a/gannetweir/lab/scale/role_loads.py
+++ b/gannetweir/lab/scale/role_loads.py
@@ -48,12 +48,12 @@
 def _update_ms(load: CapacityLoad, processes: int) -> float:
     """One entry of news within the time for a change, in milliseconds a second over all processes."""
     by_backends = load.record["news.backends"].at(load.assumptions.backends)
-    by_connections = load.record["news.connections"].each * target.RELAY_CONNECTIONS / processes
+    by_connections = load.record["news.connections"].mean_per_unit * target.RELAY_CONNECTIONS / processes
     return processes * (by_backends + by_connections) / 1e3 / target.IN_FORCE_S
 
 
 def _shards_mb(load: CapacityLoad, processes: int) -> float:
-    return load.record["list.memory"].fitted.at(target.SHARDS) / 1024
+    return load.record["list.memory"].accepted_line.at(target.SHARDS) / 1024
 
 
 def _change_ms(key: str, load: CapacityLoad, watchers: int) -> float:
--- a/gannetweir/lab/scale/run.py
+++ b/gannetweir/lab/scale/run.py
@@ -11,33 +11,33 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 
 from gannetweir.lab.experiments.report import print_table
-from gannetweir.lab.scale.page import write
-from gannetweir.lab.scale.record import FILE, GROUPS, Record, read_record
+from gannetweir.lab.scale.page import write_page
+from gannetweir.lab.scale.record import GROUPS, RECORD_FILE, Record, read_record
 from gannetweir.lab.scale.tables import brief_table
 
 RECORD_FOLDER = Path("docs/measurements/capacity")
 PAGE = Path("docs/CAPACITY.md")
 
 
-def chosen(names: str) -> list[str]:
+def parse_groups(names: str) -> list[str]:
     """The groups that a comma-separated list names, all for an empty one; `ValueError` for an unknown
     name.
     """
-    wanted = [name.strip() for name in names.split(",") if name.strip()]
-    unknown = [name for name in wanted if name not in GROUPS]
+    requested = [name.strip() for name in names.split(",") if name.strip()]
+    unknown = [name for name in requested if name not in GROUPS]
     if unknown:
         raise ValueError(f"--only: {', '.join(unknown)}: not one of {', '.join(GROUPS)}")
-    return wanted or list(GROUPS)
+    return requested or list(GROUPS)
 
 
 def measure(groups: Sequence[str], record: Record) -> None:
     """Measure these groups, each in place of what the record has of it."""
     columns = TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn()
-    with Progress(*columns) as bar:
+    with Progress(*columns) as progress:
         for name in groups:
-            task = bar.add_task(name, total=GROUPS[name].steps)
+            task = progress.add_task(name, total=GROUPS[name].steps)
             began = time.monotonic()
-            costs = GROUPS[name].measure(lambda task=task: bar.advance(task))  # type: ignore[misc]
+            costs = GROUPS[name].measure(lambda task=task: progress.advance(task))  # type: ignore[misc]
             record.add(name, costs, time.monotonic() - began)
 
 
@@ -47,8 +47,8 @@
     """
     folder = Path(keep) if keep else RECORD_FOLDER
     page = folder / PAGE.name if keep else PAGE
-    groups = chosen(only)
-    record = read_record(folder) if page_only or (folder / FILE).exists() else Record()
+    groups = parse_groups(only)
+    record = read_record(folder) if page_only or (folder / RECORD_FILE).exists() else Record()
     if not page_only:
         measure(groups, record)
         record.save(folder)
@@ -57,6 +57,6 @@
     if missing:
         print(f"no page yet, not measured: {', '.join(missing)}")
         return 0
-    write(record, folder, page)
-    print(f"written: {page}, {folder / FILE} and its charts")
+    write_page(record, folder, page)
+    print(f"written: {page}, {folder / RECORD_FILE} and its charts")
     return 0
--- a/gannetweir/lab/scale/seen.py
+++ b/gannetweir/lab/scale/seen.py
@@ -33,7 +33,7 @@
 
 
 def _each(key: str) -> Callable[[Record], float]:
-    return lambda record: record[key].each
+    return lambda record: record[key].mean_per_unit
 
 
 def _at(key: str, size: int) -> Callable[[Record], float]:
@@ -56,7 +56,7 @@
         170,
         170,
         "µs",
-        lambda record: record["line.both.relay"].each,
+        lambda record: record["line.both.relay"].mean_per_unit,
     ),
     Seen(
         "the same, over a copying proxy's", 1.84, 1.84, "times", _over("line.both.relay", "line.both.proxy")
@@ -74,6 +74,6 @@
         2.06,
         2.06,
         "times",
-        lambda record: record["setup.relay"].each / record["setup.proxy"].each,
+        lambda record: record["setup.relay"].mean_per_unit / record["setup.proxy"].mean_per_unit,
     ),
 )
--- a/gannetweir/lab/scale/slopes.py
+++ b/gannetweir/lab/scale/slopes.py
@@ -3,7 +3,7 @@
 
 A round measures every size once; a line over all but the largest predicts that one, which is measured last.
 So a machine that is slower for some seconds slows both sides of a comparison. A median prediction that is
-off by more than `LARGEST_ERROR` refuses the fit, and then nothing beyond the measured sizes has a value.
+off by more than `MAX_PREDICTION_ERROR` refuses the fit, and then nothing beyond the measured sizes has a value.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
-LARGEST_ERROR = 0.15  # of the measured value
-LEAST_SIZES = 4
-LEAST_FACTOR = 16.0  # from the smallest to the largest size that the line is fitted over
+MAX_PREDICTION_ERROR = 0.15  # of the measured value
+MIN_SIZES = 4
+MIN_SIZE_RATIO = 16.0  # from the smallest to the largest size that the line is fitted over
 
 
 class FitRefusedError(ValueError):
@@ -79,11 +79,11 @@
     @property
     def errors(self) -> list[float]:
         """Of each round's prediction, as a signed share of what the round then measured."""
-        found = []
-        for number, measured in enumerate(self.check.values):
-            line = fit([(sample.size, sample.values[number]) for sample in self.samples])
-            found.append((line.at(self.check.size) - measured) / measured if measured else float("inf"))
-        return found
+        by_round = []
+        for round_index, measured in enumerate(self.check.values):
+            line = fit([(sample.size, sample.values[round_index]) for sample in self.samples])
+            by_round.append((line.at(self.check.size) - measured) / measured if measured else float("inf"))
+        return by_round
 
     @property
     def error(self) -> float:
@@ -94,16 +94,16 @@
     def refusal(self) -> str:
         """Why the fit may not be used; empty if it may."""
         sizes = sorted({sample.size for sample in self.samples})
-        if len(sizes) < LEAST_SIZES or sizes[-1] < LEAST_FACTOR * sizes[0]:
+        if len(sizes) < MIN_SIZES or sizes[-1] < MIN_SIZE_RATIO * sizes[0]:
             return f"{len(sizes)} sizes over a factor of {sizes[-1] / sizes[0]:.0f}"
         if self.check.size <= sizes[-1]:
             return "the check is no larger size"
-        if not abs(self.error) <= LARGEST_ERROR:
+        if not abs(self.error) <= MAX_PREDICTION_ERROR:
             return f"off by {100 * self.error:+.0f}%"
         return ""
 
     @property
-    def fitted(self) -> Line:
+    def accepted_line(self) -> Line:
         """The line, where it may be used; `FitRefusedError` where it may not."""
         if self.refusal:
             raise FitRefusedError(f"{self.key}: {self.refusal}")
@@ -122,9 +122,9 @@
         for (below, low), (above, high) in pairwise(points):
             if below < size < above:
                 return low + (high - low) * (size - below) / (above - below)
-        return self.fitted.at(size)
+        return self.accepted_line.at(size)
 
     @property
-    def each(self) -> float:
+    def mean_per_unit(self) -> float:
         """The mean cost of one, over the largest size that was measured."""
         return self.check.median / self.check.size
--- a/gannetweir/lab/scale/tables.py
+++ b/gannetweir/lab/scale/tables.py
@@ -10,7 +10,7 @@
 from gannetweir.lab.scale.role_table import Row
 from gannetweir.lab.scale.seen import SEEN
 from gannetweir.lab.scale.slopes import Cost
-from gannetweir.lab.scale.target import Assumptions, life, sweep
+from gannetweir.lab.scale.target import Assumptions, life, swept_assumptions
 
 Table = tuple[list[str], list[list[str]]]
 
@@ -118,7 +118,7 @@
         "upkeep, cores a process",
     ]
     found = []
-    for a in sweep():
+    for a in swept_assumptions():
         load = CapacityLoad(record, a)
         sort = load.setups_core() - load.setups_core(False)
         found.append(
@@ -189,7 +189,7 @@
     """Upkeep's probes over the sweep."""
     columns = ["assumption", "processes", "probes a second of a relay", "probes a second at a backend"]
     found = []
-    for a in sweep():
+    for a in swept_assumptions():
         load = CapacityLoad(record, a)
         count = load.processes()
         cells = (
@@ -227,7 +227,7 @@
 
 def flip_table(found: list[Finding]) -> Table:
     """Every conclusion over the sweep, and where it flips."""
-    columns = ["conclusion", *(a.name for a in sweep()), "flips", "at backends", "at a life of"]
+    columns = ["conclusion", *(a.name for a in swept_assumptions()), "flips", "at backends", "at a life of"]
     return columns, [
         [
             finding.text,
--- a/gannetweir/lab/scale/target.py
+++ b/gannetweir/lab/scale/target.py
@@ -59,7 +59,7 @@
     return f"{seconds / 60:.0f} min" if seconds < 3600 else f"{seconds / 3600:.0f} h"
 
 
-def sweep() -> Iterator[Assumptions]:
+def swept_assumptions() -> Iterator[Assumptions]:
     """Every pair of the swept figures."""
     for backends, life_s in product(BACKENDS, LIVES_S):
         yield Assumptions(backends, life_s)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,7 +16,7 @@
 from gannetweir.lab.scale.record import GROUPS, Record, read_record
 from gannetweir.lab.scale.role_table import rows
 from gannetweir.lab.scale.slopes import Cost, FitRefusedError, Sample, fit
-from gannetweir.lab.scale.target import Assumptions, sweep
+from gannetweir.lab.scale.target import Assumptions, swept_assumptions
 
 ROOT = Path(__file__).parent.parent
 KEPT = ROOT / run.RECORD_FOLDER
@@ -77,7 +77,7 @@
             with pytest.raises(FitRefusedError, match="off by"):
                 one.at(unknown)
         with pytest.raises(FitRefusedError):
-            _ = one.fitted
+            _ = one.accepted_line
 
 
 @pytest.mark.parametrize(
@@ -117,7 +117,7 @@
 
 def test_the_sweep_is_whole_and_a_conclusion_flips_where_it_is_computed_to() -> None:
     record = committed()
-    names = [a.name for a in sweep()]
+    names = [a.name for a in swept_assumptions()]
     assert len(set(names)) == len(target.BACKENDS) * len(target.LIVES_S) == 9
     flips = find(Conclusion("c", lambda load: load.assumptions.backends / 3000), record)
     assert flips.flips and flips.edge_backends == pytest.approx(3000, abs=1) and flips.edge_life_s is None
@@ -138,7 +138,7 @@
     broken = changed(record, connection__memory__relay=quadratic)
     memory = next(row for row in rows(CapacityLoad(broken, Assumptions())) if row.source == quadratic.key)
     assert memory.value is None and memory.ratio is None
-    written = page.text(broken)
+    written = page.render(broken)
     assert "| resident memory | - |" in written
     assert quadratic.key in written.split("Refused: ")[1].split("What follows")[0]
     unknown = Conclusion("c", lambda load: quadratic.at(load.assumptions.backends))
@@ -174,7 +174,7 @@
 
 def test_the_committed_page_and_charts_are_what_the_record_gives() -> None:
     record = committed()
-    assert (ROOT / run.PAGE).read_text() == page.text(record)
+    assert (ROOT / run.PAGE).read_text() == page.render(record)
     drawn = draw(record)
     assert {path.name for path in KEPT.glob("*.svg")} == set(drawn)
     for name, svg in drawn.items():
