--- a/gannetweir/lab/scale/child.py
+++ b/gannetweir/lab/scale/child.py
@@ -15,7 +15,7 @@
 from gannetweir.lab.scale.messages import Message
 
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-ENDS_WITHIN_S = 5.0
+EXIT_TIMEOUT_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,12 +39,12 @@
     """One process that answers commands on its standard input, which is a socket."""
 
     def __init__(self, module: str, args: Sequence[str] = ()) -> None:
-        mine, its = socket.socketpair()
-        with its:
+        parent_end, child_end = socket.socketpair()
+        with child_end:
             self.process: subprocess.Popen[bytes] = subprocess.Popen(
-                [sys.executable, "-m", module, *args], stdin=its.fileno()
+                [sys.executable, "-m", module, *args], stdin=child_end.fileno()
             )
-        self.link = Link(mine)
+        self.link = Link(parent_end)
 
     async def call(self, message: Message) -> Message:
         """Send a command, return its answer. `LinkError` if the process has ended."""
@@ -69,7 +69,7 @@
 def end(process: subprocess.Popen[Any]) -> None:
     """Wait until a process that was told to end has ended; SIGKILL if that takes too long."""
     try:
-        process.wait(ENDS_WITHIN_S)
+        process.wait(EXIT_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         process.kill()
         process.wait()
--- a/gannetweir/lab/scale/clients.py
+++ b/gannetweir/lab/scale/clients.py
@@ -8,8 +8,8 @@
 
 FIRST_LINE = "OPEN {n:x} {n:x} c=zone-view,d=2000,g={g:x}\r\n"
 GROUPS = 200
-AT_ONCE = 8  # set-ups under way
-WAIT_S = 20.0
+CONCURRENT_SETUPS = 8  # set-ups under way
+SETUP_TIMEOUT_S = 20.0
 
 
 class Client(asyncio.Protocol):
@@ -18,8 +18,8 @@
     transport: asyncio.Transport
 
     def __init__(self, number: int) -> None:
-        self.number, self.lines, self.sent_s, self.slowest_s = number, 0, 0.0, 0.0
-        self.up: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.number, self.lines, self.sent_at_s, self.slowest_s = number, 0, 0.0, 0.0
+        self.established: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.on_line: Callable[[], None] = lambda: None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -31,21 +31,21 @@
     def data_received(self, data: bytes) -> None:
         """The first line is the answer, all others count."""
         count = data.count(b"\n")
-        if not self.up.done():
+        if not self.established.done():
             if not data.startswith(b"UP"):
-                self.up.set_exception(OSError(f"connection {self.number}: {data[:60]!r}"))
+                self.established.set_exception(OSError(f"connection {self.number}: {data[:60]!r}"))
                 return
-            self.up.set_result(None)
+            self.established.set_result(None)
             count -= 1
         self.lines += count
-        if self.sent_s and count:
-            self.slowest_s = max(self.slowest_s, time.monotonic() - self.sent_s)
-            self.sent_s = 0.0
+        if self.sent_at_s and count:
+            self.slowest_s = max(self.slowest_s, time.monotonic() - self.sent_at_s)
+            self.sent_at_s = 0.0
             self.on_line()
 
-    def ask(self, line: bytes = b"a line of a client's, as long as a short one\r\n") -> None:
+    def send_line(self, line: bytes = b"a line of a client's, as long as a short one\r\n") -> None:
         """Send a line that comes back."""
-        self.sent_s = self.sent_s or time.monotonic()
+        self.sent_at_s = self.sent_at_s or time.monotonic()
         self.transport.write(line)
 
 
@@ -55,19 +55,19 @@
     def __init__(self, port: int) -> None:
         self.port, self.clients = port, list[Client]()
 
-    async def grow(self, count: int) -> None:
+    async def grow_to(self, count: int) -> None:
         """Until so many stand; `OSError` if one is not served."""
-        room = asyncio.Semaphore(AT_ONCE)
+        setup_slots = asyncio.Semaphore(CONCURRENT_SETUPS)
 
-        async def one(number: int) -> Client:
-            async with room:
+        async def open_one(number: int) -> Client:
+            async with setup_slots:
                 loop = asyncio.get_running_loop()
                 _, client = await loop.create_connection(lambda: Client(number), "127.0.0.1", self.port)
-                await asyncio.wait_for(client.up, WAIT_S)
+                await asyncio.wait_for(client.established, SETUP_TIMEOUT_S)
                 return client
 
         numbers = range(len(self.clients) + 1, count + 1)
-        self.clients += await asyncio.gather(*(one(number) for number in numbers))
+        self.clients += await asyncio.gather(*(open_one(number) for number in numbers))
 
     @property
     def lines(self) -> int:
@@ -81,17 +81,17 @@
 
     async def echo(self, per_s: float, seconds: float) -> None:
         """Lines there and back, evenly over the connections, each sent when it is due."""
-        begin, count = time.monotonic(), int(per_s * seconds)
+        started_s, count = time.monotonic(), int(per_s * seconds)
         for number in range(count):
-            if (wait := begin + number / per_s - time.monotonic()) > 0.001:
-                await asyncio.sleep(wait)
-            self.clients[number % len(self.clients)].ask()
+            if (delay_s := started_s + number / per_s - time.monotonic()) > 0.001:
+                await asyncio.sleep(delay_s)
+            self.clients[number % len(self.clients)].send_line()
 
     async def pushed(self, per_s: float, seconds: float) -> None:
         """Lines from the backend alone: every connection is sent its share of them."""
-        gap_s = len(self.clients) / per_s
-        count = max(1, int(seconds / gap_s))
+        interval_s = len(self.clients) / per_s
+        count = max(1, int(seconds / interval_s))
         for client in self.clients:
-            client.transport.write(b"PUSH %d %d\r\n" % (count, int(gap_s * 1e6)))
-            await asyncio.sleep(gap_s / len(self.clients))
+            client.transport.write(b"PUSH %d %d\r\n" % (count, int(interval_s * 1e6)))
+            await asyncio.sleep(interval_s / len(self.clients))
         await asyncio.sleep(seconds)
--- a/gannetweir/lab/scale/comparison_peers.py
+++ b/gannetweir/lab/scale/comparison_peers.py
@@ -18,7 +18,7 @@
 from gannetweir.net.sockets import accept_connection, connect, set_nonblocking_nodelay, tcp_socket
 from gannetweir.net.transport import Transport
 
-REPORT = b"PONG tps=1,concurrent=90000,x0=0.2\r\n"  # so many that one more makes no difference
+LOAD_REPORT = b"PONG tps=1,concurrent=90000,x0=0.2\r\n"  # so many that one more makes no difference
 
 
 class Backend(asyncio.Protocol):
@@ -29,7 +29,7 @@
     transport: asyncio.Transport
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.partial_line = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A connection of the relay's."""
@@ -38,7 +38,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Lines, answered one by one."""
-        *lines, self.rest = (self.rest + data).split(b"\r\n")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\r\n")
         for line in lines:
             self._line(line)
 
@@ -46,17 +46,17 @@
         if line.startswith(b"OPEN "):
             self.transport.write(b"UP r\r\n")
         elif line.startswith(b"STATS"):
-            self.transport.write(REPORT)
+            self.transport.write(LOAD_REPORT)
         elif line.startswith(b"PUSH "):
-            _, count, gap_us = line.split()
-            self._push(int(count), int(gap_us) / 1e6)
+            _, count, interval_us = line.split()
+            self._push(int(count), int(interval_us) / 1e6)
         else:
             self.transport.write(line + b"\r\n")
 
-    def _push(self, left: int, gap_s: float) -> None:
-        if left and not self.transport.is_closing():
+    def _push(self, remaining: int, interval_s: float) -> None:
+        if remaining and not self.transport.is_closing():
             self.transport.write(b"news of a topic, as long as a short one\r\n")
-            asyncio.get_running_loop().call_later(gap_s, self._push, left - 1, gap_s)
+            asyncio.get_running_loop().call_later(interval_s, self._push, remaining - 1, interval_s)
 
 
 async def serve_backend(port: int) -> None:
@@ -87,7 +87,7 @@
     async with anyio.create_task_group() as tasks:
         spawn = spawn_in(tasks)
 
-        async def one(client: Transport) -> None:
+        async def serve_client(client: Transport) -> None:
             server = Transport(tcp_socket("127.0.0.1"), limits, spawn)
             await connect(server.sock, ("127.0.0.1", backend))
             tasks.start_soon(_copy, server, client)
@@ -96,7 +96,7 @@
         while True:
             sock = await accept_connection(listener)
             set_nonblocking_nodelay(sock)
-            tasks.start_soon(one, Transport(sock, limits, spawn))
+            tasks.start_soon(serve_client, Transport(sock, limits, spawn))
 
 
 def main(argv: list[str]) -> None:
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -17,7 +17,7 @@
 from gannetweir.core import StartLoadProbe
 from gannetweir.lab.emulator.backend import spawn_in
 from gannetweir.lab.emulator.discovery import EmulatedDiscovery
-from gannetweir.lab.scale.lists import host, relay_settings
+from gannetweir.lab.scale.lists import host_entry, measured_relay_settings
 from gannetweir.lab.scale.measure import CostDefinition, ProgressCallback, Sweep, measure_sizes, processor_us
 from gannetweir.lab.scale.processes import backend
 from gannetweir.lab.scale.slopes import Cost
@@ -30,7 +30,7 @@
 from gannetweir.placement.settings import Settings
 
 LOOP_TURNS = 24  # of the event loop, after which every watcher has been written to
-CHANGES = 3  # a round
+CHANGES_PER_ROUND = 3  # a round
 
 STAND_IN = CostDefinition(
     "fanout.stand_in",
@@ -39,19 +39,19 @@
     "watchers",
     "lab.registry: each watch's task wakes and serialises for itself, processor time",
 )
-ONCE = CostDefinition(
+SERIALISED_ONCE = CostDefinition(
     "fanout.once",
     "one change to all watchers, serialised once",
     "µs",
     "watchers",
     "one line, one Endpoint.write a watcher, processor time",
 )
-PROBE = CostDefinition(
+ONE_PROBE = CostDefinition(
     "probe", "probes, one after another", "µs", "probes", "run_probe on loopback, processor time"
 )
 
 
-async def _watch(port: int) -> socket.socket:
+async def _open_watch(port: int) -> socket.socket:
     sock = tcp_socket("127.0.0.1")
     await connect(sock, ("127.0.0.1", port))
     sock.send(b"GET /registry/instances?follow=1&since=0 HTTP/1.1\r\nHost: d\r\n\r\n")
@@ -61,13 +61,13 @@
 
 def _drain(socks: list[socket.socket]) -> int:
     """How many had something to read."""
-    found = 0
+    readable = 0
     for sock in socks:
         try:
-            found += bool(sock.recv(65536))
+            readable += bool(sock.recv(65536))
         except BlockingIOError:
             continue
-    return found
+    return readable
 
 
 async def _run_loop_turns() -> None:
@@ -75,69 +75,72 @@
         await asyncio.sleep(0)
 
 
-async def _changes(watchers: int) -> dict[str, float]:
+async def _measure_changes(watchers: int) -> dict[str, float]:
     """Microseconds a change, as the stand-in tells it and serialised once."""
     registry = EmulatedDiscovery(delay_s=0.0, heartbeat_s=3600.0)
-    registry.change("s-0", **{name: value for name, value in host(0).items() if name != "host"})
+    registry.change("s-0", **{name: value for name, value in host_entry(0).items() if name != "host"})
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(registry.run)
-        socks = [await _watch(registry.port) for _ in range(watchers)]
+        socks = [await _open_watch(registry.port) for _ in range(watchers)]
         await _run_loop_turns()
         _drain(socks)
         spent = []
-        for number in range(CHANGES):
-            began = _clock_us()
+        for number in range(CHANGES_PER_ROUND):
+            began = _processor_clock_us()
             registry.change("s-0", share=float(number))
             await _run_loop_turns()
-            spent.append(_clock_us() - began)
-            if (told := _drain(socks)) != watchers:
-                raise OSError(f"{told} of {watchers} watchers were told")
+            spent.append(_processor_clock_us() - began)
+            if (notified := _drain(socks)) != watchers:
+                raise OSError(f"{notified} of {watchers} watchers were told")
         for sock in socks:
             sock.close()
         tasks.cancel_scope.cancel()
-    return {STAND_IN.key: sorted(spent)[CHANGES // 2], ONCE.key: await _once(watchers)}
+    return {
+        STAND_IN.key: sorted(spent)[CHANGES_PER_ROUND // 2],
+        SERIALISED_ONCE.key: await _measure_serialised_once(watchers),
+    }
 
 
-def _clock_us() -> float:
+def _processor_clock_us() -> float:
     return time.process_time_ns() / 1000.0
 
 
-def _pair(listener: socket.socket) -> tuple[socket.socket, socket.socket]:
-    other = socket.create_connection(listener.getsockname())
-    one, _ = listener.accept()
-    set_nonblocking_nodelay(one)
-    return one, other
+def _socket_pair(listener: socket.socket) -> tuple[socket.socket, socket.socket]:
+    peer = socket.create_connection(listener.getsockname())
+    accepted, _ = listener.accept()
+    set_nonblocking_nodelay(accepted)
+    return accepted, peer
 
 
-async def _once(watchers: int) -> float:
+async def _measure_serialised_once(watchers: int) -> float:
     """Microseconds of one change that is serialised once and written to each watcher."""
     async with anyio.create_task_group() as tasks:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            pairs = [_pair(listener) for _ in range(watchers)]
-        ends = [Transport(one, Limits(), spawn_in(tasks)) for one, _ in pairs]
+            socket_pairs = [_socket_pair(listener) for _ in range(watchers)]
+        transports = [Transport(accepted, Limits(), spawn_in(tasks)) for accepted, _ in socket_pairs]
 
-        def tell() -> None:
-            data = orjson.dumps({"seq": 2, "whole": False, "hosts": [host(0)]})
+        def send_change() -> None:
+            data = orjson.dumps({"seq": 2, "whole": False, "hosts": [host_entry(0)]})
             framed = b"%x\r\n%s\n\r\n" % (len(data) + 1, data)
-            for end in ends:
-                end.write(framed)
+            for transport in transports:
+                transport.write(framed)
 
-        spent = sorted(processor_us(tell) for _ in range(CHANGES))[CHANGES // 2]
-        for end, (_, other) in zip(ends, pairs, strict=True):
-            end.close()
-            other.close()
+        spent = sorted(processor_us(send_change) for _ in range(CHANGES_PER_ROUND))[CHANGES_PER_ROUND // 2]
+        for transport, (_, peer) in zip(transports, socket_pairs, strict=True):
+            transport.close()
+            peer.close()
     return spent
 
 
 @dataclass
-class _ProbedList:
+class _EndpointListStub:
     def accepts_requests(self, endpoint_id: EndpointId) -> bool:
         return True
 
 
 @dataclass
-class _Engine:
-    endpoint_list: _ProbedList = field(default_factory=_ProbedList)
+class _EngineStub:
+    endpoint_list: _EndpointListStub = field(default_factory=_EndpointListStub)
     answers: int = 0
 
     def load_probe_ended(self, endpoint_id: EndpointId, status: int, report: tuple[float, ...]) -> None:
@@ -145,17 +148,17 @@
 
 
 @dataclass
-class _Host:
+class _ProbeContext:
     """As much of a relay as a probe needs."""
 
     port: int
     spawn: Callable[[Callable[[], Awaitable[Any]]], None]
-    engine: _Engine = field(default_factory=_Engine)
+    engine: _EngineStub = field(default_factory=_EngineStub)
     limits: Limits = field(default_factory=Limits)
 
     @property
     def settings(self) -> Settings:
-        return relay_settings()
+        return measured_relay_settings()
 
     def parse_endpoint_address(self, text: str) -> tuple[str, int]:
         return "127.0.0.1", self.port
@@ -164,30 +167,36 @@
         return call(*args)
 
 
-async def _probes(port: int, count: int) -> float:
+async def _measure_probes(port: int, count: int) -> float:
     """Microseconds that so many probes cost together."""
     async with anyio.create_task_group() as tasks:
-        asker = _Host(port, spawn_in(tasks))
-        began = _clock_us()
+        prober = _ProbeContext(port, spawn_in(tasks))
+        began = _processor_clock_us()
         for _ in range(count):
-            await run_probe(cast(ConnectContext, asker), StartLoadProbe("b", "127.0.0.1:1", False))
-        spent = _clock_us() - began
-    if asker.engine.answers != count:
-        raise OSError(f"{asker.engine.answers} of {count} probes were answered")
+            await run_probe(cast(ConnectContext, prober), StartLoadProbe("b", "127.0.0.1:1", False))
+        spent = _processor_clock_us() - began
+    if prober.engine.answers != count:
+        raise OSError(f"{prober.engine.answers} of {count} probes were answered")
     return spent
 
 
-WATCHERS = Sweep((75, 150, 600, 1200), 1500, 2)
-PROBES = Sweep((50, 200, 400, 800), 1600, 3)
+WATCHER_SWEEP = Sweep((75, 150, 600, 1200), 1500, 2)
+PROBE_SWEEP = Sweep((50, 200, 400, 800), 1600, 3)
 
 
 def measure(on_progress: ProgressCallback) -> list[Cost]:
     """Fan-out by watchers, and probes."""
-    found = measure_sizes(
-        WATCHERS, (STAND_IN, ONCE), lambda watchers: asyncio.run(_changes(watchers)), on_progress
+    fanout_costs = measure_sizes(
+        WATCHER_SWEEP,
+        (STAND_IN, SERIALISED_ONCE),
+        lambda watchers: asyncio.run(_measure_changes(watchers)),
+        on_progress,
     )
     with backend() as port:
-        probed = measure_sizes(
-            PROBES, (PROBE,), lambda n: {PROBE.key: asyncio.run(_probes(port, n))}, on_progress
+        probe_costs = measure_sizes(
+            PROBE_SWEEP,
+            (ONE_PROBE,),
+            lambda n: {ONE_PROBE.key: asyncio.run(_measure_probes(port, n))},
+            on_progress,
         )
-    return found + probed
+    return fanout_costs + probe_costs
--- a/gannetweir/lab/scale/fleets.py
+++ b/gannetweir/lab/scale/fleets.py
@@ -12,43 +12,43 @@
 from gannetweir.lab.scale.slopes import Cost, Sample
 
 BACKENDS = 60
-LENGTH_S = 24.0
-SIZES, CHECK = (2, 12, 40, 200), 300
+DURATION_S = 24.0
+SIZES, CHECK_SIZE = (2, 12, 40, 200), 300
 SEEDS = 1, 2
 
-PROBES_A_TRY = CostDefinition(
+PROBES_PER_ATTEMPT = CostDefinition(
     "fleet.probes_a_try", "probes a client's try", "", "relays", "whole fleets on virtual time, no faults"
 )
-BACKEND = CostDefinition(
+PROBES_PER_BACKEND = CostDefinition(
     "fleet.probes_a_backend", "probes a second at a backend", "1/s", "relays", "the same fleets"
 )
 
 
-def play(relays: int, seed: int) -> dict[str, float]:
+def simulate(relays: int, seed: int) -> dict[str, float]:
     """One calm day: 60 backends, the same clients, so many relays."""
     world = World(fleet_plan(seed, relays, BACKENDS))
-    checker = world.run(LENGTH_S)
+    checker = world.run(DURATION_S)
     if checker.violations:
         raise ValueError(f"{relays} relays: {checker.violations[0]}")
     probes = sum(relay.engine.counters.counts["load_probes_sent"] for relay in world.relays)
-    a_second = probes / LENGTH_S
+    probes_per_s = probes / DURATION_S
     return {
-        PROBES_A_TRY.key: probes / max(1, len(checker.traces)),
-        BACKEND.key: a_second / BACKENDS,
+        PROBES_PER_ATTEMPT.key: probes / max(1, len(checker.traces)),
+        PROBES_PER_BACKEND.key: probes_per_s / BACKENDS,
     }
 
 
 def measure(on_progress: ProgressCallback) -> list[Cost]:
     """All fleets, a few at a time."""
-    todo = [(size, seed) for size in (CHECK, *SIZES) for seed in SEEDS]
-    found: dict[tuple[int, int], dict[str, float]] = {}
+    cases = [(size, seed) for size in (CHECK_SIZE, *SIZES) for seed in SEEDS]
+    results: dict[tuple[int, int], dict[str, float]] = {}
     with ProcessPoolExecutor(max_workers=4) as workers:
-        for case, figures in zip(todo, workers.map(play, *zip(*todo, strict=True)), strict=True):
-            found[case] = figures
+        for case, figures in zip(cases, workers.map(simulate, *zip(*cases, strict=True)), strict=True):
+            results[case] = figures
             on_progress()
 
     def sample(key: str, size: int) -> Sample:
-        return Sample(size, [found[size, seed][key] for seed in SEEDS])
+        return Sample(size, [results[size, seed][key] for seed in SEEDS])
 
     return [
         Cost(
@@ -57,8 +57,8 @@
             name.unit,
             name.size_unit,
             [sample(name.key, size) for size in SIZES],
-            sample(name.key, CHECK),
+            sample(name.key, CHECK_SIZE),
             name.method,
         )
-        for name in (PROBES_A_TRY, BACKEND)
+        for name in (PROBES_PER_ATTEMPT, PROBES_PER_BACKEND)
     ]
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -31,9 +31,9 @@
 from gannetweir.proto.endpoint_watch import EndpointWatch
 
 SIZES = (500, 1500, 5000, 8000)
-CHECK = 15000
+CHECK_SIZE = 15000
 NOW_US = 1_700_000_000_000_000
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 WIRE = CostDefinition(
     "list.wire", "a whole list on the wire", "bytes", "entries", "one JSON line of the watch"
@@ -82,12 +82,12 @@
 
 
 @cache
-def relay_settings() -> Settings:
+def measured_relay_settings() -> Settings:
     """The settings that every measurement here gives its relay."""
     return parse_settings(platform_settings(1500))
 
 
-def host(number: int) -> dict[str, Any]:
+def host_entry(number: int) -> dict[str, Any]:
     """One entry as discovery tells it, with an address, a block and a start of its own."""
     return {
         "host": f"s-{number:08x}",
@@ -101,74 +101,76 @@
     }
 
 
-def line(entries: int, seq: int = 7) -> bytes:
+def snapshot_line(entries: int, seq: int = 7) -> bytes:
     """A whole list as one line of the watch."""
-    return orjson.dumps({"seq": seq, "whole": True, "hosts": [host(n) for n in range(entries)]}) + b"\n"
+    return orjson.dumps({"seq": seq, "whole": True, "hosts": [host_entry(n) for n in range(entries)]}) + b"\n"
 
 
 def empty_engine() -> Engine:
     """A relay's engine with no backend in its list."""
-    return Engine(relay_settings(), Limits(), 1, MembershipUpdate(0, True), NOW_US)
+    return Engine(measured_relay_settings(), Limits(), 1, MembershipUpdate(0, True), NOW_US)
 
 
-def chunks(data: bytes, size: int) -> list[bytes]:
+def split_into_reads(data: bytes, size: int) -> list[bytes]:
     """One HTTP chunk, cut as reads of a socket cut it."""
-    framed = HEAD + b"%x\r\n" % len(data) + data + b"\r\n"
-    return [framed[at : at + size] for at in range(0, len(framed), size)]
+    framed = RESPONSE_HEAD + b"%x\r\n" % len(data) + data + b"\r\n"
+    return [framed[offset : offset + size] for offset in range(0, len(framed), size)]
 
 
-def read(entries: int) -> tuple[MembershipUpdate, float, float]:
+def read_snapshot(entries: int) -> tuple[MembershipUpdate, float, float]:
     """A list read by a watch: what it tells, processor microseconds in all, milliseconds of the last read."""
     limits = Limits()
-    watch = EndpointWatch("127.0.0.1:1", 0, relay_settings(), limits)
-    *before, last = chunks(line(entries), limits.max_read_bytes)
-    spent = math.fsum(processor_us(lambda d=data: watch.feed(d)) for data in before)  # type: ignore[misc]
-    told: list[object] = []
+    watch = EndpointWatch("127.0.0.1:1", 0, measured_relay_settings(), limits)
+    *earlier_reads, last = split_into_reads(snapshot_line(entries), limits.max_read_bytes)
+    spent_us = math.fsum(processor_us(lambda d=data: watch.feed(d)) for data in earlier_reads)  # type: ignore[misc]
+    updates: list[object] = []
     held = 0.0
 
     def finish() -> None:
         nonlocal held
-        held = elapsed_ms(lambda: told.extend(watch.feed(last)))
+        held = elapsed_ms(lambda: updates.extend(watch.feed(last)))
 
-    spent += processor_us(finish)
-    (news,) = told
-    assert isinstance(news, MembershipUpdate)
-    return news, spent, held
+    spent_us += processor_us(finish)
+    (update,) = updates
+    assert isinstance(update, MembershipUpdate)
+    return update, spent_us, held
 
 
-def times(entries: int) -> dict[str, float]:
+def measure_times(entries: int) -> dict[str, float]:
     """One round of everything but memory."""
     gc.collect()
-    news, read_us, held_ms = read(entries)
+    update, read_us, held_ms = read_snapshot(entries)
     engine = empty_engine()
     applied_us = 0.0
 
     def apply() -> None:
         nonlocal applied_us
-        applied_us = processor_us(lambda: engine.endpoint_update_received(news, NOW_US))
+        applied_us = processor_us(lambda: engine.endpoint_update_received(update, NOW_US))
 
     held_ms += elapsed_ms(apply)
-    event = EndpointListUpdate(UpdateKind.SNAPSHOT, news.version, [member.entry for member in news.endpoints])
+    event = EndpointListUpdate(
+        UpdateKind.SNAPSHOT, update.version, [member.entry for member in update.endpoints]
+    )
     return {
-        WIRE.key: float(len(line(entries))),
+        WIRE.key: float(len(snapshot_line(entries))),
         READ.key: read_us,
         APPLY.key: applied_us,
-        REPEAT.key: processor_us(lambda: engine.endpoint_update_received(news, NOW_US + 1)),
+        REPEAT.key: processor_us(lambda: engine.endpoint_update_received(update, NOW_US + 1)),
         MODULE.key: processor_us(lambda: engine.balancer.handle(event, NOW_US + 2)),
         LONGEST_TURN.key: held_ms,
     }
 
 
-def memory(entries: int) -> dict[str, float]:
+def measure_memory(entries: int) -> dict[str, float]:
     """Kilobytes held by an engine with its list, and the most that were held on the way there."""
-    relay_settings()
+    measured_relay_settings()
     gc.collect()
     tracemalloc.start()
     try:
         engine = empty_engine()
-        news, _, _ = read(entries)
-        engine.endpoint_update_received(news, NOW_US)
-        del news
+        update, _, _ = read_snapshot(entries)
+        engine.endpoint_update_received(update, NOW_US)
+        del update
         held, peak = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
@@ -176,12 +178,14 @@
     return {MEMORY.key: held / 1024, PEAK.key: peak / 1024}
 
 
-TIMES = Sweep(SIZES, CHECK, 5)
-MEMORIES = Sweep(SIZES, CHECK, 1)
-STEPS = TIMES.steps + MEMORIES.steps
+TIME_SWEEP = Sweep(SIZES, CHECK_SIZE, 5)
+MEMORY_SWEEP = Sweep(SIZES, CHECK_SIZE, 1)
+STEPS = TIME_SWEEP.steps + MEMORY_SWEEP.steps
 
 
 def measure(on_progress: ProgressCallback) -> list[Cost]:
     """All costs of lists."""
-    timed = measure_sizes(TIMES, (WIRE, READ, APPLY, REPEAT, MODULE, LONGEST_TURN), times, on_progress)
-    return timed + measure_sizes(MEMORIES, (MEMORY, PEAK), memory, on_progress)
+    time_costs = measure_sizes(
+        TIME_SWEEP, (WIRE, READ, APPLY, REPEAT, MODULE, LONGEST_TURN), measure_times, on_progress
+    )
+    return time_costs + measure_sizes(MEMORY_SWEEP, (MEMORY, PEAK), measure_memory, on_progress)
--- a/gannetweir/lab/scale/module.py
+++ b/gannetweir/lab/scale/module.py
@@ -8,7 +8,7 @@
 import time
 
 from gannetweir.core import Engine, OpenUpstream
-from gannetweir.lab.scale.lists import NOW_US, host, relay_settings
+from gannetweir.lab.scale.lists import NOW_US, host_entry, measured_relay_settings
 from gannetweir.lab.scale.measure import (
     CostDefinition,
     ProgressCallback,
@@ -38,12 +38,15 @@
 )
 from gannetweir.proto.endpoint_watch import read_membership
 
-REMEMBERED, NEW = 200, 12  # arrivals of groups whose order of backends is remembered, and is not
-CHANGES = 40  # news of one entry
-UPKEEP_S = 40  # seconds of upkeep that are counted, after as many to settle
-CONNECTIONS = 110_000_000
-LOAD = 0.5  # of its capacity, that every backend reports
-ARRIVES_US = 1000  # between two arrivals
+CACHED_ARRIVALS, UNCACHED_ARRIVALS = (
+    200,
+    12,
+)  # arrivals of groups whose order of backends is remembered, and is not
+UPDATE_COUNT = 40  # news of one entry
+MAINTENANCE_S = 40  # seconds of upkeep that are counted, after as many to settle
+FLEET_CONNECTIONS = 110_000_000
+REPORTED_LOAD = 0.5  # of its capacity, that every backend reports
+ARRIVAL_INTERVAL_US = 1000  # between two arrivals
 
 DECISION = CostDefinition(
     "decision",
@@ -66,28 +69,28 @@
     "backends",
     "Engine.endpoint_update_received, an entry leaves or returns",
 )
-PLAIN = CostDefinition(
+READY_UPDATE = CostDefinition(
     "news.plain",
     "news of one entry that stays ready",
     "µs",
     "backends",
     "Engine.endpoint_update_received, its share alone changes",
 )
-PROBES = CostDefinition(
+MAINTENANCE_PROBES = CostDefinition(
     "upkeep.probes",
     "upkeep's probes a second of one process that holds connections at every backend",
     "1/s",
     "backends",
     "Balancer on virtual time, 1,500 relays told, 110 million connections spread evenly",
 )
-UPKEEP = CostDefinition(
+MAINTENANCE = CostDefinition(
     "upkeep.backends",
     "upkeep a second in the module",
     "µs",
     "backends",
     "ticks and probes' answers, processor time",
 )
-TICKS = CostDefinition(
+ENGINE_MAINTENANCE = CostDefinition(
     "upkeep.connections",
     "upkeep a second in the engine",
     "µs",
@@ -115,158 +118,176 @@
 
     def __init__(self, backends: int) -> None:
         self.now, self.sent, self.probes, self.spent_us = NOW_US, 0, 0, 0.0
-        self.balancer = Balancer(relay_settings(), 1, NOW_US)
-        self.report = (1.0, CONNECTIONS / backends, LOAD)
+        self.balancer = Balancer(measured_relay_settings(), 1, NOW_US)
+        self.report = (1.0, FLEET_CONNECTIONS / backends, REPORTED_LOAD)
         entries = [EndpointEntry(n) for n in range(backends)]
-        self.give(EndpointListUpdate(UpdateKind.CACHED, 1, entries))
+        self.deliver(EndpointListUpdate(UpdateKind.CACHED, 1, entries))
 
-    def give(self, event: Event) -> None:
+    def deliver(self, event: Event) -> None:
         """One event, and the answers to the probes that it leads to."""
-        waiting: list[Event] = [event]
-        while waiting:
-            event = waiting.pop()
+        pending_events: list[Event] = [event]
+        while pending_events:
+            event = pending_events.pop()
             began = time.process_time_ns()
             actions = self.balancer.handle(event, self.now)
             self.spent_us += (time.process_time_ns() - began) / 1000.0
             for action in actions:
                 if isinstance(action, ProbeLoad):
                     self.probes += 1
-                    waiting.append(LoadProbeResult(action.endpoint_id, AttemptStatus.OK, 1000, self.report))
+                    pending_events.append(
+                        LoadProbeResult(action.endpoint_id, AttemptStatus.OK, 1000, self.report)
+                    )
                 self.sent += isinstance(action, StartAttempt)
 
     def place(self, request: int, group: int) -> None:
         """One arrival, from its request until it is sent and has left again."""
-        self.now += ARRIVES_US
-        self.give(RequestArrived(request, time_budget_us=2_000_000, group=group))
+        self.now += ARRIVAL_INTERVAL_US
+        self.deliver(RequestArrived(request, time_budget_us=2_000_000, group=group))
         spent = self.spent_us
-        self.give(ClientDisconnected(request))
+        self.deliver(ClientDisconnected(request))
         self.spent_us = spent
 
 
 def placement_costs(backends: int) -> dict[str, float]:
     """Microseconds a placement, with an order that is remembered and with one that is not."""
     gc.collect()
-    module = ProbedBalancer(backends)
+    probed = ProbedBalancer(backends)
     for group in range(1, 31):
-        module.place(group, group)
-    module.spent_us, module.sent = 0.0, 0
-    for number in range(REMEMBERED):
-        module.place(1000 + number, number % 30 + 1)
-    remembered = module.spent_us / REMEMBERED
-    assert module.sent == REMEMBERED, module.sent
-    module.spent_us = 0.0
-    for number in range(NEW):
-        module.place(5000 + number, 5000 + number)
-    return {DECISION.key: remembered, NEW_GROUP.key: module.spent_us / NEW, **update_costs(backends)}
+        probed.place(group, group)
+    probed.spent_us, probed.sent = 0.0, 0
+    for number in range(CACHED_ARRIVALS):
+        probed.place(1000 + number, number % 30 + 1)
+    cached_us = probed.spent_us / CACHED_ARRIVALS
+    assert probed.sent == CACHED_ARRIVALS, probed.sent
+    probed.spent_us = 0.0
+    for number in range(UNCACHED_ARRIVALS):
+        probed.place(5000 + number, 5000 + number)
+    return {
+        DECISION.key: cached_us,
+        NEW_GROUP.key: probed.spent_us / UNCACHED_ARRIVALS,
+        **update_costs(backends),
+    }
 
 
 def update_costs(backends: int) -> dict[str, float]:
     """Microseconds an engine spends on one entry that leaves or comes back."""
-    engine = Engine(relay_settings(), Limits(), 1, membership_update(0, True, list(range(backends))), NOW_US)
+    engine = Engine(
+        measured_relay_settings(), Limits(), 1, membership_update(0, True, list(range(backends))), NOW_US
+    )
     return {
         UPDATE.key: update_cost_us(engine, backends),
-        PLAIN.key: update_cost_us(engine, backends, "Ready"),
+        READY_UPDATE.key: update_cost_us(engine, backends, "Ready"),
     }
 
 
 def membership_update(
-    version: int, whole: bool, numbers: list[int], health: str = "Ready"
+    version: int, is_snapshot: bool, numbers: list[int], health: str = "Ready"
 ) -> MembershipUpdate:
     """News of some entries, as discovery would tell them."""
-    hosts = [host(number) | {"health": health} for number in numbers]
-    return read_membership({"seq": version, "whole": whole, "hosts": hosts}, relay_settings())
+    hosts = [host_entry(number) | {"health": health} for number in numbers]
+    return read_membership({"seq": version, "whole": is_snapshot, "hosts": hosts}, measured_relay_settings())
 
 
-def update_cost_us(engine: Engine, backends: int, odd: str = "Terminating") -> float:
+def update_cost_us(engine: Engine, backends: int, other_health: str = "Terminating") -> float:
     """Microseconds of one piece of news, the mean over entries that leave and return in turn, or stay."""
     spent = 0.0
-    for number in range(CHANGES):
-        chosen = [(number // 2 * 37) % backends]
-        news = membership_update(number + 1, False, chosen, "Ready" if number % 2 else odd)
+    for number in range(UPDATE_COUNT):
+        changed = [(number // 2 * 37) % backends]
+        update = membership_update(number + 1, False, changed, "Ready" if number % 2 else other_health)
         engine.commands.clear()
-        spent += processor_us(lambda n=news: engine.endpoint_update_received(n, NOW_US + 1))  # type: ignore[misc]
-    return spent / CHANGES
+        spent += processor_us(lambda n=update: engine.endpoint_update_received(n, NOW_US + 1))  # type: ignore[misc]
+    return spent / UPDATE_COUNT
 
 
-def upkeep_cost(backends: int) -> dict[str, float]:
+def maintenance_cost(backends: int) -> dict[str, float]:
     """Probes and microseconds a second of a module that holds a connection at each backend."""
     gc.collect()
-    module = ProbedBalancer(backends)
+    probed = ProbedBalancer(backends)
     for number in range(backends):
-        module.give(ConnectionResumed(number + 1, 0, 3_600_000_000, number + 1, 1, 1, number))
-    for second in range(2 * UPKEEP_S):
-        if second == UPKEEP_S:
-            module.probes, module.spent_us = 0, 0.0
-        module.now += TICK_INTERVAL_US
-        module.give(TimerExpired(TICK_TIMER))
-    return {PROBES.key: module.probes / UPKEEP_S, UPKEEP.key: module.spent_us / UPKEEP_S}
+        probed.deliver(ConnectionResumed(number + 1, 0, 3_600_000_000, number + 1, 1, 1, number))
+    for second in range(2 * MAINTENANCE_S):
+        if second == MAINTENANCE_S:
+            probed.probes, probed.spent_us = 0, 0.0
+        probed.now += TICK_INTERVAL_US
+        probed.deliver(TimerExpired(TICK_TIMER))
+    return {
+        MAINTENANCE_PROBES.key: probed.probes / MAINTENANCE_S,
+        MAINTENANCE.key: probed.spent_us / MAINTENANCE_S,
+    }
 
 
 def engine_with_connections(connections: int, backends: int = 64) -> Engine:
     """An engine through which so many connections stand, resumed ones, for they need no probes to place."""
     limits = Limits(sockets=4 * connections)
-    engine = Engine(relay_settings(), limits, 1, membership_update(0, True, list(range(backends))), NOW_US)
-    names = list(engine.endpoint_list.entries)
+    engine = Engine(
+        measured_relay_settings(), limits, 1, membership_update(0, True, list(range(backends))), NOW_US
+    )
+    endpoint_ids = list(engine.endpoint_list.entries)
     for number in range(connections):
-        wanted = RequestArrived(
+        arrival = RequestArrived(
             0, time_budget_us=2_000_000, group=number % 700 + 1, flags=RequestFlag.MID_FLOW
         )
-        engine.request_opened(wanted, names[number % backends], NOW_US, f"{number:x}")
-        (order,) = (c for c in engine.commands if isinstance(c, OpenUpstream))
-        engine.upstream_first_line_written(order.request_id, order.attempt, NOW_US)
-        engine.upstream_established(order.request_id, order.attempt, NOW_US)
+        engine.request_opened(arrival, endpoint_ids[number % backends], NOW_US, f"{number:x}")
+        (command,) = (c for c in engine.commands if isinstance(c, OpenUpstream))
+        engine.upstream_first_line_written(command.request_id, command.attempt, NOW_US)
+        engine.upstream_established(command.request_id, command.attempt, NOW_US)
         engine.commands.clear()
     return engine
 
 
-def engine_upkeep_cost(connections: int) -> dict[str, float]:
+def engine_maintenance_cost(connections: int) -> dict[str, float]:
     """What one second of upkeep and one piece of news cost an engine through which connections stand."""
     engine = engine_with_connections(connections)
     gc.collect()
     gc.freeze()  # what stands is no garbage; a relay's collector would come to know that as well
     try:
-        now, spent, held = NOW_US, 0.0, 0.0
+        now, spent, longest_ms = NOW_US, 0.0, 0.0
         for quarter in range(24 * 4 + 8):  # until nothing of the set-up is due any more, then two seconds
             now += 250_000
             engine.commands.clear()
-            counted = quarter >= 24 * 4
+            is_counted = quarter >= 24 * 4
 
             def advance(now: int = now) -> None:
                 engine.advance(now)
 
-            if counted:
-                one = 0.0
+            if is_counted:
+                turn_ms = 0.0
 
                 def timed(advance: object = advance) -> None:
-                    nonlocal one
-                    one = elapsed_ms(advance)  # type: ignore[arg-type]
+                    nonlocal turn_ms
+                    turn_ms = elapsed_ms(advance)  # type: ignore[arg-type]
 
                 spent += processor_us(timed)
-                held = max(held, one)
+                longest_ms = max(longest_ms, turn_ms)
             else:
                 advance()
         return {
-            TICKS.key: spent / 2,
-            LONGEST_TURN.key: held,
+            ENGINE_MAINTENANCE.key: spent / 2,
+            LONGEST_TURN.key: longest_ms,
             UPDATE_BY_CONNECTIONS.key: update_cost_us(engine, 64),
         }
     finally:
         gc.unfreeze()
 
 
-BACKENDS = Sweep((512, 1500, 5000, 8192), 15000, 3)
-UPKEEPS = Sweep((500, 1500, 5000, 8000), 15000, 1)
-STANDING = Sweep((2000, 8000, 16000, 32000), 73300, 2)
+BACKEND_SWEEP = Sweep((512, 1500, 5000, 8192), 15000, 3)
+MAINTENANCE_SWEEP = Sweep((500, 1500, 5000, 8000), 15000, 1)
+CONNECTION_SWEEP = Sweep((2000, 8000, 16000, 32000), 73300, 2)
 
 
 def measure_decisions(on_progress: ProgressCallback) -> list[Cost]:
     """Placements and news by backends."""
-    return measure_sizes(BACKENDS, (DECISION, NEW_GROUP, UPDATE, PLAIN), placement_costs, on_progress)
+    return measure_sizes(
+        BACKEND_SWEEP, (DECISION, NEW_GROUP, UPDATE, READY_UPDATE), placement_costs, on_progress
+    )
 
 
-def measure_upkeep(on_progress: ProgressCallback) -> list[Cost]:
+def measure_maintenance(on_progress: ProgressCallback) -> list[Cost]:
     """Upkeep by backends and by connections, and news by connections."""
-    found = measure_sizes(UPKEEPS, (PROBES, UPKEEP), upkeep_cost, on_progress)
-    return found + measure_sizes(
-        STANDING, (TICKS, LONGEST_TURN, UPDATE_BY_CONNECTIONS), engine_upkeep_cost, on_progress
+    costs = measure_sizes(MAINTENANCE_SWEEP, (MAINTENANCE_PROBES, MAINTENANCE), maintenance_cost, on_progress)
+    return costs + measure_sizes(
+        CONNECTION_SWEEP,
+        (ENGINE_MAINTENANCE, LONGEST_TURN, UPDATE_BY_CONNECTIONS),
+        engine_maintenance_cost,
+        on_progress,
     )
--- a/gannetweir/lab/scale/processes.py
+++ b/gannetweir/lab/scale/processes.py
@@ -19,8 +19,8 @@
 
 from gannetweir.lab.emulator.plan import platform_settings
 
-START_S = 20.0  # a process that does not answer by then has failed
-SOCKETS = 18_000
+START_TIMEOUT_S = 20.0  # a process that does not answer by then has failed
+SOCKET_LIMIT = 18_000
 
 
 def free_port() -> int:
@@ -48,18 +48,18 @@
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return float(status.split(f"{field}:")[1].split()[0])
 
-    def wait_for(self, question: bytes, answer: bytes) -> None:
+    def wait_until_answered(self, request: bytes, expected: bytes) -> None:
         """Until the process answers a question as expected; `OSError` if it does not."""
-        end = time.monotonic() + START_S
+        end = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < end and self.process.poll() is None:
             try:
                 with socket.create_connection(("127.0.0.1", self.port), timeout=2) as sock:
-                    sock.sendall(question)
-                    if sock.recv(200).startswith(answer):
+                    sock.sendall(request)
+                    if sock.recv(200).startswith(expected):
                         return
             except OSError:
                 time.sleep(0.002)
-        raise OSError(f"no answer {answer!r} at port {self.port}")
+        raise OSError(f"no answer {expected!r} at port {self.port}")
 
     def end(self) -> None:
         """Kill it, and wait for its end."""
@@ -73,7 +73,7 @@
     port = free_port()
     process = MeasuredProcess(["-m", "gannetweir.lab.scale.comparison_peers", "backend", str(port)], {}, port)
     try:
-        process.wait_for(b"STATS\r\n", b"PONG")
+        process.wait_until_answered(b"STATS\r\n", b"PONG")
         yield port
     finally:
         process.end()
@@ -86,7 +86,7 @@
     command = ["-m", "gannetweir.lab.scale.comparison_peers", "proxy", str(port), str(backend_port)]
     process = MeasuredProcess(command, {}, port)
     try:
-        process.wait_for(b"STATS\r\n", b"PONG")
+        process.wait_until_answered(b"STATS\r\n", b"PONG")
         yield process
     finally:
         process.end()
@@ -103,14 +103,14 @@
             "listen": f"127.0.0.1:{port}",
             "discovery": f"127.0.0.1:{discovery}",
             "seed": "1",
-            "limits": {"sockets": SOCKETS, "memory_mb": 2048},
+            "limits": {"sockets": SOCKET_LIMIT, "memory_mb": 2048},
             "known": {"seq": 1, "whole": True, "hosts": hosts},
             "settings": settings,
         }
         path.write_bytes(orjson.dumps(data))
         process = MeasuredProcess(["-m", "gannetweir", "serve"], {"RELAY_CONFIG": str(path)}, port)
         try:
-            process.wait_for(b"PING\r\n", b"PONG")
+            process.wait_until_answered(b"PING\r\n", b"PONG")
             yield process
         finally:
             process.end()
--- a/gannetweir/lab/scale/record.py
+++ b/gannetweir/lab/scale/record.py
@@ -28,13 +28,15 @@
 
 GROUPS: dict[str, CostGroup] = {
     "lists": CostGroup(lists.measure, lists.STEPS),
-    "decisions": CostGroup(module.measure_decisions, module.BACKENDS.steps),
-    "upkeep": CostGroup(module.measure_upkeep, module.UPKEEPS.steps + module.STANDING.steps),
-    "connections": CostGroup(relays.measure_standing, 2 * relays.STANDING.steps),
-    "lines": CostGroup(relays.measure_lines, relays.LINES.steps),
-    "starts": CostGroup(relays.measure_starts, relays.STARTS.steps),
-    "stalls": CostGroup(relays.measure_stalls, relays.STALLS.steps),
-    "fanout": CostGroup(fanout.measure, fanout.WATCHERS.steps + fanout.PROBES.steps),
+    "decisions": CostGroup(module.measure_decisions, module.BACKEND_SWEEP.steps),
+    "upkeep": CostGroup(
+        module.measure_maintenance, module.MAINTENANCE_SWEEP.steps + module.CONNECTION_SWEEP.steps
+    ),
+    "connections": CostGroup(relays.measure_connections, 2 * relays.CONNECTION_SWEEP.steps),
+    "lines": CostGroup(relays.measure_lines, relays.LINE_SWEEP.steps),
+    "starts": CostGroup(relays.measure_starts, relays.START_SWEEP.steps),
+    "stalls": CostGroup(relays.measure_stalls, relays.STALL_SWEEP.steps),
+    "fanout": CostGroup(fanout.measure, fanout.WATCHER_SWEEP.steps + fanout.PROBE_SWEEP.steps),
     "fleets": CostGroup(fleets.measure, (len(fleets.SIZES) + 1) * len(fleets.SEEDS)),
 }
 
--- a/gannetweir/lab/scale/relays.py
+++ b/gannetweir/lab/scale/relays.py
@@ -11,37 +11,43 @@
 from contextlib import ExitStack
 
 from gannetweir.lab.scale.clients import ClientConnections
-from gannetweir.lab.scale.lists import host, line
+from gannetweir.lab.scale.lists import host_entry, snapshot_line
 from gannetweir.lab.scale.measure import CostDefinition, ProgressCallback, Sweep, measure_sizes
 from gannetweir.lab.scale.processes import MeasuredProcess, backend, hosts_at, proxy, relay
 from gannetweir.lab.scale.slopes import Cost, Sample
 
-HOSTS = 400  # so that a process holds a few connections at each, as it would at the target
+BACKENDS = 400  # so that a process holds a few connections at each, as it would at the target
 LINE_CONNECTIONS = 64  # connections that lines are sent over
-LINES_S = 1.0
-SETTLE_S = 0.15
+LINE_PERIOD_S = 1.0
+SETTLE_TIME_S = 0.15
 
-STANDING = Sweep((250, 1000, 2000, 4000), 6000, 2)
-LINES = Sweep((160, 640, 1280, 2560), 3600, 2)
-STARTS = Sweep((500, 1500, 5000, 8000), 15000, 3)
-STALLS = Sweep((500, 1500, 5000, 8000), 15000, 3)
+CONNECTION_SWEEP = Sweep((250, 1000, 2000, 4000), 6000, 2)
+LINE_SWEEP = Sweep((160, 640, 1280, 2560), 3600, 2)
+START_SWEEP = Sweep((500, 1500, 5000, 8000), 15000, 3)
+STALL_SWEEP = Sweep((500, 1500, 5000, 8000), 15000, 3)
 
 
-def _memory(who: str) -> CostDefinition:
+def _memory_definition(process_kind: str) -> CostDefinition:
     return CostDefinition(
-        f"connection.memory.{who}", f"a {who}'s resident memory", "KB", "connections", "VmRSS"
+        f"connection.memory.{process_kind}",
+        f"a {process_kind}'s resident memory",
+        "KB",
+        "connections",
+        "VmRSS",
     )
 
 
-def _setups(who: str) -> CostDefinition:
-    title = f"set-ups through a {who}, in all"
+def _setup_definition(process_kind: str) -> CostDefinition:
+    title = f"set-ups through a {process_kind}, in all"
     method = "processor time since its start; a relay's probes included; 8 set-ups at once"
-    return CostDefinition(f"setup.{who}", title, "µs", "set-ups", method)
+    return CostDefinition(f"setup.{process_kind}", title, "µs", "set-ups", method)
 
 
-def _lines(who: str, way: str, title: str) -> CostDefinition:
+def _line_definition(process_kind: str, direction: str, title: str) -> CostDefinition:
     method = f"processor time a second, open loop over {LINE_CONNECTIONS} connections"
-    return CostDefinition(f"line.{way}.{who}", f"{title} through a {who}", "µs/s", "lines/s", method)
+    return CostDefinition(
+        f"line.{direction}.{process_kind}", f"{title} through a {process_kind}", "µs/s", "lines/s", method
+    )
 
 
 START = CostDefinition(
@@ -65,67 +71,74 @@
 )
 
 
-async def _stand(
-    process: MeasuredProcess, who: str, on_progress: ProgressCallback
+async def _measure_connections(
+    process: MeasuredProcess, process_kind: str, on_progress: ProgressCallback
 ) -> dict[str, dict[int, float]]:
     """One process from its start on: memory and processor time at each size."""
-    crowd = ClientConnections(process.port)
-    memory, spent = dict[int, float](), dict[int, float]()
-    before = process.processor_us()
+    connections = ClientConnections(process.port)
+    memory, spent_us = dict[int, float](), dict[int, float]()
+    before_us = process.processor_us()
     try:
-        for size in (*STANDING.sizes, STANDING.check):
-            await crowd.grow(size)
-            await asyncio.sleep(SETTLE_S)
-            memory[size], spent[size] = process.memory_kb(), process.processor_us() - before
+        for size in (*CONNECTION_SWEEP.sizes, CONNECTION_SWEEP.check):
+            await connections.grow_to(size)
+            await asyncio.sleep(SETTLE_TIME_S)
+            memory[size], spent_us[size] = process.memory_kb(), process.processor_us() - before_us
             on_progress()
     finally:
-        crowd.close()
-    return {_memory(who).key: memory, _setups(who).key: spent}
+        connections.close()
+    return {_memory_definition(process_kind).key: memory, _setup_definition(process_kind).key: spent_us}
 
 
-def _costs(names: list[CostDefinition], plan: Sweep, rounds: list[dict[str, dict[int, float]]]) -> list[Cost]:
-    found = []
+def _costs_of_rounds(
+    names: list[CostDefinition], plan: Sweep, rounds: list[dict[str, dict[int, float]]]
+) -> list[Cost]:
+    costs = []
     for name in names:
-        samples = {s: Sample(s, [one[name.key][s] for one in rounds]) for s in (*plan.sizes, plan.check)}
+        samples = {
+            s: Sample(s, [round_values[name.key][s] for round_values in rounds])
+            for s in (*plan.sizes, plan.check)
+        }
         check = samples.pop(plan.check)
-        given = name.key, name.title, name.unit, name.size_unit
-        found.append(Cost(*given, list(samples.values()), check, name.method))
-    return found
+        definition = name.key, name.title, name.unit, name.size_unit
+        costs.append(Cost(*definition, list(samples.values()), check, name.method))
+    return costs
 
 
-def measure_standing(on_progress: ProgressCallback) -> list[Cost]:
+def measure_connections(on_progress: ProgressCallback) -> list[Cost]:
     """Set-ups and standing connections, through a relay and through a proxy."""
     rounds: dict[str, list[dict[str, dict[int, float]]]] = {"relay": [], "proxy": []}
-    for _ in range(STANDING.rounds):
+    for _ in range(CONNECTION_SWEEP.rounds):
         with backend() as port:
-            with relay(hosts_at(port, HOSTS)) as process:
-                rounds["relay"].append(asyncio.run(_stand(process, "relay", on_progress)))
+            with relay(hosts_at(port, BACKENDS)) as process:
+                rounds["relay"].append(asyncio.run(_measure_connections(process, "relay", on_progress)))
             with proxy(port) as process:
-                rounds["proxy"].append(asyncio.run(_stand(process, "proxy", on_progress)))
+                rounds["proxy"].append(asyncio.run(_measure_connections(process, "proxy", on_progress)))
     return [
         cost
-        for who, all_of in rounds.items()
-        for cost in _costs([_memory(who), _setups(who)], STANDING, all_of)
+        for process_kind, kind_rounds in rounds.items()
+        for cost in _costs_of_rounds(
+            [_memory_definition(process_kind), _setup_definition(process_kind)], CONNECTION_SWEEP, kind_rounds
+        )
     ]
 
 
-async def _lines_at(process: MeasuredProcess, per_s: int, way: str) -> float:
+async def _measure_lines(process: MeasuredProcess, per_s: int, direction: str) -> float:
     """Processor microseconds a second at so many lines a second, scaled from the lines that did pass."""
-    crowd = ClientConnections(process.port)
+    connections = ClientConnections(process.port)
     try:
-        await crowd.grow(LINE_CONNECTIONS)
-        await asyncio.sleep(SETTLE_S)
-        before, began, lines = process.processor_us(), time.monotonic(), crowd.lines
-        if way == "both":
-            await crowd.echo(per_s / 2, LINES_S)
+        await connections.grow_to(LINE_CONNECTIONS)
+        await asyncio.sleep(SETTLE_TIME_S)
+        before_us, started_s, lines = process.processor_us(), time.monotonic(), connections.lines
+        if direction == "both":
+            await connections.echo(per_s / 2, LINE_PERIOD_S)
         else:
-            await crowd.pushed(per_s, LINES_S)
-        await asyncio.sleep(SETTLE_S)
-        spent, took = process.processor_us() - before, time.monotonic() - began
-        passed = (crowd.lines - lines) * (2 if way == "both" else 1)
-        return spent / took * (per_s / max(1.0, passed / took))
+            await connections.pushed(per_s, LINE_PERIOD_S)
+        await asyncio.sleep(SETTLE_TIME_S)
+        spent_us, elapsed_s = process.processor_us() - before_us, time.monotonic() - started_s
+        passed_lines = (connections.lines - lines) * (2 if direction == "both" else 1)
+        return spent_us / elapsed_s * (per_s / max(1.0, passed_lines / elapsed_s))
     finally:
-        crowd.close()
+        connections.close()
 
 
 DIRECTIONS = {"both": "a line there and back, counted as two,", "push": "a backend's line"}
@@ -133,41 +146,47 @@
 
 def measure_lines(on_progress: ProgressCallback) -> list[Cost]:
     """Plain lines, both ways and from the backend alone, through a relay and through a proxy."""
-    names = [_lines(who, way, title) for way, title in DIRECTIONS.items() for who in ("relay", "proxy")]
+    names = [
+        _line_definition(process_kind, direction, title)
+        for direction, title in DIRECTIONS.items()
+        for process_kind in ("relay", "proxy")
+    ]
     with ExitStack() as stack:
         port = stack.enter_context(backend())
-        sides = {
-            "relay": stack.enter_context(relay(hosts_at(port, HOSTS))),
+        processes = {
+            "relay": stack.enter_context(relay(hosts_at(port, BACKENDS))),
             "proxy": stack.enter_context(proxy(port)),
         }
 
-        def one(per_s: int) -> dict[str, float]:
+        def measure_one(per_s: int) -> dict[str, float]:
             return {
-                _lines(who, way, "").key: asyncio.run(_lines_at(process, per_s, way))
-                for way in DIRECTIONS
-                for who, process in sides.items()
+                _line_definition(process_kind, direction, "").key: asyncio.run(
+                    _measure_lines(process, per_s, direction)
+                )
+                for direction in DIRECTIONS
+                for process_kind, process in processes.items()
             }
 
-        return measure_sizes(LINES, names, one, on_progress)
+        return measure_sizes(LINE_SWEEP, names, measure_one, on_progress)
 
 
 def measure_starts(on_progress: ProgressCallback) -> list[Cost]:
     """A relay's start by the entries of the list that it is given."""
 
-    def one(entries: int) -> dict[str, float]:
-        began = time.monotonic()
-        with relay([host(number) for number in range(entries)]) as process:
+    def measure_one(entries: int) -> dict[str, float]:
+        started_s = time.monotonic()
+        with relay([host_entry(number) for number in range(entries)]) as process:
             return {
-                START.key: (time.monotonic() - began) * 1000,
+                START.key: (time.monotonic() - started_s) * 1000,
                 START_CPU.key: process.processor_us(),
                 START_MEMORY.key: process.memory_kb(),
                 START_PEAK.key: process.memory_kb("VmHWM"),
             }
 
-    return measure_sizes(STARTS, (START, START_CPU, START_MEMORY, START_PEAK), one, on_progress)
+    return measure_sizes(START_SWEEP, (START, START_CPU, START_MEMORY, START_PEAK), measure_one, on_progress)
 
 
-class Discovery:
+class DiscoveryStandIn:
     """Stand-in discovery with one watch: says a list when told to."""
 
     def __init__(self) -> None:
@@ -183,7 +202,7 @@
         self.watch.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.ready.set()
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         """One line of the watch; a thread sends it, for the relay may take its time."""
         assert self.watch is not None
         framed = b"%x\r\n" % len(data) + data + b"\r\n"
@@ -196,21 +215,21 @@
             self.watch.close()
 
 
-async def _stall(process: MeasuredProcess, discovery: Discovery, data: bytes) -> float:
+async def _measure_stall(process: MeasuredProcess, discovery: DiscoveryStandIn, data: bytes) -> float:
     """The longest wait of a line, in milliseconds, until the relay has been quiet for a while."""
-    crowd = ClientConnections(process.port)
+    connections = ClientConnections(process.port)
     try:
-        await crowd.grow(1)
-        (client,) = crowd.clients
-        discovery.say(data)
-        end = time.monotonic() + 0.3 + len(data) / 2e6
-        while time.monotonic() < end:
-            client.ask()
-            while client.sent_s:
+        await connections.grow_to(1)
+        (client,) = connections.clients
+        discovery.send(data)
+        deadline = time.monotonic() + 0.3 + len(data) / 2e6
+        while time.monotonic() < deadline:
+            client.send_line()
+            while client.sent_at_s:
                 await asyncio.sleep(0.0005)
         return client.slowest_s * 1000
     finally:
-        crowd.close()
+        connections.close()
 
 
 def measure_stalls(on_progress: ProgressCallback) -> list[Cost]:
@@ -218,15 +237,19 @@
     version = 1
     with backend() as port:
 
-        def one(entries: int) -> dict[str, float]:
+        def measure_one(entries: int) -> dict[str, float]:
             nonlocal version
             version += 1
-            discovery = Discovery()
+            discovery = DiscoveryStandIn()
             try:
-                with relay(hosts_at(port, HOSTS), discovery.port, pushed=True) as process:
+                with relay(hosts_at(port, BACKENDS), discovery.port, pushed=True) as process:
                     discovery.ready.wait(5)
-                    return {STALL.key: asyncio.run(_stall(process, discovery, line(entries, version)))}
+                    return {
+                        STALL.key: asyncio.run(
+                            _measure_stall(process, discovery, snapshot_line(entries, version))
+                        )
+                    }
             finally:
                 discovery.close()
 
-        return measure_sizes(STALLS, (STALL,), one, on_progress)
+        return measure_sizes(STALL_SWEEP, (STALL,), measure_one, on_progress)
--- a/gannetweir/lab/scale/slopes.py
+++ b/gannetweir/lab/scale/slopes.py
@@ -3,7 +3,8 @@
 
 A round measures every size once; a line over all but the largest predicts that one, which is measured last.
 So a machine that is slower for some seconds slows both sides of a comparison. A median prediction that is
-off by more than `MAX_PREDICTION_ERROR` refuses the fit, and then nothing beyond the measured sizes has a value.
+off by more than `MAX_PREDICTION_ERROR` refuses the fit, and then nothing beyond the measured sizes has a
+value.
 """
 
 from __future__ import annotations
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -89,14 +89,14 @@
 
 
 def test_a_group_measures_all_that_it_names(monkeypatch: pytest.MonkeyPatch) -> None:
-    small = replace(lists.TIMES, sizes=(10, 20, 80, 160), check=200, rounds=2)
-    monkeypatch.setattr(lists, "TIMES", small)
-    monkeypatch.setattr(lists, "MEMORIES", replace(small, rounds=1))
+    small = replace(lists.TIME_SWEEP, sizes=(10, 20, 80, 160), check=200, rounds=2)
+    monkeypatch.setattr(lists, "TIME_SWEEP", small)
+    monkeypatch.setattr(lists, "MEMORY_SWEEP", replace(small, rounds=1))
     steps: list[None] = []
     found = {one.key: one for one in lists.measure(lambda: steps.append(None))}
     assert len(steps) == 15 and len(found) == 8
     assert all(len(sample.values) in (1, 2) for one in found.values() for sample in (*one.samples, one.check))
-    assert not found["list.wire"].refusal and found["list.wire"].at(200) == len(lists.line(200))
+    assert not found["list.wire"].refusal and found["list.wire"].at(200) == len(lists.snapshot_line(200))
 
 
 # ---- the model
@@ -194,4 +194,4 @@
 
 def test_measured_load_probes_are_answered() -> None:
     with backend() as port:
-        assert asyncio.run(fanout._probes(port, 3)) > 0.0
+        assert asyncio.run(fanout._measure_probes(port, 3)) > 0.0
