--- a/gannetweir/lab/scale/charts.py
+++ b/gannetweir/lab/scale/charts.py
@@ -9,7 +9,7 @@
 
 from gannetweir.lab.scale.model import CapacityLoad
 from gannetweir.lab.scale.record import Record
-from gannetweir.lab.scale.role_table import rows
+from gannetweir.lab.scale.role_table import role_rows
 from gannetweir.lab.scale.target import Assumptions
 
 LISTS = "list.read", "list.apply", "list.repeat", "list.module"
@@ -18,15 +18,15 @@
 CONNECTIONS = "connection.memory.relay", "connection.memory.proxy"
 
 
-def _svg(chart: pygal.graph.graph.Graph, name: str) -> str:
+def _render_svg(chart: pygal.graph.graph.Graph, name: str) -> str:
     chart.uuid = name  # else a random one
     drawn: str = chart.render(is_unicode=True, disable_xml_declaration=True)
     return re.sub(r"<!--.*?-->", "", drawn, flags=re.S)  # the library's own notes
 
 
-def _look(**more: object) -> dict[str, object]:
+def _chart_options(**overrides: object) -> dict[str, object]:
     style = pygal.style.CleanStyle(font_family="sans-serif")
-    return {"style": style, "width": 900, "height": 420, "js": [], **more}
+    return {"style": style, "width": 900, "height": 420, "js": [], **overrides}
 
 
 def _slopes(record: Record, name: str, title: str, keys: tuple[str, ...], log: bool) -> str:
@@ -36,7 +36,7 @@
         title=title,
         x_title=first.size_unit + (", powers of ten" if log else ""),
         y_title=first.unit + (", powers of ten" if log else ""),
-        **_look(),
+        **_chart_options(),
     )
 
     def scale(value: float) -> float:
@@ -50,20 +50,20 @@
             sizes = [sample.size for sample in (*cost.samples, cost.check)]
             fitted = [(scale(size), scale(cost.line.at(size))) for size in sizes if cost.line.at(size) > 0]
             chart.add(f"{cost.key}, fit", fitted, show_dots=False)
-    return _svg(chart, name)
+    return _render_svg(chart, name)
 
 
 def _ratios(record: Record) -> str:
-    found = [row for row in rows(CapacityLoad(record, Assumptions())) if row.ratio is not None]
+    found = [row for row in role_rows(CapacityLoad(record, Assumptions())) if row.ratio is not None]
     found.sort(key=lambda row: row.ratio or 0.0)
     chart = pygal.HorizontalBar(
         title="Load over budget at the target, powers of ten (over 0: over budget)",
         show_legend=False,
-        **_look(height=760),
+        **_chart_options(height=760),
     )
-    chart.x_labels = [f"{row.role}: {row.what}" for row in found]
+    chart.x_labels = [f"{row.role}: {row.label}" for row in found]
     chart.add("", [round(math.log10(max(row.ratio or 0.0, 1e-6)), 3) for row in found])
-    return _svg(chart, "ratios")
+    return _render_svg(chart, "ratios")
 
 
 def draw(record: Record) -> dict[str, str]:
--- a/gannetweir/lab/scale/events.py
+++ b/gannetweir/lab/scale/events.py
@@ -11,7 +11,7 @@
 from gannetweir.limits import Limits
 
 WATCH_RETRY_S = 0.35  # until a watch that was lost is asked for again, at most
-CUT_S = 3600.0
+PARTITION_S = 3600.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,15 +20,15 @@
 
     name: str
     clients: float | None  # that come again; None: not told
-    setups_each: float | None  # at each relay that is left
-    setups_s: float | None  # until those relays have set them up, beside their ordinary load
+    setups_per_relay: float | None  # at each relay that is left
+    setup_duration_s: float | None  # until those relays have set them up, beside their ordinary load
     store_calls: float | None
-    sent_kb: float  # to each relay that has to hear of it, one process each
+    update_kb: float  # to each relay that has to hear of it, one process each
     in_force_s: float  # until what was told is in force, at a relay's bytes a second
-    why: str
+    explanation: str
 
 
-def _watch_back_s() -> float:
+def _watch_reconnect_s() -> float:
     """From a silent watch to the first byte of the next."""
     return Limits().endpoint_watch_silence_us / 1e6 + WATCH_RETRY_S
 
@@ -37,56 +37,68 @@
     """A relay's restart, a zone's loss and return, an hour's cut, a control machine's death, a backend's
     end.
     """
-    whole_kb, entry_kb = load.list_bytes() / 1e3, load.entry_bytes() / 1e3
+    snapshot_kb, entry_kb = load.snapshot_bytes() / 1e3, load.entry_bytes() / 1e3
     rate_kb = target.CONTROL_BYTES_S / 1e3
     start_s = load.record["start.time"].at(load.assumptions.backends) / 1e3
-    spare = load.spare_setups_s(processes)
+    spare = load.spare_setups_per_s(processes)
 
-    def event(name: str, clients: float | None, left: int, told_kb: float, wait_s: float, why: str) -> Event:
-        each = None if clients is None else clients / left
-        busy_s = None if each is None else each / spare
-        return Event(name, clients, each, busy_s, clients, told_kb, wait_s + told_kb / rate_kb, why)
+    def event(
+        name: str, clients: float | None, remaining: int, sent_kb: float, delay_s: float, explanation: str
+    ) -> Event:
+        each = None if clients is None else clients / remaining
+        setup_s = None if each is None else each / spare
+        return Event(name, clients, each, setup_s, clients, sent_kb, delay_s + sent_kb / rate_kb, explanation)
 
-    zone = target.ZONE_RELAYS * target.RELAY_CONNECTIONS
+    zone_clients = target.ZONE_RELAYS * target.RELAY_CONNECTIONS
     zone_kb = entry_kb * load.assumptions.backends / target.ZONES
-    hour_kb = entry_kb * target.CHANGES_A_DAY * CUT_S / 86400
-    left, back = target.RELAYS - target.ZONE_RELAYS, _watch_back_s()
-    listed = "a whole list, if the watch has to begin again without its base"
-    crossing = "clients that cross regions are not told"
+    partition_kb = entry_kb * target.CHANGES_A_DAY * PARTITION_S / 86400
+    remaining, reconnect_s = target.RELAYS - target.ZONE_RELAYS, _watch_reconnect_s()
+    snapshot_note = "a whole list, if the watch has to begin again without its base"
+    cross_region_note = "clients that cross regions are not told"
     return [
         event(
             "a relay's restart",
             target.RELAY_CONNECTIONS,
             target.RELAYS - 1,
-            whole_kb,
+            snapshot_kb,
             start_s,
-            f"its start, then {listed}",
+            f"its start, then {snapshot_note}",
         ),
-        event("a zone's loss", zone, left, zone_kb, 0.0, "an entry for each of its backends"),
+        event("a zone's loss", zone_clients, remaining, zone_kb, 0.0, "an entry for each of its backends"),
         event(
-            "the same, its shards listed", zone, left, entry_kb * target.ENTRIES[-1], 0.0, "58,000 entries"
+            "the same, its shards listed",
+            zone_clients,
+            remaining,
+            entry_kb * target.CHANGE_ENTRIES[-1],
+            0.0,
+            "58,000 entries",
         ),
         event(
             "a zone's cold return",
             0.0,
             target.RELAYS,
-            whole_kb,
+            snapshot_kb,
             start_s,
-            f"115 relays start; {listed}; no client moves at once",
+            f"115 relays start; {snapshot_note}; no client moves at once",
         ),
         event(
             "an hour's cut between regions, deltas",
             None,
             target.RELAYS,
-            hour_kb,
-            back,
-            f"50 changes of one entry; {crossing}",
+            partition_kb,
+            reconnect_s,
+            f"50 changes of one entry; {cross_region_note}",
         ),
-        event("the same, whole lists", None, target.RELAYS, whole_kb, back, listed),
+        event("the same, whole lists", None, target.RELAYS, snapshot_kb, reconnect_s, snapshot_note),
         event(
-            "a control machine's death, deltas", 0.0, target.RELAYS, 0.0, back, "100 relays go to 14 others"
+            "a control machine's death, deltas",
+            0.0,
+            target.RELAYS,
+            0.0,
+            reconnect_s,
+            "100 relays go to 14 others",
         ),
-        event("the same, whole lists", 0.0, target.RELAYS, whole_kb, back, listed),
+        event("the same, whole lists", 0.0, target.RELAYS, snapshot_kb, reconnect_s, snapshot_note),
         event(
             "a backend's end",
             target.CONNECTIONS / load.assumptions.backends,
--- a/gannetweir/lab/scale/flips.py
+++ b/gannetweir/lab/scale/flips.py
@@ -12,7 +12,7 @@
 from gannetweir.lab.scale.target import Assumptions, swept_assumptions
 from gannetweir.placement.group_placement import MAX_CANDIDATES
 
-STEPS = 60  # of a bisection
+BISECTION_STEPS = 60  # of a bisection
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,16 +24,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Finding:
+class ConclusionResult:
     """One conclusion over the whole sweep. A ratio of None needs a fit that was refused."""
 
     text: str
     ratios: dict[str, float | None]  # by the assumptions' name
-    edge_backends: float | None  # at which it flips, the life of 10 min kept
-    edge_life_s: float | None  # the same, 5,000 backends kept
+    crossover_backends: float | None  # at which it flips, the life of 10 min kept
+    crossover_lifetime_s: float | None  # the same, 5,000 backends kept
 
     @property
-    def flips(self) -> bool:
+    def depends_on_assumptions(self) -> bool:
         """Does it hold for some of the sweep and not for others?"""
         verdicts = {ratio <= 1.0 for ratio in self.ratios.values() if ratio is not None}
         return len(verdicts) > 1
@@ -46,11 +46,14 @@
 
 
 CONCLUSIONS = (
-    Conclusion("a whole list is told within 12 s at 10 KB/s", lambda load: load.list_s() / target.IN_FORCE_S),
+    Conclusion(
+        "a whole list is told within 12 s at 10 KB/s",
+        lambda load: load.snapshot_transfer_s() / target.IN_FORCE_S,
+    ),
     Conclusion("a whole list stalls no line for 240 ms", lambda load: load.stall_ms() / target.DELIVERY_MS),
     Conclusion(
         "upkeep fits in 3.8% of a core, were a machine one process",
-        lambda load: load.control_core(1) / target.CONTROL_CORE,
+        lambda load: load.control_cores(1) / target.CONTROL_CORE,
     ),
     Conclusion("a relay machine of 8 cores carries the load", _processes),
     Conclusion(
@@ -62,12 +65,12 @@
     ),
     Conclusion(
         "a zone's backends are told within 12 s at 10 KB/s",
-        lambda load: load.assumptions.backends / target.ZONES * load.entry_bytes() / target.WINDOW_BYTES,
+        lambda load: load.assumptions.backends / target.ZONES * load.entry_bytes() / target.CHANGE_BYTES,
     ),
 )
 
 
-def edge(ratio: Callable[[float], float], low: float, high: float) -> float | None:
+def crossover(ratio: Callable[[float], float], low: float, high: float) -> float | None:
     """Where a ratio crosses 1 between two sizes, by bisection in equal factors; None if it does not, or if it
     needs a fit that was refused.
     """
@@ -75,7 +78,7 @@
         within = ratio(low) <= 1.0
         if within == (ratio(high) <= 1.0):
             return None
-        for _ in range(STEPS):
+        for _ in range(BISECTION_STEPS):
             middle = (low * high) ** 0.5
             low, high = (middle, high) if (ratio(middle) <= 1.0) == within else (low, middle)
     except FitRefusedError:
@@ -83,27 +86,33 @@
     return high
 
 
-def find(conclusion: Conclusion, record: Record) -> Finding:
+def evaluate(conclusion: Conclusion, record: Record) -> ConclusionResult:
     """The conclusion under every pair of assumptions, and the sizes at which it flips."""
 
     def ratio(a: Assumptions) -> float:
         return conclusion.ratio(CapacityLoad(record, a))
 
-    def tried(a: Assumptions) -> float | None:
+    def ratio_or_none(a: Assumptions) -> float | None:
         try:
             return ratio(a)
         except FitRefusedError:
             return None
 
     middle = Assumptions()
-    return Finding(
+    return ConclusionResult(
         conclusion.text,
-        {a.name: tried(a) for a in swept_assumptions()},
-        edge(lambda n: ratio(replace(middle, backends=round(n))), target.BACKENDS[0], target.BACKENDS[-1]),
-        edge(lambda s: ratio(replace(middle, life_s=s)), target.LIVES_S[0], target.LIVES_S[-1]),
+        {a.name: ratio_or_none(a) for a in swept_assumptions()},
+        crossover(
+            lambda n: ratio(replace(middle, backends=round(n))), target.BACKENDS[0], target.BACKENDS[-1]
+        ),
+        crossover(
+            lambda s: ratio(replace(middle, lifetime_s=s)),
+            target.CONNECTION_LIFETIMES_S[0],
+            target.CONNECTION_LIFETIMES_S[-1],
+        ),
     )
 
 
-def findings(record: Record) -> list[Finding]:
+def evaluate_all(record: Record) -> list[ConclusionResult]:
     """All conclusions."""
-    return [find(conclusion, record) for conclusion in CONCLUSIONS]
+    return [evaluate(conclusion, record) for conclusion in CONCLUSIONS]
--- a/gannetweir/lab/scale/role_loads.py
+++ b/gannetweir/lab/scale/role_loads.py
@@ -5,38 +5,38 @@
 from gannetweir.lab.scale import target
 from gannetweir.lab.scale.model import PROBE_BYTES, CapacityLoad
 from gannetweir.lab.scale.roles import (
-    BYTES,
-    CORE,
-    IN_FORCE,
+    BANDWIDTH,
+    CHANGE_TIME,
+    CORE_TIME,
     LATENCY,
     MACHINE_CORES,
     MEMORY,
     Budget,
-    Carrier,
+    MechanismState,
     RoleLoad,
 )
 from gannetweir.placement.group_placement import MAX_CANDIDATES
 
-PRESENT, NEW = Carrier.PRESENT, Carrier.NEW
-MISSING, UNMEASURED = Carrier.MISSING, Carrier.UNMEASURED
-COUNT, A_SECOND, MEGABYTES = Budget(""), Budget("1/s"), Budget("MB")
-CONTROL_RELAYS = target.RELAYS // target.CONTROL_MACHINES
+PRESENT, NEW = MechanismState.PRESENT, MechanismState.NEW
+MISSING, UNMEASURED = MechanismState.MISSING, MechanismState.UNMEASURED
+COUNT, PER_SECOND, MEGABYTES = Budget(""), Budget("1/s"), Budget("MB")
+RELAYS_PER_CONTROL_MACHINE = target.RELAYS // target.CONTROL_MACHINES
 
-PROCESSES = "a process a core on one listener"
-ORDERS = "a group's first backends without a sort of all"
-SLICES = "snapshots in slices, deltas"
-ONE_PART = "one control part a machine"
-SHARED = "one control part a machine, reports shared among relays"
-VERSIONS = "versions as deltas, a snapshot where the base is gone"
-DERIVED = "placement of shards derived from membership"
-FANOUT = "two-level fan-out, serialised once"
-PLACEMENT = "placement by filling"
-PROBING = "upkeep.probes, probe, upkeep.backends"
-TIMER_SCANS = "walks over all connections, five a second"
-OTHERS = "not this project's"
+SHARED_LISTENER = "a process a core on one listener"
+UNSORTED_RANKING = "a group's first backends without a sort of all"
+SLICED_SNAPSHOTS = "snapshots in slices, deltas"
+ONE_CONTROL_PROCESS = "one control part a machine"
+SHARED_REPORTS = "one control part a machine, reports shared among relays"
+VERSIONED_DELTAS = "versions as deltas, a snapshot where the base is gone"
+DERIVED_SHARD_PLACEMENT = "placement of shards derived from membership"
+TWO_LEVEL_FANOUT = "two-level fan-out, serialised once"
+FILL_PLACEMENT = "placement by filling"
+PROBE_COSTS = "upkeep.probes, probe, upkeep.backends"
+CONNECTION_SCANS = "walks over all connections, five a second"
+EXTERNAL_PROGRAM = "not this project's"
 
 
-def _a_window(byte_count: float) -> float:
+def _kb_per_s_for_change(byte_count: float) -> float:
     """KB a second if so many bytes are told within the time for a change."""
     return byte_count / target.IN_FORCE_S / 1e3
 
@@ -45,7 +45,7 @@
     return load.record["upkeep.hold"].at(73300)
 
 
-def _update_ms(load: CapacityLoad, processes: int) -> float:
+def _update_ms_per_s(load: CapacityLoad, processes: int) -> float:
     """One entry of news within the time for a change, in milliseconds a second over all processes."""
     by_backends = load.record["news.backends"].at(load.assumptions.backends)
     by_connections = load.record["news.connections"].mean_per_unit * target.RELAY_CONNECTIONS / processes
@@ -61,19 +61,24 @@
     return load.record[key].at(watchers) / 1e3
 
 
-def _restarts_kb(load: CapacityLoad, processes: int) -> float:
+def _restarts_kb_per_s(load: CapacityLoad, processes: int) -> float:
     """KB a second of whole lists for the relays that are restarted on an ordinary day."""
-    return target.RESTARTS_A_DAY * processes * load.list_bytes() / 86400 / 1e3
+    return target.RESTARTS_A_DAY * processes * load.snapshot_bytes() / 86400 / 1e3
 
 
-def _lists_mb(load: CapacityLoad, processes: int) -> float:
+def _snapshots_mb_per_s(load: CapacityLoad, processes: int) -> float:
     """MB a second if a control machine's relays all read the whole list within the time for a change."""
-    return CONTROL_RELAYS * load.list_bytes() / target.IN_FORCE_S / 1e6
+    return RELAYS_PER_CONTROL_MACHINE * load.snapshot_bytes() / target.IN_FORCE_S / 1e6
 
 
 DATA_PATH = (
     RoleLoad(
-        "connections", lambda load, processes: target.RELAY_CONNECTIONS, COUNT, PROCESSES, MISSING, "told"
+        "connections",
+        lambda load, processes: target.RELAY_CONNECTIONS,
+        COUNT,
+        SHARED_LISTENER,
+        MISSING,
+        "told",
     ),
     RoleLoad(
         "resident memory",
@@ -85,25 +90,25 @@
     ),
     RoleLoad(
         "deliveries",
-        lambda load, processes: load.lines_core(processes),
+        lambda load, processes: load.delivery_cores(processes),
         MACHINE_CORES,
-        PROCESSES,
+        SHARED_LISTENER,
         MISSING,
         "line.push.relay",
     ),
     RoleLoad(
         "set-ups, sorting included",
-        lambda load, processes: load.setups_core(),
+        lambda load, processes: load.setup_cores(),
         MACHINE_CORES,
-        ORDERS,
+        UNSORTED_RANKING,
         MISSING,
         "setup.relay, decision.new_group",
     ),
     RoleLoad(
         "set-ups, were no order sorted",
-        lambda load, processes: load.setups_core(False),
+        lambda load, processes: load.setup_cores(False),
         MACHINE_CORES,
-        PROCESSES,
+        SHARED_LISTENER,
         MISSING,
         "setup.relay",
     ),
@@ -111,77 +116,82 @@
         "a line waits for a whole list",
         lambda load, processes: load.stall_ms(),
         LATENCY,
-        SLICES,
+        SLICED_SNAPSHOTS,
         NEW,
         "list.stall",
     ),
     RoleLoad(
-        "longest turn for upkeep, one process", _longest_turn_ms, LATENCY, TIMER_SCANS, PRESENT, "upkeep.hold"
+        "longest turn for upkeep, one process",
+        _longest_turn_ms,
+        LATENCY,
+        CONNECTION_SCANS,
+        PRESENT,
+        "upkeep.hold",
     ),
 )
 
 CONTROL_PART = (
     RoleLoad(
         "upkeep by backends, a process",
-        lambda load, processes: load.probing_core(processes) * 1e3,
-        CORE,
-        SHARED,
+        lambda load, processes: load.backend_maintenance_cores(processes) * 1e3,
+        CORE_TIME,
+        SHARED_REPORTS,
         MISSING,
-        PROBING,
+        PROBE_COSTS,
     ),
     RoleLoad(
         "upkeep by backends, all processes",
-        lambda load, processes: processes * load.probing_core(processes) * 1e3,
-        CORE,
-        SHARED,
+        lambda load, processes: processes * load.backend_maintenance_cores(processes) * 1e3,
+        CORE_TIME,
+        SHARED_REPORTS,
         MISSING,
-        PROBING,
+        PROBE_COSTS,
     ),
     RoleLoad(
         "upkeep by connections, all processes",
-        lambda load, processes: load.standing_core() * 1e3,
-        CORE,
-        TIMER_SCANS,
+        lambda load, processes: load.connection_maintenance_cores() * 1e3,
+        CORE_TIME,
+        CONNECTION_SCANS,
         PRESENT,
         "upkeep.connections",
     ),
     RoleLoad(
         "probes' lines, all processes",
-        lambda load, processes: processes * load.probes_s(processes) * PROBE_BYTES / 1e3,
-        BYTES,
-        SHARED,
+        lambda load, processes: processes * load.probes_per_s(processes) * PROBE_BYTES / 1e3,
+        BANDWIDTH,
+        SHARED_REPORTS,
         MISSING,
         "upkeep.probes",
     ),
     RoleLoad(
         "one entry of news, all processes",
-        _update_ms,
-        CORE,
+        _update_ms_per_s,
+        CORE_TIME,
         "the watch's deltas",
         PRESENT,
         "news.backends, news.connections",
     ),
     RoleLoad(
         "a whole list in 12 s, a process",
-        lambda load, processes: _a_window(load.list_bytes()),
-        BYTES,
-        VERSIONS,
+        lambda load, processes: _kb_per_s_for_change(load.snapshot_bytes()),
+        BANDWIDTH,
+        VERSIONED_DELTAS,
         NEW,
         "list.wire",
     ),
     RoleLoad(
         "a whole list in 12 s, all processes",
-        lambda load, processes: processes * _a_window(load.list_bytes()),
-        BYTES,
-        ONE_PART,
+        lambda load, processes: processes * _kb_per_s_for_change(load.snapshot_bytes()),
+        BANDWIDTH,
+        ONE_CONTROL_PROCESS,
         MISSING,
         "list.wire",
     ),
     RoleLoad(
         "a zone's 58,000 shards listed in 12 s",
-        lambda load, processes: _a_window(target.ENTRIES[-1] * load.entry_bytes()),
-        BYTES,
-        DERIVED,
+        lambda load, processes: _kb_per_s_for_change(target.CHANGE_ENTRIES[-1] * load.entry_bytes()),
+        BANDWIDTH,
+        DERIVED_SHARD_PLACEMENT,
         MISSING,
         "list.wire",
     ),
@@ -189,31 +199,45 @@
         "memory without connections, all processes",
         lambda load, processes: load.control_mb(processes),
         MEMORY,
-        ONE_PART,
+        ONE_CONTROL_PROCESS,
         MISSING,
         "start.memory",
     ),
-    RoleLoad("memory, 750,000 shards listed, a process", _shards_mb, MEMORY, DERIVED, MISSING, "list.memory"),
+    RoleLoad(
+        "memory, 750,000 shards listed, a process",
+        _shards_mb,
+        MEMORY,
+        DERIVED_SHARD_PLACEMENT,
+        MISSING,
+        "list.memory",
+    ),
 )
 
 CONTROL_MACHINE = (
     RoleLoad(
         "one change to 100 relays, serialised once",
-        lambda load, processes: _change_ms("fanout.once", load, CONTROL_RELAYS),
-        IN_FORCE,
-        FANOUT,
+        lambda load, processes: _change_ms("fanout.once", load, RELAYS_PER_CONTROL_MACHINE),
+        CHANGE_TIME,
+        TWO_LEVEL_FANOUT,
         NEW,
         "fanout.once",
     ),
     RoleLoad(
         "one change to 100 relays, as the stand-in",
-        lambda load, processes: _change_ms("fanout.stand_in", load, CONTROL_RELAYS),
-        IN_FORCE,
-        FANOUT,
+        lambda load, processes: _change_ms("fanout.stand_in", load, RELAYS_PER_CONTROL_MACHINE),
+        CHANGE_TIME,
+        TWO_LEVEL_FANOUT,
         NEW,
         "fanout.stand_in",
     ),
-    RoleLoad("whole lists to 100 relays in 12 s", _lists_mb, Budget("MB/s"), VERSIONS, NEW, "list.wire"),
+    RoleLoad(
+        "whole lists to 100 relays in 12 s",
+        _snapshots_mb_per_s,
+        Budget("MB/s"),
+        VERSIONED_DELTAS,
+        NEW,
+        "list.wire",
+    ),
     RoleLoad("memory, state of its relays", None, MEGABYTES, "none is there", UNMEASURED, "-"),
 )
 
@@ -222,20 +246,27 @@
         "watches, one a process",
         lambda load, processes: target.RELAYS * processes,
         COUNT,
-        FANOUT,
+        TWO_LEVEL_FANOUT,
         NEW,
         "processes",
     ),
     RoleLoad(
         "one change to all of them, the stand-in",
         lambda load, processes: _change_ms("fanout.stand_in", load, target.RELAYS * processes),
-        IN_FORCE,
-        FANOUT,
+        CHANGE_TIME,
+        TWO_LEVEL_FANOUT,
         NEW,
         "fanout.stand_in",
     ),
-    RoleLoad("whole lists for 340 restarts a day", _restarts_kb, Budget("KB/s"), VERSIONS, NEW, "list.wire"),
-    RoleLoad("the true one's processor time, memory", None, COUNT, OTHERS, UNMEASURED, "-"),
+    RoleLoad(
+        "whole lists for 340 restarts a day",
+        _restarts_kb_per_s,
+        Budget("KB/s"),
+        VERSIONED_DELTAS,
+        NEW,
+        "list.wire",
+    ),
+    RoleLoad("the true one's processor time, memory", None, COUNT, EXTERNAL_PROGRAM, UNMEASURED, "-"),
 )
 
 BACKEND = (
@@ -243,31 +274,31 @@
         "connections",
         lambda load, processes: target.CONNECTIONS / load.assumptions.backends,
         COUNT,
-        PLACEMENT,
+        FILL_PLACEMENT,
         PRESENT,
         "told",
     ),
     RoleLoad(
         "probes",
-        lambda load, processes: load.backend_probes_s(processes),
-        A_SECOND,
-        SHARED,
+        lambda load, processes: load.backend_probes_per_s(processes),
+        PER_SECOND,
+        SHARED_REPORTS,
         MISSING,
         "upkeep.probes",
     ),
     RoleLoad(
         "set-ups",
-        lambda load, processes: load.store_calls_s() / load.assumptions.backends,
-        A_SECOND,
-        PLACEMENT,
+        lambda load, processes: load.store_calls_per_s() / load.assumptions.backends,
+        PER_SECOND,
+        FILL_PLACEMENT,
         PRESENT,
         "told",
     ),
     RoleLoad(
         "deliveries",
         lambda load, processes: target.DELIVERIES_S / load.assumptions.backends,
-        A_SECOND,
-        PLACEMENT,
+        PER_SECOND,
+        FILL_PLACEMENT,
         PRESENT,
         "told",
     ),
@@ -279,19 +310,19 @@
         PRESENT,
         "told",
     ),
-    RoleLoad("processor time, memory", None, COUNT, OTHERS, UNMEASURED, "-"),
+    RoleLoad("processor time, memory", None, COUNT, EXTERNAL_PROGRAM, UNMEASURED, "-"),
 )
 
 SESSION_STORE = (
     RoleLoad(
         "calls, one a set-up",
-        lambda load, processes: load.store_calls_s(),
-        A_SECOND,
+        lambda load, processes: load.store_calls_per_s(),
+        PER_SECOND,
         "retry budgets",
         PRESENT,
         "told",
     ),
-    RoleLoad("processor time, memory", None, COUNT, OTHERS, UNMEASURED, "-"),
+    RoleLoad("processor time, memory", None, COUNT, EXTERNAL_PROGRAM, UNMEASURED, "-"),
 )
 
 ROLES = {
--- a/gannetweir/lab/scale/role_table.py
+++ b/gannetweir/lab/scale/role_table.py
@@ -6,7 +6,7 @@
 
 from gannetweir.lab.scale.model import CapacityLoad
 from gannetweir.lab.scale.role_loads import ROLES
-from gannetweir.lab.scale.roles import MACHINE_CORES, Carrier, RoleLoad
+from gannetweir.lab.scale.roles import MACHINE_CORES, MechanismState, RoleLoad
 from gannetweir.lab.scale.slopes import FitRefusedError
 
 
@@ -17,12 +17,12 @@
     """
 
     role: str
-    what: str
+    label: str
     value: float | None
     unit: str
     budget: float | None
     mechanism: str
-    carrier: Carrier
+    state: MechanismState
     source: str
 
     @property
@@ -31,20 +31,35 @@
         return None if self.value is None or not self.budget else self.value / self.budget
 
 
-def _row(role: str, of: RoleLoad, load: CapacityLoad, processes: int) -> Row:
+def _role_row(role: str, role_load: RoleLoad, load: CapacityLoad, processes: int) -> Row:
     value: float | None = None
-    if of.value is not None:
+    if role_load.value is not None:
         try:
-            value = of.value(load, processes)
+            value = role_load.value(load, processes)
         except FitRefusedError:
             value = None
-    most = load.assumptions.cores * load.assumptions.busy if of.budget is MACHINE_CORES else of.budget.most
-    return Row(role, of.what, value, of.budget.unit, most or None, of.mechanism, of.carrier, of.source)
+    limit = (
+        load.assumptions.cores * load.assumptions.max_utilisation
+        if role_load.budget is MACHINE_CORES
+        else role_load.budget.limit
+    )
+    return Row(
+        role,
+        role_load.label,
+        value,
+        role_load.budget.unit,
+        limit or None,
+        role_load.mechanism,
+        role_load.state,
+        role_load.source,
+    )
 
 
-def rows(load: CapacityLoad) -> list[Row]:
+def role_rows(load: CapacityLoad) -> list[Row]:
     """Every load of every role, under the load's assumptions. Where no number of processes carries a machine,
     the figures are those of one process.
     """
     processes = load.processes() or 1
-    return [_row(role, of, load, processes) for role, loads in ROLES.items() for of in loads]
+    return [
+        _role_row(role, role_load, load, processes) for role, loads in ROLES.items() for role_load in loads
+    ]
--- a/gannetweir/lab/scale/roles.py
+++ b/gannetweir/lab/scale/roles.py
@@ -10,7 +10,7 @@
 from gannetweir.lab.scale.model import CapacityLoad
 
 
-class Carrier(Enum):
+class MechanismState(Enum):
     """Is the mechanism there that carries a load?"""
 
     PRESENT = "present"
@@ -24,14 +24,14 @@
     """What a load may be, in its unit; 0 if that is not told."""
 
     unit: str
-    most: float = 0.0
+    limit: float = 0.0
 
 
-CORE = Budget("ms/s", target.CONTROL_CORE * 1000)
-BYTES = Budget("KB/s", target.CONTROL_BYTES_S / 1000)
+CORE_TIME = Budget("ms/s", target.CONTROL_CORE * 1000)
+BANDWIDTH = Budget("KB/s", target.CONTROL_BYTES_S / 1000)
 MEMORY = Budget("MB", target.CONTROL_MB)
 LATENCY = Budget("ms", target.DELIVERY_MS)
-IN_FORCE = Budget("ms", target.IN_FORCE_S * 1000)
+CHANGE_TIME = Budget("ms", target.IN_FORCE_S * 1000)
 MACHINE_CORES = Budget("cores")  # the assumptions say how many
 
 
@@ -39,9 +39,9 @@
 class RoleLoad:
     """One load of one role, as a formula over the model and the processes of a relay machine."""
 
-    what: str
+    label: str
     value: Callable[[CapacityLoad, int], float] | None  # None: not measured
     budget: Budget
     mechanism: str
-    carrier: Carrier
+    state: MechanismState
     source: str  # keys of the record
--- a/gannetweir/lab/scale/run.py
+++ b/gannetweir/lab/scale/run.py
@@ -13,7 +13,7 @@
 from gannetweir.lab.experiments.report import print_table
 from gannetweir.lab.scale.page import write_page
 from gannetweir.lab.scale.record import GROUPS, RECORD_FILE, Record, read_record
-from gannetweir.lab.scale.tables import brief_table
+from gannetweir.lab.scale.tables import console_table
 
 RECORD_FOLDER = Path("docs/measurements/capacity")
 PAGE = Path("docs/CAPACITY.md")
@@ -52,7 +52,7 @@
     if not page_only:
         measure(groups, record)
         record.save(folder)
-    print_table("costs", *brief_table(record))
+    print_table("costs", *console_table(record))
     missing = [name for name in GROUPS if name not in record.groups]
     if missing:
         print(f"no page yet, not measured: {', '.join(missing)}")
--- a/gannetweir/lab/scale/tables.py
+++ b/gannetweir/lab/scale/tables.py
@@ -4,18 +4,18 @@
 
 from gannetweir.lab.scale import target
 from gannetweir.lab.scale.events import events
-from gannetweir.lab.scale.flips import Finding
+from gannetweir.lab.scale.flips import ConclusionResult
 from gannetweir.lab.scale.model import CapacityLoad
 from gannetweir.lab.scale.record import Record
 from gannetweir.lab.scale.role_table import Row
-from gannetweir.lab.scale.seen import SEEN
+from gannetweir.lab.scale.seen import EARLIER_FIGURES
 from gannetweir.lab.scale.slopes import Cost
-from gannetweir.lab.scale.target import Assumptions, life, swept_assumptions
+from gannetweir.lab.scale.target import Assumptions, format_lifetime, swept_assumptions
 
 Table = tuple[list[str], list[list[str]]]
 
 
-def number(value: float | None) -> str:
+def format_number(value: float | None) -> str:
     """Three figures that count, thousands parted."""
     if value is None:
         return "-"
@@ -42,37 +42,42 @@
     return columns, [_slope_row(cost) for cost in record.costs.values()]
 
 
-def brief_table(record: Record) -> Table:
+def console_table(record: Record) -> Table:
     """What a console has room for."""
-    found = [
-        [cost.key, number(cost.line.per_unit), f"{cost.unit}, {cost.size_unit}", f"{100 * cost.error:+.0f}%"]
+    table_rows = [
+        [
+            cost.key,
+            format_number(cost.line.per_unit),
+            f"{cost.unit}, {cost.size_unit}",
+            f"{100 * cost.error:+.0f}%",
+        ]
         for cost in record.costs.values()
     ]
-    return ["cost", "for each", "unit, by", "error"], found
+    return ["cost", "for each", "unit, by", "error"], table_rows
 
 
 def _slope_row(cost: Cost) -> list[str]:
-    measured = ", ".join(f"{s.size:,}: {number(s.median)}" for s in cost.samples)
+    measured = ", ".join(f"{s.size:,}: {format_number(s.median)}" for s in cost.samples)
     errors = cost.errors
     return [
         cost.key,
         cost.unit,
         cost.size_unit,
-        number(cost.line.fixed),
-        number(cost.line.per_unit),
+        format_number(cost.line.fixed),
+        format_number(cost.line.per_unit),
         measured,
-        f"{cost.check.size:,}: {number(cost.check.median)}",
-        number(cost.line.at(cost.check.size)),
+        f"{cost.check.size:,}: {format_number(cost.check.median)}",
+        format_number(cost.line.at(cost.check.size)),
         f"{100 * cost.error:+.1f}%",
         f"{100 * min(errors):+.0f} to {100 * max(errors):+.0f}%" if len(errors) > 1 else "one",
         f"refused: {cost.refusal}" if cost.refusal else "used",
     ]
 
 
-def title_table(record: Record) -> Table:
+def description_table(record: Record) -> Table:
     """What each cost is."""
-    found = [[c.key, c.title, c.method or "-"] for c in record.costs.values()]
-    return ["cost", "what it is", "how it was measured"], found
+    table_rows = [[c.key, c.title, c.method or "-"] for c in record.costs.values()]
+    return ["cost", "what it is", "how it was measured"], table_rows
 
 
 def group_table(record: Record) -> Table:
@@ -82,29 +87,33 @@
     return columns, [[name, *(str(about[key]) for key in names)] for name, about in record.groups.items()]
 
 
-def role_table(found: list[Row]) -> Table:
+def role_table(table_rows: list[Row]) -> Table:
     """Every load of every role."""
     columns = ["role", "load", "at the target", "budget", "ratio", "mechanism", "state", "slope's source"]
     return columns, [
         [
             row.role,
-            row.what,
-            f"{number(row.value)} {row.unit}".strip() if row.value is not None else "-",
-            f"{number(row.budget)} {row.unit}".strip() if row.budget is not None else "not told",
-            number(row.ratio),
+            row.label,
+            f"{format_number(row.value)} {row.unit}".strip() if row.value is not None else "-",
+            f"{format_number(row.budget)} {row.unit}".strip() if row.budget is not None else "not told",
+            format_number(row.ratio),
             row.mechanism,
-            row.carrier.value,
+            row.state.value,
             row.source,
         ]
-        for row in found
+        for row in table_rows
     ]
 
 
-def worst_table(found: list[Row]) -> Table:
+def over_budget_table(table_rows: list[Row]) -> Table:
     """What is over its budget, the largest ratio first."""
-    over = sorted((r for r in found if r.ratio is not None and r.ratio > 1), key=lambda r: -(r.ratio or 0))
+    over_budget = sorted(
+        (r for r in table_rows if r.ratio is not None and r.ratio > 1), key=lambda r: -(r.ratio or 0)
+    )
     columns = ["ratio", "role", "load", "mechanism", "state"]
-    return columns, [[number(r.ratio), r.role, r.what, r.mechanism, r.carrier.value] for r in over]
+    return columns, [
+        [format_number(r.ratio), r.role, r.label, r.mechanism, r.state.value] for r in over_budget
+    ]
 
 
 def process_table(record: Record) -> Table:
@@ -117,24 +126,24 @@
         "of that the sort",
         "upkeep, cores a process",
     ]
-    found = []
+    table_rows = []
     for a in swept_assumptions():
         load = CapacityLoad(record, a)
-        sort = load.setups_core() - load.setups_core(False)
-        found.append(
+        sort = load.setup_cores() - load.setup_cores(False)
+        table_rows.append(
             [
                 a.name,
-                count_of(load.processes()),
-                count_of(load.processes(False)),
-                number(load.setups_core()),
-                number(sort),
-                number(load.probing_core(load.processes() or 1)),
+                format_process_count(load.processes()),
+                format_process_count(load.processes(False)),
+                format_number(load.setup_cores()),
+                format_number(sort),
+                format_number(load.backend_maintenance_cores(load.processes() or 1)),
             ]
         )
-    return columns, found
+    return columns, table_rows
 
 
-def count_of(processes: int | None) -> str:
+def format_process_count(processes: int | None) -> str:
     """A number of processes, or that none is enough."""
     return "none do" if processes is None else str(processes)
 
@@ -151,20 +160,20 @@
         "a line waits, ms",
         "held, MB",
     ]
-    found = []
+    table_rows = []
     for entries in target.BACKENDS:
         load = CapacityLoad(record, Assumptions(backends=entries))
         cells = [
-            load.list_bytes() / 1e3,
-            load.list_s(),
+            load.snapshot_bytes() / 1e3,
+            load.snapshot_transfer_s(),
             record["list.read"].at(entries) / 1e3,
             record["list.apply"].at(entries) / 1e3,
             record["list.hold"].at(entries),
             load.stall_ms(),
             record["list.memory"].at(entries) / 1024,
         ]
-        found.append([f"{entries:,}", *map(number, cells)])
-    return columns, found
+        table_rows.append([f"{entries:,}", *map(format_number, cells)])
+    return columns, table_rows
 
 
 def probe_table(record: Record) -> Table:
@@ -176,27 +185,31 @@
         "probes a second at a backend",
     ]
     tries, at_backend = record["fleet.probes_a_try"], record["fleet.probes_a_backend"]
-    found = []
+    table_rows = []
     for one, other in zip(
         (*tries.samples, tries.check), (*at_backend.samples, at_backend.check), strict=True
     ):
-        a_relay = other.median * 60 / one.size
-        found.append([str(one.size), f"{one.median:.2f}", number(a_relay), number(other.median)])
-    return columns, found
+        per_relay = other.median * 60 / one.size
+        table_rows.append(
+            [str(one.size), f"{one.median:.2f}", format_number(per_relay), format_number(other.median)]
+        )
+    return columns, table_rows
 
 
-def upkeep_table(record: Record) -> Table:
+def maintenance_table(record: Record) -> Table:
     """Upkeep's probes over the sweep."""
     columns = ["assumption", "processes", "probes a second of a relay", "probes a second at a backend"]
-    found = []
+    table_rows = []
     for a in swept_assumptions():
         load = CapacityLoad(record, a)
         count = load.processes()
         cells = (
-            [None, None] if count is None else [count * load.probes_s(count), load.backend_probes_s(count)]
+            [None, None]
+            if count is None
+            else [count * load.probes_per_s(count), load.backend_probes_per_s(count)]
         )
-        found.append([a.name, count_of(count), *map(number, cells)])
-    return columns, found
+        table_rows.append([a.name, format_process_count(count), *map(format_number, cells)])
+    return columns, table_rows
 
 
 def event_table(load: CapacityLoad) -> Table:
@@ -211,40 +224,49 @@
         "seconds until in force",
         "what is told",
     ]
-    found = []
+    table_rows = []
     for event in events(load, load.processes() or 1):
         cells = (
             event.clients,
-            event.setups_each,
-            event.setups_s,
+            event.setups_per_relay,
+            event.setup_duration_s,
             event.store_calls,
-            event.sent_kb,
+            event.update_kb,
             event.in_force_s,
         )
-        found.append([event.name, *map(number, cells), event.why])
-    return columns, found
+        table_rows.append([event.name, *map(format_number, cells), event.explanation])
+    return columns, table_rows
 
 
-def flip_table(found: list[Finding]) -> Table:
+def crossover_table(table_rows: list[ConclusionResult]) -> Table:
     """Every conclusion over the sweep, and where it flips."""
     columns = ["conclusion", *(a.name for a in swept_assumptions()), "flips", "at backends", "at a life of"]
     return columns, [
         [
-            finding.text,
-            *(number(ratio) if ratio != float("inf") else "none do" for ratio in finding.ratios.values()),
-            "yes" if finding.flips else "no",
-            number(finding.edge_backends),
-            life(finding.edge_life_s) if finding.edge_life_s is not None else "-",
+            result.text,
+            *(
+                format_number(ratio) if ratio != float("inf") else "none do"
+                for ratio in result.ratios.values()
+            ),
+            "yes" if result.depends_on_assumptions else "no",
+            format_number(result.crossover_backends),
+            format_lifetime(result.crossover_lifetime_s) if result.crossover_lifetime_s is not None else "-",
         ]
-        for finding in found
+        for result in table_rows
     ]
 
 
-def seen_table(record: Record) -> Table:
+def earlier_figures_table(record: Record) -> Table:
     """Figures that were seen before, beside the record's."""
     columns = ["figure", "seen once", "in the record", "unit", ""]
-    found = []
-    for one in SEEN:
-        before = number(one.low) if one.low == one.high else f"{number(one.low)} to {number(one.high)}"
-        found.append([one.what, before, number(one.now(record)), one.unit, one.verdict(record)])
-    return columns, found
+    table_rows = []
+    for one in EARLIER_FIGURES:
+        before = (
+            format_number(one.low)
+            if one.low == one.high
+            else f"{format_number(one.low)} to {format_number(one.high)}"
+        )
+        table_rows.append(
+            [one.label, before, format_number(one.current(record)), one.unit, one.verdict(record)]
+        )
+    return columns, table_rows
--- a/gannetweir/lab/scale/target.py
+++ b/gannetweir/lab/scale/target.py
@@ -9,7 +9,7 @@
 RELAYS = 1500
 CONNECTIONS = 110_000_000
 SHARDS = 750_000
-LARGEST_TOPIC = 270_000  # listeners
+LARGEST_TOPIC_LISTENERS = 270_000  # listeners
 DELIVERIES_S = 32_000_000
 DELIVERY_MS = 240.0  # for 99 in 100
 REGIONS, ZONES = 6, 13
@@ -24,11 +24,11 @@
 RELAY_CONNECTIONS = CONNECTIONS / RELAYS
 RELAY_DELIVERIES_S = DELIVERIES_S / RELAYS
 ZONE_RELAYS = RELAYS // ZONES
-WINDOW_BYTES = CONTROL_BYTES_S * IN_FORCE_S  # what one change may cost a relay
+CHANGE_BYTES = CONTROL_BYTES_S * IN_FORCE_S  # what one change may cost a relay
 
 BACKENDS = 1500, 5000, 15000
-LIVES_S = 40.0, 600.0, 7200.0
-ENTRIES = 1, 100, 58_000  # of a change; the last is a zone's share of the shards, listed one by one
+CONNECTION_LIFETIMES_S = 40.0, 600.0, 7200.0
+CHANGE_ENTRIES = 1, 100, 58_000  # of a change; the last is a zone's share of the shards, listed one by one
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,23 +36,23 @@
     """What the operators have not told."""
 
     backends: int = 5000
-    life_s: float = 600.0  # of a connection
-    entries: int = 1  # of a change
-    busy: float = 0.6  # share of a core that a process may use, so that lines do not queue
+    lifetime_s: float = 600.0  # of a connection
+    change_entries: int = 1  # of a change
+    max_utilisation: float = 0.6  # share of a core that a process may use, so that lines do not queue
     cores: int = 8  # of a relay machine
 
     @property
-    def setups_s(self) -> float:
+    def setups_per_s(self) -> float:
         """Set-ups a second of one relay in the ordinary state."""
-        return RELAY_CONNECTIONS / self.life_s
+        return RELAY_CONNECTIONS / self.lifetime_s
 
     @property
     def name(self) -> str:
         """The two swept figures, for a table."""
-        return f"{self.backends:,} backends, {life(self.life_s)}"
+        return f"{self.backends:,} backends, {format_lifetime(self.lifetime_s)}"
 
 
-def life(seconds: float) -> str:
+def format_lifetime(seconds: float) -> str:
     """A connection's life as the operators' page writes it."""
     if seconds < 60:
         return f"{seconds:.0f} s"
@@ -61,5 +61,5 @@
 
 def swept_assumptions() -> Iterator[Assumptions]:
     """Every pair of the swept figures."""
-    for backends, life_s in product(BACKENDS, LIVES_S):
-        yield Assumptions(backends, life_s)
+    for backends, lifetime_s in product(BACKENDS, CONNECTION_LIFETIMES_S):
+        yield Assumptions(backends, lifetime_s)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,39 +10,39 @@
 from gannetweir.lab.__main__ import main
 from gannetweir.lab.scale import fanout, lists, page, run, target
 from gannetweir.lab.scale.charts import draw
-from gannetweir.lab.scale.flips import CONCLUSIONS, Conclusion, edge, find
-from gannetweir.lab.scale.model import CapacityLoad, window_entries
+from gannetweir.lab.scale.flips import CONCLUSIONS, Conclusion, crossover, evaluate
+from gannetweir.lab.scale.model import CapacityLoad, max_entries_per_change
 from gannetweir.lab.scale.processes import backend
 from gannetweir.lab.scale.record import GROUPS, Record, read_record
-from gannetweir.lab.scale.role_table import rows
+from gannetweir.lab.scale.role_table import role_rows
 from gannetweir.lab.scale.slopes import Cost, FitRefusedError, Sample, fit
 from gannetweir.lab.scale.target import Assumptions, swept_assumptions
 
 ROOT = Path(__file__).parent.parent
-KEPT = ROOT / run.RECORD_FOLDER
+COMMITTED_FOLDER = ROOT / run.RECORD_FOLDER
 SIZES = (10, 20, 80, 160)
 
 
-def cost(
+def make_cost(
     key: str, value: float | Callable[[int], float], check: float = 0.0, sizes: tuple[int, ...] = SIZES
 ) -> Cost:
     """Three rounds of a function of the size; a check of 0 is as the function says."""
 
-    def of(size: int) -> float:
+    def value_at(size: int) -> float:
         return value(size) if callable(value) else value
 
-    samples = [Sample(size, [of(size)] * 3) for size in sizes]
-    return Cost(key, key, "µs", "entries", samples, Sample(400, [check or of(400)] * 3))
+    samples = [Sample(size, [value_at(size)] * 3) for size in sizes]
+    return Cost(key, key, "µs", "entries", samples, Sample(400, [check or value_at(400)] * 3))
 
 
-def committed() -> Record:
-    return read_record(KEPT)
+def committed_record() -> Record:
+    return read_record(COMMITTED_FOLDER)
 
 
-def changed(record: Record, **costs: Cost) -> Record:
+def with_costs(record: Record, **costs: Cost) -> Record:
     """The record with some costs replaced, by their keys with a dot for two underscores."""
-    more = {key.replace("__", "."): value for key, value in costs.items()}
-    return Record({**record.costs, **more}, record.groups)
+    replacements = {key.replace("__", "."): value for key, value in costs.items()}
+    return Record({**record.costs, **replacements}, record.groups)
 
 
 def test_a_line_is_found_and_predicts() -> None:
@@ -51,7 +51,7 @@
     assert fit([(0, 0.0), (1, 2.0), (2, 1.0)]).per_unit == pytest.approx(
         0.5
     )  # least squares, no line through all
-    linear = cost("c", lambda n: 7.0 + 0.5 * n)
+    linear = make_cost("c", lambda n: 7.0 + 0.5 * n)
     assert not linear.refusal and linear.error == pytest.approx(0.0)
     assert linear.at(100_000) == pytest.approx(50_007.0)
     with pytest.raises(ValueError, match="two sizes"):
@@ -59,7 +59,7 @@
 
 
 def test_one_slow_round_refuses_nothing() -> None:
-    slow = cost("c", lambda n: 3.0 * n)
+    slow = make_cost("c", lambda n: 3.0 * n)
     slow.samples[3].values[0] *= 4
     slow.check.values[1] *= 9
     assert slow.samples[3].median == 480.0 and not slow.refusal
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize(("off", "refused"), [(1.149, False), (0.875, False), (1.19, True), (0.8, True)])
 def test_a_prediction_that_is_off_by_over_15_in_100_is_refused(off: float, refused: bool) -> None:
-    one = cost("c", lambda n: 2.0 * n, check=800.0 / off)
+    one = make_cost("c", lambda n: 2.0 * n, check=800.0 / off)
     assert one.error == pytest.approx(off - 1)
     assert bool(one.refusal) is refused
     assert one.at(80) == 160.0 and one.at(400) == 800.0 / off  # what was measured stays measured
@@ -85,7 +85,7 @@
     [((25, 100, 400), "3 sizes"), ((20, 40, 80, 160), "factor of 8"), ((20, 40, 80, 800), "no larger")],
 )
 def test_too_few_sizes_too_near_or_a_check_that_is_not_larger(sizes: tuple[int, ...], reason: str) -> None:
-    assert reason in cost("c", lambda n: 2.0 * n, sizes=sizes).refusal
+    assert reason in make_cost("c", lambda n: 2.0 * n, sizes=sizes).refusal
 
 
 def test_a_group_measures_all_that_it_names(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -103,68 +103,79 @@
 
 
 def test_edges_are_found_where_a_ratio_crosses_1() -> None:
-    assert edge(lambda n: n / 1000, 100, 10_000) == pytest.approx(1000)
-    assert edge(lambda n: 1000 / n, 100, 10_000) == pytest.approx(1000)
-    assert edge(lambda n: n / 1000, 2000, 10_000) is None
+    assert crossover(lambda n: n / 1000, 100, 10_000) == pytest.approx(1000)
+    assert crossover(lambda n: 1000 / n, 100, 10_000) == pytest.approx(1000)
+    assert crossover(lambda n: n / 1000, 2000, 10_000) is None
 
     def refused(n: float) -> float:
         if n not in (100, 10_000):
             raise FitRefusedError("c")
         return n / 1000
 
-    assert edge(refused, 100, 10_000) is None
+    assert crossover(refused, 100, 10_000) is None
 
 
 def test_the_sweep_is_whole_and_a_conclusion_flips_where_it_is_computed_to() -> None:
-    record = committed()
+    record = committed_record()
     names = [a.name for a in swept_assumptions()]
-    assert len(set(names)) == len(target.BACKENDS) * len(target.LIVES_S) == 9
-    flips = find(Conclusion("c", lambda load: load.assumptions.backends / 3000), record)
-    assert flips.flips and flips.edge_backends == pytest.approx(3000, abs=1) and flips.edge_life_s is None
-    assert list(flips.ratios) == names
-    by_life = find(Conclusion("c", lambda load: 100.0 / load.assumptions.life_s), record)
-    assert by_life.edge_life_s == pytest.approx(100.0) and by_life.edge_backends is None
-    assert not find(Conclusion("c", lambda load: load.assumptions.backends / 1e6), record).flips
-    whole = find(CONCLUSIONS[0], record)
-    assert whole.ratios[Assumptions().name] == pytest.approx(
-        CapacityLoad(record, Assumptions()).list_bytes() / target.WINDOW_BYTES
+    assert len(set(names)) == len(target.BACKENDS) * len(target.CONNECTION_LIFETIMES_S) == 9
+    by_backends = evaluate(Conclusion("c", lambda load: load.assumptions.backends / 3000), record)
+    assert (
+        by_backends.depends_on_assumptions
+        and by_backends.crossover_backends == pytest.approx(3000, abs=1)
+        and by_backends.crossover_lifetime_s is None
+    )
+    assert list(by_backends.ratios) == names
+    by_life = evaluate(Conclusion("c", lambda load: 100.0 / load.assumptions.lifetime_s), record)
+    assert by_life.crossover_lifetime_s == pytest.approx(100.0) and by_life.crossover_backends is None
+    assert not evaluate(
+        Conclusion("c", lambda load: load.assumptions.backends / 1e6), record
+    ).depends_on_assumptions
+    transfer_time = evaluate(CONCLUSIONS[0], record)
+    assert transfer_time.ratios[Assumptions().name] == pytest.approx(
+        CapacityLoad(record, Assumptions()).snapshot_bytes() / target.CHANGE_BYTES
     )
 
 
 def test_what_needs_a_refused_fit_is_missing_and_not_guessed() -> None:
-    record = committed()
-    assert window_entries(changed(record, list__wire=cost("list.wire", lambda n: 100.0 * n))) == 1200
-    quadratic = cost("connection.memory.relay", lambda n: 0.001 * n * n)
-    broken = changed(record, connection__memory__relay=quadratic)
-    memory = next(row for row in rows(CapacityLoad(broken, Assumptions())) if row.source == quadratic.key)
+    record = committed_record()
+    assert (
+        max_entries_per_change(with_costs(record, list__wire=make_cost("list.wire", lambda n: 100.0 * n)))
+        == 1200
+    )
+    quadratic = make_cost("connection.memory.relay", lambda n: 0.001 * n * n)
+    broken = with_costs(record, connection__memory__relay=quadratic)
+    memory = next(
+        row for row in role_rows(CapacityLoad(broken, Assumptions())) if row.source == quadratic.key
+    )
     assert memory.value is None and memory.ratio is None
-    written = page.render(broken)
-    assert "| resident memory | - |" in written
-    assert quadratic.key in written.split("Refused: ")[1].split("What follows")[0]
+    page_text = page.render(broken)
+    assert "| resident memory | - |" in page_text
+    assert quadratic.key in page_text.split("Refused: ")[1].split("What follows")[0]
     unknown = Conclusion("c", lambda load: quadratic.at(load.assumptions.backends))
-    assert set(find(unknown, record).ratios.values()) == {None}
+    assert set(evaluate(unknown, record).ratios.values()) == {None}
 
 
 def test_the_fewest_processes_that_carry_a_machine() -> None:
-    load = CapacityLoad(committed(), Assumptions())
+    load = CapacityLoad(committed_record(), Assumptions())
     count = load.processes()
     assert count is not None
 
     def used(processes: int) -> float:
-        own = load.control_core(processes) + load.lines_core(processes)
-        return (own + load.setups_core()) / processes
+        own = load.control_cores(processes) + load.delivery_cores(processes)
+        return (own + load.setup_cores()) / processes
 
-    assert used(count) <= load.assumptions.busy < used(count - 1)
+    assert used(count) <= load.assumptions.max_utilisation < used(count - 1)
     unsorted = load.processes(sorted_order=False)
     assert unsorted is not None and unsorted <= count
-    lines = cost("line.push.relay", lambda n: 900_000.0 + n)  # a process pays more than it may use
-    assert CapacityLoad(changed(load.record, line__push__relay=lines), Assumptions()).processes() is None
+    lines = make_cost("line.push.relay", lambda n: 900_000.0 + n)  # a process pays more than it may use
+    assert CapacityLoad(with_costs(load.record, line__push__relay=lines), Assumptions()).processes() is None
 
 
 def test_every_source_is_in_the_record() -> None:
-    record = committed()
+    record = committed_record()
     assert set(record.groups) == set(GROUPS)
-    for row in rows(CapacityLoad(record, Assumptions())):
+    for row in role_rows(CapacityLoad(record, Assumptions())):
         for source in row.source.split(", "):
             assert source in record.costs or source.startswith(("told", "processes", "-")), source
 
@@ -173,19 +184,19 @@
 
 
 def test_the_committed_page_and_charts_are_what_the_record_gives() -> None:
-    record = committed()
+    record = committed_record()
     assert (ROOT / run.PAGE).read_text() == page.render(record)
     drawn = draw(record)
-    assert {path.name for path in KEPT.glob("*.svg")} == set(drawn)
+    assert {path.name for path in COMMITTED_FOLDER.glob("*.svg")} == set(drawn)
     for name, svg in drawn.items():
-        assert (KEPT / name).read_text() == svg, name
+        assert (COMMITTED_FOLDER / name).read_text() == svg, name
 
 
 def test_the_command_writes_the_page_again_and_refuses_what_it_does_not_know(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["capacity", "--page", "--keep", str(tmp_path)]) == 2  # no record yet
-    committed().save(tmp_path)
+    committed_record().save(tmp_path)
     assert main(["capacity", "--page", "--keep", str(tmp_path)]) == 0
     assert (tmp_path / "CAPACITY.md").read_text() == (ROOT / run.PAGE).read_text()
     assert main(["capacity", "--only", "lists,nonsense"]) == 2
