--- a/gannetweir/lab/scale/charts.py
+++ b/gannetweir/lab/scale/charts.py
@@ -54,15 +54,15 @@
 
 
 def _ratios(record: Record) -> str:
-    found = [row for row in role_rows(CapacityLoad(record, Assumptions())) if row.ratio is not None]
-    found.sort(key=lambda row: row.ratio or 0.0)
+    budgeted_rows = [row for row in role_rows(CapacityLoad(record, Assumptions())) if row.ratio is not None]
+    budgeted_rows.sort(key=lambda row: row.ratio or 0.0)
     chart = pygal.HorizontalBar(
         title="Load over budget at the target, powers of ten (over 0: over budget)",
         show_legend=False,
         **_chart_options(height=760),
     )
-    chart.x_labels = [f"{row.role}: {row.label}" for row in found]
-    chart.add("", [round(math.log10(max(row.ratio or 0.0, 1e-6)), 3) for row in found])
+    chart.x_labels = [f"{row.role}: {row.label}" for row in budgeted_rows]
+    chart.add("", [round(math.log10(max(row.ratio or 0.0, 1e-6)), 3) for row in budgeted_rows])
     return _render_svg(chart, "ratios")
 
 
--- a/gannetweir/lab/scale/flips.py
+++ b/gannetweir/lab/scale/flips.py
@@ -89,19 +89,19 @@
 def evaluate(conclusion: Conclusion, record: Record) -> ConclusionResult:
     """The conclusion under every pair of assumptions, and the sizes at which it flips."""
 
-    def ratio(a: Assumptions) -> float:
-        return conclusion.ratio(CapacityLoad(record, a))
+    def ratio(case: Assumptions) -> float:
+        return conclusion.ratio(CapacityLoad(record, case))
 
-    def ratio_or_none(a: Assumptions) -> float | None:
+    def ratio_or_none(case: Assumptions) -> float | None:
         try:
-            return ratio(a)
+            return ratio(case)
         except FitRefusedError:
             return None
 
     middle = Assumptions()
     return ConclusionResult(
         conclusion.text,
-        {a.name: ratio_or_none(a) for a in swept_assumptions()},
+        {case.name: ratio_or_none(case) for case in swept_assumptions()},
         crossover(
             lambda n: ratio(replace(middle, backends=round(n))), target.BACKENDS[0], target.BACKENDS[-1]
         ),
--- a/gannetweir/lab/scale/tables.py
+++ b/gannetweir/lab/scale/tables.py
@@ -127,12 +127,12 @@
         "upkeep, cores a process",
     ]
     table_rows = []
-    for a in swept_assumptions():
-        load = CapacityLoad(record, a)
+    for case in swept_assumptions():
+        load = CapacityLoad(record, case)
         sort = load.setup_cores() - load.setup_cores(False)
         table_rows.append(
             [
-                a.name,
+                case.name,
                 format_process_count(load.processes()),
                 format_process_count(load.processes(False)),
                 format_number(load.setup_cores()),
@@ -184,14 +184,21 @@
         "probes a second of a relay",
         "probes a second at a backend",
     ]
-    tries, at_backend = record["fleet.probes_a_try"], record["fleet.probes_a_backend"]
+    attempt_probes, backend_probes = record["fleet.probes_a_try"], record["fleet.probes_a_backend"]
     table_rows = []
-    for one, other in zip(
-        (*tries.samples, tries.check), (*at_backend.samples, at_backend.check), strict=True
+    for entry, backend_sample in zip(
+        (*attempt_probes.samples, attempt_probes.check),
+        (*backend_probes.samples, backend_probes.check),
+        strict=True,
     ):
-        per_relay = other.median * 60 / one.size
+        per_relay = backend_sample.median * 60 / entry.size
         table_rows.append(
-            [str(one.size), f"{one.median:.2f}", format_number(per_relay), format_number(other.median)]
+            [
+                str(entry.size),
+                f"{entry.median:.2f}",
+                format_number(per_relay),
+                format_number(backend_sample.median),
+            ]
         )
     return columns, table_rows
 
@@ -200,15 +207,15 @@
     """Upkeep's probes over the sweep."""
     columns = ["assumption", "processes", "probes a second of a relay", "probes a second at a backend"]
     table_rows = []
-    for a in swept_assumptions():
-        load = CapacityLoad(record, a)
+    for case in swept_assumptions():
+        load = CapacityLoad(record, case)
         count = load.processes()
         cells = (
             [None, None]
             if count is None
             else [count * load.probes_per_s(count), load.backend_probes_per_s(count)]
         )
-        table_rows.append([a.name, format_process_count(count), *map(format_number, cells)])
+        table_rows.append([case.name, format_process_count(count), *map(format_number, cells)])
     return columns, table_rows
 
 
@@ -240,7 +247,13 @@
 
 def crossover_table(table_rows: list[ConclusionResult]) -> Table:
     """Every conclusion over the sweep, and where it flips."""
-    columns = ["conclusion", *(a.name for a in swept_assumptions()), "flips", "at backends", "at a life of"]
+    columns = [
+        "conclusion",
+        *(case.name for case in swept_assumptions()),
+        "flips",
+        "at backends",
+        "at a life of",
+    ]
     return columns, [
         [
             result.text,
@@ -260,13 +273,13 @@
     """Figures that were seen before, beside the record's."""
     columns = ["figure", "seen once", "in the record", "unit", ""]
     table_rows = []
-    for one in EARLIER_FIGURES:
+    for entry in EARLIER_FIGURES:
         before = (
-            format_number(one.low)
-            if one.low == one.high
-            else f"{format_number(one.low)} to {format_number(one.high)}"
+            format_number(entry.low)
+            if entry.low == entry.high
+            else f"{format_number(entry.low)} to {format_number(entry.high)}"
         )
         table_rows.append(
-            [one.label, before, format_number(one.current(record)), one.unit, one.verdict(record)]
+            [entry.label, before, format_number(entry.current(record)), entry.unit, entry.verdict(record)]
         )
     return columns, table_rows
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -45,7 +45,7 @@
     return Record({**record.costs, **replacements}, record.groups)
 
 
-def test_a_line_is_found_and_predicts() -> None:
+def test_fit_finds_the_line_and_predicts_larger_sizes() -> None:
     line = fit([(size, 7.0 + 0.5 * size) for size in SIZES])
     assert (line.fixed, line.per_unit) == pytest.approx((7.0, 0.5))
     assert fit([(0, 0.0), (1, 2.0), (2, 1.0)]).per_unit == pytest.approx(
@@ -58,7 +58,7 @@
         fit([(5, 1.0), (5, 2.0)])
 
 
-def test_one_slow_round_refuses_nothing() -> None:
+def test_one_slow_round_does_not_refuse_the_fit() -> None:
     slow = make_cost("c", lambda n: 3.0 * n)
     slow.samples[3].values[0] *= 4
     slow.check.values[1] *= 9
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(("off", "refused"), [(1.149, False), (0.875, False), (1.19, True), (0.8, True)])
-def test_a_prediction_that_is_off_by_over_15_in_100_is_refused(off: float, refused: bool) -> None:
+def test_fit_with_a_prediction_error_over_15_percent_is_refused(off: float, refused: bool) -> None:
     one = make_cost("c", lambda n: 2.0 * n, check=800.0 / off)
     assert one.error == pytest.approx(off - 1)
     assert bool(one.refusal) is refused
@@ -84,11 +84,11 @@
     ("sizes", "reason"),
     [((25, 100, 400), "3 sizes"), ((20, 40, 80, 160), "factor of 8"), ((20, 40, 80, 800), "no larger")],
 )
-def test_too_few_sizes_too_near_or_a_check_that_is_not_larger(sizes: tuple[int, ...], reason: str) -> None:
+def test_fit_needs_four_sizes_a_16_fold_range_and_a_larger_check(sizes: tuple[int, ...], reason: str) -> None:
     assert reason in make_cost("c", lambda n: 2.0 * n, sizes=sizes).refusal
 
 
-def test_a_group_measures_all_that_it_names(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_list_group_measures_every_cost_it_names(monkeypatch: pytest.MonkeyPatch) -> None:
     small = replace(lists.TIME_SWEEP, sizes=(10, 20, 80, 160), check=200, rounds=2)
     monkeypatch.setattr(lists, "TIME_SWEEP", small)
     monkeypatch.setattr(lists, "MEMORY_SWEEP", replace(small, rounds=1))
@@ -102,7 +102,7 @@
 # ---- the model
 
 
-def test_edges_are_found_where_a_ratio_crosses_1() -> None:
+def test_crossover_is_where_the_ratio_reaches_1() -> None:
     assert crossover(lambda n: n / 1000, 100, 10_000) == pytest.approx(1000)
     assert crossover(lambda n: 1000 / n, 100, 10_000) == pytest.approx(1000)
     assert crossover(lambda n: n / 1000, 2000, 10_000) is None
@@ -115,9 +115,9 @@
     assert crossover(refused, 100, 10_000) is None
 
 
-def test_the_sweep_is_whole_and_a_conclusion_flips_where_it_is_computed_to() -> None:
+def test_sweep_covers_all_pairs_and_crossovers_match_the_computed_ones() -> None:
     record = committed_record()
-    names = [a.name for a in swept_assumptions()]
+    names = [case.name for case in swept_assumptions()]
     assert len(set(names)) == len(target.BACKENDS) * len(target.CONNECTION_LIFETIMES_S) == 9
     by_backends = evaluate(Conclusion("c", lambda load: load.assumptions.backends / 3000), record)
     assert (
@@ -137,7 +137,7 @@
     )
 
 
-def test_what_needs_a_refused_fit_is_missing_and_not_guessed() -> None:
+def test_values_that_need_a_refused_fit_are_missing() -> None:
     record = committed_record()
     assert (
         max_entries_per_change(with_costs(record, list__wire=make_cost("list.wire", lambda n: 100.0 * n)))
@@ -156,7 +156,7 @@
     assert set(evaluate(unknown, record).ratios.values()) == {None}
 
 
-def test_the_fewest_processes_that_carry_a_machine() -> None:
+def test_fewest_processes_that_carry_a_relay_machine() -> None:
     load = CapacityLoad(committed_record(), Assumptions())
     count = load.processes()
     assert count is not None
@@ -172,7 +172,7 @@
     assert CapacityLoad(with_costs(load.record, line__push__relay=lines), Assumptions()).processes() is None
 
 
-def test_every_source_is_in_the_record() -> None:
+def test_every_load_names_sources_in_the_record() -> None:
     record = committed_record()
     assert set(record.groups) == set(GROUPS)
     for row in role_rows(CapacityLoad(record, Assumptions())):
@@ -183,7 +183,7 @@
 # ---- the page
 
 
-def test_the_committed_page_and_charts_are_what_the_record_gives() -> None:
+def test_committed_page_and_charts_match_the_record() -> None:
     record = committed_record()
     assert (ROOT / run.PAGE).read_text() == page.render(record)
     drawn = draw(record)
@@ -192,7 +192,7 @@
         assert (COMMITTED_FOLDER / name).read_text() == svg, name
 
 
-def test_the_command_writes_the_page_again_and_refuses_what_it_does_not_know(
+def test_command_regenerates_the_page_and_rejects_unknown_groups(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["capacity", "--page", "--keep", str(tmp_path)]) == 2  # no record yet
