--- a/gannetweir/lab/scale/__init__.py
+++ b/gannetweir/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale: capacity measurements and simulated control planes of many relays."""
+"""Capacity measurements of a relay, and simulated control planes for fleets of many relays."""
--- a/gannetweir/lab/scale/child.py
+++ b/gannetweir/lab/scale/child.py
@@ -1,4 +1,4 @@
-"""A child process of a hollow fleet, and what the kernel tells of any process."""
+"""A child process of a fleet of skeleton relays, and the resource usage of processes from /proc."""
 
 from __future__ import annotations
 
@@ -20,15 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Of one process so far: processor time, and resident memory now."""
+    """Processor time of a process so far, and its resident memory at the moment."""
 
     cpu_ns: int
     rss_bytes: int
 
 
 def usage(pid: int) -> Usage:
-    """Read from /proc; `OSError` if the process is gone. The processor time is its main thread's, and the
-    processes here have no other; it is exact, where `stat` counts in steps of 10 ms.
+    """Read the usage of a process from /proc. Raises `OSError` if there is no such process. The processor
+    time is that of the main thread, the only one in these processes. `schedstat` counts in nanoseconds,
+    `stat` only in steps of 10 ms.
     """
     schedule = Path(f"/proc/{pid}/schedstat").read_text().split()
     pages = Path(f"/proc/{pid}/statm").read_text().split()
@@ -36,7 +37,7 @@
 
 
 class Child:
-    """One process that answers commands on its standard input, which is a socket."""
+    """A Python process that answers commands on its standard input, which is a socket."""
 
     def __init__(self, module: str, args: Sequence[str] = ()) -> None:
         parent_end, child_end = socket.socketpair()
@@ -47,27 +48,29 @@
         self.link = Link(parent_end)
 
     async def call(self, message: Message) -> Message:
-        """Send a command, return its answer. `LinkError` if the process has ended."""
+        """Send a command and return the answer. Raises `LinkError` if the process has ended."""
         return await self.link.call(message)
 
     def usage(self) -> Usage:
-        """What it has used; `OSError` if it is gone."""
+        """Return the usage of the process. Raises `OSError` if the process has ended."""
         return usage(self.process.pid)
 
     def kill(self) -> None:
-        """End it with SIGKILL, at once."""
+        """End the process immediately with SIGKILL."""
         self.process.kill()
         self.process.wait()
         self.link.close()
 
     def stop(self) -> None:
-        """End it in good order, or with SIGKILL if that takes too long."""
+        """Close the link, upon which the process ends; send SIGKILL if it has not ended within
+        `EXIT_TIMEOUT_S`.
+        """
         self.link.close()
         end(self.process)
 
 
 def end(process: subprocess.Popen[Any]) -> None:
-    """Wait until a process that was told to end has ended; SIGKILL if that takes too long."""
+    """Wait for a process that has been asked to end; send SIGKILL if it runs longer than `EXIT_TIMEOUT_S`."""
     try:
         process.wait(EXIT_TIMEOUT_S)
     except subprocess.TimeoutExpired:
--- a/gannetweir/lab/scale/clients.py
+++ b/gannetweir/lab/scale/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a measured relay or proxy, on this process's event loop: standing connections and lines."""
+"""Clients of a measured relay or proxy, on the event loop of this process: open connections and lines."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 FIRST_LINE = "OPEN {n:x} {n:x} c=zone-view,d=2000,g={g:x}\r\n"
 GROUPS = 200
-CONCURRENT_SETUPS = 8  # set-ups under way
+CONCURRENT_SETUPS = 8
 SETUP_TIMEOUT_S = 20.0
 
 
 class Client(asyncio.Protocol):
-    """One connection; counts the lines that come."""
+    """A client connection; counts the lines that it receives and records the slowest answer."""
 
     transport: asyncio.Transport
 
@@ -23,17 +23,19 @@
         self.on_line: Callable[[], None] = lambda: None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask for a connection at once."""
+        """Send the first line."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.write(FIRST_LINE.format(n=self.number, g=self.number % GROUPS + 1).encode())
 
     def data_received(self, data: bytes) -> None:
-        """The first line is the answer, all others count."""
+        """Take the first line received as the answer to the first line sent, and count all later lines."""
         count = data.count(b"\n")
         if not self.established.done():
             if not data.startswith(b"UP"):
-                self.established.set_exception(OSError(f"connection {self.number}: {data[:60]!r}"))
+                self.established.set_exception(
+                    OSError(f"connection {self.number}: expected UP, got {data[:60]!r}")
+                )
                 return
             self.established.set_result(None)
             count -= 1
@@ -44,19 +46,19 @@
             self.on_line()
 
     def send_line(self, line: bytes = b"a line of a client's, as long as a short one\r\n") -> None:
-        """Send a line that comes back."""
+        """Send a line that the backend returns."""
         self.sent_at_s = self.sent_at_s or time.monotonic()
         self.transport.write(line)
 
 
 class ClientConnections:
-    """Standing connections, a few set up at a time."""
+    """Open client connections, set up a few at a time."""
 
     def __init__(self, port: int) -> None:
         self.port, self.clients = port, list[Client]()
 
     async def grow_to(self, count: int) -> None:
-        """Until so many stand; `OSError` if one is not served."""
+        """Open connections until there are so many. Raises `OSError` if a connection is not served."""
         setup_slots = asyncio.Semaphore(CONCURRENT_SETUPS)
 
         async def open_one(number: int) -> Client:
@@ -71,16 +73,16 @@
 
     @property
     def lines(self) -> int:
-        """Lines that came."""
+        """Number of lines received on all connections."""
         return sum(client.lines for client in self.clients)
 
     def close(self) -> None:
-        """End all."""
+        """Abort all connections."""
         for client in self.clients:
             client.transport.abort()
 
     async def echo(self, per_s: float, seconds: float) -> None:
-        """Lines there and back, evenly over the connections, each sent when it is due."""
+        """Send lines that the backend returns, at a constant rate, in turn over the connections."""
         started_s, count = time.monotonic(), int(per_s * seconds)
         for number in range(count):
             if (delay_s := started_s + number / per_s - time.monotonic()) > 0.001:
@@ -88,7 +90,7 @@
             self.clients[number % len(self.clients)].send_line()
 
     async def pushed(self, per_s: float, seconds: float) -> None:
-        """Lines from the backend alone: every connection is sent its share of them."""
+        """Let the backend send lines on its own: each connection receives an equal share of the rate."""
         interval_s = len(self.clients) / per_s
         count = max(1, int(seconds / interval_s))
         for client in self.clients:
--- a/gannetweir/lab/scale/comparison_peers.py
+++ b/gannetweir/lab/scale/comparison_peers.py
@@ -1,9 +1,9 @@
-"""Processes beside a measured relay: a backend that answers at once, and a proxy that only copies bytes.
+"""Peers for measuring a relay: a backend that answers at once, and a proxy that only copies bytes.
 
     python -m gannetweir.lab.scale.comparison_peers backend|proxy PORT [BACKEND_PORT]
 
-The proxy stands on the same event loop and the same endpoints as the relay, so that what they differ by is
-what a relay does with lines: it is what the relay's cost is compared with.
+The relay's cost is compared with the proxy's. The proxy uses the same event loop and the same transport as
+the relay, so the difference is the cost of what a relay does with lines.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 from gannetweir.net.sockets import accept_connection, connect, set_nonblocking_nodelay, tcp_socket
 from gannetweir.net.transport import Transport
 
-LOAD_REPORT = b"PONG tps=1,concurrent=90000,x0=0.2\r\n"  # so many that one more makes no difference
+# With so many concurrent connections, one more does not change the reported load.
+LOAD_REPORT = b"PONG tps=1,concurrent=90000,x0=0.2\r\n"
 
 
 class Backend(asyncio.Protocol):
-    """Serves every first line, reports its load, returns any other line; `PUSH n us` asks for lines
-    unasked.
+    """Accepts every first line, reports its load, returns any other line; `PUSH n us` lets the backend send n
+    lines on its own, one every so many microseconds.
     """
 
     transport: asyncio.Transport
@@ -32,12 +33,12 @@
         self.partial_line = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A connection of the relay's."""
+        """Keep the transport of a new connection."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Lines, answered one by one."""
+        """Answer each complete line."""
         *lines, self.partial_line = (self.partial_line + data).split(b"\r\n")
         for line in lines:
             self._line(line)
@@ -60,7 +61,7 @@
 
 
 async def serve_backend(port: int) -> None:
-    """Listen until the process is ended."""
+    """Serve on a port until the process is ended."""
     server = await asyncio.get_running_loop().create_server(Backend, "127.0.0.1", port, backlog=1024)
     await server.serve_forever()
 
@@ -77,8 +78,8 @@
 
 
 async def serve_proxy(port: int, backend: int) -> None:
-    """Copy bytes between each client and a connection of its own to the backend, until the process is
-    ended.
+    """Copy bytes between each client connection and a separate connection to the backend, until the process
+    is ended.
     """
     limits = Limits()
     listener = tcp_socket("127.0.0.1")
@@ -100,7 +101,7 @@
 
 
 def main(argv: list[str]) -> None:
-    """Run one of the two."""
+    """Run the backend or the proxy, as the first argument says."""
     if argv[0] == "backend":
         asyncio.run(serve_backend(int(argv[1])))
     else:
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -1,5 +1,5 @@
-"""What one change costs discovery, or a control machine, by the relays that watch it; and one probe a
-relay.
+"""What one change costs discovery, or a control machine, by the number of watching relays, and what one load
+probe costs a relay.
 """
 
 from __future__ import annotations
@@ -29,8 +29,9 @@
 from gannetweir.placement.events import AttemptStatus, EndpointId
 from gannetweir.placement.settings import Settings
 
-LOOP_TURNS = 24  # of the event loop, after which every watcher has been written to
-CHANGES_PER_ROUND = 3  # a round
+# After so many turns of the event loop a change has been written to every watcher.
+LOOP_TURNS = 24
+CHANGES_PER_ROUND = 3
 
 STAND_IN = CostDefinition(
     "fanout.stand_in",
@@ -60,7 +61,7 @@
 
 
 def _drain(socks: list[socket.socket]) -> int:
-    """How many had something to read."""
+    """Read once from each socket; return how many sockets had data."""
     readable = 0
     for sock in socks:
         try:
@@ -76,7 +77,7 @@
 
 
 async def _measure_changes(watchers: int) -> dict[str, float]:
-    """Microseconds a change, as the stand-in tells it and serialised once."""
+    """Measure one change, as the stand-in sends it and when serialised once, in microseconds."""
     registry = EmulatedDiscovery(delay_s=0.0, heartbeat_s=3600.0)
     registry.change("s-0", **{name: value for name, value in host_entry(0).items() if name != "host"})
     async with anyio.create_task_group() as tasks:
@@ -91,7 +92,7 @@
             await _run_loop_turns()
             spent.append(_processor_clock_us() - began)
             if (notified := _drain(socks)) != watchers:
-                raise OSError(f"{notified} of {watchers} watchers were told")
+                raise OSError(f"{notified} of {watchers} watchers received the change")
         for sock in socks:
             sock.close()
         tasks.cancel_scope.cancel()
@@ -113,7 +114,7 @@
 
 
 async def _measure_serialised_once(watchers: int) -> float:
-    """Microseconds of one change that is serialised once and written to each watcher."""
+    """Measure one change that is serialised once and written to each watcher, in microseconds."""
     async with anyio.create_task_group() as tasks:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             socket_pairs = [_socket_pair(listener) for _ in range(watchers)]
@@ -149,7 +150,7 @@
 
 @dataclass
 class _ProbeContext:
-    """As much of a relay as a probe needs."""
+    """The part of a relay that a load probe uses."""
 
     port: int
     spawn: Callable[[Callable[[], Awaitable[Any]]], None]
@@ -168,7 +169,7 @@
 
 
 async def _measure_probes(port: int, count: int) -> float:
-    """Microseconds that so many probes cost together."""
+    """Return the processor microseconds of so many probes. Raises `OSError` if one is not answered."""
     async with anyio.create_task_group() as tasks:
         prober = _ProbeContext(port, spawn_in(tasks))
         began = _processor_clock_us()
@@ -176,7 +177,7 @@
             await run_probe(cast(ConnectContext, prober), StartLoadProbe("b", "127.0.0.1:1", False))
         spent = _processor_clock_us() - began
     if prober.engine.answers != count:
-        raise OSError(f"{prober.engine.answers} of {count} probes were answered")
+        raise OSError(f"{prober.engine.answers} of {count} load probes were answered")
     return spent
 
 
@@ -185,7 +186,7 @@
 
 
 def measure(on_progress: ProgressCallback) -> list[Cost]:
-    """Fan-out by watchers, and probes."""
+    """Measure fan-out by the number of watchers, and load probes by their number."""
     fanout_costs = measure_sizes(
         WATCHER_SWEEP,
         (STAND_IN, SERIALISED_ONCE),
--- a/gannetweir/lab/scale/fleets.py
+++ b/gannetweir/lab/scale/fleets.py
@@ -1,5 +1,5 @@
-"""Probes as a fleet grows: whole fleets on virtual time, the same backends and clients for any number of
-relays.
+"""Load probes by the number of relays: fleet simulations on virtual time, with the same backends and clients
+for every number of relays.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 
 def simulate(relays: int, seed: int) -> dict[str, float]:
-    """One calm day: 60 backends, the same clients, so many relays."""
+    """Simulate a fleet of so many relays without faults. Raises `ValueError` if an invariant is violated."""
     world = World(fleet_plan(seed, relays, BACKENDS))
     checker = world.run(DURATION_S)
     if checker.violations:
-        raise ValueError(f"{relays} relays: {checker.violations[0]}")
+        raise ValueError(f"invariant violated with {relays} relays: {checker.violations[0]}")
     probes = sum(relay.engine.counters.counts["load_probes_sent"] for relay in world.relays)
     probes_per_s = probes / DURATION_S
     return {
@@ -39,7 +39,7 @@
 
 
 def measure(on_progress: ProgressCallback) -> list[Cost]:
-    """All fleets, a few at a time."""
+    """Measure all fleets, in four processes, beginning with the largest."""
     cases = [(size, seed) for size in (CHECK_SIZE, *SIZES) for seed in SEEDS]
     results: dict[tuple[int, int], dict[str, float]] = {}
     with ProcessPoolExecutor(max_workers=4) as workers:
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -1,5 +1,5 @@
-"""What a list of backends costs a relay: on the wire, to read, in the module, in memory, and as one long
-turn.
+"""What an endpoint list costs a relay: bytes on the wire, processor time to read and to apply, memory, and
+the longest turn of the event loop.
 """
 
 from __future__ import annotations
@@ -83,12 +83,12 @@
 
 @cache
 def measured_relay_settings() -> Settings:
-    """The settings that every measurement here gives its relay."""
+    """The settings of the relay in all measurements of this package."""
     return parse_settings(platform_settings(1500))
 
 
 def host_entry(number: int) -> dict[str, Any]:
-    """One entry as discovery tells it, with an address, a block and a start of its own."""
+    """Return one entry as discovery sends it, with its own address, block and start time."""
     return {
         "host": f"s-{number:08x}",
         "dial": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:8080",
@@ -102,23 +102,25 @@
 
 
 def snapshot_line(entries: int, seq: int = 7) -> bytes:
-    """A whole list as one line of the watch."""
+    """Return a snapshot of so many entries as one line of the watch."""
     return orjson.dumps({"seq": seq, "whole": True, "hosts": [host_entry(n) for n in range(entries)]}) + b"\n"
 
 
 def empty_engine() -> Engine:
-    """A relay's engine with no backend in its list."""
+    """Return a relay's engine with an empty endpoint list."""
     return Engine(measured_relay_settings(), Limits(), 1, MembershipUpdate(0, True), NOW_US)
 
 
 def split_into_reads(data: bytes, size: int) -> list[bytes]:
-    """One HTTP chunk, cut as reads of a socket cut it."""
+    """Frame the data as one HTTP chunk and split the response as reads of a socket would split it."""
     framed = RESPONSE_HEAD + b"%x\r\n" % len(data) + data + b"\r\n"
     return [framed[offset : offset + size] for offset in range(0, len(framed), size)]
 
 
 def read_snapshot(entries: int) -> tuple[MembershipUpdate, float, float]:
-    """A list read by a watch: what it tells, processor microseconds in all, milliseconds of the last read."""
+    """Read a snapshot through a watch. Returns the update, the processor time of all reads in microseconds,
+    and the elapsed time of the last read in milliseconds.
+    """
     limits = Limits()
     watch = EndpointWatch("127.0.0.1:1", 0, measured_relay_settings(), limits)
     *earlier_reads, last = split_into_reads(snapshot_line(entries), limits.max_read_bytes)
@@ -137,7 +139,7 @@
 
 
 def measure_times(entries: int) -> dict[str, float]:
-    """One round of everything but memory."""
+    """Measure all costs of one size except memory."""
     gc.collect()
     update, read_us, held_ms = read_snapshot(entries)
     engine = empty_engine()
@@ -162,7 +164,7 @@
 
 
 def measure_memory(entries: int) -> dict[str, float]:
-    """Kilobytes held by an engine with its list, and the most that were held on the way there."""
+    """Measure the memory of an engine with its list, and the peak while the list is read, in kilobytes."""
     measured_relay_settings()
     gc.collect()
     tracemalloc.start()
@@ -184,7 +186,7 @@
 
 
 def measure(on_progress: ProgressCallback) -> list[Cost]:
-    """All costs of lists."""
+    """Measure all costs of endpoint lists."""
     time_costs = measure_sizes(
         TIME_SWEEP, (WIRE, READ, APPLY, REPEAT, MODULE, LONGEST_TURN), measure_times, on_progress
     )
--- a/gannetweir/lab/scale/measure.py
+++ b/gannetweir/lab/scale/measure.py
@@ -1,4 +1,4 @@
-"""What every measurement of a cost shares: sizes in turn, rounds, clocks, and who is told of the progress."""
+"""Common parts of the cost measurements: sweeps over sizes, rounds, clocks and progress callbacks."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from gannetweir.lab.scale.slopes import Cost, Sample
 
 ProgressCallback = Callable[[], None]
-# The figures of one round at one size, by the key of the cost that each belongs to.
+# Measures one size in one round; returns the values by the keys of their costs.
 SizeMeasurement = Callable[[int], dict[str, float]]
 
 
 @dataclass(frozen=True, slots=True)
 class CostDefinition:
-    """What a cost is called, and in which unit it is counted."""
+    """The key and title of a cost, its unit, what its sizes count, and how it is measured."""
 
     key: str
     title: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
-    """Sizes that a cost is fitted over, the larger one that checks the fit, and the rounds."""
+    """Sizes that a cost is fitted over, the larger size that checks the fit, and the number of rounds."""
 
     sizes: Sequence[int]
     check: int
@@ -35,19 +35,19 @@
 
     @property
     def steps(self) -> int:
-        """How often the caller is told that a repetition is done."""
+        """Number of calls of the progress callback: one for each size in each round."""
         return (len(self.sizes) + 1) * self.rounds
 
 
 def processor_us(call: Callable[[], object]) -> float:
-    """Processor time of one call, in microseconds."""
+    """Return the processor time of one call, in microseconds."""
     began = time.process_time_ns()
     call()
     return (time.process_time_ns() - began) / 1000.0
 
 
 def elapsed_ms(call: Callable[[], object]) -> float:
-    """Time that one call holds its thread, in milliseconds."""
+    """Return the elapsed time of one call, in milliseconds."""
     began = time.perf_counter_ns()
     call()
     return (time.perf_counter_ns() - began) / 1e6
@@ -59,7 +59,9 @@
     measure_size: SizeMeasurement,
     on_progress: ProgressCallback,
 ) -> list[Cost]:
-    """Measure every size once a round, the check's size last, after the sizes that predict it."""
+    """Measure every size once per round and return the costs. In each round the size that checks the fit
+    comes last, after the sizes that predict it.
+    """
     values_by_size: dict[str, dict[int, list[float]]] = {definition.key: {} for definition in definitions}
     for _ in range(plan.rounds):
         for size in (*plan.sizes, plan.check):
--- a/gannetweir/lab/scale/module.py
+++ b/gannetweir/lab/scale/module.py
@@ -1,5 +1,5 @@
-"""What the decisions cost: a placement, news of one backend, upkeep, by backends and by standing
-connections.
+"""What decisions cost: a placement, an update of one backend, and periodic maintenance, by backends and by
+open connections.
 """
 
 from __future__ import annotations
@@ -38,15 +38,14 @@
 )
 from gannetweir.proto.endpoint_watch import read_membership
 
-CACHED_ARRIVALS, UNCACHED_ARRIVALS = (
-    200,
-    12,
-)  # arrivals of groups whose order of backends is remembered, and is not
-UPDATE_COUNT = 40  # news of one entry
-MAINTENANCE_S = 40  # seconds of upkeep that are counted, after as many to settle
+# Arrivals of groups whose ranking of backends is cached, and of groups whose ranking is not.
+CACHED_ARRIVALS, UNCACHED_ARRIVALS = 200, 12
+UPDATE_COUNT = 40  # updates of one entry each
+# Seconds of maintenance that are counted, after as many seconds in which the balancer settles.
+MAINTENANCE_S = 40
 FLEET_CONNECTIONS = 110_000_000
-REPORTED_LOAD = 0.5  # of its capacity, that every backend reports
-ARRIVAL_INTERVAL_US = 1000  # between two arrivals
+REPORTED_LOAD = 0.5  # the share of its capacity that every backend reports as used
+ARRIVAL_INTERVAL_US = 1000
 
 DECISION = CostDefinition(
     "decision",
@@ -114,7 +113,7 @@
 
 
 class ProbedBalancer:
-    """One `Balancer` whose probes are answered at once."""
+    """A `Balancer` whose load probes are answered at once; counts its probes and its processor time."""
 
     def __init__(self, backends: int) -> None:
         self.now, self.sent, self.probes, self.spent_us = NOW_US, 0, 0, 0.0
@@ -124,7 +123,7 @@
         self.deliver(EndpointListUpdate(UpdateKind.CACHED, 1, entries))
 
     def deliver(self, event: Event) -> None:
-        """One event, and the answers to the probes that it leads to."""
+        """Let the balancer handle an event, and the answers to the load probes that the event causes."""
         pending_events: list[Event] = [event]
         while pending_events:
             event = pending_events.pop()
@@ -140,7 +139,7 @@
                 self.sent += isinstance(action, StartAttempt)
 
     def place(self, request: int, group: int) -> None:
-        """One arrival, from its request until it is sent and has left again."""
+        """Let one request arrive and its client disconnect; only the arrival adds to the processor time."""
         self.now += ARRIVAL_INTERVAL_US
         self.deliver(RequestArrived(request, time_budget_us=2_000_000, group=group))
         spent = self.spent_us
@@ -149,7 +148,9 @@
 
 
 def placement_costs(backends: int) -> dict[str, float]:
-    """Microseconds a placement, with an order that is remembered and with one that is not."""
+    """Measure a placement with a cached ranking and one without, and an update of one entry, in
+    microseconds.
+    """
     gc.collect()
     probed = ProbedBalancer(backends)
     for group in range(1, 31):
@@ -170,7 +171,9 @@
 
 
 def update_costs(backends: int) -> dict[str, float]:
-    """Microseconds an engine spends on one entry that leaves or comes back."""
+    """Measure an engine's processor time for an entry that leaves or returns, and for one that stays
+    ready.
+    """
     engine = Engine(
         measured_relay_settings(), Limits(), 1, membership_update(0, True, list(range(backends))), NOW_US
     )
@@ -183,13 +186,15 @@
 def membership_update(
     version: int, is_snapshot: bool, numbers: list[int], health: str = "Ready"
 ) -> MembershipUpdate:
-    """News of some entries, as discovery would tell them."""
+    """Return an update of some entries, parsed as if discovery had sent it."""
     hosts = [host_entry(number) | {"health": health} for number in numbers]
     return read_membership({"seq": version, "whole": is_snapshot, "hosts": hosts}, measured_relay_settings())
 
 
 def update_cost_us(engine: Engine, backends: int, other_health: str = "Terminating") -> float:
-    """Microseconds of one piece of news, the mean over entries that leave and return in turn, or stay."""
+    """Return the mean processor time of one update, in microseconds. Every second update sets `other_health`:
+    by default entries leave and return alternately, with "Ready" they stay.
+    """
     spent = 0.0
     for number in range(UPDATE_COUNT):
         changed = [(number // 2 * 37) % backends]
@@ -200,7 +205,7 @@
 
 
 def maintenance_cost(backends: int) -> dict[str, float]:
-    """Probes and microseconds a second of a module that holds a connection at each backend."""
+    """Measure the load probes and microseconds per second of a balancer with a connection at each backend."""
     gc.collect()
     probed = ProbedBalancer(backends)
     for number in range(backends):
@@ -217,7 +222,9 @@
 
 
 def engine_with_connections(connections: int, backends: int = 64) -> Engine:
-    """An engine through which so many connections stand, resumed ones, for they need no probes to place."""
+    """Return an engine with so many open connections. They are resumed ones, which are placed without
+    probes.
+    """
     limits = Limits(sockets=4 * connections)
     engine = Engine(
         measured_relay_settings(), limits, 1, membership_update(0, True, list(range(backends))), NOW_US
@@ -236,13 +243,18 @@
 
 
 def engine_maintenance_cost(connections: int) -> dict[str, float]:
-    """What one second of upkeep and one piece of news cost an engine through which connections stand."""
+    """Measure one second of maintenance, its longest turn and one update in an engine with open
+    connections.
+    """
     engine = engine_with_connections(connections)
     gc.collect()
-    gc.freeze()  # what stands is no garbage; a relay's collector would come to know that as well
+    # The open connections are not garbage. A long-running relay's collector moves them to its oldest
+    # generation.
+    gc.freeze()
     try:
         now, spent, longest_ms = NOW_US, 0.0, 0.0
-        for quarter in range(24 * 4 + 8):  # until nothing of the set-up is due any more, then two seconds
+        # Quarters of a second: in the first 24 s all timers of the set-up expire, the last 2 s are counted.
+        for quarter in range(24 * 4 + 8):
             now += 250_000
             engine.commands.clear()
             is_counted = quarter >= 24 * 4
@@ -276,14 +288,14 @@
 
 
 def measure_decisions(on_progress: ProgressCallback) -> list[Cost]:
-    """Placements and news by backends."""
+    """Measure placements and updates by the number of backends."""
     return measure_sizes(
         BACKEND_SWEEP, (DECISION, NEW_GROUP, UPDATE, READY_UPDATE), placement_costs, on_progress
     )
 
 
 def measure_maintenance(on_progress: ProgressCallback) -> list[Cost]:
-    """Upkeep by backends and by connections, and news by connections."""
+    """Measure maintenance by backends and by connections, and updates by connections."""
     costs = measure_sizes(MAINTENANCE_SWEEP, (MAINTENANCE_PROBES, MAINTENANCE), maintenance_cost, on_progress)
     return costs + measure_sizes(
         CONNECTION_SWEEP,
--- a/gannetweir/lab/scale/processes.py
+++ b/gannetweir/lab/scale/processes.py
@@ -1,4 +1,4 @@
-"""Measured processes on loopback: a real relay, a backend, a copying proxy; their processor time and
+"""Measured processes on loopback: a real relay, a backend and a copying proxy, with their processor time and
 memory.
 """
 
@@ -19,18 +19,18 @@
 
 from gannetweir.lab.emulator.plan import platform_settings
 
-START_TIMEOUT_S = 20.0  # a process that does not answer by then has failed
+START_TIMEOUT_S = 20.0
 SOCKET_LIMIT = 18_000
 
 
 def free_port() -> int:
-    """A port that is free now."""
+    """Return a TCP port that is free at the moment."""
     with socket.create_server(("127.0.0.1", 0)) as probe:
         return int(probe.getsockname()[1])
 
 
 class MeasuredProcess:
-    """One process, and what the kernel counts of it."""
+    """A child process that listens on a port, with its processor time and memory from /proc."""
 
     def __init__(self, command: Sequence[str], env: dict[str, str], port: int) -> None:
         self.port = port
@@ -40,16 +40,18 @@
         )
 
     def processor_us(self) -> float:
-        """Processor time so far, in microseconds."""
+        """Return the processor time of the main thread so far, in microseconds."""
         return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0]) / 1000.0
 
     def memory_kb(self, field: str = "VmRSS") -> float:
-        """Resident memory now, or the most so far (`VmHWM`), in kilobytes."""
+        """Return the resident memory now, or its peak (`VmHWM`), in kilobytes."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return float(status.split(f"{field}:")[1].split()[0])
 
     def wait_until_answered(self, request: bytes, expected: bytes) -> None:
-        """Until the process answers a question as expected; `OSError` if it does not."""
+        """Wait until the process answers a request as expected. Raises `OSError` if it ends or does not
+        answer within `START_TIMEOUT_S`.
+        """
         end = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < end and self.process.poll() is None:
             try:
@@ -59,17 +61,19 @@
                         return
             except OSError:
                 time.sleep(0.002)
-        raise OSError(f"no answer {expected!r} at port {self.port}")
+        raise OSError(
+            f"port {self.port}: no answer {expected!r} in {START_TIMEOUT_S:.0f} s, or the process has ended"
+        )
 
     def end(self) -> None:
-        """Kill it, and wait for its end."""
+        """Kill the process and wait until it has ended."""
         self.process.kill()
         self.process.wait()
 
 
 @contextmanager
 def backend() -> Iterator[int]:
-    """A backend process; its port."""
+    """Run a backend process; yield its port once the backend answers."""
     port = free_port()
     process = MeasuredProcess(["-m", "gannetweir.lab.scale.comparison_peers", "backend", str(port)], {}, port)
     try:
@@ -81,7 +85,7 @@
 
 @contextmanager
 def proxy(backend_port: int) -> Iterator[MeasuredProcess]:
-    """A copying proxy before that backend."""
+    """Run a copying proxy in front of a backend; yield the process once the proxy answers."""
     port = free_port()
     command = ["-m", "gannetweir.lab.scale.comparison_peers", "proxy", str(port), str(backend_port)]
     process = MeasuredProcess(command, {}, port)
@@ -94,7 +98,10 @@
 
 @contextmanager
 def relay(hosts: list[dict[str, Any]], discovery: int = 1, pushed: bool = False) -> Iterator[MeasuredProcess]:
-    """A real relay that knows these backends, once it answers a ping."""
+    """Run a real relay whose initial endpoint list has these backends; yield the process once it answers a
+    ping. `discovery` is discovery's port. `pushed` selects the registry mode "pushed"
+    instead of "on_request".
+    """
     with tempfile.TemporaryDirectory() as name:
         port, path = free_port(), Path(name) / "config.json"
         settings = platform_settings(1) | {"registry-mode": "pushed" if pushed else "on_request"}
@@ -117,6 +124,6 @@
 
 
 def hosts_at(port: int, count: int) -> list[dict[str, Any]]:
-    """Backends that are all the one process."""
+    """Return entries of so many backends that all have the address of the process at this port."""
     common = {"dial": f"127.0.0.1:{port}", "site": "a", "class": "m", "health": "Ready", "share": 1.0}
     return [{"host": f"b{n}", "born_ms": 0, **common} for n in range(count)]
--- a/gannetweir/lab/scale/record.py
+++ b/gannetweir/lab/scale/record.py
@@ -1,4 +1,4 @@
-"""The record of a capacity run: raw figures as JSON, group by group, and what is asked of them."""
+"""The record of a capacity run: the measured values of all costs as JSON, and the groups of costs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CostGroup:
-    """Costs that are measured together, and how many steps that takes."""
+    """Costs that are measured together, and the number of progress steps that this takes."""
 
     measure: Callable[[ProgressCallback], list[Cost]]
     steps: int
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Record:
-    """Every cost by its key, with how its group was measured."""
+    """All measured costs by key, and the conditions under which each group was measured."""
 
     costs: dict[str, Cost] = field(default_factory=dict)
     groups: dict[str, dict[str, Any]] = field(default_factory=dict)
@@ -52,7 +52,7 @@
         return self.costs[key]
 
     def add(self, group: str, costs: Iterable[Cost], seconds: float) -> None:
-        """What a group measured, in place of what it measured before."""
+        """Add the costs of a group; they replace the group's earlier costs of the same keys."""
         costs_by_key = {cost.key: cost for cost in costs}
         self.costs |= costs_by_key
         self.groups[group] = {
@@ -64,20 +64,22 @@
         }
 
     def save(self, folder: Path) -> None:
-        """Write the record."""
+        """Write the record into a folder, which is created if needed."""
         folder.mkdir(parents=True, exist_ok=True)
         data = {"groups": self.groups, "costs": [asdict(cost) for cost in self.costs.values()]}
         (folder / RECORD_FILE).write_bytes(orjson.dumps(data, option=orjson.OPT_INDENT_2) + b"\n")
 
 
 def read_record(folder: Path) -> Record:
-    """The record of a folder; `OSError` if there is none, `ValueError` if it is no record."""
+    """Read the record of a folder. Raises `OSError` if there is no file, `ValueError` if it is not a
+    record.
+    """
     data = orjson.loads((folder / RECORD_FILE).read_bytes())
     try:
         costs = [_cost(entry) for entry in data["costs"]]
         return Record({cost.key: cost for cost in costs}, data["groups"])
     except (KeyError, TypeError) as error:
-        raise ValueError(f"{folder / RECORD_FILE}: no record: {error!r}") from None
+        raise ValueError(f"{folder / RECORD_FILE}: not a capacity record: {error!r}") from None
 
 
 def _cost(entry: dict[str, Any]) -> Cost:
--- a/gannetweir/lab/scale/relays.py
+++ b/gannetweir/lab/scale/relays.py
@@ -1,5 +1,5 @@
-"""What a real relay costs on loopback, beside a proxy that only copies: set-ups, standing connections,
-lines.
+"""What a real relay costs on loopback, compared with a proxy that only copies bytes: set-ups, open
+connections and lines.
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 from gannetweir.lab.scale.processes import MeasuredProcess, backend, hosts_at, proxy, relay
 from gannetweir.lab.scale.slopes import Cost, Sample
 
-BACKENDS = 400  # so that a process holds a few connections at each, as it would at the target
+# A process holds a few connections at each of so many backends, as it would at the target.
+BACKENDS = 400
 LINE_CONNECTIONS = 64  # connections that lines are sent over
 LINE_PERIOD_S = 1.0
 SETTLE_TIME_S = 0.15
@@ -74,7 +75,7 @@
 async def _measure_connections(
     process: MeasuredProcess, process_kind: str, on_progress: ProgressCallback
 ) -> dict[str, dict[int, float]]:
-    """One process from its start on: memory and processor time at each size."""
+    """Open more and more connections to a new process; return its memory and processor time at each size."""
     connections = ClientConnections(process.port)
     memory, spent_us = dict[int, float](), dict[int, float]()
     before_us = process.processor_us()
@@ -105,7 +106,7 @@
 
 
 def measure_connections(on_progress: ProgressCallback) -> list[Cost]:
-    """Set-ups and standing connections, through a relay and through a proxy."""
+    """Measure set-ups and open connections, through a relay and through a proxy."""
     rounds: dict[str, list[dict[str, dict[int, float]]]] = {"relay": [], "proxy": []}
     for _ in range(CONNECTION_SWEEP.rounds):
         with backend() as port:
@@ -123,7 +124,9 @@
 
 
 async def _measure_lines(process: MeasuredProcess, per_s: int, direction: str) -> float:
-    """Processor microseconds a second at so many lines a second, scaled from the lines that did pass."""
+    """Return processor microseconds per second at a rate of lines, scaled from the lines that passed to the
+    rate that was asked for.
+    """
     connections = ClientConnections(process.port)
     try:
         await connections.grow_to(LINE_CONNECTIONS)
@@ -145,7 +148,7 @@
 
 
 def measure_lines(on_progress: ProgressCallback) -> list[Cost]:
-    """Plain lines, both ways and from the backend alone, through a relay and through a proxy."""
+    """Measure lines in both directions and from the backend alone, through a relay and through a proxy."""
     names = [
         _line_definition(process_kind, direction, title)
         for direction, title in DIRECTIONS.items()
@@ -171,7 +174,7 @@
 
 
 def measure_starts(on_progress: ProgressCallback) -> list[Cost]:
-    """A relay's start by the entries of the list that it is given."""
+    """Measure a relay's start by the number of entries in its initial endpoint list."""
 
     def measure_one(entries: int) -> dict[str, float]:
         started_s = time.monotonic()
@@ -187,7 +190,7 @@
 
 
 class DiscoveryStandIn:
-    """Stand-in discovery with one watch: says a list when told to."""
+    """A stand-in for discovery that serves one watch and sends the lines that its caller passes."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -203,20 +206,22 @@
         self.ready.set()
 
     def send(self, data: bytes) -> None:
-        """One line of the watch; a thread sends it, for the relay may take its time."""
+        """Send one line of the watch. A thread sends it, because the relay may be slow to read."""
         assert self.watch is not None
         framed = b"%x\r\n" % len(data) + data + b"\r\n"
         threading.Thread(target=self.watch.sendall, args=(framed,), daemon=True).start()
 
     def close(self) -> None:
-        """End the watch."""
+        """Close the watch and the listener."""
         self.listener.close()
         if self.watch is not None:
             self.watch.close()
 
 
 async def _measure_stall(process: MeasuredProcess, discovery: DiscoveryStandIn, data: bytes) -> float:
-    """The longest wait of a line, in milliseconds, until the relay has been quiet for a while."""
+    """Return the longest wait of a line, in milliseconds. Lines go through the relay one after another, from
+    when the list is sent until the relay has had ample time to read and apply the list.
+    """
     connections = ClientConnections(process.port)
     try:
         await connections.grow_to(1)
@@ -233,7 +238,7 @@
 
 
 def measure_stalls(on_progress: ProgressCallback) -> list[Cost]:
-    """How long a whole list from discovery keeps the lines of a real relay waiting."""
+    """Measure how long a snapshot from discovery delays the lines of a real relay."""
     version = 1
     with backend() as port:
 
--- a/gannetweir/lab/scale/run.py
+++ b/gannetweir/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""The capacity run: measures groups of costs, with a bar, keeps the record, writes the page and the
+"""The capacity run: measures groups of costs with a progress bar, and writes the record, the page and the
 charts.
 """
 
@@ -20,8 +20,8 @@
 
 
 def parse_groups(names: str) -> list[str]:
-    """The groups that a comma-separated list names, all for an empty one; `ValueError` for an unknown
-    name.
+    """Return the groups named in a comma-separated list, or all groups for an empty list. Raises `ValueError`
+    for an unknown name.
     """
     requested = [name.strip() for name in names.split(",") if name.strip()]
     unknown = [name for name in requested if name not in GROUPS]
@@ -31,7 +31,7 @@
 
 
 def measure(groups: Sequence[str], record: Record) -> None:
-    """Measure these groups, each in place of what the record has of it."""
+    """Measure these groups and replace their costs in the record."""
     columns = TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn()
     with Progress(*columns) as progress:
         for name in groups:
@@ -42,8 +42,10 @@
 
 
 def capacity(only: str = "", page_only: bool = False, keep: str | None = None) -> int:
-    """Measure, unless only the page is wanted, and write record, charts and page. `OSError` if a page is
-    wanted and there is no record, `ValueError` for an unknown group.
+    """Measure the groups of `only`, and write the record, the charts and the page; with `page_only`, write
+    the charts and the page from the existing record. `keep` is the folder to write to, by default the
+    committed one. The page is written only when every group has been measured. Returns the exit code 0.
+    Raises `OSError` with `page_only` and no record, `ValueError` for an unknown group.
     """
     folder = Path(keep) if keep else RECORD_FOLDER
     page = folder / PAGE.name if keep else PAGE
@@ -55,7 +57,7 @@
     print_table("costs", *console_table(record))
     missing = [name for name in GROUPS if name not in record.groups]
     if missing:
-        print(f"no page yet, not measured: {', '.join(missing)}")
+        print(f"page not written, groups not measured: {', '.join(missing)}")
         return 0
     write_page(record, folder, page)
     print(f"written: {page}, {folder / RECORD_FILE} and its charts")
