--- a/gannetweir/lab/scale/charts.py
+++ b/gannetweir/lab/scale/charts.py
@@ -1,4 +1,4 @@
-"""The charts of a capacity record. The same record draws the same bytes."""
+"""The charts of a capacity record. Equal records give byte-identical charts."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 def _render_svg(chart: pygal.graph.graph.Graph, name: str) -> str:
-    chart.uuid = name  # else a random one
+    chart.uuid = name  # the default is random
     drawn: str = chart.render(is_unicode=True, disable_xml_declaration=True)
-    return re.sub(r"<!--.*?-->", "", drawn, flags=re.S)  # the library's own notes
+    return re.sub(r"<!--.*?-->", "", drawn, flags=re.S)  # comments of the library
 
 
 def _chart_options(**overrides: object) -> dict[str, object]:
@@ -30,7 +30,7 @@
 
 
 def _slopes(record: Record, name: str, title: str, keys: tuple[str, ...], log: bool) -> str:
-    """Measured medians as dots, the fits as lines, the checks at the right end."""
+    """Draw measured medians as dots, with the checks as the rightmost dots, and accepted fits as lines."""
     first = record[keys[0]]
     chart = pygal.XY(
         title=title,
@@ -67,7 +67,7 @@
 
 
 def draw(record: Record) -> dict[str, str]:
-    """Every chart by its file's name."""
+    """Return every chart as SVG text by its file name."""
     return {
         "lists.svg": _slopes(record, "lists", "A whole list, processor time", LISTS, True),
         "decisions.svg": _slopes(record, "decisions", "Decisions and upkeep by backends", DECISIONS, True),
--- a/gannetweir/lab/scale/events.py
+++ b/gannetweir/lab/scale/events.py
@@ -1,5 +1,5 @@
-"""What an event asks of the fleet: clients that come again, set-ups, store calls, and when all is in
-force.
+"""The load that an event puts on the fleet: returning clients, set-ups, session-store calls, and the time
+until the changes are in force.
 """
 
 from __future__ import annotations
@@ -10,32 +10,33 @@
 from gannetweir.lab.scale.model import CapacityLoad
 from gannetweir.limits import Limits
 
-WATCH_RETRY_S = 0.35  # until a watch that was lost is asked for again, at most
+WATCH_RETRY_S = 0.35  # the longest delay before a relay opens a lost watch again
 PARTITION_S = 3600.0
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event under one pair of assumptions; times are in seconds."""
+    """An event in the fleet under one pair of assumptions, and the load it causes; times are in seconds."""
 
     name: str
-    clients: float | None  # that come again; None: not told
-    setups_per_relay: float | None  # at each relay that is left
-    setup_duration_s: float | None  # until those relays have set them up, beside their ordinary load
+    clients: float | None  # clients that return; None if not given
+    setups_per_relay: float | None  # set-ups at each remaining relay
+    # Time for the remaining relays to set up the returning clients in addition to their steady load.
+    setup_duration_s: float | None
     store_calls: float | None
-    update_kb: float  # to each relay that has to hear of it, one process each
-    in_force_s: float  # until what was told is in force, at a relay's bytes a second
+    update_kb: float  # KB sent to each relay that needs the change, for one process
+    in_force_s: float  # time until the change is in force, at a relay's control bandwidth
     explanation: str
 
 
 def _watch_reconnect_s() -> float:
-    """From a silent watch to the first byte of the next."""
+    """Seconds from the last byte of a silent watch to the first byte of the next watch."""
     return Limits().endpoint_watch_silence_us / 1e6 + WATCH_RETRY_S
 
 
 def events(load: CapacityLoad, processes: int) -> list[Event]:
-    """A relay's restart, a zone's loss and return, an hour's cut, a control machine's death, a backend's
-    end.
+    """Return the loads of these events: a relay's restart, the loss and the return of a zone, an hour's
+    partition between regions, the loss of a control machine and the loss of a backend.
     """
     snapshot_kb, entry_kb = load.snapshot_bytes() / 1e3, load.entry_bytes() / 1e3
     rate_kb = target.CONTROL_BYTES_S / 1e3
--- a/gannetweir/lab/scale/flips.py
+++ b/gannetweir/lab/scale/flips.py
@@ -1,4 +1,4 @@
-"""Which conclusions depend on what is not told, and where they flip."""
+"""Which conclusions depend on the assumptions, and the sizes at which they change."""
 
 from __future__ import annotations
 
@@ -12,12 +12,14 @@
 from gannetweir.lab.scale.target import Assumptions, swept_assumptions
 from gannetweir.placement.group_placement import MAX_CANDIDATES
 
-BISECTION_STEPS = 60  # of a bisection
+BISECTION_STEPS = 60
 
 
 @dataclass(frozen=True, slots=True)
 class Conclusion:
-    """A load that is within its budget, or is not; `ratio` may raise `FitRefusedError`."""
+    """A statement that holds if a load is within its budget. `ratio` is load over budget, or raises
+    `FitRefusedError`.
+    """
 
     text: str
     ratio: Callable[[CapacityLoad], float]
@@ -25,22 +27,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ConclusionResult:
-    """One conclusion over the whole sweep. A ratio of None needs a fit that was refused."""
+    """A conclusion for all swept assumptions. A ratio of None needs a refused fit."""
 
     text: str
-    ratios: dict[str, float | None]  # by the assumptions' name
-    crossover_backends: float | None  # at which it flips, the life of 10 min kept
-    crossover_lifetime_s: float | None  # the same, 5,000 backends kept
+    ratios: dict[str, float | None]  # by the name of the assumptions
+    crossover_backends: float | None  # where the ratio crosses 1, at a lifetime of 10 min
+    crossover_lifetime_s: float | None  # where the ratio crosses 1, at 5,000 backends
 
     @property
     def depends_on_assumptions(self) -> bool:
-        """Does it hold for some of the sweep and not for others?"""
+        """Whether the conclusion holds for some of the swept assumptions and not for others."""
         verdicts = {ratio <= 1.0 for ratio in self.ratios.values() if ratio is not None}
         return len(verdicts) > 1
 
 
 def _processes(load: CapacityLoad, sorted_order: bool = True) -> float:
-    """Processes over the cores of a machine; without an answer, over any budget."""
+    """Processes over the cores of a machine; infinite if no number of processes carries the load."""
     count = load.processes(sorted_order)
     return float("inf") if count is None else count / load.assumptions.cores
 
@@ -71,8 +73,8 @@
 
 
 def crossover(ratio: Callable[[float], float], low: float, high: float) -> float | None:
-    """Where a ratio crosses 1 between two sizes, by bisection in equal factors; None if it does not, or if it
-    needs a fit that was refused.
+    """Return the size at which a ratio crosses 1 between two sizes, by bisection on a logarithmic scale.
+    Returns None if the ratio does not cross 1, or needs a refused fit.
     """
     try:
         within = ratio(low) <= 1.0
@@ -87,7 +89,7 @@
 
 
 def evaluate(conclusion: Conclusion, record: Record) -> ConclusionResult:
-    """The conclusion under every pair of assumptions, and the sizes at which it flips."""
+    """Evaluate a conclusion for every pair of assumptions, and find the sizes at which it changes."""
 
     def ratio(case: Assumptions) -> float:
         return conclusion.ratio(CapacityLoad(record, case))
@@ -114,5 +116,5 @@
 
 
 def evaluate_all(record: Record) -> list[ConclusionResult]:
-    """All conclusions."""
+    """Evaluate all conclusions."""
     return [evaluate(conclusion, record) for conclusion in CONCLUSIONS]
--- a/gannetweir/lab/scale/page.py
+++ b/gannetweir/lab/scale/page.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md, written from the record alone."""
+"""Generates docs/CAPACITY.md from the record alone."""
 
 from __future__ import annotations
 
@@ -45,17 +45,17 @@
 
 
 def paragraph(words: str) -> str:
-    """Text in lines of the pages' width."""
+    """Wrap text at the width of the pages."""
     return textwrap.fill(" ".join(words.split()), PAGE_WIDTH, break_long_words=False, break_on_hyphens=False)
 
 
 def chart_image(name: str) -> str:
-    """A chart of the record's folder."""
+    """Return the Markdown image of a chart in the record's folder."""
     return f"![{name}]({FOLDER}/{name}.svg)"
 
 
 def section(title: str, *parts: str | Table) -> str:
-    """A title, and paragraphs and tables under it."""
+    """Return a title with paragraphs and tables under the title."""
     written = [part if isinstance(part, str) else markdown(*part) for part in parts]
     return "\n\n".join([f"## {title}", *written])
 
@@ -175,8 +175,8 @@
 
 
 def render(record: Record) -> str:
-    """The whole page; `FitRefusedError` if a list's bytes on the wire have no fit, on which most of it
-    rests.
+    """Return the text of the page. Raises `FitRefusedError` if the fit of `list.wire` is refused, because
+    most tables need the bytes of an entry.
     """
     middle = Assumptions()
     load = CapacityLoad(record, middle)
@@ -196,7 +196,7 @@
 
 
 def write_page(record: Record, folder: Path, page: Path) -> None:
-    """Write the charts beside the record, and the page."""
+    """Write the charts into the record's folder, and the page."""
     for name, svg in draw(record).items():
         (folder / name).write_text(svg)
     page.parent.mkdir(parents=True, exist_ok=True)
--- a/gannetweir/lab/scale/role_loads.py
+++ b/gannetweir/lab/scale/role_loads.py
@@ -37,7 +37,7 @@
 
 
 def _kb_per_s_for_change(byte_count: float) -> float:
-    """KB a second if so many bytes are told within the time for a change."""
+    """KB per second to send so many bytes within the time for a change."""
     return byte_count / target.IN_FORCE_S / 1e3
 
 
@@ -46,7 +46,9 @@
 
 
 def _update_ms_per_s(load: CapacityLoad, processes: int) -> float:
-    """One entry of news within the time for a change, in milliseconds a second over all processes."""
+    """Milliseconds per second, over all processes, to apply an update of one entry within the time for a
+    change.
+    """
     by_backends = load.record["news.backends"].at(load.assumptions.backends)
     by_connections = load.record["news.connections"].mean_per_unit * target.RELAY_CONNECTIONS / processes
     return processes * (by_backends + by_connections) / 1e3 / target.IN_FORCE_S
@@ -57,17 +59,17 @@
 
 
 def _change_ms(key: str, load: CapacityLoad, watchers: int) -> float:
-    """One change to so many watchers."""
+    """Milliseconds to send one change to so many watchers."""
     return load.record[key].at(watchers) / 1e3
 
 
 def _restarts_kb_per_s(load: CapacityLoad, processes: int) -> float:
-    """KB a second of whole lists for the relays that are restarted on an ordinary day."""
+    """KB per second of snapshots for the relays that restart on an ordinary day."""
     return target.RESTARTS_A_DAY * processes * load.snapshot_bytes() / 86400 / 1e3
 
 
 def _snapshots_mb_per_s(load: CapacityLoad, processes: int) -> float:
-    """MB a second if a control machine's relays all read the whole list within the time for a change."""
+    """MB per second if all relays of a control machine read a snapshot within the time for a change."""
     return RELAYS_PER_CONTROL_MACHINE * load.snapshot_bytes() / target.IN_FORCE_S / 1e6
 
 
--- a/gannetweir/lab/scale/role_table.py
+++ b/gannetweir/lab/scale/role_table.py
@@ -1,4 +1,4 @@
-"""Each role at the target: its loads under some assumptions, their budgets, ratios and mechanisms."""
+"""Each role at the target: its loads under given assumptions, with budgets, ratios and mechanisms."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One load under some assumptions. A value of None needs a fit that was refused, or was not measured; a
-    budget of None is not told.
+    """A load under given assumptions. A value of None was not measured or needs a refused fit; a budget of
+    None is not given.
     """
 
     role: str
@@ -27,7 +27,7 @@
 
     @property
     def ratio(self) -> float | None:
-        """The load over its budget."""
+        """The load divided by its budget; None if either is missing."""
         return None if self.value is None or not self.budget else self.value / self.budget
 
 
@@ -56,8 +56,8 @@
 
 
 def role_rows(load: CapacityLoad) -> list[Row]:
-    """Every load of every role, under the load's assumptions. Where no number of processes carries a machine,
-    the figures are those of one process.
+    """Return every load of every role. Where no number of processes carries a machine's load, the loads are
+    those of one process.
     """
     processes = load.processes() or 1
     return [
--- a/gannetweir/lab/scale/roles.py
+++ b/gannetweir/lab/scale/roles.py
@@ -1,4 +1,4 @@
-"""What a load of one role at the target is: a formula, its budget, and what carries it."""
+"""The loads of roles at the target: a formula, a budget and the mechanism that carries the load."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 
 
 class MechanismState(Enum):
-    """Is the mechanism there that carries a load?"""
+    """Whether the mechanism that carries a load exists."""
 
     PRESENT = "present"
-    NEW = "new"  # there, but not in the state in which the slopes were measured
+    # The mechanism exists, but the slopes were measured without it.
+    NEW = "new"
     MISSING = "missing"
     UNMEASURED = "not measured"
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What a load may be, in its unit; 0 if that is not told."""
+    """The limit of a load and its unit; a limit of 0 means that none is given."""
 
     unit: str
     limit: float = 0.0
@@ -32,16 +33,16 @@
 MEMORY = Budget("MB", target.CONTROL_MB)
 LATENCY = Budget("ms", target.DELIVERY_MS)
 CHANGE_TIME = Budget("ms", target.IN_FORCE_S * 1000)
-MACHINE_CORES = Budget("cores")  # the assumptions say how many
+MACHINE_CORES = Budget("cores")  # the limit follows from the assumptions
 
 
 @dataclass(frozen=True, slots=True)
 class RoleLoad:
-    """One load of one role, as a formula over the model and the processes of a relay machine."""
+    """A load of a role, as a formula over the model and the number of processes of a relay machine."""
 
     label: str
-    value: Callable[[CapacityLoad, int], float] | None  # None: not measured
+    value: Callable[[CapacityLoad, int], float] | None  # None means not measured
     budget: Budget
     mechanism: str
     state: MechanismState
-    source: str  # keys of the record
+    source: str  # keys of costs in the record
--- a/gannetweir/lab/scale/seen.py
+++ b/gannetweir/lab/scale/seen.py
@@ -1,4 +1,4 @@
-"""Figures that were seen once before the record was made: does it confirm them?"""
+"""Figures measured once before the record, and whether the record confirms them."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 
 from gannetweir.lab.scale.record import Record
 
-TOLERANCE = 0.2  # of what was seen
+TOLERANCE = 0.2  # relative to the earlier figure
 
 
 @dataclass(frozen=True, slots=True)
 class EarlierFigure:
-    """One earlier figure, from its lowest to its highest, and the record's."""
+    """The lowest and highest value of an earlier figure, and a function that reads the value of the
+    record.
+    """
 
     label: str
     low: float
@@ -21,7 +23,9 @@
     current: Callable[[Record], float]
 
     def verdict(self, record: Record) -> str:
-        """Confirmed if the record's figure is within a fifth of the range."""
+        """Return "confirmed" if the record's value lies in the range widened by `TOLERANCE`, else how it
+        differs.
+        """
         current = self.current(record)
         if self.low * (1 - TOLERANCE) <= current <= self.high * (1 + TOLERANCE):
             return "confirmed"
--- a/gannetweir/lab/scale/slopes.py
+++ b/gannetweir/lab/scale/slopes.py
@@ -1,10 +1,10 @@
-"""How a cost grows with a size: medians of raw figures, a least-squares line, and the check of its
-prediction.
+"""How a cost grows with a size: medians of the measured values, a least-squares line, and the check of the
+line's prediction.
 
-A round measures every size once; a line over all but the largest predicts that one, which is measured last.
-So a machine that is slower for some seconds slows both sides of a comparison. A median prediction that is
-off by more than `MAX_PREDICTION_ERROR` refuses the fit, and then nothing beyond the measured sizes has a
-value.
+A round measures every size once. A line fitted over all sizes but the largest predicts the cost at the
+largest, which is measured last. So a machine that is slower for some seconds slows the sizes that predict and
+the size that is predicted. If the median error of the predictions exceeds `MAX_PREDICTION_ERROR`, the fit is
+refused, and the cost has no value beyond the measured sizes.
 """
 
 from __future__ import annotations
@@ -14,31 +14,33 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
-MAX_PREDICTION_ERROR = 0.15  # of the measured value
+MAX_PREDICTION_ERROR = 0.15  # relative to the measured value
 MIN_SIZES = 4
-MIN_SIZE_RATIO = 16.0  # from the smallest to the largest size that the line is fitted over
+MIN_SIZE_RATIO = 16.0  # the largest fitted size over the smallest
 
 
 class FitRefusedError(ValueError):
-    """A value was asked for that only an extrapolation could give, and the fit does not hold."""
+    """A value was requested that only extrapolation could give, and the fit is refused."""
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """`fixed + per_unit * size`."""
+    """The line `fixed + per_unit * size`."""
 
     fixed: float
     per_unit: float
 
     def at(self, size: float) -> float:
-        """The line's value at a size."""
+        """Return the line's value at a size."""
         return self.fixed + self.per_unit * size
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Line:
-    """The least-squares line through (size, value) points; `ValueError` for fewer than two sizes."""
+    """Return the least-squares line for (size, value) points. Raises `ValueError` for fewer than two
+    sizes.
+    """
     if len({size for size, _ in points}) < 2:
-        raise ValueError("a line needs two sizes")
+        raise ValueError("a fit needs at least two sizes")
     mean_size = statistics.fmean(size for size, _ in points)
     mean_value = statistics.fmean(value for _, value in points)
     spread = sum((size - mean_size) ** 2 for size, _ in points)
@@ -48,38 +50,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """The raw figures at one size, one a round."""
+    """The measured values at one size, one for each round."""
 
     size: int
     values: list[float]
 
     @property
     def median(self) -> float:
-        """What the rounds say together; one slow turn of the machine does not move it."""
+        """The median of the rounds, which one slow round does not move."""
         return statistics.median(self.values)
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """One measured cost: the samples that the line is fitted over, and the larger one that checks it."""
+    """A measured cost: the samples that the line is fitted over, and the larger sample that checks the
+    fit.
+    """
 
     key: str
     title: str
-    unit: str  # of a value
+    unit: str  # the unit of the values
     size_unit: str  # what a size counts
     samples: list[Sample]
     check: Sample
-    method: str = ""  # how it was measured, in a sentence
-    facts: dict[str, float] = field(default_factory=dict)  # other figures of the same run
+    method: str = ""  # the method of measurement, in a sentence
+    facts: dict[str, float] = field(default_factory=dict)  # other values from the same run
 
     @property
     def line(self) -> Line:
-        """The fit over the samples, the check left out."""
+        """The line fitted over the samples, without the check."""
         return fit([(sample.size, sample.median) for sample in self.samples])
 
     @property
     def errors(self) -> list[float]:
-        """Of each round's prediction, as a signed share of what the round then measured."""
+        """The signed error of each round's prediction, relative to the value that the round measured."""
         by_round = []
         for round_index, measured in enumerate(self.check.values):
             line = fit([(sample.size, sample.values[round_index]) for sample in self.samples])
@@ -93,7 +97,7 @@
 
     @property
     def refusal(self) -> str:
-        """Why the fit may not be used; empty if it may."""
+        """Why the fit is refused; empty if the fit is accepted."""
         sizes = sorted({sample.size for sample in self.samples})
         if len(sizes) < MIN_SIZES or sizes[-1] < MIN_SIZE_RATIO * sizes[0]:
             return f"{len(sizes)} sizes over a factor of {sizes[-1] / sizes[0]:.0f}"
@@ -105,14 +109,14 @@
 
     @property
     def accepted_line(self) -> Line:
-        """The line, where it may be used; `FitRefusedError` where it may not."""
+        """The fitted line. Raises `FitRefusedError` if the fit is refused."""
         if self.refusal:
             raise FitRefusedError(f"{self.key}: {self.refusal}")
         return self.line
 
     def at(self, size: float) -> float:
-        """The measured median at a measured size, else the line's value. Where the fit is refused, between
-        measured sizes; beyond them `FitRefusedError`.
+        """Return the measured median at a measured size, and the line's value at any other. If the fit is
+        refused, interpolates between measured sizes, and raises `FitRefusedError` beyond them.
         """
         points = sorted((sample.size, sample.median) for sample in (*self.samples, self.check))
         for measured, value in points:
@@ -127,5 +131,5 @@
 
     @property
     def mean_per_unit(self) -> float:
-        """The mean cost of one, over the largest size that was measured."""
+        """The mean cost per unit of size, at the largest measured size."""
         return self.check.median / self.check.size
--- a/gannetweir/lab/scale/tables.py
+++ b/gannetweir/lab/scale/tables.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md, from a record and the model over it."""
+"""The tables of docs/CAPACITY.md, from a record and the capacity model."""
 
 from __future__ import annotations
 
@@ -16,7 +16,9 @@
 
 
 def format_number(value: float | None) -> str:
-    """Three figures that count, thousands parted."""
+    """Format a number with three significant digits, or as an integer with thousands separators from
+    100 on.
+    """
     if value is None:
         return "-"
     if value == 0 or abs(value) >= 100:
@@ -25,7 +27,7 @@
 
 
 def slope_table(record: Record) -> Table:
-    """Every cost: its fit, its check, and whether the fit is used."""
+    """Return every cost with its fit, its check, and whether the fit is used."""
     columns = [
         "cost",
         "unit",
@@ -43,7 +45,7 @@
 
 
 def console_table(record: Record) -> Table:
-    """What a console has room for."""
+    """Return the columns of the cost table that fit on a console."""
     table_rows = [
         [
             cost.key,
@@ -75,20 +77,20 @@
 
 
 def description_table(record: Record) -> Table:
-    """What each cost is."""
+    """Return the title and method of each cost."""
     table_rows = [[c.key, c.title, c.method or "-"] for c in record.costs.values()]
     return ["cost", "what it is", "how it was measured"], table_rows
 
 
 def group_table(record: Record) -> Table:
-    """How each group was measured."""
+    """Return the conditions under which each group was measured."""
     columns = ["group", "seconds", "Python", "processors", "load average at its end"]
     names = "seconds", "python", "processors", "load_average"
     return columns, [[name, *(str(about[key]) for key in names)] for name, about in record.groups.items()]
 
 
 def role_table(table_rows: list[Row]) -> Table:
-    """Every load of every role."""
+    """Return every load of every role."""
     columns = ["role", "load", "at the target", "budget", "ratio", "mechanism", "state", "slope's source"]
     return columns, [
         [
@@ -106,7 +108,7 @@
 
 
 def over_budget_table(table_rows: list[Row]) -> Table:
-    """What is over its budget, the largest ratio first."""
+    """Return the loads over their budget, the largest ratio first."""
     over_budget = sorted(
         (r for r in table_rows if r.ratio is not None and r.ratio > 1), key=lambda r: -(r.ratio or 0)
     )
@@ -117,7 +119,7 @@
 
 
 def process_table(record: Record) -> Table:
-    """Processes of a relay machine over the sweep."""
+    """Return the processes of a relay machine for all swept assumptions."""
     columns = [
         "assumption",
         "processes",
@@ -144,12 +146,12 @@
 
 
 def format_process_count(processes: int | None) -> str:
-    """A number of processes, or that none is enough."""
+    """Format a number of processes, or that no number is enough."""
     return "none do" if processes is None else str(processes)
 
 
 def list_table(record: Record) -> Table:
-    """A whole list at the swept numbers of backends."""
+    """Return the costs of a snapshot at the swept numbers of backends."""
     columns = [
         "entries",
         "wire, KB",
@@ -177,7 +179,7 @@
 
 
 def probe_table(record: Record) -> Table:
-    """Probes as a fleet on virtual time grows."""
+    """Return the load probes of fleets on virtual time, by the number of relays."""
     columns = [
         "relays",
         "probes a client's try",
@@ -204,7 +206,7 @@
 
 
 def maintenance_table(record: Record) -> Table:
-    """Upkeep's probes over the sweep."""
+    """Return the load probes of maintenance for all swept assumptions."""
     columns = ["assumption", "processes", "probes a second of a relay", "probes a second at a backend"]
     table_rows = []
     for case in swept_assumptions():
@@ -220,7 +222,7 @@
 
 
 def event_table(load: CapacityLoad) -> Table:
-    """Every event under one pair of assumptions."""
+    """Return every event under one pair of assumptions."""
     columns = [
         "event",
         "clients that come again",
@@ -246,7 +248,7 @@
 
 
 def crossover_table(table_rows: list[ConclusionResult]) -> Table:
-    """Every conclusion over the sweep, and where it flips."""
+    """Return every conclusion for all swept assumptions, and the sizes at which it changes."""
     columns = [
         "conclusion",
         *(case.name for case in swept_assumptions()),
@@ -270,7 +272,7 @@
 
 
 def earlier_figures_table(record: Record) -> Table:
-    """Figures that were seen before, beside the record's."""
+    """Return the earlier figures beside those of the record."""
     columns = ["figure", "seen once", "in the record", "unit", ""]
     table_rows = []
     for entry in EARLIER_FIGURES:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Fits that are checked and refused, the model over them, and a page that agrees with its record."""
+"""Checks and refusal of fits, the capacity model, and the committed page against its record."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,7 +26,9 @@
 def make_cost(
     key: str, value: float | Callable[[int], float], check: float = 0.0, sizes: tuple[int, ...] = SIZES
 ) -> Cost:
-    """Three rounds of a function of the size; a check of 0 is as the function says."""
+    """Return a cost with three equal rounds of a function of the size. A check of 0 means the function's
+    value.
+    """
 
     def value_at(size: int) -> float:
         return value(size) if callable(value) else value
@@ -40,7 +42,9 @@
 
 
 def with_costs(record: Record, **costs: Cost) -> Record:
-    """The record with some costs replaced, by their keys with a dot for two underscores."""
+    """Return the record with some costs replaced. In a keyword, two underscores stand for the dot of a
+    key.
+    """
     replacements = {key.replace("__", "."): value for key, value in costs.items()}
     return Record({**record.costs, **replacements}, record.groups)
 
@@ -48,9 +52,8 @@
 def test_fit_finds_the_line_and_predicts_larger_sizes() -> None:
     line = fit([(size, 7.0 + 0.5 * size) for size in SIZES])
     assert (line.fixed, line.per_unit) == pytest.approx((7.0, 0.5))
-    assert fit([(0, 0.0), (1, 2.0), (2, 1.0)]).per_unit == pytest.approx(
-        0.5
-    )  # least squares, no line through all
+    # No line goes through all three points; 0.5 is the slope by least squares.
+    assert fit([(0, 0.0), (1, 2.0), (2, 1.0)]).per_unit == pytest.approx(0.5)
     linear = make_cost("c", lambda n: 7.0 + 0.5 * n)
     assert not linear.refusal and linear.error == pytest.approx(0.0)
     assert linear.at(100_000) == pytest.approx(50_007.0)
@@ -70,9 +73,9 @@
     one = make_cost("c", lambda n: 2.0 * n, check=800.0 / off)
     assert one.error == pytest.approx(off - 1)
     assert bool(one.refusal) is refused
-    assert one.at(80) == 160.0 and one.at(400) == 800.0 / off  # what was measured stays measured
+    assert one.at(80) == 160.0 and one.at(400) == 800.0 / off  # a measured size gives the measured value
     if refused:
-        assert one.at(50) == pytest.approx(100.0)  # between measured sizes
+        assert one.at(50) == pytest.approx(100.0)  # interpolated between measured sizes
         for unknown in (5, 401):
             with pytest.raises(FitRefusedError, match="off by"):
                 one.at(unknown)
@@ -168,7 +171,9 @@
     assert used(count) <= load.assumptions.max_utilisation < used(count - 1)
     unsorted = load.processes(sorted_order=False)
     assert unsorted is not None and unsorted <= count
-    lines = make_cost("line.push.relay", lambda n: 900_000.0 + n)  # a process pays more than it may use
+    lines = make_cost(
+        "line.push.relay", lambda n: 900_000.0 + n
+    )  # each process alone exceeds its share of a core
     assert CapacityLoad(with_costs(load.record, line__push__relay=lines), Assumptions()).processes() is None
 
 
@@ -195,7 +200,7 @@
 def test_command_regenerates_the_page_and_rejects_unknown_groups(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert main(["capacity", "--page", "--keep", str(tmp_path)]) == 2  # no record yet
+    assert main(["capacity", "--page", "--keep", str(tmp_path)]) == 2  # there is no record yet
     committed_record().save(tmp_path)
     assert main(["capacity", "--page", "--keep", str(tmp_path)]) == 0
     assert (tmp_path / "CAPACITY.md").read_text() == (ROOT / run.PAGE).read_text()
