--- a/gannetweir/lab/scale/comparison_peers.py
+++ b/gannetweir/lab/scale/comparison_peers.py
@@ -50,14 +50,14 @@
             self.transport.write(LOAD_REPORT)
         elif line.startswith(b"PUSH "):
             _, count, interval_us = line.split()
-            self._send_unasked(int(count), int(interval_us) / 1e6)
+            self._push_lines(int(count), int(interval_us) / 1e6)
         else:
             self.transport.write(line + b"\r\n")
 
-    def _send_unasked(self, remaining: int, interval_s: float) -> None:
+    def _push_lines(self, remaining: int, interval_s: float) -> None:
         if remaining and not self.transport.is_closing():
             self.transport.write(b"news of a topic, as long as a short one\r\n")
-            asyncio.get_running_loop().call_later(interval_s, self._send_unasked, remaining - 1, interval_s)
+            asyncio.get_running_loop().call_later(interval_s, self._push_lines, remaining - 1, interval_s)
 
 
 async def serve_backend(port: int) -> None:
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -85,19 +85,19 @@
         socks = [await _open_watch(registry.port) for _ in range(watchers)]
         await _run_loop_turns()
         _drain(socks)
-        spent = []
+        spent_us = []
         for number in range(CHANGES_PER_ROUND):
-            began = _processor_clock_us()
+            started_us = _processor_clock_us()
             registry.change("s-0", share=float(number))
             await _run_loop_turns()
-            spent.append(_processor_clock_us() - began)
+            spent_us.append(_processor_clock_us() - started_us)
             if (notified := _drain(socks)) != watchers:
                 raise OSError(f"{notified} of {watchers} watchers received the change")
         for sock in socks:
             sock.close()
         tasks.cancel_scope.cancel()
     return {
-        STAND_IN.key: sorted(spent)[CHANGES_PER_ROUND // 2],
+        STAND_IN.key: sorted(spent_us)[CHANGES_PER_ROUND // 2],
         SERIALISED_ONCE.key: await _measure_serialised_once(watchers),
     }
 
@@ -126,11 +126,11 @@
             for transport in transports:
                 transport.write(framed)
 
-        spent = sorted(processor_us(send_change) for _ in range(CHANGES_PER_ROUND))[CHANGES_PER_ROUND // 2]
+        spent_us = sorted(processor_us(send_change) for _ in range(CHANGES_PER_ROUND))[CHANGES_PER_ROUND // 2]
         for transport, (_, peer) in zip(transports, socket_pairs, strict=True):
             transport.close()
             peer.close()
-    return spent
+    return spent_us
 
 
 @dataclass
@@ -172,13 +172,13 @@
     """Return the processor microseconds of so many probes. Raises `OSError` if one is not answered."""
     async with anyio.create_task_group() as tasks:
         prober = _ProbeContext(port, spawn_in(tasks))
-        began = _processor_clock_us()
+        started_us = _processor_clock_us()
         for _ in range(count):
             await run_probe(cast(ConnectContext, prober), StartLoadProbe("b", "127.0.0.1:1", False))
-        spent = _processor_clock_us() - began
+        spent_us = _processor_clock_us() - started_us
     if prober.engine.answers != count:
         raise OSError(f"{prober.engine.answers} of {count} load probes were answered")
-    return spent
+    return spent_us
 
 
 WATCHER_SWEEP = Sweep((75, 150, 600, 1200), 1500, 2)
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -126,40 +126,40 @@
     *earlier_reads, last = split_into_reads(snapshot_line(entries), limits.max_read_bytes)
     spent_us = math.fsum(processor_us(lambda d=data: watch.feed(d)) for data in earlier_reads)  # type: ignore[misc]
     updates: list[object] = []
-    held = 0.0
+    last_read_ms = 0.0
 
     def finish() -> None:
-        nonlocal held
-        held = elapsed_ms(lambda: updates.extend(watch.feed(last)))
+        nonlocal last_read_ms
+        last_read_ms = elapsed_ms(lambda: updates.extend(watch.feed(last)))
 
     spent_us += processor_us(finish)
     (update,) = updates
     assert isinstance(update, MembershipUpdate)
-    return update, spent_us, held
+    return update, spent_us, last_read_ms
 
 
 def measure_times(entries: int) -> dict[str, float]:
     """Measure all costs of one size except memory."""
     gc.collect()
-    update, read_us, held_ms = read_snapshot(entries)
+    update, read_us, turn_ms = read_snapshot(entries)
     engine = empty_engine()
-    applied_us = 0.0
+    apply_us = 0.0
 
     def apply() -> None:
-        nonlocal applied_us
-        applied_us = processor_us(lambda: engine.endpoint_update_received(update, NOW_US))
+        nonlocal apply_us
+        apply_us = processor_us(lambda: engine.endpoint_update_received(update, NOW_US))
 
-    held_ms += elapsed_ms(apply)
+    turn_ms += elapsed_ms(apply)
     event = EndpointListUpdate(
         UpdateKind.SNAPSHOT, update.version, [member.entry for member in update.endpoints]
     )
     return {
         WIRE.key: float(len(snapshot_line(entries))),
         READ.key: read_us,
-        APPLY.key: applied_us,
+        APPLY.key: apply_us,
         REPEAT.key: processor_us(lambda: engine.endpoint_update_received(update, NOW_US + 1)),
         MODULE.key: processor_us(lambda: engine.balancer.handle(event, NOW_US + 2)),
-        LONGEST_TURN.key: held_ms,
+        LONGEST_TURN.key: turn_ms,
     }
 
 
@@ -173,11 +173,11 @@
         update, _, _ = read_snapshot(entries)
         engine.endpoint_update_received(update, NOW_US)
         del update
-        held, peak = tracemalloc.get_traced_memory()
+        retained, peak = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
     assert len(engine.endpoint_list.entries) == entries
-    return {MEMORY.key: held / 1024, PEAK.key: peak / 1024}
+    return {MEMORY.key: retained / 1024, PEAK.key: peak / 1024}
 
 
 TIME_SWEEP = Sweep(SIZES, CHECK_SIZE, 5)
--- a/gannetweir/lab/scale/measure.py
+++ b/gannetweir/lab/scale/measure.py
@@ -41,16 +41,16 @@
 
 def processor_us(call: Callable[[], object]) -> float:
     """Return the processor time of one call, in microseconds."""
-    began = time.process_time_ns()
+    started_ns = time.process_time_ns()
     call()
-    return (time.process_time_ns() - began) / 1000.0
+    return (time.process_time_ns() - started_ns) / 1000.0
 
 
 def elapsed_ms(call: Callable[[], object]) -> float:
     """Return the elapsed time of one call, in milliseconds."""
-    began = time.perf_counter_ns()
+    started_ns = time.perf_counter_ns()
     call()
-    return (time.perf_counter_ns() - began) / 1e6
+    return (time.perf_counter_ns() - started_ns) / 1e6
 
 
 def measure_sizes(
--- a/gannetweir/lab/scale/module.py
+++ b/gannetweir/lab/scale/module.py
@@ -127,9 +127,9 @@
         pending_events: list[Event] = [event]
         while pending_events:
             event = pending_events.pop()
-            began = time.process_time_ns()
+            started_ns = time.process_time_ns()
             actions = self.balancer.handle(event, self.now)
-            self.spent_us += (time.process_time_ns() - began) / 1000.0
+            self.spent_us += (time.process_time_ns() - started_ns) / 1000.0
             for action in actions:
                 if isinstance(action, ProbeLoad):
                     self.probes += 1
--- a/gannetweir/lab/scale/run.py
+++ b/gannetweir/lab/scale/run.py
@@ -36,9 +36,9 @@
     with Progress(*columns) as progress:
         for name in groups:
             task = progress.add_task(name, total=GROUPS[name].steps)
-            began = time.monotonic()
+            started_s = time.monotonic()
             costs = GROUPS[name].measure(lambda task=task: progress.advance(task))  # type: ignore[misc]
-            record.add(name, costs, time.monotonic() - began)
+            record.add(name, costs, time.monotonic() - started_s)
 
 
 def capacity(only: str = "", page_only: bool = False, keep: str | None = None) -> int:
--- a/gannetweir/lab/scale/seen.py
+++ b/gannetweir/lab/scale/seen.py
@@ -32,8 +32,8 @@
         return "refuted: higher" if current > self.high else "refuted: lower"
 
 
-def _slope_ratio(one: str, other: str) -> Callable[[Record], float]:
-    return lambda record: record[one].line.per_unit / record[other].line.per_unit
+def _slope_ratio(numerator: str, denominator: str) -> Callable[[Record], float]:
+    return lambda record: record[numerator].line.per_unit / record[denominator].line.per_unit
 
 
 def _mean_per_unit(key: str) -> Callable[[Record], float]:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -70,17 +70,17 @@
 
 @pytest.mark.parametrize(("off", "refused"), [(1.149, False), (0.875, False), (1.19, True), (0.8, True)])
 def test_fit_with_a_prediction_error_over_15_percent_is_refused(off: float, refused: bool) -> None:
-    one = make_cost("c", lambda n: 2.0 * n, check=800.0 / off)
-    assert one.error == pytest.approx(off - 1)
-    assert bool(one.refusal) is refused
-    assert one.at(80) == 160.0 and one.at(400) == 800.0 / off  # a measured size gives the measured value
+    cost = make_cost("c", lambda n: 2.0 * n, check=800.0 / off)
+    assert cost.error == pytest.approx(off - 1)
+    assert bool(cost.refusal) is refused
+    assert cost.at(80) == 160.0 and cost.at(400) == 800.0 / off  # a measured size gives the measured value
     if refused:
-        assert one.at(50) == pytest.approx(100.0)  # interpolated between measured sizes
+        assert cost.at(50) == pytest.approx(100.0)  # interpolated between measured sizes
         for unknown in (5, 401):
             with pytest.raises(FitRefusedError, match="off by"):
-                one.at(unknown)
+                cost.at(unknown)
         with pytest.raises(FitRefusedError):
-            _ = one.accepted_line
+            _ = cost.accepted_line
 
 
 @pytest.mark.parametrize(
@@ -96,10 +96,14 @@
     monkeypatch.setattr(lists, "TIME_SWEEP", small)
     monkeypatch.setattr(lists, "MEMORY_SWEEP", replace(small, rounds=1))
     steps: list[None] = []
-    found = {one.key: one for one in lists.measure(lambda: steps.append(None))}
-    assert len(steps) == 15 and len(found) == 8
-    assert all(len(sample.values) in (1, 2) for one in found.values() for sample in (*one.samples, one.check))
-    assert not found["list.wire"].refusal and found["list.wire"].at(200) == len(lists.snapshot_line(200))
+    measured = {cost.key: cost for cost in lists.measure(lambda: steps.append(None))}
+    assert len(steps) == 15 and len(measured) == 8
+    assert all(
+        len(sample.values) in (1, 2) for cost in measured.values() for sample in (*cost.samples, cost.check)
+    )
+    assert not measured["list.wire"].refusal and measured["list.wire"].at(200) == len(
+        lists.snapshot_line(200)
+    )
 
 
 # ---- the model
@@ -129,8 +133,8 @@
         and by_backends.crossover_lifetime_s is None
     )
     assert list(by_backends.ratios) == names
-    by_life = evaluate(Conclusion("c", lambda load: 100.0 / load.assumptions.lifetime_s), record)
-    assert by_life.crossover_lifetime_s == pytest.approx(100.0) and by_life.crossover_backends is None
+    by_lifetime = evaluate(Conclusion("c", lambda load: 100.0 / load.assumptions.lifetime_s), record)
+    assert by_lifetime.crossover_lifetime_s == pytest.approx(100.0) and by_lifetime.crossover_backends is None
     assert not evaluate(
         Conclusion("c", lambda load: load.assumptions.backends / 1e6), record
     ).depends_on_assumptions
@@ -165,8 +169,8 @@
     assert count is not None
 
     def used(processes: int) -> float:
-        own = load.control_cores(processes) + load.delivery_cores(processes)
-        return (own + load.setup_cores()) / processes
+        per_process = load.control_cores(processes) + load.delivery_cores(processes)
+        return (per_process + load.setup_cores()) / processes
 
     assert used(count) <= load.assumptions.max_utilisation < used(count - 1)
     unsorted = load.processes(sorted_order=False)
@@ -191,9 +195,9 @@
 def test_committed_page_and_charts_match_the_record() -> None:
     record = committed_record()
     assert (ROOT / run.PAGE).read_text() == page.render(record)
-    drawn = draw(record)
-    assert {path.name for path in COMMITTED_FOLDER.glob("*.svg")} == set(drawn)
-    for name, svg in drawn.items():
+    charts = draw(record)
+    assert {path.name for path in COMMITTED_FOLDER.glob("*.svg")} == set(charts)
+    for name, svg in charts.items():
         assert (COMMITTED_FOLDER / name).read_text() == svg, name
 
 
