--- a/gannetweir/lab/scale/charts.py
+++ b/gannetweir/lab/scale/charts.py
@@ -21,7 +21,7 @@
 def _render_svg(chart: pygal.graph.graph.Graph, name: str) -> str:
     chart.uuid = name  # the default is random
     drawn: str = chart.render(is_unicode=True, disable_xml_declaration=True)
-    return re.sub(r"<!--.*?-->", "", drawn, flags=re.S)  # comments of the library
+    return re.sub(r"<!--.*?-->", "", drawn, flags=re.S)  # drops the library's comments
 
 
 def _chart_options(**overrides: object) -> dict[str, object]:
--- a/gannetweir/lab/scale/clients.py
+++ b/gannetweir/lab/scale/clients.py
@@ -82,7 +82,7 @@
             client.transport.abort()
 
     async def echo(self, per_s: float, seconds: float) -> None:
-        """Send lines that the backend returns, at a constant rate, in turn over the connections."""
+        """Send lines that the backend returns, at a constant rate, spread evenly over the connections."""
         started_s, count = time.monotonic(), int(per_s * seconds)
         for number in range(count):
             if (delay_s := started_s + number / per_s - time.monotonic()) > 0.001:
--- a/gannetweir/lab/scale/flips.py
+++ b/gannetweir/lab/scale/flips.py
@@ -31,8 +31,8 @@
 
     text: str
     ratios: dict[str, float | None]  # by the name of the assumptions
-    crossover_backends: float | None  # where the ratio crosses 1, at a lifetime of 10 min
-    crossover_lifetime_s: float | None  # where the ratio crosses 1, at 5,000 backends
+    crossover_backends: float | None  # backends at which the ratio crosses 1, with a lifetime of 10 min
+    crossover_lifetime_s: float | None  # lifetime at which the ratio crosses 1, with 5,000 backends
 
     @property
     def depends_on_assumptions(self) -> bool:
--- a/gannetweir/lab/scale/model.py
+++ b/gannetweir/lab/scale/model.py
@@ -20,7 +20,8 @@
 # connections.
 MEAN_LOAD, LOAD_LIMIT = 0.5, 0.8
 MAX_PROCESSES = 2000  # the search for a number of processes ends here
-PROBE_BYTES = len(b"STATS\r\n") + len(b"PONG tps=1,concurrent=90000,x0=0.2\r\n")  # without TCP headers
+# Payload of a load probe and its report, without TCP headers.
+PROBE_BYTES = len(b"STATS\r\n") + len(b"PONG tps=1,concurrent=90000,x0=0.2\r\n")
 
 
 @dataclass(frozen=True, slots=True)
--- a/gannetweir/lab/scale/target.py
+++ b/gannetweir/lab/scale/target.py
@@ -37,7 +37,7 @@
     """Numbers that the operators have not given."""
 
     backends: int = 5000
-    lifetime_s: float = 600.0  # of a client connection, in seconds
+    lifetime_s: float = 600.0  # lifetime of a client connection
     change_entries: int = 1  # entries of one change
     max_utilisation: float = 0.6  # share of a core for each process; lines queue above it
     cores: int = 8  # cores of a relay machine
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -175,9 +175,8 @@
     assert used(count) <= load.assumptions.max_utilisation < used(count - 1)
     unsorted = load.processes(sorted_order=False)
     assert unsorted is not None and unsorted <= count
-    lines = make_cost(
-        "line.push.relay", lambda n: 900_000.0 + n
-    )  # each process alone exceeds its share of a core
+    # The fixed cost of a process alone exceeds its share of a core.
+    lines = make_cost("line.push.relay", lambda n: 900_000.0 + n)
     assert CapacityLoad(with_costs(load.record, line__push__relay=lines), Assumptions()).processes() is None
 
 
