--- a/gannetweir/lab/scale/events.py
+++ b/gannetweir/lab/scale/events.py
@@ -39,20 +39,29 @@
     partition between regions, the loss of a control machine and the loss of a backend.
     """
     snapshot_kb, entry_kb = load.snapshot_bytes() / 1e3, load.entry_bytes() / 1e3
-    rate_kb = target.CONTROL_BYTES_S / 1e3
+    rate_kb_per_s = target.CONTROL_BYTES_PER_S / 1e3
     start_s = load.record["start.time"].at(load.assumptions.backends) / 1e3
     spare = load.spare_setups_per_s(processes)
 
     def event(
         name: str, clients: float | None, remaining: int, sent_kb: float, delay_s: float, explanation: str
     ) -> Event:
-        each = None if clients is None else clients / remaining
-        setup_s = None if each is None else each / spare
-        return Event(name, clients, each, setup_s, clients, sent_kb, delay_s + sent_kb / rate_kb, explanation)
+        setups_each = None if clients is None else clients / remaining
+        setup_s = None if setups_each is None else setups_each / spare
+        return Event(
+            name,
+            clients,
+            setups_each,
+            setup_s,
+            clients,
+            sent_kb,
+            delay_s + sent_kb / rate_kb_per_s,
+            explanation,
+        )
 
     zone_clients = target.ZONE_RELAYS * target.RELAY_CONNECTIONS
     zone_kb = entry_kb * load.assumptions.backends / target.ZONES
-    partition_kb = entry_kb * target.CHANGES_A_DAY * PARTITION_S / 86400
+    partition_kb = entry_kb * target.CHANGES_PER_DAY * PARTITION_S / 86400
     remaining, reconnect_s = target.RELAYS - target.ZONE_RELAYS, _watch_reconnect_s()
     snapshot_note = "a whole list, if the watch has to begin again without its base"
     cross_region_note = "clients that cross regions are not told"
--- a/gannetweir/lab/scale/flips.py
+++ b/gannetweir/lab/scale/flips.py
@@ -55,7 +55,7 @@
     Conclusion("a whole list stalls no line for 240 ms", lambda load: load.stall_ms() / target.DELIVERY_MS),
     Conclusion(
         "upkeep fits in 3.8% of a core, were a machine one process",
-        lambda load: load.control_cores(1) / target.CONTROL_CORE,
+        lambda load: load.control_cores(1) / target.CONTROL_CORES,
     ),
     Conclusion("a relay machine of 8 cores carries the load", _processes),
     Conclusion(
--- a/gannetweir/lab/scale/model.py
+++ b/gannetweir/lab/scale/model.py
@@ -51,7 +51,7 @@
 
     def delivery_cores(self, processes: int) -> float:
         """Cores of a machine for deliveries, which are spread evenly over the processes."""
-        return processes * self.record["line.push.relay"].at(target.RELAY_DELIVERIES_S / processes) / 1e6
+        return processes * self.record["line.push.relay"].at(target.RELAY_DELIVERIES_PER_S / processes) / 1e6
 
     def connections_mb(self, processes: int) -> float:
         """Resident memory of all processes of a machine, without their endpoint lists."""
@@ -91,7 +91,7 @@
 
     def snapshot_transfer_s(self) -> float:
         """Seconds to transfer one snapshot at a relay's bandwidth for control."""
-        return self.snapshot_bytes() / target.CONTROL_BYTES_S
+        return self.snapshot_bytes() / target.CONTROL_BYTES_PER_S
 
     def entry_bytes(self) -> float:
         """Bytes of one entry on the wire."""
--- a/gannetweir/lab/scale/role_loads.py
+++ b/gannetweir/lab/scale/role_loads.py
@@ -65,7 +65,7 @@
 
 def _restarts_kb_per_s(load: CapacityLoad, processes: int) -> float:
     """KB per second of snapshots for the relays that restart on an ordinary day."""
-    return target.RESTARTS_A_DAY * processes * load.snapshot_bytes() / 86400 / 1e3
+    return target.RESTARTS_PER_DAY * processes * load.snapshot_bytes() / 86400 / 1e3
 
 
 def _snapshots_mb_per_s(load: CapacityLoad, processes: int) -> float:
@@ -298,7 +298,7 @@
     ),
     RoleLoad(
         "deliveries",
-        lambda load, processes: target.DELIVERIES_S / load.assumptions.backends,
+        lambda load, processes: target.DELIVERIES_PER_S / load.assumptions.backends,
         PER_SECOND,
         FILL_PLACEMENT,
         PRESENT,
--- a/gannetweir/lab/scale/roles.py
+++ b/gannetweir/lab/scale/roles.py
@@ -28,8 +28,8 @@
     limit: float = 0.0
 
 
-CORE_TIME = Budget("ms/s", target.CONTROL_CORE * 1000)
-BANDWIDTH = Budget("KB/s", target.CONTROL_BYTES_S / 1000)
+CORE_TIME = Budget("ms/s", target.CONTROL_CORES * 1000)
+BANDWIDTH = Budget("KB/s", target.CONTROL_BYTES_PER_S / 1000)
 MEMORY = Budget("MB", target.CONTROL_MB)
 LATENCY = Budget("ms", target.DELIVERY_MS)
 CHANGE_TIME = Budget("ms", target.IN_FORCE_S * 1000)
