--- a/gannetweir/lab/scale/flips.py
+++ b/gannetweir/lab/scale/flips.py
@@ -1,4 +1,4 @@
-"""Which conclusions depend on what is not told, and where they flip."""
+"""Which conclusions depend on the assumptions, and the sizes at which they change."""
 
 from __future__ import annotations
 
@@ -9,48 +9,53 @@
 from gannetweir.lab.scale.model import CapacityLoad
 from gannetweir.lab.scale.record import Record
 from gannetweir.lab.scale.slopes import FitRefusedError
-from gannetweir.lab.scale.target import Assumptions, sweep
+from gannetweir.lab.scale.target import Assumptions, swept_assumptions
 from gannetweir.placement.group_placement import MAX_CANDIDATES
 
-STEPS = 60  # of a bisection
+BISECTION_STEPS = 60
 
 
 @dataclass(frozen=True, slots=True)
 class Conclusion:
-    """A load that is within its budget, or is not; `ratio` may raise `FitRefusedError`."""
+    """A statement that holds if a load is within its budget. `ratio` is load over budget, or raises
+    `FitRefusedError`.
+    """
 
     text: str
     ratio: Callable[[CapacityLoad], float]
 
 
 @dataclass(frozen=True, slots=True)
-class Finding:
-    """One conclusion over the whole sweep. A ratio of None needs a fit that was refused."""
+class ConclusionResult:
+    """A conclusion for all swept assumptions. A ratio of None needs a refused fit."""
 
     text: str
-    ratios: dict[str, float | None]  # by the assumptions' name
-    edge_backends: float | None  # at which it flips, the life of 10 min kept
-    edge_life_s: float | None  # the same, 5,000 backends kept
+    ratios: dict[str, float | None]  # by the name of the assumptions
+    crossover_backends: float | None  # backends at which the ratio crosses 1, with a lifetime of 10 min
+    crossover_lifetime_s: float | None  # lifetime at which the ratio crosses 1, with 5,000 backends
 
     @property
-    def flips(self) -> bool:
-        """Does it hold for some of the sweep and not for others?"""
+    def depends_on_assumptions(self) -> bool:
+        """Whether the conclusion holds for some of the swept assumptions and not for others."""
         verdicts = {ratio <= 1.0 for ratio in self.ratios.values() if ratio is not None}
         return len(verdicts) > 1
 
 
 def _processes(load: CapacityLoad, sorted_order: bool = True) -> float:
-    """Processes over the cores of a machine; without an answer, over any budget."""
+    """Processes over the cores of a machine; infinite if no number of processes carries the load."""
     count = load.processes(sorted_order)
     return float("inf") if count is None else count / load.assumptions.cores
 
 
 CONCLUSIONS = (
-    Conclusion("a whole list is told within 12 s at 10 KB/s", lambda load: load.list_s() / target.IN_FORCE_S),
+    Conclusion(
+        "a whole list is told within 12 s at 10 KB/s",
+        lambda load: load.snapshot_transfer_s() / target.IN_FORCE_S,
+    ),
     Conclusion("a whole list stalls no line for 240 ms", lambda load: load.stall_ms() / target.DELIVERY_MS),
     Conclusion(
         "upkeep fits in 3.8% of a core, were a machine one process",
-        lambda load: load.control_core(1) / target.CONTROL_CORE,
+        lambda load: load.control_cores(1) / target.CONTROL_CORES,
     ),
     Conclusion("a relay machine of 8 cores carries the load", _processes),
     Conclusion(
@@ -62,20 +67,20 @@
     ),
     Conclusion(
         "a zone's backends are told within 12 s at 10 KB/s",
-        lambda load: load.assumptions.backends / target.ZONES * load.entry_bytes() / target.WINDOW_BYTES,
+        lambda load: load.assumptions.backends / target.ZONES * load.entry_bytes() / target.CHANGE_BYTES,
     ),
 )
 
 
-def edge(ratio: Callable[[float], float], low: float, high: float) -> float | None:
-    """Where a ratio crosses 1 between two sizes, by bisection in equal factors; None if it does not, or if it
-    needs a fit that was refused.
+def crossover(ratio: Callable[[float], float], low: float, high: float) -> float | None:
+    """Return the size at which a ratio crosses 1 between two sizes, by bisection on a logarithmic scale.
+    Returns None if the ratio does not cross 1, or needs a refused fit.
     """
     try:
         within = ratio(low) <= 1.0
         if within == (ratio(high) <= 1.0):
             return None
-        for _ in range(STEPS):
+        for _ in range(BISECTION_STEPS):
             middle = (low * high) ** 0.5
             low, high = (middle, high) if (ratio(middle) <= 1.0) == within else (low, middle)
     except FitRefusedError:
@@ -83,27 +88,33 @@
     return high
 
 
-def find(conclusion: Conclusion, record: Record) -> Finding:
-    """The conclusion under every pair of assumptions, and the sizes at which it flips."""
+def evaluate(conclusion: Conclusion, record: Record) -> ConclusionResult:
+    """Evaluate a conclusion for every pair of assumptions, and find the sizes at which it changes."""
 
-    def ratio(a: Assumptions) -> float:
-        return conclusion.ratio(CapacityLoad(record, a))
+    def ratio(case: Assumptions) -> float:
+        return conclusion.ratio(CapacityLoad(record, case))
 
-    def tried(a: Assumptions) -> float | None:
+    def ratio_or_none(case: Assumptions) -> float | None:
         try:
-            return ratio(a)
+            return ratio(case)
         except FitRefusedError:
             return None
 
     middle = Assumptions()
-    return Finding(
+    return ConclusionResult(
         conclusion.text,
-        {a.name: tried(a) for a in sweep()},
-        edge(lambda n: ratio(replace(middle, backends=round(n))), target.BACKENDS[0], target.BACKENDS[-1]),
-        edge(lambda s: ratio(replace(middle, life_s=s)), target.LIVES_S[0], target.LIVES_S[-1]),
+        {case.name: ratio_or_none(case) for case in swept_assumptions()},
+        crossover(
+            lambda n: ratio(replace(middle, backends=round(n))), target.BACKENDS[0], target.BACKENDS[-1]
+        ),
+        crossover(
+            lambda s: ratio(replace(middle, lifetime_s=s)),
+            target.CONNECTION_LIFETIMES_S[0],
+            target.CONNECTION_LIFETIMES_S[-1],
+        ),
     )
 
 
-def findings(record: Record) -> list[Finding]:
-    """All conclusions."""
-    return [find(conclusion, record) for conclusion in CONCLUSIONS]
+def evaluate_all(record: Record) -> list[ConclusionResult]:
+    """Evaluate all conclusions."""
+    return [evaluate(conclusion, record) for conclusion in CONCLUSIONS]
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -1,5 +1,5 @@
-"""What a list of backends costs a relay: on the wire, to read, in the module, in memory, and as one long
-turn.
+"""What an endpoint list costs a relay: bytes on the wire, processor time to read and to apply, memory, and
+the longest turn of the event loop.
 """
 
 from __future__ import annotations
@@ -15,7 +15,14 @@
 from gannetweir.config.settings import parse_settings
 from gannetweir.core import Engine
 from gannetweir.lab.emulator.plan import platform_settings
-from gannetweir.lab.scale.measure import Named, Step, Sweep, elapsed_ms, processor_us, sweep
+from gannetweir.lab.scale.measure import (
+    CostDefinition,
+    ProgressCallback,
+    Sweep,
+    elapsed_ms,
+    measure_sizes,
+    processor_us,
+)
 from gannetweir.lab.scale.slopes import Cost
 from gannetweir.limits import Limits
 from gannetweir.membership.membership_update import MembershipUpdate
@@ -24,58 +31,64 @@
 from gannetweir.proto.endpoint_watch import EndpointWatch
 
 SIZES = (500, 1500, 5000, 8000)
-CHECK = 15000
+CHECK_SIZE = 15000
 NOW_US = 1_700_000_000_000_000
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-WIRE = Named("list.wire", "a whole list on the wire", "bytes", "entries", "one JSON line of the watch")
-READ = Named(
+WIRE = CostDefinition(
+    "list.wire", "a whole list on the wire", "bytes", "entries", "one JSON line of the watch"
+)
+READ = CostDefinition(
     "list.read",
     "reading a whole list",
     "µs",
     "entries",
     "EndpointWatch.feed in reads of 8,192 bytes, processor time",
 )
-APPLY = Named(
+APPLY = CostDefinition(
     "list.apply",
     "a first whole list in the engine",
     "µs",
     "entries",
     "Engine.endpoint_update_received on an empty list, module included, processor time",
 )
-REPEAT = Named(
+REPEAT = CostDefinition(
     "list.repeat",
     "the same whole list again in the engine",
     "µs",
     "entries",
     "Engine.endpoint_update_received, module included, processor time",
 )
-MODULE = Named(
+MODULE = CostDefinition(
     "list.module",
     "the same whole list again in the module",
     "µs",
     "entries",
     "Balancer.handle, processor time",
 )
-LONGEST_TURN = Named(
+LONGEST_TURN = CostDefinition(
     "list.hold",
     "longest turn of the event loop for a whole list",
     "ms",
     "entries",
     "the last read of the list and Engine.endpoint_update_received, elapsed",
 )
-MEMORY = Named("list.memory", "memory that a list holds", "KB", "entries", "tracemalloc, engine and list")
-PEAK = Named("list.peak", "memory while a first list is taken", "KB", "entries", "tracemalloc's peak")
+MEMORY = CostDefinition(
+    "list.memory", "memory that a list holds", "KB", "entries", "tracemalloc, engine and list"
+)
+PEAK = CostDefinition(
+    "list.peak", "memory while a first list is taken", "KB", "entries", "tracemalloc's peak"
+)
 
 
 @cache
-def relay_settings() -> Settings:
-    """The settings that every measurement here gives its relay."""
+def measured_relay_settings() -> Settings:
+    """The settings of the relay in all measurements of this package."""
     return parse_settings(platform_settings(1500))
 
 
-def host(number: int) -> dict[str, Any]:
-    """One entry as discovery tells it, with an address, a block and a start of its own."""
+def host_entry(number: int) -> dict[str, Any]:
+    """Return one entry as discovery sends it, with its own address, block and start time."""
     return {
         "host": f"s-{number:08x}",
         "dial": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:8080",
@@ -88,87 +101,93 @@
     }
 
 
-def line(entries: int, seq: int = 7) -> bytes:
-    """A whole list as one line of the watch."""
-    return orjson.dumps({"seq": seq, "whole": True, "hosts": [host(n) for n in range(entries)]}) + b"\n"
+def snapshot_line(entries: int, seq: int = 7) -> bytes:
+    """Return a snapshot of so many entries as one line of the watch."""
+    return orjson.dumps({"seq": seq, "whole": True, "hosts": [host_entry(n) for n in range(entries)]}) + b"\n"
 
 
 def empty_engine() -> Engine:
-    """A relay's engine with no backend in its list."""
-    return Engine(relay_settings(), Limits(), 1, MembershipUpdate(0, True), NOW_US)
+    """Return a relay's engine with an empty endpoint list."""
+    return Engine(measured_relay_settings(), Limits(), 1, MembershipUpdate(0, True), NOW_US)
 
 
-def chunks(data: bytes, size: int) -> list[bytes]:
-    """One HTTP chunk, cut as reads of a socket cut it."""
-    framed = HEAD + b"%x\r\n" % len(data) + data + b"\r\n"
-    return [framed[at : at + size] for at in range(0, len(framed), size)]
+def split_into_reads(data: bytes, size: int) -> list[bytes]:
+    """Frame the data as one HTTP chunk and split the response as reads of a socket would split it."""
+    framed = RESPONSE_HEAD + b"%x\r\n" % len(data) + data + b"\r\n"
+    return [framed[offset : offset + size] for offset in range(0, len(framed), size)]
 
 
-def read(entries: int) -> tuple[MembershipUpdate, float, float]:
-    """A list read by a watch: what it tells, processor microseconds in all, milliseconds of the last read."""
+def read_snapshot(entries: int) -> tuple[MembershipUpdate, float, float]:
+    """Read a snapshot through a watch. Returns the update, the processor time of all reads in microseconds,
+    and the elapsed time of the last read in milliseconds.
+    """
     limits = Limits()
-    watch = EndpointWatch("127.0.0.1:1", 0, relay_settings(), limits)
-    *before, last = chunks(line(entries), limits.max_read_bytes)
-    spent = math.fsum(processor_us(lambda d=data: watch.feed(d)) for data in before)  # type: ignore[misc]
-    told: list[object] = []
-    held = 0.0
+    watch = EndpointWatch("127.0.0.1:1", 0, measured_relay_settings(), limits)
+    *earlier_reads, last = split_into_reads(snapshot_line(entries), limits.max_read_bytes)
+    spent_us = math.fsum(processor_us(lambda d=data: watch.feed(d)) for data in earlier_reads)  # type: ignore[misc]
+    updates: list[object] = []
+    last_read_ms = 0.0
 
     def finish() -> None:
-        nonlocal held
-        held = elapsed_ms(lambda: told.extend(watch.feed(last)))
+        nonlocal last_read_ms
+        last_read_ms = elapsed_ms(lambda: updates.extend(watch.feed(last)))
 
-    spent += processor_us(finish)
-    (news,) = told
-    assert isinstance(news, MembershipUpdate)
-    return news, spent, held
+    spent_us += processor_us(finish)
+    (update,) = updates
+    assert isinstance(update, MembershipUpdate)
+    return update, spent_us, last_read_ms
 
 
-def times(entries: int) -> dict[str, float]:
-    """One round of everything but memory."""
+def measure_times(entries: int) -> dict[str, float]:
+    """Measure all costs of one size except memory."""
     gc.collect()
-    news, read_us, held_ms = read(entries)
+    update, read_us, turn_ms = read_snapshot(entries)
     engine = empty_engine()
-    applied_us = 0.0
+    apply_us = 0.0
 
     def apply() -> None:
-        nonlocal applied_us
-        applied_us = processor_us(lambda: engine.endpoint_update_received(news, NOW_US))
+        nonlocal apply_us
+        apply_us = processor_us(lambda: engine.endpoint_update_received(update, NOW_US))
 
-    held_ms += elapsed_ms(apply)
-    event = EndpointListUpdate(UpdateKind.SNAPSHOT, news.version, [member.entry for member in news.endpoints])
+    turn_ms += elapsed_ms(apply)
+    event = EndpointListUpdate(
+        UpdateKind.SNAPSHOT, update.version, [member.entry for member in update.endpoints]
+    )
     return {
-        WIRE.key: float(len(line(entries))),
+        WIRE.key: float(len(snapshot_line(entries))),
         READ.key: read_us,
-        APPLY.key: applied_us,
-        REPEAT.key: processor_us(lambda: engine.endpoint_update_received(news, NOW_US + 1)),
+        APPLY.key: apply_us,
+        REPEAT.key: processor_us(lambda: engine.endpoint_update_received(update, NOW_US + 1)),
         MODULE.key: processor_us(lambda: engine.balancer.handle(event, NOW_US + 2)),
-        LONGEST_TURN.key: held_ms,
+        LONGEST_TURN.key: turn_ms,
     }
 
 
-def memory(entries: int) -> dict[str, float]:
-    """Kilobytes held by an engine with its list, and the most that were held on the way there."""
-    relay_settings()
+def measure_memory(entries: int) -> dict[str, float]:
+    """Measure the memory of an engine with its list, and the peak while the list is read, in kilobytes."""
+    measured_relay_settings()
     gc.collect()
     tracemalloc.start()
     try:
         engine = empty_engine()
-        news, _, _ = read(entries)
-        engine.endpoint_update_received(news, NOW_US)
-        del news
-        held, peak = tracemalloc.get_traced_memory()
+        update, _, _ = read_snapshot(entries)
+        engine.endpoint_update_received(update, NOW_US)
+        del update
+        retained, peak = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
     assert len(engine.endpoint_list.entries) == entries
-    return {MEMORY.key: held / 1024, PEAK.key: peak / 1024}
+    return {MEMORY.key: retained / 1024, PEAK.key: peak / 1024}
 
 
-TIMES = Sweep(SIZES, CHECK, 5)
-MEMORIES = Sweep(SIZES, CHECK, 1)
-STEPS = TIMES.steps + MEMORIES.steps
+TIME_SWEEP = Sweep(SIZES, CHECK_SIZE, 5)
+MEMORY_SWEEP = Sweep(SIZES, CHECK_SIZE, 1)
+STEPS = TIME_SWEEP.steps + MEMORY_SWEEP.steps
 
 
-def measure(step: Step) -> list[Cost]:
-    """All costs of lists."""
-    timed = sweep(TIMES, (WIRE, READ, APPLY, REPEAT, MODULE, LONGEST_TURN), times, step)
-    return timed + sweep(MEMORIES, (MEMORY, PEAK), memory, step)
+def measure(on_progress: ProgressCallback) -> list[Cost]:
+    """Measure all costs of endpoint lists."""
+    time_costs = measure_sizes(
+        TIME_SWEEP, (WIRE, READ, APPLY, REPEAT, MODULE, LONGEST_TURN), measure_times, on_progress
+    )
+    return time_costs + measure_sizes(MEMORY_SWEEP, (MEMORY, PEAK), measure_memory, on_progress)
--- a/gannetweir/lab/scale/measure.py
+++ b/gannetweir/lab/scale/measure.py
@@ -1,4 +1,4 @@
-"""What every measurement of a cost shares: sizes in turn, rounds, clocks, and who is told of the progress."""
+"""Common parts of the cost measurements: sweeps over sizes, rounds, clocks and progress callbacks."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from gannetweir.lab.scale.slopes import Cost, Sample
 
-Step = Callable[[], None]
-# The figures of one round at one size, by the key of the cost that each belongs to.
-Measured = Callable[[int], dict[str, float]]
+ProgressCallback = Callable[[], None]
+# Measures one size in one round; returns the values by the keys of their costs.
+SizeMeasurement = Callable[[int], dict[str, float]]
 
 
 @dataclass(frozen=True, slots=True)
-class Named:
-    """What a cost is called, and in which unit it is counted."""
+class CostDefinition:
+    """The key and title of a cost, its unit, what its sizes count, and how it is measured."""
 
     key: str
     title: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
-    """Sizes that a cost is fitted over, the larger one that checks the fit, and the rounds."""
+    """Sizes that a cost is fitted over, the larger size that checks the fit, and the number of rounds."""
 
     sizes: Sequence[int]
     check: int
@@ -35,42 +35,49 @@
 
     @property
     def steps(self) -> int:
-        """How often the caller is told that a repetition is done."""
+        """Number of calls of the progress callback: one for each size in each round."""
         return (len(self.sizes) + 1) * self.rounds
 
 
 def processor_us(call: Callable[[], object]) -> float:
-    """Processor time of one call, in microseconds."""
-    began = time.process_time_ns()
+    """Return the processor time of one call, in microseconds."""
+    started_ns = time.process_time_ns()
     call()
-    return (time.process_time_ns() - began) / 1000.0
+    return (time.process_time_ns() - started_ns) / 1000.0
 
 
 def elapsed_ms(call: Callable[[], object]) -> float:
-    """Time that one call holds its thread, in milliseconds."""
-    began = time.perf_counter_ns()
+    """Return the elapsed time of one call, in milliseconds."""
+    started_ns = time.perf_counter_ns()
     call()
-    return (time.perf_counter_ns() - began) / 1e6
-
-
-def sweep(plan: Sweep, named: Sequence[Named], one: Measured, step: Step) -> list[Cost]:
-    """Measure every size once a round, the check's size last, after the sizes that predict it."""
-    found: dict[str, dict[int, list[float]]] = {name.key: {} for name in named}
+    return (time.perf_counter_ns() - started_ns) / 1e6
+
+
+def measure_sizes(
+    plan: Sweep,
+    definitions: Sequence[CostDefinition],
+    measure_size: SizeMeasurement,
+    on_progress: ProgressCallback,
+) -> list[Cost]:
+    """Measure every size once per round and return the costs. In each round the size that checks the fit
+    comes last, after the sizes that predict it.
+    """
+    values_by_size: dict[str, dict[int, list[float]]] = {definition.key: {} for definition in definitions}
     for _ in range(plan.rounds):
         for size in (*plan.sizes, plan.check):
-            for key, value in one(size).items():
-                found[key].setdefault(size, []).append(value)
-            step()
+            for key, value in measure_size(size).items():
+                values_by_size[key].setdefault(size, []).append(value)
+            on_progress()
     return [
         Cost(
-            name.key,
-            name.title,
-            name.unit,
-            name.size_unit,
-            [Sample(size, found[name.key][size]) for size in plan.sizes],
-            Sample(plan.check, found[name.key][plan.check]),
-            name.method,
-            plan.facts.get(name.key, {}),
+            definition.key,
+            definition.title,
+            definition.unit,
+            definition.size_unit,
+            [Sample(size, values_by_size[definition.key][size]) for size in plan.sizes],
+            Sample(plan.check, values_by_size[definition.key][plan.check]),
+            definition.method,
+            plan.facts.get(definition.key, {}),
         )
-        for name in named
+        for definition in definitions
     ]
--- a/gannetweir/lab/scale/record.py
+++ b/gannetweir/lab/scale/record.py
@@ -1,4 +1,4 @@
-"""The record of a capacity run: raw figures as JSON, group by group, and what is asked of them."""
+"""The record of a capacity run: the measured values of all costs as JSON, and the groups of costs."""
 
 from __future__ import annotations
 
@@ -12,36 +12,38 @@
 import orjson
 
 from gannetweir.lab.scale import fanout, fleets, lists, module, relays
-from gannetweir.lab.scale.measure import Step
+from gannetweir.lab.scale.measure import ProgressCallback
 from gannetweir.lab.scale.slopes import Cost, Sample
 
-FILE = "record.json"
+RECORD_FILE = "record.json"
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
-    """Costs that are measured together, and how many steps that takes."""
+class CostGroup:
+    """Costs that are measured together, and the number of progress steps that this takes."""
 
-    measure: Callable[[Step], list[Cost]]
+    measure: Callable[[ProgressCallback], list[Cost]]
     steps: int
 
 
-GROUPS: dict[str, Group] = {
-    "lists": Group(lists.measure, lists.STEPS),
-    "decisions": Group(module.measure_decisions, module.BACKENDS.steps),
-    "upkeep": Group(module.measure_upkeep, module.UPKEEPS.steps + module.STANDING.steps),
-    "connections": Group(relays.measure_standing, 2 * relays.STANDING.steps),
-    "lines": Group(relays.measure_lines, relays.LINES.steps),
-    "starts": Group(relays.measure_starts, relays.STARTS.steps),
-    "stalls": Group(relays.measure_stalls, relays.STALLS.steps),
-    "fanout": Group(fanout.measure, fanout.WATCHERS.steps + fanout.PROBES.steps),
-    "fleets": Group(fleets.measure, (len(fleets.SIZES) + 1) * len(fleets.SEEDS)),
+GROUPS: dict[str, CostGroup] = {
+    "lists": CostGroup(lists.measure, lists.STEPS),
+    "decisions": CostGroup(module.measure_decisions, module.BACKEND_SWEEP.steps),
+    "upkeep": CostGroup(
+        module.measure_maintenance, module.MAINTENANCE_SWEEP.steps + module.CONNECTION_SWEEP.steps
+    ),
+    "connections": CostGroup(relays.measure_connections, 2 * relays.CONNECTION_SWEEP.steps),
+    "lines": CostGroup(relays.measure_lines, relays.LINE_SWEEP.steps),
+    "starts": CostGroup(relays.measure_starts, relays.START_SWEEP.steps),
+    "stalls": CostGroup(relays.measure_stalls, relays.STALL_SWEEP.steps),
+    "fanout": CostGroup(fanout.measure, fanout.WATCHER_SWEEP.steps + fanout.PROBE_SWEEP.steps),
+    "fleets": CostGroup(fleets.measure, (len(fleets.SIZES) + 1) * len(fleets.SEEDS)),
 }
 
 
 @dataclass(slots=True)
 class Record:
-    """Every cost by its key, with how its group was measured."""
+    """All measured costs by key, and the conditions under which each group was measured."""
 
     costs: dict[str, Cost] = field(default_factory=dict)
     groups: dict[str, dict[str, Any]] = field(default_factory=dict)
@@ -50,11 +52,11 @@
         return self.costs[key]
 
     def add(self, group: str, costs: Iterable[Cost], seconds: float) -> None:
-        """What a group measured, in place of what it measured before."""
-        found = {cost.key: cost for cost in costs}
-        self.costs |= found
+        """Add the costs of a group; they replace the group's earlier costs of the same keys."""
+        costs_by_key = {cost.key: cost for cost in costs}
+        self.costs |= costs_by_key
         self.groups[group] = {
-            "costs": list(found),
+            "costs": list(costs_by_key),
             "seconds": round(seconds, 1),
             "python": platform.python_version(),
             "processors": os.cpu_count(),
@@ -62,20 +64,22 @@
         }
 
     def save(self, folder: Path) -> None:
-        """Write the record."""
+        """Write the record into a folder, which is created if needed."""
         folder.mkdir(parents=True, exist_ok=True)
         data = {"groups": self.groups, "costs": [asdict(cost) for cost in self.costs.values()]}
-        (folder / FILE).write_bytes(orjson.dumps(data, option=orjson.OPT_INDENT_2) + b"\n")
+        (folder / RECORD_FILE).write_bytes(orjson.dumps(data, option=orjson.OPT_INDENT_2) + b"\n")
 
 
 def read_record(folder: Path) -> Record:
-    """The record of a folder; `OSError` if there is none, `ValueError` if it is no record."""
-    data = orjson.loads((folder / FILE).read_bytes())
+    """Read the record of a folder. Raises `OSError` if there is no file, `ValueError` if it is not a
+    record.
+    """
+    data = orjson.loads((folder / RECORD_FILE).read_bytes())
     try:
         costs = [_cost(entry) for entry in data["costs"]]
         return Record({cost.key: cost for cost in costs}, data["groups"])
     except (KeyError, TypeError) as error:
-        raise ValueError(f"{folder / FILE}: no record: {error!r}") from None
+        raise ValueError(f"{folder / RECORD_FILE}: not a capacity record: {error!r}") from None
 
 
 def _cost(entry: dict[str, Any]) -> Cost:
--- a/gannetweir/lab/scale/role_table.py
+++ b/gannetweir/lab/scale/role_table.py
@@ -1,4 +1,4 @@
-"""Each role at the target: its loads under some assumptions, their budgets, ratios and mechanisms."""
+"""Each role at the target: its loads under given assumptions, with budgets, ratios and mechanisms."""
 
 from __future__ import annotations
 
@@ -6,45 +6,60 @@
 
 from gannetweir.lab.scale.model import CapacityLoad
 from gannetweir.lab.scale.role_loads import ROLES
-from gannetweir.lab.scale.roles import MACHINE_CORES, Carrier, RoleLoad
+from gannetweir.lab.scale.roles import MACHINE_CORES, MechanismState, RoleLoad
 from gannetweir.lab.scale.slopes import FitRefusedError
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One load under some assumptions. A value of None needs a fit that was refused, or was not measured; a
-    budget of None is not told.
+    """A load under given assumptions. A value of None was not measured or needs a refused fit; a budget of
+    None is not given.
     """
 
     role: str
-    what: str
+    label: str
     value: float | None
     unit: str
     budget: float | None
     mechanism: str
-    carrier: Carrier
+    state: MechanismState
     source: str
 
     @property
     def ratio(self) -> float | None:
-        """The load over its budget."""
+        """The load divided by its budget; None if either is missing."""
         return None if self.value is None or not self.budget else self.value / self.budget
 
 
-def _row(role: str, of: RoleLoad, load: CapacityLoad, processes: int) -> Row:
+def _role_row(role: str, role_load: RoleLoad, load: CapacityLoad, processes: int) -> Row:
     value: float | None = None
-    if of.value is not None:
+    if role_load.value is not None:
         try:
-            value = of.value(load, processes)
+            value = role_load.value(load, processes)
         except FitRefusedError:
             value = None
-    most = load.assumptions.cores * load.assumptions.busy if of.budget is MACHINE_CORES else of.budget.most
-    return Row(role, of.what, value, of.budget.unit, most or None, of.mechanism, of.carrier, of.source)
+    limit = (
+        load.assumptions.cores * load.assumptions.max_utilisation
+        if role_load.budget is MACHINE_CORES
+        else role_load.budget.limit
+    )
+    return Row(
+        role,
+        role_load.label,
+        value,
+        role_load.budget.unit,
+        limit or None,
+        role_load.mechanism,
+        role_load.state,
+        role_load.source,
+    )
 
 
-def rows(load: CapacityLoad) -> list[Row]:
-    """Every load of every role, under the load's assumptions. Where no number of processes carries a machine,
-    the figures are those of one process.
+def role_rows(load: CapacityLoad) -> list[Row]:
+    """Return every load of every role. Where no number of processes carries a machine's load, the loads are
+    those of one process.
     """
     processes = load.processes() or 1
-    return [_row(role, of, load, processes) for role, loads in ROLES.items() for of in loads]
+    return [
+        _role_row(role, role_load, load, processes) for role, loads in ROLES.items() for role_load in loads
+    ]
--- a/gannetweir/lab/scale/run.py
+++ b/gannetweir/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""The capacity run: measures groups of costs, with a bar, keeps the record, writes the page and the
+"""The capacity run: measures groups of costs with a progress bar, and writes the record, the page and the
 charts.
 """
 
@@ -11,52 +11,54 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 
 from gannetweir.lab.experiments.report import print_table
-from gannetweir.lab.scale.page import write
-from gannetweir.lab.scale.record import FILE, GROUPS, Record, read_record
-from gannetweir.lab.scale.tables import brief_table
+from gannetweir.lab.scale.page import write_page
+from gannetweir.lab.scale.record import GROUPS, RECORD_FILE, Record, read_record
+from gannetweir.lab.scale.tables import console_table
 
 RECORD_FOLDER = Path("docs/measurements/capacity")
 PAGE = Path("docs/CAPACITY.md")
 
 
-def chosen(names: str) -> list[str]:
-    """The groups that a comma-separated list names, all for an empty one; `ValueError` for an unknown
-    name.
+def parse_groups(names: str) -> list[str]:
+    """Return the groups named in a comma-separated list, or all groups for an empty list. Raises `ValueError`
+    for an unknown name.
     """
-    wanted = [name.strip() for name in names.split(",") if name.strip()]
-    unknown = [name for name in wanted if name not in GROUPS]
+    requested = [name.strip() for name in names.split(",") if name.strip()]
+    unknown = [name for name in requested if name not in GROUPS]
     if unknown:
         raise ValueError(f"--only: {', '.join(unknown)}: not one of {', '.join(GROUPS)}")
-    return wanted or list(GROUPS)
+    return requested or list(GROUPS)
 
 
 def measure(groups: Sequence[str], record: Record) -> None:
-    """Measure these groups, each in place of what the record has of it."""
+    """Measure these groups and replace their costs in the record."""
     columns = TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn()
-    with Progress(*columns) as bar:
+    with Progress(*columns) as progress:
         for name in groups:
-            task = bar.add_task(name, total=GROUPS[name].steps)
-            began = time.monotonic()
-            costs = GROUPS[name].measure(lambda task=task: bar.advance(task))  # type: ignore[misc]
-            record.add(name, costs, time.monotonic() - began)
+            task = progress.add_task(name, total=GROUPS[name].steps)
+            started_s = time.monotonic()
+            costs = GROUPS[name].measure(lambda task=task: progress.advance(task))  # type: ignore[misc]
+            record.add(name, costs, time.monotonic() - started_s)
 
 
 def capacity(only: str = "", page_only: bool = False, keep: str | None = None) -> int:
-    """Measure, unless only the page is wanted, and write record, charts and page. `OSError` if a page is
-    wanted and there is no record, `ValueError` for an unknown group.
+    """Measure the groups of `only`, and write the record, the charts and the page; with `page_only`, write
+    the charts and the page from the existing record. `keep` is the folder to write to, by default the
+    committed one. The page is written only when every group has been measured. Returns the exit code 0.
+    Raises `OSError` with `page_only` and no record, `ValueError` for an unknown group.
     """
     folder = Path(keep) if keep else RECORD_FOLDER
     page = folder / PAGE.name if keep else PAGE
-    groups = chosen(only)
-    record = read_record(folder) if page_only or (folder / FILE).exists() else Record()
+    groups = parse_groups(only)
+    record = read_record(folder) if page_only or (folder / RECORD_FILE).exists() else Record()
     if not page_only:
         measure(groups, record)
         record.save(folder)
-    print_table("costs", *brief_table(record))
+    print_table("costs", *console_table(record))
     missing = [name for name in GROUPS if name not in record.groups]
     if missing:
-        print(f"no page yet, not measured: {', '.join(missing)}")
+        print(f"page not written, groups not measured: {', '.join(missing)}")
         return 0
-    write(record, folder, page)
-    print(f"written: {page}, {folder / FILE} and its charts")
+    write_page(record, folder, page)
+    print(f"written: {page}, {folder / RECORD_FILE} and its charts")
     return 0
