--- a/gannetweir/core/__init__.py
+++ b/gannetweir/core/__init__.py
@@ -1,6 +1,6 @@
 """One relay's requests and connections: protocol events in, commands out. No sockets, clock or line syntax.
 
-A front end calls `Engine` and executes its commands. All other modules are internal to the engine.
+Drivers call `Engine` and execute its commands. All other modules are internal to the engine.
 """
 
 from gannetweir.core.commands import (
--- a/gannetweir/core/attempts.py
+++ b/gannetweir/core/attempts.py
@@ -89,7 +89,7 @@
         return True
 
     def setup_finished(self, request: RequestState) -> None:
-        """Release the attempt's slot among the endpoint's connection setups, if it holds one."""
+        """Release the attempt's slot among the endpoint's set-ups, if it has one."""
         if request.counts_as_setup:
             request.counts_as_setup = False
             if self.context.route_admission is not None:
--- a/gannetweir/core/commands.py
+++ b/gannetweir/core/commands.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenUpstream:
-    """Open the upstream connection of one attempt. The endpoint is sent the relay's timeout."""
+    """Open the upstream connection of one attempt. The first line states the relay's timeout."""
 
     request_id: int
     attempt: int
--- a/gannetweir/core/engine.py
+++ b/gannetweir/core/engine.py
@@ -1,8 +1,8 @@
 """The engine of one relay: protocol events in, commands out. Each component of the engine is a module of its
 own.
 
-The engine uses no sockets, no clock (callers pass in the time) and no line syntax, so any front end can drive
-it.
+The engine uses no sockets, no clock (callers pass in the time) and no line syntax, so that its drivers can be
+replaced.
 """
 
 from __future__ import annotations
@@ -63,8 +63,8 @@
         self.requests = self.context.requests
         self.balancer = Balancer(settings, seed, now_us)
         if not options.replaces_process:
-            # Clients that reconnect come from other relays, and no report may still count their old
-            # connections.
+            # Clients that reconnect come from other relays, so no load report is assumed to still count their
+            # previous connections.
             self.balancer.expect_no_returns()
         self._create_components(seed, options.placement_trace)
         self._bind_driver_calls()
--- a/gannetweir/core/reasons.py
+++ b/gannetweir/core/reasons.py
@@ -25,7 +25,7 @@
     ROUTE_LIMIT = "route_limit"
     OPERATORS = "operators"  # the operators took the endpoint offline
     UNKNOWN_ENDPOINT = "unknown_backend"
-    DEADLINE = "deadline"  # the balancer gave no answer until the deadline
+    DEADLINE = "deadline"  # the balancer gave no answer by the deadline
     PLACEMENT_FAULT = "placement_fault"  # the balancer raised an error
     ENDPOINT_SILENT = "backend_silent"
     ENDPOINT_ENDED = "backend_ended"
--- a/gannetweir/core/request_state.py
+++ b/gannetweir/core/request_state.py
@@ -54,7 +54,7 @@
     request_class: RequestClass = field(default_factory=RequestClass)  # the class that its route assigned
     admission_permit: AdmissionPermit | None = None  # the permit of its route, until it is released
     attempt_deadline_us: int = 0  # time at which the attempt in flight times out
-    counts_as_setup: bool = False  # the attempt in flight counts as a connection setup at its endpoint
+    counts_as_setup: bool = False  # the attempt in flight counts as a set-up at its endpoint
     address: Address | None = None  # the endpoint's address that carries the attempt
 
     def begin_attempt(self, endpoint_id: EndpointId, endpoint_started_us: int, now_us: int) -> None:
--- a/gannetweir/core/upstream_events.py
+++ b/gannetweir/core/upstream_events.py
@@ -131,8 +131,8 @@
             self.attempts.attempt_ended(request, status, load_report)
 
     def attempt_timeout_due(self, request: RequestState, attempt: int) -> None:
-        """End the attempt if its deadline has passed; the deadline may have changed since this timer
-        was set.
+        """End the attempt if its deadline has passed. `first_line_written` may have set an earlier deadline,
+        with a timer of its own, since this timer was set.
         """
         if self._is_pending(request, attempt) and self.context.now_us >= request.attempt_deadline_us:
             self._attempt_timed_out(request)
--- a/gannetweir/placement/actions.py
+++ b/gannetweir/placement/actions.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Start the request's next attempt; a timeout of 0 lasts until the client disconnects."""
+    """Start the request's next attempt. With a timeout of 0, only the request's deadline limits it."""
 
     request_id: int
     endpoint_id: EndpointId
--- a/gannetweir/placement/admission.py
+++ b/gannetweir/placement/admission.py
@@ -29,7 +29,8 @@
 LOAD_LIMIT_INCREASE_PER_TICK = 0.01
 # Share of capacity reserved for the highest priority. Above the limit plus the reserve, load is migrated off.
 LOAD_LIMIT_RESERVE = 0.1
-# Placements with a group on an endpoint without a report: without a bound, all would be placed there.
+# An endpoint without a load report gets requests of groups only up to this number of recent placements.
+# Otherwise all requests of a group would be placed there.
 MAX_UNREPORTED_GROUP_PLACEMENTS = 4
 
 
@@ -61,7 +62,8 @@
             text = f"{self.recent_accepted:.1f} of {self.recent_arrivals:.1f} arrivals stand"
             self._context.write_log("throttle", text, now_us)
         else:
-            # While most set-ups fail, clients' retries would keep the throttle in force; this admits one.
+            # While most set-ups fail, clients' retries would keep the throttle in force. After
+            # `MAX_TIME_WITHOUT_ADMISSION_US` it is not enforced, so that one arrival is admitted.
             self._enforced_until_us = now_us + MAX_TIME_WITHOUT_ADMISSION_US
         self.recent_accepted += 1.0  # `remove_accepted` undoes this if the request is not set up
         return not is_rejected
@@ -133,7 +135,7 @@
         return endpoint.load + 0.5 * self._load_model.additional_load(endpoint, size) >= limit
 
     def load_with(self, endpoint: EndpointState, request: PendingRequest) -> float:
-        """Return the load of an endpoint with one more connection, and its group's cost if it has a group."""
+        """Return the load of an endpoint with the request's connection, and with its group's cost, if any."""
         if endpoint is request.previous_endpoint:
             return endpoint.load
         size = 1.0 + GROUP_COST if request.group > 0 else 1.0
--- a/gannetweir/placement/balancer.py
+++ b/gannetweir/placement/balancer.py
@@ -88,7 +88,7 @@
         self.context.configure(settings)
 
     def expect_no_returns(self) -> None:
-        """Treat returning connections as those of other relays, which no load report counts yet."""
+        """Assume from now on that no load report still counts a returning connection."""
         self.group_placement.expect_no_returns()
 
     def handle(self, event: Event, now_us: int) -> list[Action]:
--- a/gannetweir/placement/context.py
+++ b/gannetweir/placement/context.py
@@ -18,9 +18,10 @@
 POLL_TIMER = 2
 RETRY_TIMER = 3
 
-# Interval of the periodic maintenance, of which nothing is more urgent.
+# Interval of the periodic maintenance, none of which is more urgent.
 TICK_INTERVAL_US = 1_000_000
-# Decisions use load reports up to this age; a report is up to about one second old when it is read.
+# Decisions use load reports that were read at most this long ago. A report is already about one second old
+# when it is read.
 REPORT_FRESHNESS_US = 1_000_000
 # Minimum interval between log lines of one kind, to keep the log readable.
 LOG_REPEAT_INTERVAL_US = 10_000_000
@@ -29,7 +30,7 @@
 class Deferral(Enum):
     """Why the choice of an endpoint is deferred."""
 
-    AWAITING_REPORT = "the request is held until a load report comes, or its wait is over"
+    AWAITING_REPORT = "the request waits for a load report, at most until its wait deadline"
 
 
 # The selected endpoint, a deferral of the choice, or None if the request may not be placed on any endpoint.
--- a/gannetweir/placement/endpoint_polling.py
+++ b/gannetweir/placement/endpoint_polling.py
@@ -5,7 +5,7 @@
 from gannetweir.placement.actions import WatchEndpoints
 from gannetweir.placement.context import POLL_TIMER, PlacementContext
 
-# Mean interval between the first polls of successive relays, so that relays do not poll at once.
+# Mean interval between the first polls of successive relays, so that they do not all poll at once.
 FIRST_POLL_SPREAD_PER_RELAY_US = 100_000
 FIRST_BACKOFF_US = 350_000  # first wait; each failure doubles it
 MAX_BACKOFF_DOUBLINGS = 4  # 5.6 s, which already exceeds `MAX_ROUND_US`
--- a/gannetweir/placement/group_placement.py
+++ b/gannetweir/placement/group_placement.py
@@ -18,7 +18,7 @@
 
 # Endpoints that a group belongs to: the second takes what the first has no capacity for.
 GROUP_ENDPOINTS = 2
-# Candidates examined for one request. A group's ranking is fixed, so none is examined twice.
+# Maximum number of candidates for one request. A group's ranking is fixed, so none is examined twice.
 MAX_CANDIDATES = 8
 # Up to this load, a group is placed on an endpoint of this relay's zone in addition to those it belongs to.
 OWN_ZONE_LOAD_LIMIT = 0.7
@@ -89,7 +89,11 @@
         self.searches: dict[int, CandidateSearch] = {}
 
     def expect_no_returns(self) -> None:
-        """Treat returning connections as those of other relays: no load report counts them yet."""
+        """Assume from now on that no load report still counts a returning connection.
+
+        Returning connections then come from other relays, not from an earlier process of this one, and each
+        of them adds its load to the endpoint on which it is placed.
+        """
         self._relay_started_us = 0
 
     def choose(self, request_id: int, request: PendingRequest, now_us: int) -> Choice:
@@ -158,7 +162,11 @@
     def _examine(
         self, endpoint: EndpointState, request: PendingRequest, search: CandidateSearch, now_us: int
     ) -> None:
-        """Record a candidate as examined, and use a permit if the candidate needs one."""
+        """Record a candidate as examined, and use a permit if the candidate needs one.
+
+        Soon after the relay's start, the first candidate of a returned connection that is not warming up is
+        taken for its previous endpoint, whose load report still counts the connection.
+        """
         search.examined.append(endpoint)
         is_warming_up = endpoint in self._slow_start.warming_up
         has_just_started = now_us - self._relay_started_us < RETURN_PERIOD_US
@@ -184,7 +192,7 @@
     def _await_report(
         self, endpoint: EndpointState, request: PendingRequest, search: CandidateSearch, now_us: int
     ) -> None:
-        """Hold the request for the candidate's load report; all requests that wait for it share one probe."""
+        """Make the request wait for the candidate's load report; requests for one report share a probe."""
         self._context.start_report_wait(request, now_us)
         if all(other.awaited_endpoint is not endpoint for other in self.searches.values()):
             self._probe(endpoint, now_us)
@@ -200,7 +208,7 @@
     def _is_within_limit(
         self, endpoint: EndpointState, request: PendingRequest, order: _CandidateOrder
     ) -> bool:
-        """Whether the endpoint pays the group's cost already, or stays within its limit with that cost."""
+        """Whether the endpoint pays the group's cost already, is warming up, or has capacity for the cost."""
         if endpoint in order.holders or endpoint in self._slow_start.warming_up:
             return True
         limit = OWN_ZONE_LOAD_LIMIT if endpoint in order.in_own_zone else self._load_limit.value
--- a/gannetweir/placement/load_model.py
+++ b/gannetweir/placement/load_model.py
@@ -11,7 +11,7 @@
 # An endpoint's own report determines the load per connection only from this number of connections on.
 MIN_REPORTED_CONNECTIONS = 3.0
 DEFAULT_CONNECTION_LOAD = 0.05  # share of capacity, assumed while no reports exist
-REPORT_DELAY_US = 1_300_000  # age of a report when it is read: its period plus its delay
+REPORT_DELAY_US = 1_300_000  # greatest age of a report when it is read: its period plus its delay
 # Wait for the next probe after a report that is older than connections of this relay.
 REPROBE_DELAY_US = TICK_INTERVAL_US // 4
 
@@ -74,7 +74,7 @@
             self._reports.record(endpoint, endpoint.connections + 1.0, load)
 
     def record_report(self, endpoint: EndpointState, connections: float, load: float, now_us: int) -> None:
-        """Record a report and add the placements since: a report is one to two seconds old when read."""
+        """Record a report, and add the placements that it may not count, those within `REPORT_DELAY_US`."""
         self._reports.record(endpoint, connections, load)
         self._expire_placements(endpoint, now_us)
         sizes = [size for _, size in endpoint.recent_placements]
--- a/gannetweir/placement/packing.py
+++ b/gannetweir/placement/packing.py
@@ -164,7 +164,10 @@
         return len(self._requests) / max(1, len(self._ready_endpoints.all))
 
     def complete_sample(self, endpoint: EndpointState, now_us: int) -> None:
-        """Make the sampled endpoint the target, or sample another if this one is not below the mean."""
+        """Make the sampled endpoint the target, or sample another if this one is not below the mean.
+
+        Requests that wait for a sample then continue, as long as the fill of the target lasts.
+        """
         fill = self.fill_size(endpoint)
         if not fill and self._compares_samples():
             compared = (self._fallback or endpoint, endpoint)
--- a/gannetweir/placement/ready_endpoints.py
+++ b/gannetweir/placement/ready_endpoints.py
@@ -13,8 +13,9 @@
 def rendezvous_rank(group: int, ranking_key: int) -> int:
     """Return the rank of an endpoint in a group's ranking, which is the same at every relay.
 
-    A CRC of both values is linear: groups with the same first endpoint also had the same second one, and a
-    few endpoints came first for many groups. This is the mixing function of splitmix64, with its constants.
+    This is the mixing function of splitmix64, with its constants. A CRC of both values would be linear:
+    groups with the same first endpoint would have the same second one as well, and a few endpoints would come
+    first for many groups.
     """
     mixed = (group + ranking_key * 0x9E3779B97F4A7C15) & _UINT64_MASK
     mixed = ((mixed ^ mixed >> 30) * 0xBF58476D1CE4E5B9) & _UINT64_MASK
--- a/gannetweir/placement/rebalancing.py
+++ b/gannetweir/placement/rebalancing.py
@@ -84,7 +84,10 @@
         return mean_load + self._load_model.additional_load(endpoint, size) >= endpoint.load
 
     def return_to_own_zone(self, now_us: int) -> None:
-        """Migrate a random cross-zone connection, by chance: crossings cost as long as they are open."""
+        """Migrate one random cross-zone connection, with a probability that grows with their number.
+
+        A cross-zone connection costs as long as it is open.
+        """
         own_zone, rng = self._context.settings.zone, self._context.rng
         crossing = [
             (request_id, request)
--- a/gannetweir/placement/settings.py
+++ b/gannetweir/placement/settings.py
@@ -44,7 +44,7 @@
     attempt_timeout_us: int = 0  # counted from the last byte of the first line
     max_attempts: int = 0
     retry_backoff_us: tuple[int, ...] = ()  # maximum before the second attempt, the third, ...
-    backoff_from_attempt_start: bool = False  # otherwise the backoff counts from its end
+    backoff_from_attempt_start: bool = False  # false: the backoff counts from the attempt's end
     full_jitter: bool = False  # uniform between 0 and the maximum
     # Whether another attempt may follow one that may have been executed, where `idempotency` allows it.
     retries_executed_attempts: bool = True
--- a/gannetweir/placement/slow_start.py
+++ b/gannetweir/placement/slow_start.py
@@ -8,7 +8,8 @@
 # Share of an endpoint's budget that is granted as permits. The rest covers random variation, probes and heavy
 # connections.
 BUDGET_SHARE = 0.6
-# Ended connections and connection time added to the measured ones: until measured, connections count as long.
+# Added to the measured number of ended connections and to the measured connection time, so that connections
+# count as long-lived until enough of them have been measured.
 PRIOR_ENDED_CONNECTIONS = 0.1
 PRIOR_CONNECTION_TIME_US = 4e6
 MAX_PERMITS_PER_TICK = 1e3  # per endpoint; bounds the memory where connections are very short
