--- a/gannetweir/addresses/address.py
+++ b/gannetweir/addresses/address.py
@@ -77,7 +77,7 @@
 
 def _parse_unix(path: str) -> Address:
     if not path.startswith("/") or "\0" in path or path.endswith("/"):
-        raise AddressError("unix: with the whole path of a socket, as unix:/run/push/a.sock")
+        raise AddressError("unix: with the absolute path of a socket, as unix:/run/push/a.sock")
     if len(path.encode("utf-8", "surrogateescape")) > MAX_SOCKET_PATH_BYTES:
         raise AddressError(f"a path of at most {MAX_SOCKET_PATH_BYTES} bytes")
     parts = [part for part in path.split("/") if part and part != "."]
--- a/gannetweir/addresses/address_selector.py
+++ b/gannetweir/addresses/address_selector.py
@@ -111,7 +111,7 @@
         if not for_probe and order[0] != self.preferred_address(endpoint_name, excluded):
             self.preferred_bypassed += 1
         states = self._table.states_of(endpoint_name)
-        # every address must be tried within the connect timeout
+        # Every address must be tried within the connect timeout.
         max_delay_us = max(MIN_ATTEMPT_DELAY_BOUND_US, self.connect_timeout_us // (len(order) + 1))
         delays_us = [min(max_delay_us, self._attempt_delay_us(states[address])) for address in order]
         if states[order[0]].is_unhealthy:
--- a/gannetweir/addresses/address_table.py
+++ b/gannetweir/addresses/address_table.py
@@ -61,7 +61,7 @@
         self, endpoint_name: str, listed: ListedAddresses, previous: Mapping[Address, AddressState]
     ) -> None:
         addresses = self._rules.addresses_of(endpoint_name, listed.address, listed.more_addresses)
-        # an address of another endpoint is left out: its lines would reach the wrong endpoint
+        # An address of another endpoint is left out: lines sent to it would reach the wrong endpoint.
         assigned = [
             address
             for address in addresses
--- a/gannetweir/addresses/connection_race.py
+++ b/gannetweir/addresses/connection_race.py
@@ -65,7 +65,7 @@
 
 
 class ConnectionRace:
-    """Takes the result of each connect and returns what to do next. `started_us` has those in progress."""
+    """Takes the result of each connect and returns what to do next. Owns the connects in progress."""
 
     def __init__(self, order: Sequence[Address], delays_us: Sequence[int]) -> None:
         self.started_us: dict[Address, int] = {}  # start time of each connect in progress, oldest first
--- a/gannetweir/addresses/rules.py
+++ b/gannetweir/addresses/rules.py
@@ -75,7 +75,7 @@
     for rule in rules.endpoint_rules:
         where = f"server {rule.name}"
         if rule.name in names:
-            yield Mistake(rule.line, where, "a second server of this name", "one of each")
+            yield Mistake(rule.line, where, "a second server of this name", "each name once")
             continue
         names.add(rule.name)
         if not rule.addresses and not rule.includes_listed_addresses:
--- a/gannetweir/routing/platform_checks.py
+++ b/gannetweir/routing/platform_checks.py
@@ -40,7 +40,7 @@
     for number, route in enumerate(rules.routes):
         yield from _bound_mistakes(route, settings, class_names)
         for request_class in classes:
-            # the plan for a class is never carried out if other routes take all requests of the class
+            # The plan for a class is never carried out if other routes take all requests of the class.
             if number in reachability.reachable_by_class[request_class.name]:
                 yield from _class_mistakes(route, request_class, settings, limits)
     yield from _unreachable_mistakes(rules, settings, class_names, reachability)
@@ -137,7 +137,7 @@
     max_attempts = largest_max_attempts(routed, settings, limits)
     attempt_timeout_us = largest_attempt_timeout_us(routed, settings, limits)
     if attempt_timeout_us > _US_PER_MS:
-        # whole milliseconds, rounded down: the printed value must fit when it is copied into the file
+        # Whole milliseconds, rounded down: the printed value must fit when it is copied into the file.
         attempt_timeout_us -= attempt_timeout_us % _US_PER_MS
     fitting: list[str] = []
     if attempt_timeout_us > 0:
--- a/gannetweir/routing/reachability.py
+++ b/gannetweir/routing/reachability.py
@@ -78,7 +78,7 @@
 
 
 def _overlapping(pair: PrefixPair, others: list[tuple[PrefixPair, int]]) -> list[tuple[PrefixPair, int]]:
-    # `_overlap` is inlined here for speed: this code runs for each pair of routes of a file
+    # `_overlap` is inlined here for speed: this code runs for each pair of routes of a file.
     group, key = pair
     return [
         (other, number)
--- a/gannetweir/routing/route_admission.py
+++ b/gannetweir/routing/route_admission.py
@@ -64,7 +64,7 @@
     def __init__(self, rules: RoutingRules, settings: Settings) -> None:
         self.permits: dict[str, AdmissionPermit] = {}
         self.relay_permit = AdmissionPermit("relay", ConnectionLimiter(ConnectionLimitRule(), 1), None)
-        self.setups_by_endpoint: dict[EndpointId, int] = {}  # set-ups in progress, of all routes
+        self.setups_by_endpoint: dict[EndpointId, int] = {}  # set-ups in flight, of all routes
         self.apply(rules, settings)
 
     def apply(self, rules: RoutingRules, settings: Settings) -> None:
--- a/gannetweir/routing/route_checks.py
+++ b/gannetweir/routing/route_checks.py
@@ -48,7 +48,7 @@
     for route in rules.routes:
         if route.name in seen:
             line = route.line_of("name")
-            yield Mistake(line, route.title, "a second route of this name", "one of each")
+            yield Mistake(line, route.title, "a second route of this name", "each name once")
         seen.add(route.name)
     if len(rules.routes) > MAX_ROUTES:
         yield Mistake(0, "routes", f"{len(rules.routes)}", f"at most {MAX_ROUTES}")
--- a/gannetweir/routing/rules.py
+++ b/gannetweir/routing/rules.py
@@ -1,7 +1,7 @@
 """The routing rules of an operators' file as values: routes, retry budgets and limits.
 
 Times are microseconds. A value that the file does not state is 0, None or empty: the platform's settings and
-the placement module's own plan apply instead.
+the balancer's own defaults apply instead.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     max_open: int = 0  # connections being set up or established
     max_setups_per_s: float = 0.0
     setup_burst: int = 0  # set-ups that may begin at one moment
-    max_setups_per_endpoint: int = 0  # set-ups in progress at one endpoint
+    max_setups_per_endpoint: int = 0  # set-ups in flight at one endpoint
 
 
 class BackoffKind(Enum):
--- a/gannetweir/routing/schedule.py
+++ b/gannetweir/routing/schedule.py
@@ -1,10 +1,10 @@
 """The worst case of a request, step by step, and the largest values that would fit.
 
-In the worst case the placement module waits for load probes as long as it may. Then each attempt takes its
-full connect timeout until its line is written and its full attempt timeout without an answer, each backoff
-has its maximum length, and the margin for the final answer is kept. No request takes longer than this sum:
-the engine ends an attempt after at most connect and attempt timeout, and the module holds a request for at
-most a third of its class's latency objective.
+In the worst case the request first waits for load probes as long as the balancer allows. Then each attempt
+takes its full connect timeout until its line is written and its full attempt timeout without an answer, each
+backoff has its maximum length, and the margin for the final answer is kept. No request takes longer than this
+sum: the engine ends an attempt after at most connect and attempt timeout, and a request waits for load probes
+for at most a third of its class's latency objective.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from gannetweir.limits import Limits
 from gannetweir.placement.settings import RequestClass, Settings
 
-PLACEMENT_OBJECTIVE_DIVISOR = 3  # the module holds a request for a third of the latency objective
-PLACEMENT_TIMEOUT_DIVISOR = 2  # the module holds a request for at most half of its timeout
+PLACEMENT_OBJECTIVE_DIVISOR = 3  # the longest wait for load probes is a third of the latency objective
+PLACEMENT_TIMEOUT_DIVISOR = 2  # that wait is at most half of the request's timeout
 ANSWER_MARGIN_DIVISOR = 4  # the margin for the final answer is a quarter of a short timeout
 
 
@@ -33,7 +33,7 @@
 class Schedule:
     """The worst case of a class on a route.
 
-    `has_fixed_timeouts` is false if the module divides the remaining time; the schedule then always fits.
+    `has_fixed_timeouts` is false if the balancer divides the remaining time; the schedule then always fits.
     """
 
     steps: tuple[Step, ...]
@@ -62,7 +62,7 @@
 
 
 def max_placement_us(request_class: RequestClass, timeout_us: int) -> int:
-    """Return how long the module may hold a request for load probes, over all attempts together."""
+    """Return the longest wait of a request for load probes, over all attempts together."""
     share_of_objective_us = int(request_class.latency_objective_us / PLACEMENT_OBJECTIVE_DIVISOR)
     return min(share_of_objective_us, timeout_us // PLACEMENT_TIMEOUT_DIVISOR)
 
@@ -77,7 +77,7 @@
     if has_fixed_timeouts:
         _add_attempts(timeline, request_class, settings)
     else:
-        # The module derives the first timeout from the latency objective, doubles it for each attempt and
+        # The balancer derives the first timeout from the latency objective, doubles it for each attempt and
         # gives the last attempt all that is left. It never plans past the deadline.
         max_attempts = request_class.max_attempts or settings.max_attempts
         timeline.add(f"up to {max_attempts} attempts", max(1, timeout_us - margin_us - timeline.end_us))
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,6 +1,6 @@
 """The scenario language: one step a line, `ACTOR VERB [ARGUMENTS]`, run on the engine and the protocol code.
 
-    c1 send LINE        the client sends a line (CRLF added; `raw` sends the text as it is, escapes decoded)
+    c1 send LINE        the client sends a line (CRLF added; `raw` adds none and decodes escapes)
     c1/upstream expect P  the next line on that client's upstream connection matches the pattern P
     c1 expect end       the client sees the end; likewise `reset` and `nothing`
     c1 close | reset    the peer closes or resets; on an upstream connection not yet established also `refuse`
@@ -12,7 +12,7 @@
     balancer raise | ignore  the balancer raises an error on each event, or returns no action
     settings reload N CLASS:IDEMPOTENCY,...  new settings: at most N attempts, these classes
     routes reload NAME  another operators' file, one of those passed to `run_script`
-    operators offline | online ID  an operators' override, set at either process
+    operators offline | online ID  an operators' override of an endpoint
     relay term          SIGTERM; `term replaced` if another process admits the clients
     relay expect exit   the drain is over; `relay expect log P`; `relay expect count NAME N`
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -232,7 +232,7 @@
 async def a_first_line_as_its_timeout_expires(harness: RelayHarness) -> None:
     for has_pinged in (True, False):
         client = await harness.connect_client()
-        if has_pinged:  # the connection stays open, as those of the front end do
+        if has_pinged:  # the front keeps the connections open on which it pings
             client.send(r"PING\r\n")
             await client.expect("PONG")
         await harness.wait_until(lambda: harness.relay.clients.open_count == 1)
@@ -312,7 +312,7 @@
         server = await harness.accept_upstream()
         await server.expect("OPEN 0b 0b")
         server.send(answer + line)
-        await client.expect("UP r1")  # the answer; any later line is forwarded as it is
+        await client.expect("UP r1")  # the answer; any later line is forwarded unchanged
         await client.expect(line[:2])
         client.send(r"still here\r\n")
         await server.expect("still here")
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -173,7 +173,7 @@
         time wait 1
         c1/upstream expect end
         c1 expect BUSY*""",
-    "a balancer that answers nothing holds no request past its deadline": """
+    "a request that the balancer does not answer fails at its deadline": """
         balancer ignore
         c1 send OPEN 0a 0b c=plain,d=2000
         time wait 1960
