--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -157,7 +157,7 @@
     assert retried.endpoint_id != first_endpoint
 
 
-@pytest.mark.parametrize("end", ["answer", "hold", "leave"])
+@pytest.mark.parametrize("end", ["answer", "wait_expired", "disconnect"])
 def test_a_search_ends_with_its_request(end: str) -> None:
     driver = relay_with_groups()
     driver.silent_endpoints = set(range(6))
@@ -169,14 +169,14 @@
     if end == "answer":
         for number in range(6):
             driver.handle(LoadProbeResult(number, AttemptStatus.OK, 1000, (10.0, 0.2)))
-    elif end == "hold":  # the requests are placed without a report
+    elif end == "wait_expired":  # the requests are placed without a report
         driver.advance(SECOND)
         driver.handle(TimerExpired(3))
     else:
         for request_id in range(1, 4):
             driver.handle(ClientDisconnected(request_id))
     assert not driver.balancer.group_placement.searches
-    assert len(driver.started_attempts) == (0 if end == "leave" else 3)
+    assert len(driver.started_attempts) == (0 if end == "disconnect" else 3)
 
 
 def test_simultaneous_set_ups_are_spread_and_wait_briefly() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -87,9 +87,11 @@
 
 @pytest.mark.parametrize("scope", ["zone", "cell"])
 def test_by_key_retries_stay_in_their_scope_and_window(scope: str) -> None:
-    groups = {n: n % 3 for n in range(12)}
+    locations = {n: n % 3 for n in range(12)}
     for seed in range(20):
-        driver = BalancerDriver(12, seed=seed, classes=[by_key_class(scope)], zones=groups, cells=groups)
+        driver = BalancerDriver(
+            12, seed=seed, classes=[by_key_class(scope)], zones=locations, cells=locations
+        )
         driver.arrive()
         first = driver.started_attempts[-1]
         driver.advance(SECOND // 2)
