--- a/gannetweir/addresses/address_selector.py
+++ b/gannetweir/addresses/address_selector.py
@@ -52,9 +52,11 @@
         self.connect_timeout_us = connect_timeout_us
         self._table.apply_rules(rules)
 
-    def update_endpoint(self, endpoint_name: str, address: str, more_addresses: Sequence[str] = ()) -> None:
+    def update_endpoint(
+        self, endpoint_name: str, address: str, additional_addresses: Sequence[str] = ()
+    ) -> None:
         """Update an endpoint with the addresses that discovery lists."""
-        self._table.update_endpoint(endpoint_name, address, more_addresses)
+        self._table.update_endpoint(endpoint_name, address, additional_addresses)
 
     def remove_endpoint(self, endpoint_name: str) -> None:
         """Remove an endpoint that has left the endpoint list."""
--- a/gannetweir/addresses/address_table.py
+++ b/gannetweir/addresses/address_table.py
@@ -14,7 +14,7 @@
     """The addresses of an endpoint as discovery lists them."""
 
     address: str
-    more_addresses: tuple[str, ...]
+    additional_addresses: tuple[str, ...]
 
 
 class AddressTable:
@@ -36,9 +36,11 @@
         for endpoint_name, listed in self._listed.items():
             self._assign(endpoint_name, listed, previous.get(endpoint_name, {}))
 
-    def update_endpoint(self, endpoint_name: str, address: str, more_addresses: Sequence[str] = ()) -> None:
+    def update_endpoint(
+        self, endpoint_name: str, address: str, additional_addresses: Sequence[str] = ()
+    ) -> None:
         """Update an endpoint with the addresses that discovery lists; does nothing if they are unchanged."""
-        listed = ListedAddresses(address, tuple(more_addresses))
+        listed = ListedAddresses(address, tuple(additional_addresses))
         if self._listed.get(endpoint_name) != listed:
             self._listed[endpoint_name] = listed
             self._assign(endpoint_name, listed, self._release(endpoint_name))
@@ -60,7 +62,7 @@
     def _assign(
         self, endpoint_name: str, listed: ListedAddresses, previous: Mapping[Address, AddressState]
     ) -> None:
-        addresses = self._rules.addresses_of(endpoint_name, listed.address, listed.more_addresses)
+        addresses = self._rules.addresses_of(endpoint_name, listed.address, listed.additional_addresses)
         # An address of another endpoint is left out: lines sent to it would reach the wrong endpoint.
         assigned = [
             address
--- a/gannetweir/addresses/rules.py
+++ b/gannetweir/addresses/rules.py
@@ -45,7 +45,7 @@
     max_backoff_us: int = 4_000_000  # the longest backoff of an unhealthy address
 
     def addresses_of(
-        self, endpoint_name: str, address: str = "", more_addresses: Sequence[str] = ()
+        self, endpoint_name: str, address: str = "", additional_addresses: Sequence[str] = ()
     ) -> tuple[Address, ...]:
         """Return all addresses of an endpoint in the order stated, each once; the listed `address` is last.
 
@@ -56,7 +56,7 @@
         if rule is not None:
             literals += [literal.replace(HOST_PLACEHOLDER, endpoint_name) for literal in rule.addresses]
         if rule is None or rule.includes_listed_addresses:
-            literals += [*more_addresses, address]
+            literals += [*additional_addresses, address]
         addresses: dict[Address, None] = {}  # an ordered set
         for literal in filter(None, literals):
             try:
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -327,9 +327,9 @@
     updated: list[str] = []
     update_endpoint = engine.address_selector.update_endpoint
 
-    def recorded(endpoint_name: str, address: str, more_addresses: Sequence[str] = ()) -> None:
+    def recorded(endpoint_name: str, address: str, additional_addresses: Sequence[str] = ()) -> None:
         updated.append(endpoint_name)
-        update_endpoint(endpoint_name, address, more_addresses)
+        update_endpoint(endpoint_name, address, additional_addresses)
 
     monkeypatch.setattr(engine.address_selector, "update_endpoint", recorded)
     engine.endpoint_update_received(MembershipUpdate(2, False, [listed[7]]), 2 * SECOND)
