--- a/gannetweir/placement/probe_results.py
+++ b/gannetweir/placement/probe_results.py
@@ -43,7 +43,7 @@
         self._dispatch = dispatch
 
     def probe_ended(self, event: LoadProbeResult, now_us: int) -> None:
-        """Record a report or eject an unreachable endpoint, then resume the requests that wait."""
+        """Record a report or eject an unreachable endpoint, then resume the requests that await the probe."""
         endpoint = self._endpoints.get(event.endpoint_id)
         if endpoint is None:
             return
--- a/gannetweir/placement/request_lifecycle.py
+++ b/gannetweir/placement/request_lifecycle.py
@@ -76,7 +76,7 @@
     def resumed(self, event: ConnectionResumed, now_us: int) -> None:
         """Take over a connection that was open when this relay started.
 
-        Where connections resume, no earlier process of this relay has clients that would return.
+        Where connections outlive a start of the relay, no client of an earlier process returns.
         """
         endpoint = self._state.endpoints.get(event.endpoint_id)
         request = self._add(event, now_us)
