--- a/gannetweir/addresses/address_selector.py
+++ b/gannetweir/addresses/address_selector.py
@@ -52,9 +52,11 @@
         self.connect_timeout_us = connect_timeout_us
         self._table.apply_rules(rules)
 
-    def update_endpoint(self, endpoint_name: str, address: str, more_addresses: Sequence[str] = ()) -> None:
+    def update_endpoint(
+        self, endpoint_name: str, address: str, additional_addresses: Sequence[str] = ()
+    ) -> None:
         """Update an endpoint with the addresses that discovery lists."""
-        self._table.update_endpoint(endpoint_name, address, more_addresses)
+        self._table.update_endpoint(endpoint_name, address, additional_addresses)
 
     def remove_endpoint(self, endpoint_name: str) -> None:
         """Remove an endpoint that has left the endpoint list."""
@@ -111,7 +113,7 @@
         if not for_probe and order[0] != self.preferred_address(endpoint_name, excluded):
             self.preferred_bypassed += 1
         states = self._table.states_of(endpoint_name)
-        # every address must be tried within the connect timeout
+        # Every address must be tried within the connect timeout.
         max_delay_us = max(MIN_ATTEMPT_DELAY_BOUND_US, self.connect_timeout_us // (len(order) + 1))
         delays_us = [min(max_delay_us, self._attempt_delay_us(states[address])) for address in order]
         if states[order[0]].is_unhealthy:
