--- a/gannetweir/lab/experiments/address_faults.py
+++ b/gannetweir/lab/experiments/address_faults.py
@@ -105,10 +105,10 @@
     for backend in world.backends.values():
         for address in backend.address_faults:
             if rng.random() < 0.4:
-                fault, begin, paths = rng.choice(FAULT_KINDS), rng.uniform(0, 8), backend.address_faults
-                world.schedule(begin, lambda p=paths, a=address, f=fault: p.__setitem__(a, f))  # type: ignore[misc]
+                fault, begin, faults = rng.choice(FAULT_KINDS), rng.uniform(0, 8), backend.address_faults
+                world.schedule(begin, lambda d=faults, a=address, f=fault: d.__setitem__(a, f))  # type: ignore[misc]
                 end = begin + rng.uniform(1, 6)
-                world.schedule(end, lambda p=paths, a=address: p.__setitem__(a, ""))  # type: ignore[misc]
+                world.schedule(end, lambda d=faults, a=address: d.__setitem__(a, ""))  # type: ignore[misc]
     world.run(15)
     return world
 
--- a/gannetweir/lab/experiments/experiment_run.py
+++ b/gannetweir/lab/experiments/experiment_run.py
@@ -166,7 +166,9 @@
             raise ExperimentError(f"line {node.line}: {node.name}: unknown node, or invalid values")
     if sweep[1]:  # each variant runs with each value
         base_variants = variants or {"plain": []}
-        variants = {f"{name}, {sweep[0]} {v:g}": at for name, at in base_variants.items() for v in sweep[1]}
+        variants = {
+            f"{name}, {sweep[0]} {v:g}": steps for name, steps in base_variants.items() for v in sweep[1]
+        }
     if len(seeds) * max(1, len(variants)) > MAX_RUNS:
         raise ExperimentError(f"variants and seeds make more than {MAX_RUNS} runs")
     plan = EmulatorPlan(
@@ -207,9 +209,9 @@
     def matching_listeners(emulator: Emulator) -> list[tuple[str, str]]:
         return [
             (name, text)
-            for name, node in emulator.backends.items()
+            for name, backend in emulator.backends.items()
             if step.get("node", name) == name
-            for text, listener in node.listeners.items()
+            for text, listener in backend.listeners.items()
             if step.get("family", listener.address.family) == listener.address.family
         ]
 
@@ -217,8 +219,8 @@
         for name, text in matching_listeners(emulator):
             emulator.backends[name].set_fault(text, fault)
 
-    async def set_store_slowdown(emulator: Emulator, times: float) -> None:
-        emulator.store.slowdown = times
+    async def set_store_slowdown(emulator: Emulator, slowdown: float) -> None:
+        emulator.store.slowdown = slowdown
 
     async def restart_relay(emulator: Emulator, signal_number: signal.Signals) -> None:
         relay = emulator.relays[int(step["kill" if signal_number == signal.SIGKILL else "term"])]
@@ -293,8 +295,8 @@
                 for family in first_lines_per_s:
                     now = sum(
                         listener.first_lines
-                        for node in emulator.backends.values()
-                        for listener in node.listeners.values()
+                        for backend in emulator.backends.values()
+                        for listener in backend.listeners.values()
                         if listener.address.family == family
                     )
                     first_lines_per_s[family].append(now - last[family])
--- a/gannetweir/lab/scale/control_machine.py
+++ b/gannetweir/lab/scale/control_machine.py
@@ -57,26 +57,26 @@
         self.slices_before_kill = len(self.watches) // 2
         if mode is ServerMode.NORMAL:
             withheld, self.withheld = self.withheld, {}
-            for endpoint, data in withheld.items():
-                self._write(endpoint, bytes(data))
+            for transport, data in withheld.items():
+                self._write(transport, bytes(data))
 
-    def _write(self, endpoint: Transport, data: bytes) -> None:
+    def _write(self, transport: Transport, data: bytes) -> None:
         if self.mode in (ServerMode.SILENT, ServerMode.TRICKLE):
-            self.withheld.setdefault(endpoint, bytearray()).extend(data)
+            self.withheld.setdefault(transport, bytearray()).extend(data)
             return
-        self._send(endpoint, data)
+        self._send(transport, data)
 
-    def _send(self, endpoint: Transport, data: bytes) -> None:
+    def _send(self, transport: Transport, data: bytes) -> None:
         self.by_second[int(time.monotonic())] += len(data)
-        super()._write(endpoint, data)
+        super()._write(transport, data)
 
     async def trickle(self) -> None:
         """In mode TRICKLE, send one withheld byte per `TRICKLE_S` on each connection."""
         while True:
             await anyio.sleep(TRICKLE_S)
             if self.mode is ServerMode.TRICKLE:
-                for endpoint, data in self.withheld.items():
-                    self._send(endpoint, bytes(data[:1]))
+                for transport, data in self.withheld.items():
+                    self._send(transport, bytes(data[:1]))
                     del data[:1]
 
     async def _send_slices(
--- a/gannetweir/lab/scale/fleet_run.py
+++ b/gannetweir/lab/scale/fleet_run.py
@@ -133,14 +133,14 @@
         sampler = Sampler(fleet.distribution.usage)
         begin = await _take_reading(fleet)
         self.fault_ended_ns, self.fault_version = begin.at_ns, version
-        async with anyio.create_task_group() as beside:
-            beside.start_soon(sampler.run)
+        async with anyio.create_task_group() as sampling:
+            sampling.start_soon(sampler.run)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._change, phase)
                 tasks.start_soon(self._fault, phase)
             await fleet.wait_in_force(fleet.store.version, fleet.experiment.within_s)
             await anyio.sleep(SETTLE_S)
-            beside.cancel_scope.cancel()
+            sampling.cancel_scope.cancel()
         end = await _take_reading(fleet)
         servers = server_load(sampler.samples, begin.served, end.served, (begin.at_ns, end.at_ns))
         changed_at_ns = {v: at for v, at in fleet.store.changed_ns.items() if v > version}
--- a/gannetweir/lab/scale/skeleton_relay.py
+++ b/gannetweir/lab/scale/skeleton_relay.py
@@ -16,7 +16,7 @@
 import anyio.abc
 import orjson
 
-from gannetweir import core as e
+from gannetweir import core
 from gannetweir.config import SocketAddress
 from gannetweir.lab.scale.messages import RelayRecord
 from gannetweir.limits import Limits
@@ -32,7 +32,7 @@
 class MembershipDriver(Protocol):
     """Gets a relay its membership."""
 
-    def apply_command(self, command: e.SetEndpointWatch) -> None:
+    def apply_command(self, command: core.SetEndpointWatch) -> None:
         """Replace the present watch with a new one, or only end the present watch."""
 
 
@@ -86,7 +86,7 @@
         driver: Callable[[SkeletonRelay], MembershipDriver],
     ) -> None:
         self.config, self.clock, self.record = config, clock, record
-        self.engine = e.Engine(
+        self.engine = core.Engine(
             config.settings, config.limits, config.seed, self._initial_membership(), clock()
         )
         # `version` returns the version of which every part is in force, and `known` the list for a restart.
@@ -185,11 +185,11 @@
         commands = self.engine.commands
         while commands:
             command = commands.popleft()
-            if isinstance(command, e.SetEndpointWatch):
+            if isinstance(command, core.SetEndpointWatch):
                 self.driver.apply_command(command)
-            elif isinstance(command, e.StartLoadProbe):  # there are no backends to probe
+            elif isinstance(command, core.StartLoadProbe):  # there are no backends to probe
                 self.record.unsent_probes += 1
-            elif isinstance(command, e.WriteLogLine) and command.text.startswith("endpoint watch: "):
+            elif isinstance(command, core.WriteLogLine) and command.text.startswith("endpoint watch: "):
                 self.record.watch_failures += 1
         if self.engine.next_due() < self.sleep_until:
             self.wake.set()
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -47,20 +47,20 @@
 
 
 def test_the_bound_follows_the_slow_start_rule() -> None:
-    cold = SlowStartBudget(0, full_setups_per_s=20.0, min_share=0.1, window_us=10 * SECOND)
-    assert cold.setups_allowed(0) == pytest.approx(3.0 + 2.0 * 3.0**0.5 + 2.0)
-    assert cold.setups_allowed(10 * SECOND) == pytest.approx(30.0 + 2.0 * 30.0**0.5 + 2.0)
+    budget = SlowStartBudget(0, full_setups_per_s=20.0, min_share=0.1, window_us=10 * SECOND)
+    assert budget.setups_allowed(0) == pytest.approx(3.0 + 2.0 * 3.0**0.5 + 2.0)
+    assert budget.setups_allowed(10 * SECOND) == pytest.approx(30.0 + 2.0 * 30.0**0.5 + 2.0)
 
 
 @pytest.mark.parametrize(
-    ("day", "seed", "lifetime_s"),
+    ("scenario", "seed", "lifetime_s"),
     [
         ("roll", 3, 15.0),  # a slow endpoint was given the budget of a mean one
         ("throng", 19, 40.0),  # relays without measurements assumed a quarter of the lifetime
     ],
 )
-def test_no_warming_endpoint_is_overloaded(day: str, seed: int, lifetime_s: float) -> None:
-    simulation = simulate_scenario(day, fleet_plan(seed, RELAYS, 24, lifetime_s * SECOND))
+def test_no_warming_endpoint_is_overloaded(scenario: str, seed: int, lifetime_s: float) -> None:
+    simulation = simulate_scenario(scenario, fleet_plan(seed, RELAYS, 24, lifetime_s * SECOND))
     assert not simulation.checker.violations, simulation.checker.violations[:3]
     assert 0 < simulation.checker.counts["cold_share"] <= 100
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -236,17 +236,17 @@
             async def connected_families(times: int) -> set[str]:
                 families_seen = set()
                 for _ in range(times):
-                    endpoint, target_address = await AddressRaceDriver(
+                    transport, address = await AddressRaceDriver(
                         host, selector, "a", selector.new_race("a", 1), DescriptorCount()
                     ).connect()
-                    endpoint.close()
-                    families_seen.add(target_address.family)
+                    transport.close()
+                    families_seen.add(address.family)
                 return families_seen
 
             tasks.start_soon(host.pass_50_ms)  # runs between the command to connect and the connect
             assert await connected_families(1) == {first} and host.now_us == 50_001
             # The delay before the connect is not counted in the address's connect time.
-            assert all(path.connect_time_us == 0 for path in selector.states_by_endpoint["a"].values())
+            assert all(state.connect_time_us == 0 for state in selector.states_by_endpoint["a"].values())
             assert await connected_families(29) == {first} and selector.preferred_bypassed == 0
             host.now_us = 1
             backend.set_fault(next(iter(backend.listeners)), "refuse")
@@ -305,8 +305,8 @@
     attempts = AttemptOverlaps(checker, lambda: 0)  # the delay monitor never ticks, so its ticks are all old
     addresses = [loopback_addresses(n, folder, (family,)) for n, family in enumerate(families)]
     emulated_backends = [
-        EmulatedBackend(f"b{n}", target_address, 10, EmulatedSessionStore(1), attempts, random.Random(n))
-        for n, target_address in enumerate(addresses)
+        EmulatedBackend(f"b{n}", backend_addresses, 10, EmulatedSessionStore(1), attempts, random.Random(n))
+        for n, backend_addresses in enumerate(addresses)
     ]
     open_connections: dict[str, socket.socket] = {}
     async with anyio.create_task_group() as tasks:
@@ -314,7 +314,7 @@
             await tasks.start(backend.run)
         lines = 0
         for part in order.split("|"):
-            send_in_order(part, [target_address[0] for target_address in addresses], open_connections)
+            send_in_order(part, [backend_addresses[0] for backend_addresses in addresses], open_connections)
             lines += part.count("+")
             with anyio.fail_after(5.0):
                 while sum(sum(backend.deliveries.values()) for backend in emulated_backends) < lines:
