--- a/gannetweir/lab/soak/backend_rules.py
+++ b/gannetweir/lab/soak/backend_rules.py
@@ -25,7 +25,7 @@
 
 # A relay knows of a membership change after this time, unless discovery can't be reached.
 WATCH_DELAY_LIMIT_US = 6_000_000
-# Below this mean number of requests in a window the budget has a wider margin, as the contract says.
+# If fewer first lines than this are expected in a window, the platform's contract allows a wider margin.
 SMALL_MEAN = 30
 NO_SINGLE_RELAY = -1  # `relay` of a finding if all relays share the budget
 
@@ -33,7 +33,9 @@
 
 
 def judge_drains(evidence: Evidence) -> Iterator[Finding]:
-    """Find DRAIN: attempts at a backend half a second or more after the relay was sent its drain or end."""
+    """Find DRAIN: attempts at a backend more than `DRAIN_GRACE_US` after the relay was notified of the
+    backend's drain or removal.
+    """
     changes_sent: dict[tuple[int, str], list[StateChange]] = defaultdict(list)
     for event in evidence.of_type(WatchEventSent):
         changes_sent[event.relay, event.backend].append((event.at_us, event.health))
@@ -99,6 +101,7 @@
 
 
 def _offline_spans(evidence: Evidence) -> dict[tuple[int, str], list[tuple[int, int]]]:
+    """Return when each backend was offline at each relay: pairs of begin and end, by relay and backend."""
     spans: dict[tuple[int, str], list[tuple[int, int]]] = defaultdict(list)
     offline_since: dict[tuple[int, str], int] = {}
     for call in sorted(evidence.of_type(OverrideCall), key=lambda call: call.at_us):
--- a/gannetweir/lab/soak/clients.py
+++ b/gannetweir/lab/soak/clients.py
@@ -21,9 +21,9 @@
 from gannetweir.lab.soak.stand_in import Connection, ConnectionEndedError
 
 LINE_INTERVAL_S = 0.5  # time between two lines of an established connection
-MAX_RETRIES = 2  # per client that was rejected, moved or reset
+MAX_RETRIES = 2  # per client whose request was rejected or failed, or whose connection was migrated or reset
 RETRY_DELAYS_S = 0.0, 0.1, 0.3
-INVALID_INPUT_PROBABILITY = 0.03  # share of clients that send data that is not in the protocol
+INVALID_INPUT_PROBABILITY = 0.03  # share of clients that send data that violates the protocol
 SLOW_WRITE_PROBABILITY = 0.1  # share of clients that write the first line in pieces
 SLOW_PIECE_BYTES, SLOW_PIECE_S = 20, 0.004
 EARLY_DISCONNECT_PROBABILITY = 0.08  # share of clients that disconnect before the answer
--- a/gannetweir/lab/soak/command.py
+++ b/gannetweir/lab/soak/command.py
@@ -1,4 +1,6 @@
-"""`gannetweir lab soak`: runs a soak per seed, prints the findings, keeps the records of failed runs."""
+"""`gannetweir lab soak`: runs a soak per seed, prints the findings, and keeps the records of runs that broke
+a rule.
+"""
 
 from __future__ import annotations
 
--- a/gannetweir/lab/soak/evidence.py
+++ b/gannetweir/lab/soak/evidence.py
@@ -86,7 +86,9 @@
         return max((delay.late_us for delay in delays if delay.process.startswith(prefix)), default=0)
 
     def run_queue_wait_us(self, from_us: int, to_us: int, *processes: str) -> int:
-        """Return for how long, in this span, these processes were ready to run but had no processor."""
+        """Return for how long, in this span, these processes were ready to run but had no processor: the sum
+        over the processes.
+        """
         total_us = 0
         for process in processes:
             for wait in self.run_queue_waits[process]:
--- a/gannetweir/lab/soak/findings.py
+++ b/gannetweir/lab/soak/findings.py
@@ -25,7 +25,7 @@
     EXIT = "exit"  # a process did not exit in time after SIGTERM
     CRASH = "crash"  # a process exited without SIGTERM, or with an exit code other than 0
     DESCRIPTORS = "descriptors"  # a relay had more descriptors open than its limit
-    INVARIANT = "invariant"  # the relay itself logged or counted a violation or another internal fault
+    INVARIANT = "invariant"  # a relay logged or counted a violation or another internal fault of its own
 
 
 @dataclass(frozen=True, slots=True)
--- a/gannetweir/lab/soak/plan.py
+++ b/gannetweir/lab/soak/plan.py
@@ -34,7 +34,7 @@
 # window below.
 OVERLOAD_MULTIPLE = 4.0
 OVERLOAD_WINDOW_US = 1_500_000
-# A relay that was notified of a drain starts no attempt at the backend after this time.
+# A relay starts no attempt at a draining backend once this time has passed since it was notified.
 DRAIN_GRACE_US = 500_000
 CELL_COUNT = 3  # backends are assigned to cells round-robin
 # Relays whose number leaves this remainder, when divided by the interval, use a shared listener.
--- a/gannetweir/lab/soak/process_rules.py
+++ b/gannetweir/lab/soak/process_rules.py
@@ -52,7 +52,9 @@
 
 
 def _counted_faults(lines: list[str]) -> Counter[str]:
-    """Sum the counters of internal faults, of all processes that wrote this log; without those that are 0."""
+    """Return the counters of internal faults, summed over all processes that wrote this log. Counters that
+    are 0 are left out.
+    """
     counted: Counter[str] = Counter()
     for line in lines:
         if line.startswith("{") and '"membership_version"' in line:
--- a/gannetweir/lab/soak/proxy.py
+++ b/gannetweir/lab/soak/proxy.py
@@ -23,13 +23,13 @@
 from gannetweir.lab.soak.stand_in import Connection, ConnectionEndedError
 
 FAULTS = ("", "late", "silent", "pieces", "reset")
-FORWARD_DELAY_S = 0.3, 1.0
-PIECE_BYTES = 7
+FORWARD_DELAY_S = 0.3, 1.0  # minimum and maximum delay of a new connection, during the fault "late"
+PIECE_BYTES = 7  # size of the pieces, during the fault "pieces"
 RESET_PROBABILITY = 0.2  # per piece of data, during the fault "reset"
 
 
 class Proxy:
-    """Has a listener and a current fault for each backend."""
+    """Forwards connections to several backends. Each backend has a listener and a current fault."""
 
     def __init__(self, name: str, records: RecordFile) -> None:
         self.records, self.rng = records, random.Random(name)
@@ -129,6 +129,9 @@
             await anyio.sleep(0.001)
 
     async def _apply_fault(self) -> None:
+        """Wait while the fault "silent" lasts. Raises `ConnectionEndedError` if the fault "reset" resets the
+        connection.
+        """
         while self.proxy.fault(self.backend) == "silent":
             await anyio.sleep(0.02)
         if self.proxy.fault(self.backend) == "reset" and self.proxy.rng.random() < RESET_PROBABILITY:
--- a/gannetweir/lab/soak/records.py
+++ b/gannetweir/lab/soak/records.py
@@ -32,7 +32,8 @@
     receipt: str = ""
     answered_us: int = 0
     gave_up_us: int = 0  # the client stopped waiting for an answer: its timeout, or the end of the run
-    unheard: bool = False  # at that time the relay's kernel had not acknowledged the first line
+    # When the client stopped waiting or disconnected, the relay's kernel had not acknowledged the first line.
+    unheard: bool = False
     moved: bool = False  # MOVE was received
     end: str = ""  # "eof" or "reset"; empty if the client closed the connection
     ended_us: int = 0
@@ -117,8 +118,9 @@
 
 @dataclass(slots=True)
 class ProcessLifetime:
-    """A relay process. `how` is "term", "kill", "crash", "late" (killed because it did not exit in time after
-    SIGTERM), "no start" (never ready) or "soak" (the run ended); empty while the process runs.
+    """A relay process. `how` says how the process ended: "term", "kill", "crash", "late" (killed because the
+    process did not exit in time after SIGTERM), "no start" (never ready) or "soak" (the run ended); empty
+    while the process runs.
     """
 
     relay: int
@@ -127,8 +129,8 @@
     asked_to_end_us: int = 0
     ended_us: int = 0
     how: str = ""
-    code: int = 0
-    descriptors: int = 0  # the highest number seen at once
+    code: int = 0  # exit code
+    descriptors: int = 0  # the largest number of open descriptors that was observed
 
 
 @dataclass(slots=True)
--- a/gannetweir/lab/soak/relays.py
+++ b/gannetweir/lab/soak/relays.py
@@ -46,8 +46,8 @@
         self.discovery_ports, self.records, self.command = discovery, records, command
         self.listener: socket.socket | None = None
         if shares_listener(number):
-            # Not a port of the kernel's choice: the shim takes every connection with a local port from 32768
-            # on for a connection to a backend.
+            # The kernel doesn't choose the port: the shim treats every connection whose local port is 32768
+            # or higher as a connection to a backend.
             self.listener = stand_in.listener(_free_port())
             self.port = int(self.listener.getsockname()[1])
         else:
@@ -64,7 +64,7 @@
 
     @property
     def log_path(self) -> Path:
-        """The file for standard output and, unless that is a pipe, standard error."""
+        """The file for standard output and, unless standard error is a pipe, for standard error."""
         return self.folder / f"relay{self.number}.log"
 
     @property
@@ -164,8 +164,8 @@
             return ""
 
     async def upgrade(self, membership: dict[str, Any]) -> None:
-        """Start a second process on the shared listener, and send SIGTERM to the first once the second is
-        healthy.
+        """Start a second process on the shared listener. Send SIGTERM to the first one once the second is
+        healthy or `START_TIMEOUT_S` has passed, and kill the first one if it does not exit in time.
         """
         replaced, lifetime = self.process, self.lifetime
         assert replaced is not None
--- a/gannetweir/lab/soak/run.py
+++ b/gannetweir/lab/soak/run.py
@@ -21,7 +21,10 @@
 
 
 class Soak:
-    """One run. Every process has ended when `run` returns; the records stay in `folder`."""
+    """One run of a soak, with the processes of its fleet.
+
+    Every process has ended when `run` returns. The records stay in `folder`.
+    """
 
     def __init__(
         self, plan: SoakPlan, folder: Path, commands: Callable[[int], list[str]] | None = None
--- a/gannetweir/lab/soak/shim.py
+++ b/gannetweir/lab/soak/shim.py
@@ -38,7 +38,7 @@
 
 
 def build(folder: Path) -> Path:
-    """Compile the library into `folder`. Raises `SoakError` without a C compiler, or if it fails."""
+    """Compile the library into `folder`. Raises `SoakError` if no C compiler is found, or if it fails."""
     compiler = next(filter(None, map(shutil.which, COMPILERS)), None)
     if compiler is None:
         raise SoakError(f"soak: no C compiler ({', '.join(COMPILERS)}) for the library that makes calls fail")
--- a/gannetweir/lab/soak/stand_in.py
+++ b/gannetweir/lab/soak/stand_in.py
@@ -19,8 +19,8 @@
 
 from gannetweir.lab.soak.records import LoopDelay, RecordFile, now_us
 
-LOOP_INTERVAL_S = 0.01
-LOOP_DELAY_THRESHOLD_US = 20_000
+LOOP_INTERVAL_S = 0.01  # the event loop's delay is measured once in this interval
+LOOP_DELAY_THRESHOLD_US = 20_000  # shorter delays are not recorded
 MAX_READING_SPAN_US = 1_000  # two clock readings that are at most this far apart count as simultaneous
 # Fields of Linux's struct tcp_info. For a listener tcpi_unacked is the length of the accept queue.
 _TCPI_UNACKED = slice(24, 28)  # segments
@@ -45,7 +45,7 @@
         self.sock, self.buffer, self.closed = sock, b"", False
 
     async def read(self) -> bytes:
-        """Return the next data. Raises `ConnectionEndedError`."""
+        """Return the next data. Raises `ConnectionEndedError` at the end of the connection."""
         while True:
             if self.closed:
                 raise ConnectionEndedError(True)
@@ -85,7 +85,7 @@
             raise ConnectionEndedError(True) from None
 
     async def read_line(self) -> bytes:
-        """Return the next line with its line end. Raises `ConnectionEndedError`."""
+        """Return the next line with its line end. Raises `ConnectionEndedError` if there is none."""
         while b"\n" not in self.buffer:
             self.buffer += await self.read()
         line, end, self.buffer = self.buffer.partition(b"\n")
