--- a/gannetweir/lab/__main__.py
+++ b/gannetweir/lab/__main__.py
@@ -155,12 +155,12 @@
     if folder:
         table = markdown(fleet_simulation.COLUMNS, rows)
         text = fleet_simulation.PAGE.format(seeds=seeds, table=table, seconds=fleet_simulation.SCENARIO_S)
-        (Path(folder) / "herd.md").write_text(text)  # kept results have had this file name from the start
+        (Path(folder) / "herd.md").write_text(text)  # stored results have this file name
     return int(any(row[-1] != "0" for row in rows))
 
 
 def run_budgets(args: dict[str, Any]) -> int:
-    """Simulate failing backends with and without retry budgets."""
+    """Simulate failing backends with and without retry budgets. Returns 0."""
     seeds, backends, rate = int(args["--seeds"]), int(args["--backends"]), float(args["--rate"])
     rows, lines = compare_budgets(Path(args["--file"]), seeds, backends, rate)
     title = f"{backends} backends, {rate:g} new connections a second, failing 40 to 90% from 40 to 70 s"
@@ -186,7 +186,7 @@
 
 
 def show_comparison(one: str, other: str) -> int:
-    """Print how the figures of two results folders differ."""
+    """Print how the figures of two results folders differ. Returns 0."""
     rows = compare(Path(one), Path(other))
     print_table("compared", ("variant", "figure", one, other, ""), rows)
     return 0
@@ -217,7 +217,7 @@
 
 
 def _with_present_command(argv: list[str]) -> list[str]:
-    """Returns the command line with a renamed command's current name, after a notice on standard error."""
+    """Return the command line with a renamed command's current name, after a notice on standard error."""
     if not argv or argv[0] not in RENAMED_COMMANDS:
         return argv
     present = RENAMED_COMMANDS[argv[0]]
--- a/gannetweir/lab/emulator/address_listener.py
+++ b/gannetweir/lab/emulator/address_listener.py
@@ -11,7 +11,7 @@
 
 from gannetweir.addresses.address import IPV6, UNIX, Address, parse_address
 
-FAULTS = ("", "refuse", "hole", "stall", "reset", "slow")
+FAULTS = ("", "refuse", "hole", "stall", "reset", "slow")  # empty means no fault
 BACKLOG = 1024
 QUEUE_FILLERS = 4  # the number of connects that fill an accept queue of length 0
 
@@ -24,7 +24,7 @@
     fault: str = ""
     listener: socket.socket | None = None
     queue_fillers: list[socket.socket] = field(default_factory=list)
-    accepted: int = 0  # number of connections
+    accepted: int = 0  # number of accepted connections
     first_lines: int = 0  # number of complete first lines received
 
     def open(self) -> socket.socket | None:
@@ -85,7 +85,7 @@
 
 
 def loopback_addresses(number: int, folder: str, families: tuple[str, ...]) -> list[Address]:
-    """Returns a backend's addresses, one for each family, on free ports.
+    """Return a backend's addresses, one for each family, on free ports.
 
     Raises `KeyError` for an unknown family.
     """
--- a/gannetweir/lab/emulator/attempts.py
+++ b/gannetweir/lab/emulator/attempts.py
@@ -22,15 +22,15 @@
 
 from gannetweir.lab.model.checker import RuleChecker
 
-RESOLUTION_MS = (
-    8.0  # two ticks of the coarsest usual kernel clock (250 Hz), to which kernel times are rounded
-)
-TICK_MS = 1.0
+# Kernel times are rounded. This is two ticks of the coarsest usual kernel clock (250 Hz).
+RESOLUTION_MS = 8.0
+TICK_MS = 1.0  # the interval at which `LoopDelayMonitor` reads the clock
 # Data that is read now arrived after the third last tick: a tick takes two iterations of a late loop, and
 # three iterations pass between a listener's event and the first read of the new connection.
 TICKS_REMEMBERED = 3
 _END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-_LAST_DATA_AT, _LAST_ACK_AT, _TCP_INFO_BYTES = 52, 56, 60  # offsets in Linux's `struct tcp_info`
+# Offsets of two fields in Linux's `struct tcp_info`, and the number of its bytes that are read.
+_LAST_DATA_AT, _LAST_ACK_AT, _TCP_INFO_BYTES = 52, 56, 60
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
 
 
 class LoopDelayMonitor:
-    """Measures how late the event loop is, from the times of its last ticks."""
+    """Measures how late the event loop is. It reads the clock every `TICK_MS`, and each reading is a tick."""
 
     def __init__(self) -> None:
         self.recent_ticks: deque[float] = deque([now_ms()] * TICKS_REMEMBERED, TICKS_REMEMBERED)
@@ -71,7 +71,7 @@
             await anyio.sleep(TICK_MS / 1000)
 
     def unread_since_ms(self) -> float:
-        """Returns the time after which all data that is read now has arrived."""
+        """Return the time after which all data that is read now has arrived."""
         return self.recent_ticks[0]
 
 
@@ -112,7 +112,9 @@
                 attempt.end = self._end_span(connection) if has_ended(connection) else TimeSpan(now, now)
 
     def _overlap(self, request_number: int, first: ObservedAttempt, other: ObservedAttempt) -> bool:
-        """Whether both attempts were in flight at once. False if undecided, and the pair is recorded."""
+        """Return whether both attempts were in flight at once. An undecided pair is recorded and not
+        counted as an overlap.
+        """
         ends = [
             a.end or (self._end_span(a.connection) if has_ended(a.connection) else NOT_YET)
             for a in (first, other)
--- a/gannetweir/lab/emulator/backend.py
+++ b/gannetweir/lab/emulator/backend.py
@@ -31,7 +31,7 @@
 
 
 def spawn_in(tasks: anyio.abc.TaskGroup) -> Spawn:
-    """Returns a function by which a transport starts its background work in this task group."""
+    """Return a function by which a transport starts its background work in this task group."""
 
     async def run_in_background(run: Callable[[], Awaitable[Any]]) -> None:
         await run()
@@ -86,8 +86,8 @@
         self.started_s = 0.0  # 0 means that the slow start is over
         self.slow_start_min_share = SLOW_START_MIN_SHARE
         self.slow_start_window_s = SLOW_START_WINDOW_S
-        self.load_probes = 0
-        self.load_lines = 0
+        self.load_probes = 0  # number of answered load probes
+        self.load_lines = 0  # number of LOAD lines sent
         self.tasks: anyio.abc.TaskGroup | None = None
         self.scope = anyio.CancelScope()
 
@@ -215,7 +215,9 @@
         return self._write_answer(connection, request_id)
 
     async def _do_setup_work(self, connection: Transport) -> bool:
-        """Call the session store and do the backend's own work. False if the relay closed the connection."""
+        """Call the session store and do the backend's own work. Returns False if the relay has closed the
+        connection.
+        """
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as setup_tasks:
                 setup_tasks.start_soon(self._cancel_when_closed, connection.sock, scope)
@@ -225,6 +227,7 @@
         return not scope.cancelled_caught
 
     def _write_answer(self, connection: Transport, request_id: str) -> bool:
+        """Answer UP with a load report, or ERR at the failure rate. Returns whether the answer is UP."""
         if self.rng.random() < self.failure_rate:
             connection.write(b"ERR\r\n")
             return False
@@ -251,6 +254,7 @@
     def _answer_line(
         self, listener: AddressListener, connection: Transport, line: bytes, is_established: bool
     ) -> bool:
+        """Answer a line that is not a first line. Returns whether the connection stays open."""
         if is_established:
             connection.write(line)  # an established connection echoes every line
             return True
--- a/gannetweir/lab/emulator/clients.py
+++ b/gannetweir/lab/emulator/clients.py
@@ -19,9 +19,8 @@
 from gannetweir.lab.model.checker import RuleChecker
 
 DEATH_DETECTION_S = 2.5  # the time for which a load balancer still chooses a dead relay
-ANSWER_GRACE_S = (
-    1.0  # clients wait this long after the time budget; the checker then reports a missing answer
-)
+# Clients wait this long after the time budget. The checker then reports a missing answer.
+ANSWER_GRACE_S = 1.0
 MIN_RETURN_MS, MAX_RETURN_MS = 140, 1000  # a client's wait where the relay gave no Retry-After
 RETRYABLE_ANSWERS = "busy", "err", "broken", "moved", "cut"  # answers after which a client may return
 GROUP_STEP = 0x9E3779B97F4A7C15  # spreads small group numbers over 64 bits
@@ -41,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientPlan:
-    """A client's request class, group, stay and retries."""
+    """A client's request class, group and retries, and how long the client stays connected."""
 
     class_number: int = 0
     duration_s: float = 0.0
@@ -172,7 +171,9 @@
         groups: int = 40,
         progress: Callable[[float], None] = lambda share: None,
     ) -> None:
-        """Let clients arrive for this many seconds. Returns once all of them have ended."""
+        """Let clients arrive for this many seconds. Returns once all of them have ended. `progress` is called
+        at each arrival with the share of the time that has passed.
+        """
         rng = random.Random(f"{self.seed} arrivals")
         async with anyio.create_task_group() as tasks:
             start = anyio.current_time()
--- a/gannetweir/lab/emulator/discovery.py
+++ b/gannetweir/lab/emulator/discovery.py
@@ -19,7 +19,7 @@
 
 
 class EmulatedDiscovery:
-    """Owns the endpoint list. `change` updates every watch, and each call is answered after a delay."""
+    """Owns the endpoint list. `change` updates every watch. Each request is answered after a delay."""
 
     def __init__(self, delay_s: float = 0.02, heartbeat_s: float = 2.0) -> None:
         self.version, self.hosts = 1, dict[str, dict[str, Any]]()
@@ -41,7 +41,7 @@
             event.set()
 
     def snapshot(self) -> dict[str, Any]:
-        """Returns the endpoint list as sent to a caller, and as given to a relay at its start."""
+        """Return the endpoint list as sent to a caller, and as given to a relay at its start."""
         return {"seq": self.version, "whole": True, "hosts": list(self.hosts.values())}
 
     async def run(self) -> None:
--- a/gannetweir/lab/emulator/emulator.py
+++ b/gannetweir/lab/emulator/emulator.py
@@ -131,7 +131,7 @@
         return self.checker.finish(self.now_us())
 
     async def count_first_lines(self) -> tuple[int, int]:
-        """Returns the number of first lines that backends received, and that relays wrote completely.
+        """Return the number of first lines that backends received, and that relays wrote completely.
 
         Backends and relays count independently, so the numbers differ if a line was duplicated, lost or
         invented.
--- a/gannetweir/lab/emulator/plan.py
+++ b/gannetweir/lab/emulator/plan.py
@@ -40,7 +40,7 @@
 
 
 def platform_settings(relays: int) -> dict[str, Any]:
-    """Returns the platform's settings for a relay of a fleet of this size."""
+    """Return the platform's settings for a relay of a fleet of this size."""
     return {
         "categories": [
             {
--- a/gannetweir/lab/emulator/relay_process.py
+++ b/gannetweir/lab/emulator/relay_process.py
@@ -103,7 +103,7 @@
         return [line for line in lines if line[:1] == b"{"]
 
     async def counters(self) -> Counter[str]:
-        """Returns a running relay's current counters, or the last ones that a stopped relay printed.
+        """Return a running relay's current counters, or the last ones that a stopped relay printed.
 
         Raises `TimeoutError` if a running relay prints none in time.
         """
--- a/gannetweir/lab/experiments/address_faults.py
+++ b/gannetweir/lab/experiments/address_faults.py
@@ -32,7 +32,9 @@
 
 
 def cases() -> Iterator[BrokenAddresses]:
-    """Yields no fault, each fault kind at each family that can have it, and each pair at two families."""
+    """Yield the broken addresses of each case: none, each fault kind at each family that can have it, and
+    each pair of fault kinds at two families.
+    """
     yield ()
     for kind in FAULT_KINDS:
         for family in FAMILIES:
@@ -88,7 +90,7 @@
 
 
 def emulate_cases(requests: int, workers: int = 3) -> Iterator[list[str]]:
-    """Yields a table row for each case."""
+    """Yield a table row for each case."""
     with ProcessPoolExecutor(workers) as pool:
         all_cases = list(cases())
         yield from pool.map(_run_case, all_cases, [requests] * len(all_cases))
--- a/gannetweir/lab/experiments/budgets.py
+++ b/gannetweir/lab/experiments/budgets.py
@@ -54,7 +54,7 @@
             self._by_second.setdefault(second, []).append(trace)
 
     def between(self, begin_s: int, end_s: int) -> list[RequestTrace]:
-        """Returns the requests sent from `begin_s` up to, but not in, `end_s`."""
+        """Return the requests sent from `begin_s` up to, but not in, `end_s`."""
         return [trace for second in range(begin_s, end_s) for trace in self._by_second.get(second, [])]
 
     def served_share(self, begin_s: int, end_s: int) -> float:
@@ -143,7 +143,7 @@
 
 
 def _outcome_row(store_calls_per_s: float, file_name: str, runs: Sequence[BudgetOutcome]) -> list[str]:
-    """Returns a table row: means over the runs, the worst second of all runs, and the sum of violations."""
+    """Return a table row: means over the runs, the worst second of all runs, and the sum of violations."""
     count = len(runs)
     recoveries_s = [run.recovered_after_s for run in runs]
     return [
--- a/gannetweir/lab/experiments/demo.py
+++ b/gannetweir/lab/experiments/demo.py
@@ -32,7 +32,7 @@
 
 
 def families() -> tuple[str, ...]:
-    """Returns the address families that this machine can listen on."""
+    """Return the address families that this machine can listen on."""
     usable = ["unix", "ipv4"]
     try:
         with socket.socket(socket.AF_INET6) as probe:
@@ -133,7 +133,9 @@
 
 
 def main(seconds: float = DURATION_S) -> int:
-    """Run the demo with a live view on a terminal, or else with a printed line for each event."""
+    """Run the demo with a live view on a terminal, or else with a printed line for each event. Returns the
+    exit code: 0, 1 if a rule was broken, or 130 after Ctrl-C.
+    """
     seconds = min(300.0, max(5.0, seconds))
     try:
         return anyio.run(run, seconds, Console().is_terminal)
--- a/gannetweir/lab/experiments/experiment_run.py
+++ b/gannetweir/lab/experiments/experiment_run.py
@@ -75,7 +75,7 @@
     sweep: tuple[str, tuple[float, ...]] = ("", ())
 
     def with_swept_value(self, variant: str) -> Experiment:
-        """Returns the experiment with the swept setting at the value in the variant's name."""
+        """Return the experiment with the swept setting at the value in the variant's name."""
         name, values = self.sweep
         value = next((v for v in values if variant.endswith(f", {name} {v:g}")), None)
         if value is None:
@@ -101,6 +101,7 @@
 
 
 def _number(node: Node, raw_value: Any, convert: Callable[[Any], Any], maximum: float) -> Any:
+    """Return the converted value. Raises `ExperimentError` unless it is over 0 and at most `maximum`."""
     try:
         value = convert(raw_value)
     except (TypeError, ValueError) as error:
@@ -187,6 +188,7 @@
 
 
 def _read_step(node: Node) -> dict[str, Any]:
+    """Return the properties of an `at` line, with its times in seconds. Raises `ExperimentError`."""
     known = {"fault", "family", "node", "until", "drain", "restart", "kill", "term", "store"}
     if node.name != "at" or len(node.arguments) != 1 or not node.properties or set(node.properties) - known:
         raise ExperimentError(
@@ -204,7 +206,7 @@
 
 
 def scripted_events(step: dict[str, Any]) -> list[ScriptedEvent]:
-    """Returns the events of an `at` line: its action, and the end of a fault."""
+    """Return the events of an `at` line: its action, and the end of a fault."""
 
     def matching_listeners(emulator: Emulator) -> list[tuple[str, str]]:
         return [
@@ -282,7 +284,9 @@
 async def run_variant(
     experiment: Experiment, variant: str, seed: int, progress: Callable[[float], None] = lambda share: None
 ) -> ExperimentRun:
-    """Run a variant with a seed and return its results. `progress` gets the elapsed share of the load."""
+    """Run a variant with a seed and return its results. `progress` is called with the share of the
+    load's duration that has passed.
+    """
     experiment = experiment.with_swept_value(variant)
     plan = replace(experiment.plan, seed=seed)
     first_lines_per_s: dict[str, list[int]] = {family: [] for family in plan.families}
--- a/gannetweir/lab/experiments/fleet_simulation.py
+++ b/gannetweir/lab/experiments/fleet_simulation.py
@@ -22,7 +22,9 @@
 def fleet_plan(
     seed: int, relays: int, backends: int, mean_duration_us: float = MEAN_DURATION_US
 ) -> WorldPlan:
-    """A fleet in three zones, loaded with a third of its capacity. Shorter connections mean more set-ups."""
+    """Return the plan of a fleet in three zones, loaded with a third of its capacity. The shorter the
+    connections, the more set-ups make up this load.
+    """
     rate = backends * 30.0 / (mean_duration_us / SECOND_US) / 3.0
     shares = 0.36, 0.34, 0.15, 0.15
     return WorldPlan(
@@ -69,7 +71,7 @@
 
 
 def rolling_restart(world: World) -> None:
-    """Half of the backends are replaced in turn, while all relays are restarted, a tenth at a time."""
+    """Half of the backends are replaced one after another, while all relays restart, a tenth at a time."""
     schedule_replacement(world, list(world.backends.values())[::2], INCIDENT_S, 8.0)
     relays = list(world.relays)
     for n, relay in enumerate(relays):
@@ -185,7 +187,7 @@
 
 
 def scenario_row(name: str, relays: int, backends: int, seeds: int) -> list[str]:
-    """Returns a table row: means over the seeds, the highest slow-start load, and the sum of violations."""
+    """Return a table row: means over the seeds, the highest slow-start load, and the sum of violations."""
     requests = served = sent = probes = worst_share = violation_sum = 0
     for seed in range(1, seeds + 1):
         world = simulate_scenario(name, fleet_plan(seed, relays, backends))
@@ -215,7 +217,7 @@
 
 
 def fleet_table(seeds: int, sizes: Iterable[tuple[int, int]] = SIZES) -> list[list[str]]:
-    """Returns the rows of every scenario at every fleet size."""
+    """Return the rows of every scenario at every fleet size."""
     rows = [(name, *size, seeds) for size in sizes for name in SCENARIOS]
     with ProcessPoolExecutor() as pool:
         return list(pool.map(scenario_row, *zip(*rows, strict=True)))
--- a/gannetweir/lab/experiments/report.py
+++ b/gannetweir/lab/experiments/report.py
@@ -21,19 +21,19 @@
 
 
 def markdown(columns: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    """Returns a table as Markdown."""
+    """Return a table as Markdown."""
     lines = ["| " + " | ".join(row) + " |" for row in (columns, *rows)]
     return "\n".join([lines[0], "| " + " | ".join(["---"] * len(columns)) + " |", *lines[1:]])
 
 
 def bar_row(values: Sequence[float], maximum: float) -> str:
-    """Returns a row of bar characters, one for each value; a full bar stands for `maximum`."""
+    """Return a row of bar characters, one for each value; a full bar stands for `maximum`."""
     top = len(BAR_LEVELS) - 1
     return "".join(BAR_LEVELS[max(0, min(top, round(value / maximum * top)))] for value in values)
 
 
 def bar_chart(rows: Sequence[tuple[str, Sequence[float]]], unit: str, step_s: float) -> str:
-    """Returns rows of bars on a common scale, with a time axis below."""
+    """Return rows of bars on a common scale, with a time axis below."""
     maximum = max((max(values, default=0.0) for _, values in rows), default=0.0) or 1.0
     width = max(len(name) for name, _ in rows)
     length = max(len(values) for _, values in rows)
--- a/gannetweir/lab/experiments/results.py
+++ b/gannetweir/lab/experiments/results.py
@@ -22,7 +22,7 @@
 
 
 def results_table(runs: list[ExperimentRun]) -> tuple[list[str], list[list[str]]]:
-    """Returns columns and rows with means over the seeds, and standard deviations if there are several."""
+    """Return columns and rows with means over the seeds, and standard deviations if there are several."""
     names = list(runs[0].figures) if runs else []
     rows = []
     for variant in dict.fromkeys(run.variant for run in runs):
@@ -126,7 +126,7 @@
 
 
 def read_figures(folder: Path) -> dict[str, dict[str, list[float]]]:
-    """Returns the figures of a results folder: a value for each seed, by variant and figure name."""
+    """Return the figures of a results folder: a value for each seed, by variant and figure name."""
     data: dict[str, Any] = orjson.loads((folder / "results.json").read_bytes())
     figures_by_variant: dict[str, dict[str, list[float]]] = {}
     for run in data["runs"]:
--- a/gannetweir/lab/model/backends.py
+++ b/gannetweir/lab/model/backends.py
@@ -112,7 +112,7 @@
         return BackendAnswer("UP", setup_us)
 
     def load_report(self) -> tuple[float, float] | None:
-        """Returns connections and load over capacity, up to 1.5 s old; None if a probe gets no answer."""
+        """Return connections and load over capacity, up to 1.5 s old; None if a probe gets no answer."""
         if self.is_removed or self.ignores_probes or self.is_silent:
             return None
         if self.clock.now_us >= self._load_report_until_us:
--- a/gannetweir/lab/model/client_population.py
+++ b/gannetweir/lab/model/client_population.py
@@ -99,7 +99,7 @@
         client.relay.first_line_received(client, time_budget_us)
 
     def answered(self, client: SimulatedClient, answer: str, retry_after_us: int) -> None:
-        """Record an answer. A served client stays for its duration; another may retry after a wait."""
+        """Record an answer. A served client stays for its duration; any other may retry after a wait."""
         self.checker.answer_received(client.request_number, answer, self.clock.now_us)
         self.final_answers.append((self.clock.elapsed_us, answer))
         if answer == "up":
--- a/gannetweir/lab/model/plan.py
+++ b/gannetweir/lab/model/plan.py
@@ -45,7 +45,7 @@
     traffic: tuple[Traffic, ...] = (Traffic(0.36), Traffic(0.34), Traffic(0.15), Traffic(0.15))
 
     def settings(self, zone: int = 0) -> Settings:
-        """Returns the settings with which the platform would start a relay in this zone."""
+        """Return the settings with which the platform would start a relay in this zone."""
         return Settings(
             classes=list(self.classes),
             relay_count=self.relays,
--- a/gannetweir/lab/model/relay.py
+++ b/gannetweir/lab/model/relay.py
@@ -109,7 +109,7 @@
         self.notify_engine(lambda now_us: self.engine.endpoint_update_received(update, now_us))
 
     def zone_connected(self) -> None:
-        """Apply the updates deferred while the zone was cut off. If the zone still is, they stay deferred."""
+        """Apply the updates deferred while the zone was cut off. A zone that is still cut off keeps them."""
         deferred = self.deferred_updates
         self.deferred_updates = []
         for update in deferred:
@@ -130,7 +130,10 @@
         self.carry_out()
 
     def notify_engine(self, report: Callable[[int], object]) -> None:
-        """Report an event at the current time, and carry out the engine's commands. Ignored if dead."""
+        """Report an event at the current time, and carry out the engine's commands.
+
+        Does nothing after the relay's death.
+        """
         if self.dead_since_us:
             return
         report(self.environment.clock.now_us)
--- a/gannetweir/lab/model/upstreams.py
+++ b/gannetweir/lab/model/upstreams.py
@@ -71,7 +71,7 @@
         self._connected(attempt)
 
     def _connected(self, attempt: SimulatedAttempt) -> None:
-        """The first line is written and arrives at once: its network delay is counted in the connect time."""
+        """Write the first line, which arrives at once: its network delay is counted in the connect time."""
         if attempt.is_over:
             return
         relay, environment = self._relay, self._environment
--- a/gannetweir/lab/model/world.py
+++ b/gannetweir/lab/model/world.py
@@ -74,7 +74,7 @@
 
     @staticmethod
     def _endpoint_of(backend: SimulatedBackend) -> ListedEndpoint:
-        """Returns a backend as discovery lists it."""
+        """Return a backend as discovery lists it."""
         state = EndpointStatus.READY
         if backend.is_removed:
             state = EndpointStatus.REMOVED
