--- a/gannetweir/lab/scale/control_costs.py
+++ b/gannetweir/lab/scale/control_costs.py
@@ -1,5 +1,7 @@
 """Measures the costs of the control plane's messages: bytes, transfer time, processor time and turns.
 
+A turn is the work that a relay does without returning to its event loop.
+
     python -m gannetweir.lab.scale.control_costs > docs/measurements/control-plane.json
 
 The list is drawn from a seed: names of eight hexadecimal digits, addresses, 13 zones, starts within a month.
@@ -102,7 +104,7 @@
             self.collections.append(time.thread_time() - self.begun)
 
     def run(self, work: Callable[[], Any]) -> Any:
-        """Run and time one turn."""
+        """Run and time one turn. Returns the result of `work`."""
         before, begun = len(self.collections), time.thread_time()
         result = work()
         self.turns.append(time.thread_time() - begun - sum(self.collections[before:]))
--- a/gannetweir/lab/scale/control_relay.py
+++ b/gannetweir/lab/scale/control_relay.py
@@ -32,9 +32,10 @@
 
 
 class ControlledMembership:
-    """Starts the driver at the first command to watch.
+    """Keeps the membership of a skeleton relay up to date, from the control machines.
 
-    Later commands are ignored, since the driver retries by itself and never stops.
+    The driver is started by the first command to watch. Later commands are ignored, since the driver retries
+    without them and never stops.
     """
 
     def __init__(self, relay: SkeletonRelay) -> None:
--- a/gannetweir/lab/scale/discovery_stub.py
+++ b/gannetweir/lab/scale/discovery_stub.py
@@ -88,7 +88,7 @@
     """The connection of one watch, and the data that is pending on it."""
 
     def __init__(self, sock: socket.socket, local: str = "") -> None:
-        self.sock, self.local = sock, local  # `local` is the server's address of the connection
+        self.sock, self.local = sock, local  # `local` is the server's address on this connection
         self.pending: deque[memoryview] = deque()
         self.awaits_writable = self.closed = False
 
--- a/gannetweir/lab/scale/distribution.py
+++ b/gannetweir/lab/scale/distribution.py
@@ -113,7 +113,7 @@
 
     @property
     def servers(self) -> list[str]:
-        """HOST:PORT of each server, as relays are configured with."""
+        """HOST:PORT of each server, for the configuration of the skeleton relays."""
 
     @property
     def true_relay_servers(self) -> list[str]:
@@ -129,7 +129,7 @@
         """Begin a fault of the servers."""
 
     async def end_fault(self, fault: Fault) -> None:
-        """End the fault."""
+        """End a fault of the servers."""
 
     async def served(self) -> ServedTotals:
         """Return what has been sent so far."""
--- a/gannetweir/lab/scale/fleet_run.py
+++ b/gannetweir/lab/scale/fleet_run.py
@@ -192,7 +192,10 @@
 
 
 def _true_relays_kb_mean(played: _PlayedPhase) -> float:
-    """Return the mean kilobytes per true relay: each has its own server address, after the first."""
+    """Return the mean kilobytes that a true relay was sent.
+
+    The skeleton relays use the server's first address, 127.0.0.1; each true relay uses a separate address.
+    """
     before, after = played.begin.served.sent, played.end.served.sent
     sent = [after[host] - before[host] for host in after if host != "127.0.0.1"]
     return sum(sent) / len(sent) / 1000 if sent else 0.0
--- a/gannetweir/lab/scale/fleets.py
+++ b/gannetweir/lab/scale/fleets.py
@@ -1,5 +1,6 @@
-"""Probes as a fleet grows: whole fleets on virtual time, the same backends and clients for any number of
-relays.
+"""Measures how the number of load probes grows with the number of relays, in fleets on virtual time.
+
+Every fleet has the same backends and clients.
 """
 
 from __future__ import annotations
@@ -23,7 +24,10 @@
 
 
 def play(relays: int, seed: int) -> dict[str, float]:
-    """One calm day: 60 backends, the same clients, so many relays."""
+    """Simulate a fleet of this many relays without faults, and return its figures by cost.
+
+    Raises `ValueError` if a rule was violated.
+    """
     world = World(fleet_plan(seed, relays, BACKENDS))
     checker = world.run(LENGTH_S)
     if checker.violations:
@@ -37,7 +41,7 @@
 
 
 def measure(step: Step) -> list[Cost]:
-    """All fleets, a few at a time."""
+    """Simulate all fleets, a few at a time, and return the costs. `step` is called after each fleet."""
     todo = [(size, seed) for size in (CHECK, *SIZES) for seed in SEEDS]
     found: dict[tuple[int, int], dict[str, float]] = {}
     with ProcessPoolExecutor(max_workers=4) as workers:
--- a/gannetweir/lab/scale/link.py
+++ b/gannetweir/lab/scale/link.py
@@ -66,7 +66,10 @@
 
 
 async def answer_calls(handle: Callable[[Message], Awaitable[Message]]) -> None:
-    """In a child, whose standard input is its end of the link: answer commands until the parent is gone."""
+    """Answer the parent's commands until the parent is gone.
+
+    Runs in a child process, whose standard input is its end of the link.
+    """
     link = Link(socket.socket(fileno=sys.stdin.fileno()))
     try:
         while True:
--- a/gannetweir/lab/scale/membership_drivers.py
+++ b/gannetweir/lab/scale/membership_drivers.py
@@ -1,4 +1,4 @@
-"""The drivers that get skeleton relays their membership, by the name of the distribution.
+"""The drivers that keep the membership of skeleton relays up to date, by the name of the distribution.
 
 A driver is imported when the first relay that uses it is created, so that a process of skeleton relays needs
 memory for one driver only.
--- a/gannetweir/lab/scale/skeleton_relay.py
+++ b/gannetweir/lab/scale/skeleton_relay.py
@@ -30,7 +30,7 @@
 
 
 class MembershipDriver(Protocol):
-    """Gets a relay its membership."""
+    """The interface of a driver that keeps a relay's membership up to date."""
 
     def apply_command(self, command: core.SetEndpointWatch) -> None:
         """Replace the present watch with a new one, or only end the present watch."""
--- a/gannetweir/lab/scale/store.py
+++ b/gannetweir/lab/scale/store.py
@@ -15,15 +15,15 @@
 
 
 class MemoryStore:
-    """Implements `control.store.Store` for both resources; `put` makes a version."""
+    """Implements `control.store.Store` for both resources; `put` makes a new version."""
 
     def __init__(self, epoch: int = 1, staged: frozenset[Resource] = frozenset()) -> None:
-        self.held: dict[Resource, tuple[int, str]] = {}
+        self.held: dict[Resource, tuple[int, str]] = {}  # the halted version of a resource, and the reason
         self.report_leases: dict[str, tuple[float, Sequence[StatusReport]]] = {}
         self.lease = ("", 0.0)  # the machine that leads, and the end of its lease
         self.staged = staged  # resources whose new versions need `release`
-        self.event: anyio.Event | None = None
-        self.down = False
+        self.event: anyio.Event | None = None  # set at the next change; None if no caller waits for it
+        self.down = False  # True makes calls raise `OSError`
         self._begin(epoch)
 
     def _begin(self, epoch: int) -> None:
--- a/gannetweir/lab/scale/true_relay.py
+++ b/gannetweir/lab/scale/true_relay.py
@@ -59,7 +59,7 @@
         path = Path(self.folder.name) / f"{number}.json"
         path.write_bytes(orjson.dumps(config))
         env = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
-        env.pop("TMPDIR", None)  # shares no folder with other processes of the same relay
+        env.pop("TMPDIR", None)  # TMPDIR names the folder that the processes of one relay share
         return subprocess.Popen(
             [sys.executable, "-m", "gannetweir", "serve"],
             env={**env, "RELAY_CONFIG": str(path)},
