--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -16,7 +16,7 @@
 def relay_with_warming_endpoints(
     seed: int, started_us_by_endpoint: dict[int, int], **changes: object
 ) -> BalancerDriver:
-    """A relay in a fleet of twenty, with slow and fast endpoints of equal load, some just started."""
+    """Return a relay of a fleet of twenty, with slow and fast endpoints of equal load, some just started."""
     settings: dict[str, Any] = {
         "slow_start_window_us": 2300 * SECOND,
         "slow_start_min_share": 0.3,
@@ -55,8 +55,10 @@
 @pytest.mark.parametrize(
     ("scenario", "seed", "lifetime_s"),
     [
-        ("roll", 3, 15.0),  # a slow endpoint was given the budget of a mean one
-        ("throng", 19, 40.0),  # relays without measurements assumed a quarter of the lifetime
+        # Fails if a slow endpoint gets the budget of an average one.
+        ("roll", 3, 15.0),
+        # Fails if relays without measurements assume a quarter of the lifetime.
+        ("throng", 19, 40.0),
     ],
 )
 def test_no_warming_endpoint_is_overloaded(scenario: str, seed: int, lifetime_s: float) -> None:
@@ -75,8 +77,10 @@
 
 def test_a_machine_type_without_a_warm_endpoint_counts_as_the_slowest() -> None:
     driver = relay_with_warming_endpoints(1, dict.fromkeys((0, 2, 4, 6), 95 * SECOND))
+    # Endpoints 3, 5 and 7 each have a machine type of their own. By their load reports, 3 and 5 are full at
+    # 42 connections, and 7 at 10.
     for n in (3, 5, 7):
-        driver.balancer.state.endpoints[n].machine_type = n  # full at 42 connections, except endpoint 7
+        driver.balancer.state.endpoints[n].machine_type = n
     driver.balancer.state.reports.record(driver.balancer.state.endpoints[7], 5.0, 0.5)
     other = relay_with_warming_endpoints(1, dict.fromkeys((0, 2, 4, 6), 95 * SECOND))
     assert 0 < count_permits(driver, 0, 4000) < 0.5 * count_permits(other, 0, 4000)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -37,7 +37,7 @@
 
 
 def addresses_of(emulator: Emulator, family: str) -> list[tuple[str, str]]:
-    """Returns the name of each backend with its address of that family."""
+    """Return the name of each backend with its address of that family."""
     return [
         (name, text)
         for name, backend in emulator.backends.items()
@@ -302,7 +302,7 @@
     """Let two backends read each part of an order late. Returns the checker and the observed attempts."""
     checker = RuleChecker()
     checker.request_sent(1, "x", 2_000_000, True, 0)
-    attempts = AttemptOverlaps(checker, lambda: 0)  # the delay monitor never ticks, so its ticks are all old
+    attempts = AttemptOverlaps(checker, lambda: 0)  # the delay monitor does not run, so all its ticks are old
     addresses = [loopback_addresses(n, folder, (family,)) for n, family in enumerate(families)]
     emulated_backends = [
         EmulatedBackend(f"b{n}", backend_addresses, 10, EmulatedSessionStore(1), attempts, random.Random(n))
--- a/tests/test_fleet_simulation.py
+++ b/tests/test_fleet_simulation.py
@@ -22,7 +22,7 @@
     world = simulate_scenario(scenario, fleet_plan(seed, relays, backends))
     counts = world.checker.counts
     assert not world.checker.violations, world.checker.violations[:3]
-    # The throng loads the fleet to its full capacity while half of the backends are in slow start.
+    # The scenario `throng` loads the fleet to its full capacity while half of the backends are in slow start.
     min_served_share = 0.75 if scenario == "throng" else 0.95
     assert counts["up"] >= min_served_share * len(world.checker.traces) > 100
     # Backends in slow start were used, within the set-ups that they are allowed.
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -207,7 +207,7 @@
 
 
 def child_processes(pid: int) -> set[int]:
-    """Returns the child processes of a process, from /proc."""
+    """Return the ids of the child processes of a process, from /proc."""
     found = set()
     for stat in Path("/proc").glob("[0-9]*/stat"):
         with contextlib.suppress(OSError):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -321,7 +321,7 @@
 
 
 def test_a_stand_in_knows_when_data_arrived_however_late_it_reads() -> None:
-    clock_grain_us = 8_000  # two readings of kernel times, which are multiples of a tick of 4 ms
+    clock_grain_us = 8_000  # two ticks of 4 ms, to which the kernel rounds its times
     with stand_in.listener() as listening, socket.create_connection(listening.getsockname()) as sender:
         reader = stand_in.Connection(listening.accept()[0])
         before_us = now_us()
@@ -371,7 +371,10 @@
 def run_soak(
     plan: SoakPlan, folder: Path, broken_rules: Sequence[SoakRule | None], faults: list[Fault]
 ) -> Verdict:
-    """Run a soak in which relay N breaks the Nth rule, or none if that is `None`. Returns the verdict."""
+    """Run a soak in which relay N breaks rule N of `broken_rules`, or no rule if the entry is `None`.
+
+    Returns the verdict.
+    """
 
     def command(number: int) -> list[str]:
         rule = broken_rules[number]
