--- a/gannetweir/lab/experiments/address_faults.py
+++ b/gannetweir/lab/experiments/address_faults.py
@@ -32,7 +32,9 @@
 
 
 def cases() -> Iterator[BrokenAddresses]:
-    """Yields no fault, each fault kind at each family that can have it, and each pair at two families."""
+    """Yield the broken addresses of each case: none, each fault kind at each family that can have it, and
+    each pair of fault kinds at two families.
+    """
     yield ()
     for kind in FAULT_KINDS:
         for family in FAMILIES:
@@ -88,7 +90,7 @@
 
 
 def emulate_cases(requests: int, workers: int = 3) -> Iterator[list[str]]:
-    """Yields a table row for each case."""
+    """Yield a table row for each case."""
     with ProcessPoolExecutor(workers) as pool:
         all_cases = list(cases())
         yield from pool.map(_run_case, all_cases, [requests] * len(all_cases))
@@ -105,10 +107,10 @@
     for backend in world.backends.values():
         for address in backend.address_faults:
             if rng.random() < 0.4:
-                fault, begin, paths = rng.choice(FAULT_KINDS), rng.uniform(0, 8), backend.address_faults
-                world.schedule(begin, lambda p=paths, a=address, f=fault: p.__setitem__(a, f))  # type: ignore[misc]
+                fault, begin, faults = rng.choice(FAULT_KINDS), rng.uniform(0, 8), backend.address_faults
+                world.schedule(begin, lambda d=faults, a=address, f=fault: d.__setitem__(a, f))  # type: ignore[misc]
                 end = begin + rng.uniform(1, 6)
-                world.schedule(end, lambda p=paths, a=address: p.__setitem__(a, ""))  # type: ignore[misc]
+                world.schedule(end, lambda d=faults, a=address: d.__setitem__(a, ""))  # type: ignore[misc]
     world.run(15)
     return world
 
--- a/gannetweir/lab/experiments/experiment_run.py
+++ b/gannetweir/lab/experiments/experiment_run.py
@@ -75,7 +75,7 @@
     sweep: tuple[str, tuple[float, ...]] = ("", ())
 
     def with_swept_value(self, variant: str) -> Experiment:
-        """Returns the experiment with the swept setting at the value in the variant's name."""
+        """Return the experiment with the swept setting at the value in the variant's name."""
         name, values = self.sweep
         value = next((v for v in values if variant.endswith(f", {name} {v:g}")), None)
         if value is None:
@@ -101,6 +101,7 @@
 
 
 def _number(node: Node, raw_value: Any, convert: Callable[[Any], Any], maximum: float) -> Any:
+    """Return the converted value. Raises `ExperimentError` unless it is over 0 and at most `maximum`."""
     try:
         value = convert(raw_value)
     except (TypeError, ValueError) as error:
@@ -166,7 +167,9 @@
             raise ExperimentError(f"line {node.line}: {node.name}: unknown node, or invalid values")
     if sweep[1]:  # each variant runs with each value
         base_variants = variants or {"plain": []}
-        variants = {f"{name}, {sweep[0]} {v:g}": at for name, at in base_variants.items() for v in sweep[1]}
+        variants = {
+            f"{name}, {sweep[0]} {v:g}": steps for name, steps in base_variants.items() for v in sweep[1]
+        }
     if len(seeds) * max(1, len(variants)) > MAX_RUNS:
         raise ExperimentError(f"variants and seeds make more than {MAX_RUNS} runs")
     plan = EmulatorPlan(
@@ -185,6 +188,7 @@
 
 
 def _read_step(node: Node) -> dict[str, Any]:
+    """Return the properties of an `at` line, with its times in seconds. Raises `ExperimentError`."""
     known = {"fault", "family", "node", "until", "drain", "restart", "kill", "term", "store"}
     if node.name != "at" or len(node.arguments) != 1 or not node.properties or set(node.properties) - known:
         raise ExperimentError(
@@ -202,14 +206,14 @@
 
 
 def scripted_events(step: dict[str, Any]) -> list[ScriptedEvent]:
-    """Returns the events of an `at` line: its action, and the end of a fault."""
+    """Return the events of an `at` line: its action, and the end of a fault."""
 
     def matching_listeners(emulator: Emulator) -> list[tuple[str, str]]:
         return [
             (name, text)
-            for name, node in emulator.backends.items()
+            for name, backend in emulator.backends.items()
             if step.get("node", name) == name
-            for text, listener in node.listeners.items()
+            for text, listener in backend.listeners.items()
             if step.get("family", listener.address.family) == listener.address.family
         ]
 
@@ -217,8 +221,8 @@
         for name, text in matching_listeners(emulator):
             emulator.backends[name].set_fault(text, fault)
 
-    async def set_store_slowdown(emulator: Emulator, times: float) -> None:
-        emulator.store.slowdown = times
+    async def set_store_slowdown(emulator: Emulator, slowdown: float) -> None:
+        emulator.store.slowdown = slowdown
 
     async def restart_relay(emulator: Emulator, signal_number: signal.Signals) -> None:
         relay = emulator.relays[int(step["kill" if signal_number == signal.SIGKILL else "term"])]
@@ -280,7 +284,9 @@
 async def run_variant(
     experiment: Experiment, variant: str, seed: int, progress: Callable[[float], None] = lambda share: None
 ) -> ExperimentRun:
-    """Run a variant with a seed and return its results. `progress` gets the elapsed share of the load."""
+    """Run a variant with a seed and return its results. `progress` is called with the share of the
+    load's duration that has passed.
+    """
     experiment = experiment.with_swept_value(variant)
     plan = replace(experiment.plan, seed=seed)
     first_lines_per_s: dict[str, list[int]] = {family: [] for family in plan.families}
@@ -293,8 +299,8 @@
                 for family in first_lines_per_s:
                     now = sum(
                         listener.first_lines
-                        for node in emulator.backends.values()
-                        for listener in node.listeners.values()
+                        for backend in emulator.backends.values()
+                        for listener in backend.listeners.values()
                         if listener.address.family == family
                     )
                     first_lines_per_s[family].append(now - last[family])
--- a/gannetweir/lab/scale/fleet_run.py
+++ b/gannetweir/lab/scale/fleet_run.py
@@ -133,14 +133,14 @@
         sampler = Sampler(fleet.distribution.usage)
         begin = await _take_reading(fleet)
         self.fault_ended_ns, self.fault_version = begin.at_ns, version
-        async with anyio.create_task_group() as beside:
-            beside.start_soon(sampler.run)
+        async with anyio.create_task_group() as sampling:
+            sampling.start_soon(sampler.run)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._change, phase)
                 tasks.start_soon(self._fault, phase)
             await fleet.wait_in_force(fleet.store.version, fleet.experiment.within_s)
             await anyio.sleep(SETTLE_S)
-            beside.cancel_scope.cancel()
+            sampling.cancel_scope.cancel()
         end = await _take_reading(fleet)
         servers = server_load(sampler.samples, begin.served, end.served, (begin.at_ns, end.at_ns))
         changed_at_ns = {v: at for v, at in fleet.store.changed_ns.items() if v > version}
@@ -192,7 +192,10 @@
 
 
 def _true_relays_kb_mean(played: _PlayedPhase) -> float:
-    """Return the mean kilobytes per true relay: each has its own server address, after the first."""
+    """Return the mean kilobytes that a true relay was sent.
+
+    The skeleton relays use the server's first address, 127.0.0.1; each true relay uses a separate address.
+    """
     before, after = played.begin.served.sent, played.end.served.sent
     sent = [after[host] - before[host] for host in after if host != "127.0.0.1"]
     return sum(sent) / len(sent) / 1000 if sent else 0.0
