--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -78,17 +78,17 @@
 
 async def _measure_changes(watchers: int) -> dict[str, float]:
     """Measure one change, as the stand-in sends it and when serialised once, in microseconds."""
-    registry = EmulatedDiscovery(delay_s=0.0, heartbeat_s=3600.0)
-    registry.change("s-0", **{name: value for name, value in host_entry(0).items() if name != "host"})
+    discovery = EmulatedDiscovery(delay_s=0.0, heartbeat_s=3600.0)
+    discovery.change("s-0", **{name: value for name, value in host_entry(0).items() if name != "host"})
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(registry.run)
-        socks = [await _open_watch(registry.port) for _ in range(watchers)]
+        tasks.start_soon(discovery.run)
+        socks = [await _open_watch(discovery.port) for _ in range(watchers)]
         await _run_loop_turns()
         _drain(socks)
         spent_us = []
         for number in range(CHANGES_PER_ROUND):
             started_us = _processor_clock_us()
-            registry.change("s-0", share=float(number))
+            discovery.change("s-0", share=float(number))
             await _run_loop_turns()
             spent_us.append(_processor_clock_us() - started_us)
             if (notified := _drain(socks)) != watchers:
--- a/gannetweir/lab/scale/fleets.py
+++ b/gannetweir/lab/scale/fleets.py
@@ -52,13 +52,13 @@
 
     return [
         Cost(
-            name.key,
-            name.title,
-            name.unit,
-            name.size_unit,
-            [sample(name.key, size) for size in SIZES],
-            sample(name.key, CHECK_SIZE),
-            name.method,
+            definition.key,
+            definition.title,
+            definition.unit,
+            definition.size_unit,
+            [sample(definition.key, size) for size in SIZES],
+            sample(definition.key, CHECK_SIZE),
+            definition.method,
         )
-        for name in (PROBES_PER_ATTEMPT, PROBES_PER_BACKEND)
+        for definition in (PROBES_PER_ATTEMPT, PROBES_PER_BACKEND)
     ]
--- a/gannetweir/lab/scale/flips.py
+++ b/gannetweir/lab/scale/flips.py
@@ -41,7 +41,7 @@
         return len(verdicts) > 1
 
 
-def _processes(load: CapacityLoad, sorted_order: bool = True) -> float:
+def _process_ratio(load: CapacityLoad, sorted_order: bool = True) -> float:
     """Processes over the cores of a machine; infinite if no number of processes carries the load."""
     count = load.processes(sorted_order)
     return float("inf") if count is None else count / load.assumptions.cores
@@ -57,9 +57,9 @@
         "upkeep fits in 3.8% of a core, were a machine one process",
         lambda load: load.control_cores(1) / target.CONTROL_CORES,
     ),
-    Conclusion("a relay machine of 8 cores carries the load", _processes),
+    Conclusion("a relay machine of 8 cores carries the load", _process_ratio),
     Conclusion(
-        "it does if no group's order has to be sorted", lambda load: _processes(load, sorted_order=False)
+        "it does if no group's order has to be sorted", lambda load: _process_ratio(load, sorted_order=False)
     ),
     Conclusion(
         "the largest topic fits in the eight backends that are looked at",
--- a/gannetweir/lab/scale/module.py
+++ b/gannetweir/lab/scale/module.py
@@ -116,7 +116,7 @@
     """A `Balancer` whose load probes are answered at once; counts its probes and its processor time."""
 
     def __init__(self, backends: int) -> None:
-        self.now, self.sent, self.probes, self.spent_us = NOW_US, 0, 0, 0.0
+        self.now, self.attempts_started, self.probes, self.spent_us = NOW_US, 0, 0, 0.0
         self.balancer = Balancer(measured_relay_settings(), 1, NOW_US)
         self.report = (1.0, FLEET_CONNECTIONS / backends, REPORTED_LOAD)
         entries = [EndpointEntry(n) for n in range(backends)]
@@ -136,15 +136,15 @@
                     pending_events.append(
                         LoadProbeResult(action.endpoint_id, AttemptStatus.OK, 1000, self.report)
                     )
-                self.sent += isinstance(action, StartAttempt)
+                self.attempts_started += isinstance(action, StartAttempt)
 
     def place(self, request: int, group: int) -> None:
         """Let one request arrive and its client disconnect; only the arrival adds to the processor time."""
         self.now += ARRIVAL_INTERVAL_US
         self.deliver(RequestArrived(request, time_budget_us=2_000_000, group=group))
-        spent = self.spent_us
+        cpu_us = self.spent_us
         self.deliver(ClientDisconnected(request))
-        self.spent_us = spent
+        self.spent_us = cpu_us
 
 
 def placement_costs(backends: int) -> dict[str, float]:
@@ -155,11 +155,11 @@
     probed = ProbedBalancer(backends)
     for group in range(1, 31):
         probed.place(group, group)
-    probed.spent_us, probed.sent = 0.0, 0
+    probed.spent_us, probed.attempts_started = 0.0, 0
     for number in range(CACHED_ARRIVALS):
         probed.place(1000 + number, number % 30 + 1)
     cached_us = probed.spent_us / CACHED_ARRIVALS
-    assert probed.sent == CACHED_ARRIVALS, probed.sent
+    assert probed.attempts_started == CACHED_ARRIVALS, probed.attempts_started
     probed.spent_us = 0.0
     for number in range(UNCACHED_ARRIVALS):
         probed.place(5000 + number, 5000 + number)
@@ -195,13 +195,13 @@
     """Return the mean processor time of one update, in microseconds. Every second update sets `other_health`:
     by default entries leave and return alternately, with "Ready" they stay.
     """
-    spent = 0.0
+    cpu_us = 0.0
     for number in range(UPDATE_COUNT):
         changed = [(number // 2 * 37) % backends]
         update = membership_update(number + 1, False, changed, "Ready" if number % 2 else other_health)
         engine.commands.clear()
-        spent += processor_us(lambda n=update: engine.endpoint_update_received(n, NOW_US + 1))  # type: ignore[misc]
-    return spent / UPDATE_COUNT
+        cpu_us += processor_us(lambda n=update: engine.endpoint_update_received(n, NOW_US + 1))  # type: ignore[misc]
+    return cpu_us / UPDATE_COUNT
 
 
 def maintenance_cost(backends: int) -> dict[str, float]:
@@ -252,7 +252,7 @@
     # generation.
     gc.freeze()
     try:
-        now, spent, longest_ms = NOW_US, 0.0, 0.0
+        now, cpu_us, longest_ms = NOW_US, 0.0, 0.0
         # Quarters of a second: in the first 24 s all timers of the set-up expire, the last 2 s are counted.
         for quarter in range(24 * 4 + 8):
             now += 250_000
@@ -269,12 +269,12 @@
                     nonlocal turn_ms
                     turn_ms = elapsed_ms(advance)  # type: ignore[arg-type]
 
-                spent += processor_us(timed)
+                cpu_us += processor_us(timed)
                 longest_ms = max(longest_ms, turn_ms)
             else:
                 advance()
         return {
-            ENGINE_MAINTENANCE.key: spent / 2,
+            ENGINE_MAINTENANCE.key: cpu_us / 2,
             LONGEST_TURN.key: longest_ms,
             UPDATE_BY_CONNECTIONS.key: update_cost_us(engine, 64),
         }
--- a/gannetweir/lab/scale/relays.py
+++ b/gannetweir/lab/scale/relays.py
@@ -91,17 +91,17 @@
 
 
 def _costs_of_rounds(
-    names: list[CostDefinition], plan: Sweep, rounds: list[dict[str, dict[int, float]]]
+    definitions: list[CostDefinition], plan: Sweep, rounds: list[dict[str, dict[int, float]]]
 ) -> list[Cost]:
     costs = []
-    for name in names:
+    for definition in definitions:
         samples = {
-            s: Sample(s, [round_values[name.key][s] for round_values in rounds])
+            s: Sample(s, [round_values[definition.key][s] for round_values in rounds])
             for s in (*plan.sizes, plan.check)
         }
         check = samples.pop(plan.check)
-        definition = name.key, name.title, name.unit, name.size_unit
-        costs.append(Cost(*definition, list(samples.values()), check, name.method))
+        leading_fields = definition.key, definition.title, definition.unit, definition.size_unit
+        costs.append(Cost(*leading_fields, list(samples.values()), check, definition.method))
     return costs
 
 
@@ -149,7 +149,7 @@
 
 def measure_lines(on_progress: ProgressCallback) -> list[Cost]:
     """Measure lines in both directions and from the backend alone, through a relay and through a proxy."""
-    names = [
+    definitions = [
         _line_definition(process_kind, direction, title)
         for direction, title in DIRECTIONS.items()
         for process_kind in ("relay", "proxy")
@@ -170,7 +170,7 @@
                 for process_kind, process in processes.items()
             }
 
-        return measure_sizes(LINE_SWEEP, names, measure_one, on_progress)
+        return measure_sizes(LINE_SWEEP, definitions, measure_one, on_progress)
 
 
 def measure_starts(on_progress: ProgressCallback) -> list[Cost]:
--- a/gannetweir/lab/scale/tables.py
+++ b/gannetweir/lab/scale/tables.py
@@ -247,7 +247,7 @@
     return columns, table_rows
 
 
-def crossover_table(table_rows: list[ConclusionResult]) -> Table:
+def crossover_table(results: list[ConclusionResult]) -> Table:
     """Return every conclusion for all swept assumptions, and the sizes at which it changes."""
     columns = [
         "conclusion",
@@ -267,7 +267,7 @@
             format_number(result.crossover_backends),
             format_lifetime(result.crossover_lifetime_s) if result.crossover_lifetime_s is not None else "-",
         ]
-        for result in table_rows
+        for result in results
     ]
 
 
