--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -477,11 +477,11 @@
             has_capacity=lambda: True,
         )
         with without_privileges():
-            endpoint, address = await AddressRaceDriver(
+            transport, address = await AddressRaceDriver(
                 host, selector, "a", selector.new_race("a", 0), None
             ).connect()
         assert address.family == "ipv4"
         assert selector.ordered_addresses("a", 0)[0] == address
-        endpoint.close()
+        transport.close()
     for sock in (closed, other):
         sock.close()
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -75,10 +75,10 @@
         if kind == "503":  # an error response, at the latest when the outage ends
             return min(self.reachable_us, now_us + self.random.randrange(2 * SECOND)), False
         if kind == "half":  # a response head with nothing behind it, at the latest when the outage ends
-            head = min(
+            head_us = min(
                 self.reachable_us, now_us + self.random.randrange(LIMITS.endpoint_watch_response_timeout_us)
             )
-            return head + LIMITS.endpoint_watch_silence_us, False
+            return head_us + LIMITS.endpoint_watch_silence_us, False
         # There is no response head, or an incomplete one.
         return now_us + LIMITS.endpoint_watch_response_timeout_us, False
 
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -115,7 +115,7 @@
             zones={n: n % 2 for n in range(servers)},
         )
         driver.loads = dict.fromkeys(range(servers), (10.0, 0.4))
-        elapsed = dict.fromkeys(("arrival", "tick", "held"), 0.0)
+        elapsed = dict.fromkeys(("arrival", "tick", "retry timer"), 0.0)
         for n in range(300):
             driver.advance(50_000)
             started = time.process_time()
@@ -123,7 +123,7 @@
             elapsed["arrival"] += time.process_time() - started
             for send in sent:
                 driver.establish(send)
-            for kind, token in (("tick", 1), ("held", 3)):
+            for kind, token in (("tick", 1), ("retry timer", 3)):
                 started = time.process_time()
                 driver.handle(TimerExpired(token))
                 elapsed[kind] += time.process_time() - started
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -161,11 +161,11 @@
 
 
 def test_setups_are_limited_to_a_burst_and_a_rate() -> None:
-    limit = ConnectionLimiter(ConnectionLimitRule(max_setups_per_s=10, setup_burst=3), SECOND)
+    limiter = ConnectionLimiter(ConnectionLimitRule(max_setups_per_s=10, setup_burst=3), SECOND)
     admitted = []
     for ms in range(0, 2000, 10):
-        if not limit.exceeded_limit(ms * 1000):
-            limit.acquire(ms * 1000)
+        if not limiter.exceeded_limit(ms * 1000):
+            limiter.acquire(ms * 1000)
             admitted.append(ms)
     assert admitted[:3] == [0, 10, 20]
     assert len(admitted) == 22  # three at once and ten a second for the rest
@@ -173,33 +173,33 @@
 
 
 def test_rejected_clients_get_distinct_retry_after_and_are_admitted_then() -> None:
-    limit = ConnectionLimiter(ConnectionLimitRule(max_setups_per_s=20, setup_burst=1), 1_500_000)
+    limiter = ConnectionLimiter(ConnectionLimitRule(max_setups_per_s=20, setup_burst=1), 1_500_000)
     rng = random.Random(3)
-    limit.acquire(0)
-    retry_after_us = sorted(limit.retry_after_us(0, rng.random()) for _ in range(25))
+    limiter.acquire(0)
+    retry_after_us = sorted(limiter.retry_after_us(0, rng.random()) for _ in range(25))
     assert retry_after_us[0] >= 50_000
     assert retry_after_us[-1] <= 1_500_000 + 50_000
     assert all(b - a == 50_000 for a, b in pairwise(retry_after_us))  # a separate set-up slot for each client
     for at in retry_after_us:  # if all retried together, 24 of 25 would exceed the limit again
-        assert not limit.exceeded_limit(at)
-        limit.acquire(at)
+        assert not limiter.exceeded_limit(at)
+        limiter.acquire(at)
     # no set-up slot is left within the longest Retry-After
-    without_slot_us = [limit.retry_after_us(0, rng.random()) for _ in range(200)]
+    without_slot_us = [limiter.retry_after_us(0, rng.random()) for _ in range(200)]
     assert min(without_slot_us) >= 700_000
     assert max(without_slot_us) <= 1_500_000
     assert len(set(without_slot_us)) > 150
 
 
 def test_after_a_release_the_limit_admits_another_connection() -> None:
-    limit = ConnectionLimiter(ConnectionLimitRule(max_open=2), SECOND)
-    limit.acquire(0)
-    limit.acquire_resumed()
-    assert limit.exceeded_limit(0) == "open"
-    limit.release()
-    assert not limit.exceeded_limit(0)
+    limiter = ConnectionLimiter(ConnectionLimitRule(max_open=2), SECOND)
+    limiter.acquire(0)
+    limiter.acquire_resumed()
+    assert limiter.exceeded_limit(0) == "open"
+    limiter.release()
+    assert not limiter.exceeded_limit(0)
     for _ in range(5):
-        limit.release()
-    assert limit.open_connections == 0
+        limiter.release()
+    assert limiter.open_connections == 0
 
 
 def admission_of(
