--- a/benchmarks/against.py
+++ b/benchmarks/against.py
@@ -17,6 +17,7 @@
 
 
 def main() -> None:
+    """Measure all pairs and print the report."""
     other = Path(sys.argv[1]).resolve()
     pairs = int(sys.argv[2]) if len(sys.argv) > 2 else 7
     placements = int(sys.argv[3]) if len(sys.argv) > 3 else 3000
--- a/benchmarks/routes_cost.py
+++ b/benchmarks/routes_cost.py
@@ -36,7 +36,7 @@
 
 def run_backend(listener: socket.socket) -> None:
     """Answer each first line with UP and each load probe with a load report, until the client closes."""
-    # with so many concurrent requests, one more does not change the placement
+    # The reported number of requests is so large that one more makes no difference to the balancer.
     load_report = b"PONG tps=1,concurrent=9000,x0=0.2\r\n"
 
     def serve(sock: socket.socket) -> None:
@@ -118,7 +118,7 @@
 
 
 def resident_mb(pid: int) -> float:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process in megabytes."""
     status = Path(f"/proc/{pid}/status").read_text()
     return int(status.split("VmRSS:")[1].split()[0]) / 1024
 
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -94,7 +94,7 @@
 
 
 def configuration(size: int, listen: int, discovery: int) -> dict[str, object]:
-    """Return the platform's file: two classes, probes, groups, and the endpoint list known last."""
+    """Return the platform's file: two classes, probes, groups, and the last known endpoint list."""
     classes = [{"name": name, "hard-limit-us": 2_000_000, "aim-us": 500_000} for name in ("plain", "urgent")]
     settings = {
         "categories": classes,
--- a/gannetweir/lab/scale/clients.py
+++ b/gannetweir/lab/scale/clients.py
@@ -58,7 +58,7 @@
         self.port, self.clients = port, list[Client]()
 
     async def grow_to(self, count: int) -> None:
-        """Open connections until there are so many. Raises `OSError` if a connection is not served."""
+        """Open connections until `count` are open. Raises `OSError` if a connection is not served."""
         setup_slots = asyncio.Semaphore(CONCURRENT_SETUPS)
 
         async def open_one(number: int) -> Client:
--- a/gannetweir/lab/scale/comparison_peers.py
+++ b/gannetweir/lab/scale/comparison_peers.py
@@ -18,13 +18,13 @@
 from gannetweir.net.sockets import accept_connection, connect, set_nonblocking_nodelay, tcp_socket
 from gannetweir.net.transport import Transport
 
-# With so many concurrent connections, one more does not change the reported load.
+# The reported number of connections is so large that one more makes no difference to the balancer.
 LOAD_REPORT = b"PONG tps=1,concurrent=90000,x0=0.2\r\n"
 
 
 class Backend(asyncio.Protocol):
-    """Accepts every first line, reports its load, returns any other line; `PUSH n us` lets the backend send n
-    lines on its own, one every so many microseconds.
+    """Accepts every first line, reports its load and returns any other line. `PUSH n us` makes the backend
+    send n lines on its own, one every `us` microseconds.
     """
 
     transport: asyncio.Transport
@@ -101,7 +101,7 @@
 
 
 def main(argv: list[str]) -> None:
-    """Run the backend or the proxy, as the first argument says."""
+    """Run the backend or the proxy, whichever the first argument names."""
     if argv[0] == "backend":
         asyncio.run(serve_backend(int(argv[1])))
     else:
--- a/gannetweir/lab/scale/events.py
+++ b/gannetweir/lab/scale/events.py
@@ -30,7 +30,7 @@
 
 
 def _watch_reconnect_s() -> float:
-    """Seconds from the last byte of a silent watch to the first byte of the next watch."""
+    """Return the seconds from the last byte of a silent watch to the first byte of the next watch."""
     return Limits().endpoint_watch_silence_us / 1e6 + WATCH_RETRY_S
 
 
--- a/gannetweir/lab/scale/fanout.py
+++ b/gannetweir/lab/scale/fanout.py
@@ -29,7 +29,7 @@
 from gannetweir.placement.events import AttemptStatus, EndpointId
 from gannetweir.placement.settings import Settings
 
-# After so many turns of the event loop a change has been written to every watcher.
+# Number of turns of the event loop after which a change has been written to every watcher.
 LOOP_TURNS = 24
 CHANGES_PER_ROUND = 3
 
@@ -169,7 +169,7 @@
 
 
 async def _measure_probes(port: int, count: int) -> float:
-    """Return the processor microseconds of so many probes. Raises `OSError` if one is not answered."""
+    """Return the processor microseconds of `count` load probes. Raises `OSError` if one is not answered."""
     async with anyio.create_task_group() as tasks:
         prober = _ProbeContext(port, spawn_in(tasks))
         started_us = _processor_clock_us()
--- a/gannetweir/lab/scale/fleets.py
+++ b/gannetweir/lab/scale/fleets.py
@@ -25,7 +25,9 @@
 
 
 def simulate(relays: int, seed: int) -> dict[str, float]:
-    """Simulate a fleet of so many relays without faults. Raises `ValueError` if an invariant is violated."""
+    """Simulate a fleet with this number of relays and without faults; return its load probes by the keys of
+    the costs. Raises `ValueError` if an invariant is violated.
+    """
     world = World(fleet_plan(seed, relays, BACKENDS))
     checker = world.run(DURATION_S)
     if checker.violations:
--- a/gannetweir/lab/scale/flips.py
+++ b/gannetweir/lab/scale/flips.py
@@ -42,7 +42,9 @@
 
 
 def _process_ratio(load: CapacityLoad, sorted_order: bool = True) -> float:
-    """Processes over the cores of a machine; infinite if no number of processes carries the load."""
+    """Return the number of processes that carry the load, divided by the cores of a machine; infinite if no
+    number of processes carries the load.
+    """
     count = load.processes(sorted_order)
     return float("inf") if count is None else count / load.assumptions.cores
 
--- a/gannetweir/lab/scale/lists.py
+++ b/gannetweir/lab/scale/lists.py
@@ -83,7 +83,7 @@
 
 @cache
 def measured_relay_settings() -> Settings:
-    """The settings of the relay in all measurements of this package."""
+    """Return the settings of the relay in all measurements of this package."""
     return parse_settings(platform_settings(1500))
 
 
@@ -102,7 +102,7 @@
 
 
 def snapshot_line(entries: int, seq: int = 7) -> bytes:
-    """Return a snapshot of so many entries as one line of the watch."""
+    """Return a snapshot with this number of entries as one line of the watch."""
     return orjson.dumps({"seq": seq, "whole": True, "hosts": [host_entry(n) for n in range(entries)]}) + b"\n"
 
 
--- a/gannetweir/lab/scale/measure.py
+++ b/gannetweir/lab/scale/measure.py
@@ -9,7 +9,7 @@
 from gannetweir.lab.scale.slopes import Cost, Sample
 
 ProgressCallback = Callable[[], None]
-# Measures one size in one round; returns the values by the keys of their costs.
+# A function that measures one size in one round and returns the values by the keys of their costs.
 SizeMeasurement = Callable[[int], dict[str, float]]
 
 
@@ -26,7 +26,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
-    """Sizes that a cost is fitted over, the larger size that checks the fit, and the number of rounds."""
+    """Sizes that a cost is fitted over, the larger size that checks the fit, and the number of rounds.
+    `facts` are further values from the same run, by the key of the cost that they belong to.
+    """
 
     sizes: Sequence[int]
     check: int
--- a/gannetweir/lab/scale/model.py
+++ b/gannetweir/lab/scale/model.py
@@ -19,7 +19,7 @@
 # Shares of a backend's capacity: the assumed mean load, and the load above which a backend gets no more
 # connections.
 MEAN_LOAD, LOAD_LIMIT = 0.5, 0.8
-MAX_PROCESSES = 2000  # the search for a number of processes ends here
+MAX_PROCESSES = 2000  # upper bound of the search for a number of processes
 # Payload of a load probe and its report, without TCP headers.
 PROBE_BYTES = len(b"STATS\r\n") + len(b"PONG tps=1,concurrent=90000,x0=0.2\r\n")
 
@@ -105,8 +105,8 @@
 
     def processes(self, sorted_order: bool = True) -> int | None:
         """Return the fewest processes that carry a relay machine's load, each within `max_utilisation` of a
-        core. Returns None if no number does, because the costs that each process has on its own leave too
-        little.
+        core. Returns None if no number up to `MAX_PROCESSES` does, because the fixed cost of each process
+        (maintenance and deliveries) leaves too little of its share of a core.
         """
         shared_cores = self.setup_cores(sorted_order) + self.connection_maintenance_cores()
         for count in range(1, MAX_PROCESSES + 1):
--- a/gannetweir/lab/scale/module.py
+++ b/gannetweir/lab/scale/module.py
@@ -1,5 +1,5 @@
-"""What decisions cost: a placement, an update of one backend, and periodic maintenance, by backends and by
-open connections.
+"""The costs of decisions (a placement, an update of one backend) and of periodic maintenance, by the number
+of backends and by the number of open connections.
 """
 
 from __future__ import annotations
@@ -222,8 +222,8 @@
 
 
 def engine_with_connections(connections: int, backends: int = 64) -> Engine:
-    """Return an engine with so many open connections. They are resumed ones, which are placed without
-    probes.
+    """Return an engine with this number of open connections. All connections are resumed ones, because a
+    resumed connection is placed without load probes.
     """
     limits = Limits(sockets=4 * connections)
     engine = Engine(
@@ -243,8 +243,8 @@
 
 
 def engine_maintenance_cost(connections: int) -> dict[str, float]:
-    """Measure one second of maintenance, its longest turn and one update in an engine with open
-    connections.
+    """Measure one second of maintenance, the longest turn of the event loop during maintenance, and one
+    update, in an engine with open connections.
     """
     engine = engine_with_connections(connections)
     gc.collect()
--- a/gannetweir/lab/scale/processes.py
+++ b/gannetweir/lab/scale/processes.py
@@ -99,8 +99,8 @@
 @contextmanager
 def relay(hosts: list[dict[str, Any]], discovery: int = 1, pushed: bool = False) -> Iterator[MeasuredProcess]:
     """Run a real relay whose initial endpoint list has these backends; yield the process once it answers a
-    ping. `discovery` is discovery's port. `pushed` selects the registry mode "pushed"
-    instead of "on_request".
+    ping. `discovery` is the port of discovery. `pushed` selects the registry mode "pushed" instead of
+    "on_request".
     """
     with tempfile.TemporaryDirectory() as name:
         port, path = free_port(), Path(name) / "config.json"
@@ -124,6 +124,6 @@
 
 
 def hosts_at(port: int, count: int) -> list[dict[str, Any]]:
-    """Return entries of so many backends that all have the address of the process at this port."""
+    """Return entries of `count` backends that all have the address of the process at this port."""
     common = {"dial": f"127.0.0.1:{port}", "site": "a", "class": "m", "health": "Ready", "share": 1.0}
     return [{"host": f"b{n}", "born_ms": 0, **common} for n in range(count)]
--- a/gannetweir/lab/scale/relays.py
+++ b/gannetweir/lab/scale/relays.py
@@ -16,7 +16,7 @@
 from gannetweir.lab.scale.processes import MeasuredProcess, backend, hosts_at, proxy, relay
 from gannetweir.lab.scale.slopes import Cost, Sample
 
-# A process holds a few connections at each of so many backends, as it would at the target.
+# Number of backends. A process holds a few connections at each of them, as it would at the target.
 BACKENDS = 400
 LINE_CONNECTIONS = 64  # connections that lines are sent over
 LINE_PERIOD_S = 1.0
@@ -124,8 +124,8 @@
 
 
 async def _measure_lines(process: MeasuredProcess, per_s: int, direction: str) -> float:
-    """Return processor microseconds per second at a rate of lines, scaled from the lines that passed to the
-    rate that was asked for.
+    """Return processor microseconds per second at a rate of lines. The value is scaled from the rate at which
+    lines passed to the requested rate.
     """
     connections = ClientConnections(process.port)
     try:
@@ -219,8 +219,8 @@
 
 
 async def _measure_stall(process: MeasuredProcess, discovery: DiscoveryStandIn, data: bytes) -> float:
-    """Return the longest wait of a line, in milliseconds. Lines go through the relay one after another, from
-    when the list is sent until the relay has had ample time to read and apply the list.
+    """Return the longest wait of a line, in milliseconds. Lines go through the relay one after another; the
+    first follows the list immediately, and the last is sent after ample time to read and apply the list.
     """
     connections = ClientConnections(process.port)
     try:
--- a/gannetweir/lab/scale/role_loads.py
+++ b/gannetweir/lab/scale/role_loads.py
@@ -37,7 +37,7 @@
 
 
 def _kb_per_s_for_change(byte_count: float) -> float:
-    """KB per second to send so many bytes within the time for a change."""
+    """Return the KB per second to send a number of bytes within the time for a change."""
     return byte_count / target.IN_FORCE_S / 1e3
 
 
@@ -46,8 +46,8 @@
 
 
 def _update_ms_per_s(load: CapacityLoad, processes: int) -> float:
-    """Milliseconds per second, over all processes, to apply an update of one entry within the time for a
-    change.
+    """Return the milliseconds per second, over all processes, to apply an update of one entry within the time
+    for a change.
     """
     by_backends = load.record["news.backends"].at(load.assumptions.backends)
     by_connections = load.record["news.connections"].mean_per_unit * target.RELAY_CONNECTIONS / processes
@@ -59,17 +59,19 @@
 
 
 def _change_ms(key: str, load: CapacityLoad, watchers: int) -> float:
-    """Milliseconds to send one change to so many watchers."""
+    """Return the milliseconds to send one change to a number of watchers."""
     return load.record[key].at(watchers) / 1e3
 
 
 def _restarts_kb_per_s(load: CapacityLoad, processes: int) -> float:
-    """KB per second of snapshots for the relays that restart on an ordinary day."""
+    """Return the KB per second of snapshots for the relays that restart on an ordinary day."""
     return target.RESTARTS_PER_DAY * processes * load.snapshot_bytes() / 86400 / 1e3
 
 
 def _snapshots_mb_per_s(load: CapacityLoad, processes: int) -> float:
-    """MB per second if all relays of a control machine read a snapshot within the time for a change."""
+    """Return the MB per second if all relays of a control machine read a snapshot within the time for a
+    change.
+    """
     return RELAYS_PER_CONTROL_MACHINE * load.snapshot_bytes() / target.IN_FORCE_S / 1e6
 
 
--- a/gannetweir/lab/scale/run.py
+++ b/gannetweir/lab/scale/run.py
@@ -42,10 +42,11 @@
 
 
 def capacity(only: str = "", page_only: bool = False, keep: str | None = None) -> int:
-    """Measure the groups of `only`, and write the record, the charts and the page; with `page_only`, write
-    the charts and the page from the existing record. `keep` is the folder to write to, by default the
-    committed one. The page is written only when every group has been measured. Returns the exit code 0.
-    Raises `OSError` with `page_only` and no record, `ValueError` for an unknown group.
+    """Measure the groups named in `only`, and write the record, the charts and the page; with `page_only`,
+    write the charts and the page from the existing record. `keep` is the folder of the record, the charts and
+    the page; without it they are in the committed places. The page is written only when every group has been
+    measured. Returns the exit code 0. Raises `OSError` with `page_only` and no record, `ValueError` for an
+    unknown group or a malformed record.
     """
     folder = Path(keep) if keep else RECORD_FOLDER
     page = folder / PAGE.name if keep else PAGE
--- a/gannetweir/lab/scale/slopes.py
+++ b/gannetweir/lab/scale/slopes.py
@@ -2,9 +2,9 @@
 line's prediction.
 
 A round measures every size once. A line fitted over all sizes but the largest predicts the cost at the
-largest, which is measured last. So a machine that is slower for some seconds slows the sizes that predict and
-the size that is predicted. If the median error of the predictions exceeds `MAX_PREDICTION_ERROR`, the fit is
-refused, and the cost has no value beyond the measured sizes.
+largest, which is measured last. A machine that is slower for some seconds therefore slows both the sizes
+that predict and the size that is predicted. If the median error of the predictions exceeds
+`MAX_PREDICTION_ERROR`, the fit is refused, and the cost has no value beyond the measured sizes.
 """
 
 from __future__ import annotations
--- a/gannetweir/lab/scale/target.py
+++ b/gannetweir/lab/scale/target.py
@@ -14,7 +14,8 @@
 DELIVERY_MS = 240.0  # the 99th percentile
 REGIONS, ZONES = 6, 13
 CHANGES_PER_DAY = 1200
-IN_FORCE_S = 12.0
+IN_FORCE_S = 12.0  # a change has to be in force within this time
+# The control part of a relay may use this share of a core, this memory and this bandwidth.
 CONTROL_CORES = 0.038
 CONTROL_MB = 256.0
 CONTROL_BYTES_PER_S = 10_000.0
@@ -54,7 +55,7 @@
 
 
 def format_lifetime(seconds: float) -> str:
-    """Format a connection's lifetime as the operators' page does."""
+    """Format a connection's lifetime in seconds, minutes or hours, without a fraction."""
     if seconds < 60:
         return f"{seconds:.0f} s"
     return f"{seconds / 60:.0f} min" if seconds < 3600 else f"{seconds / 3600:.0f} h"
