--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -170,7 +170,7 @@
 def test_families_are_interleaved_by_preference() -> None:
     more = "10.1.0.19:8080", "[fd00::19]:8080"
     selector = selector_of(V4, more[0], V6, more[1], UNIX)
-    # the `dial` address of discovery is the last of its family
+    # The `dial` address from discovery comes last in its family.
     assert shown(selector) == [UNIX, V6, more[0], more[1], V4]
     selector = selector_of(V4, more[0], V6, more[1], UNIX, family_preference=("ipv4", "unix"))
     assert shown(selector)[:3] == [more[0], UNIX, V6]
@@ -208,7 +208,7 @@
     assert shown(selector, later) == [V6, V4, UNIX]  # no other caller retries at the same time
     for n in range(20):
         selector.record_connect_failure("a", parse_address(UNIX), later + n)
-    # the backoff is bounded, however often the address failed
+    # The backoff is bounded, however often the address has failed.
     assert shown(selector, later + 4 * SECOND + MS)[0] == UNIX
     selector.record_response("a", parse_address(UNIX), later + 5 * SECOND)
     assert shown(selector, later + 5 * SECOND) == [UNIX, V6, V4]
@@ -238,7 +238,7 @@
     assert not selector.record_no_response("a", parse_address(V4), 3 * SECOND)
     selector = selector_of(V4, V6)
     selector.record_response("a", parse_address(V4), SECOND)
-    # an answer of long ago does not show that the endpoint is alive
+    # An answer from long ago does not show that the endpoint is alive.
     assert not selector.record_no_response("a", parse_address(V6), 60 * SECOND)
     assert not selector_of(V4).record_no_response("a", parse_address(V4), SECOND)
     assert not selector_of(V4).record_no_response("b", parse_address(V4), SECOND)
@@ -295,7 +295,7 @@
     selector.apply_rules(rules_for(V6, V4), 250 * MS)
     assert shown(selector) == [V6, UNIX]
     assert [str(a) for a in selector.ordered_addresses("b", 0)] == [V4]
-    # the address that stays keeps its state
+    # The address that stays keeps its state.
     assert selector.states_by_endpoint["a"][parse_address(UNIX)].is_unhealthy
 
 
--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -133,7 +133,7 @@
         endpoint_id = self.random.choice([*self.entries, "nobody"]) if self.random.random() < 0.1 else ""
         deadline_us = self.now_us + (60_000_000 if endpoint_id else budget_us)
         request_id = self.engine.last_request_id + 1
-        # The engine's commands are checked after the call, so the record can be added before it.
+        # The commands of the call are checked after the call, so the expected request can be added before it.
         self.requests[request_id] = ExpectedRequest(
             self.settings.classes[number], deadline_us, bool(endpoint_id)
         )
@@ -329,7 +329,7 @@
             case MigrateClient() | EndClient() | EndUpstream():
                 self.check_end(command, request)
             case _:
-                raise AssertionError(f"a command of a request that is not checked: {command}")
+                raise AssertionError(f"unexpected command of a request: {command}")
 
     def accepts_requests(self, endpoint_id: EndpointId) -> bool:
         is_ready = self.entries[str(endpoint_id)].state == EndpointStatus.READY
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -44,7 +44,7 @@
         123000,
     )
     assert config.limits.max_clients * 2 + config.limits.reserved_sockets <= 1100
-    # unsent data in both directions of all connections takes at most half of the memory
+    # Unsent data in both directions of all connections takes at most half of the memory.
     assert config.limits.max_clients * 2 * config.limits.max_buffered_bytes <= 96 << 20
 
 
@@ -68,7 +68,8 @@
     assert config.limits.rejection_retry_after_us == expected_us
     expected_line = b"BUSY %d\r\n" % (expected_us // 1000) if expected_us else b"BUSY\r\n"
     assert rejection_line(expected_us) == expected_line
-    balancer = Balancer(config.settings, 1, 0)  # without an endpoint the balancer rejects every request
+    # This balancer has no endpoint, so it rejects every request.
+    balancer = Balancer(config.settings, 1, 0)
     retry_after_us = [
         action.retry_after_us
         for n in range(50)
@@ -117,7 +118,7 @@
 
 
 def with_settings(**settings: object) -> dict[str, object]:
-    """Return the file with some settings changed."""
+    """Return a complete file with some settings changed."""
     return GOOD | {"settings": COMPLETE["settings"] | settings}
 
 
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -48,7 +48,7 @@
 
 @dataclass
 class DiscoveryModel:
-    """A discovery that is reachable from `reachable_us` on. Earlier calls fail in randomly drawn ways."""
+    """A model of discovery, reachable from `reachable_us` on. Earlier calls fail in randomly drawn ways."""
 
     random: random.Random
     reachable_us: int
@@ -241,7 +241,7 @@
     [
         "settings reload 2 plain:repeatable",
         "discovery close\nsettings reload 2 plain:repeatable\ntime wait 4000",
-        # complete lists without b1
+        # Complete lists without b1.
         "\n".join("discovery send " + UPDATE % (seq, "true", HOST_B2) for seq in range(43, 63)),
         "\n".join(
             "discovery send " + UPDATE % (seq, "true", HOST_B1 % "Terminating" + "," + HOST_B2)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -67,7 +67,8 @@
     assert one.refresh_overrides()
     assert one.overrides.offline == {"b"}
     assert one.overrides.online_since == {"a": 3}
-    assert Handover(tmp_path, "n0").overrides == one.overrides  # a new process reads it at its start
+    # A new process reads the overrides at its start.
+    assert Handover(tmp_path, "n0").overrides == one.overrides
     assert not Handover(tmp_path, "n1").overrides.offline  # another relay may use the same folder
 
 
@@ -144,7 +145,7 @@
     for name, owner in (("mkstemp", tempfile), ("write", os), ("rename", os)):
         with monkeypatch.context() as patch:
             patch.setattr(owner, name, failing_first(getattr(owner, name), errno.ENOSPC))
-            one = Handover(tmp_path, "n0")  # the first announcement fails
+            one = Handover(tmp_path, "n0")  # its first attempt to write a liveness file fails
             assert one.overrides.offline == {"a"}, name
             one.refresh_peers()
             assert not first.refresh_peers(), name
--- a/tests/test_refresh.py
+++ b/tests/test_refresh.py
@@ -18,7 +18,7 @@
 
 
 def probed_in(driver: BalancerDriver, seconds: int) -> list[tuple[int, EndpointId]]:
-    """The probes of the periodic maintenance, with the second of each."""
+    """Return the load probes of periodic maintenance in the next seconds, each with its second from now."""
     found = []
     for second in range(1, seconds + 1):
         driver.advance(SECOND)
@@ -58,7 +58,9 @@
 
 
 def test_placements_since_a_report_are_added_to_it() -> None:
-    """Reports are a second old when read: clients that returned together all went to one empty endpoint."""
+    """A report can be a second old when it is used. If the placements since then were not added, clients
+    that return together would all go to the same empty endpoint.
+    """
     driver = BalancerDriver(2, load_report_fields=["concurrent", "x0"])
     driver.loads = {0: (0.0, 0.0), 1: (0.0, 0.0)}
     for _ in range(12):
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -261,7 +261,7 @@
     scenario = run_script(script, 2, files)
     admission = scenario.engine.route_admission
     assert admission is not None
-    # the counts match the requests: no permit is lost or released twice
+    # The counts match the requests: no permit is lost or released twice.
     assert admission.relay_permit.limiter.open_connections == sum(
         request.admission_permit is not None for request in scenario.engine.requests.values()
     )
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -183,7 +183,7 @@
     for at in retry_after_us:  # if all retried together, 24 of 25 would exceed the limit again
         assert not limiter.exceeded_limit(at)
         limiter.acquire(at)
-    # no set-up slot is left within the longest Retry-After
+    # No set-up slot is left within the longest Retry-After.
     without_slot_us = [limiter.retry_after_us(0, rng.random()) for _ in range(200)]
     assert min(without_slot_us) >= 700_000
     assert max(without_slot_us) <= 1_500_000
@@ -280,7 +280,7 @@
     assert not admission.admit_attempt(admission.permits["one"], request_class, "s", 1, 0)
     assert not admission.admit_attempt(admission.permits["default"], request_class, "s", 1, 0)
     assert admission.admit_attempt(admission.permits["one"], request_class, "s", 1, 0) == "retry-budget"
-    # no retry budget limits a first attempt
+    # No retry budget limits a first attempt.
     assert not admission.admit_attempt(admission.permits["one"], request_class, "s", 0, 0)
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire, compared with frames built by hand from the documented layouts, and malformed input."""
+"""The adapter's wire format: frames built by hand from the documented layouts, and malformed input."""
 
 import io
 import json
