--- a/gannetweir/lab/scale/model.py
+++ b/gannetweir/lab/scale/model.py
@@ -40,8 +40,8 @@
         return self.record["decision.new_group"].at(self.assumptions.backends)
 
     def setup_us(self, sorted_order: bool = True) -> float:
-        """The time of a set-up through a relay. With `sorted_order` false, as if every group's ranking were
-        cached and no set-up sorted the backends.
+        """The time of a set-up through a relay. If `sorted_order` is false, the time for the sort of the
+        backends is left out, as if every group's ranking were cached.
         """
         return self.record["setup.relay"].mean_per_unit + self.placement_us() * sorted_order
 
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -72,9 +72,9 @@
         kind = self.random.choice(self.failures)
         if kind == "refused":
             return now_us + self.random.randrange(2_000), False
-        if kind == "503":  # an error response, at the latest when the outage ends
+        if kind == "503":  # the error response arrives at the latest when the outage ends
             return min(self.reachable_us, now_us + self.random.randrange(2 * SECOND)), False
-        if kind == "half":  # a response head with nothing behind it, at the latest when the outage ends
+        if kind == "half":  # the response head arrives by the end of the outage, and nothing follows it
             head_us = min(
                 self.reachable_us, now_us + self.random.randrange(LIMITS.endpoint_watch_response_timeout_us)
             )
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -134,7 +134,7 @@
 def test_event_cost_grows_less_than_the_endpoint_count() -> None:
     small, large = event_costs(64), event_costs(COUNT)
     # With 16 times as many backends an arrival takes 2.3 times as long, because each group sorts its ranking
-    # once, and a tick or timer takes 1.1 times as long.
+    # once, and a tick or retry timer takes 1.1 times as long.
     assert all(large[kind] < 6 * small[kind] for kind in small), (small, large)
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -24,8 +24,8 @@
 
 
 class WallClock:
-    """Replaces `time.time_ns` by a clock that is `TRUE_OFFSET_S` ahead of the monotonic clock, plus an error
-    of `error_s`.
+    """Replaces `time.time_ns` with a clock that is `TRUE_OFFSET_S` ahead of the monotonic clock, plus an
+    error of `error_s`.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
