--- a/gannetweir/lab/scale/fleets.py
+++ b/gannetweir/lab/scale/fleets.py
@@ -25,7 +25,9 @@
 
 
 def simulate(relays: int, seed: int) -> dict[str, float]:
-    """Simulate a fleet of so many relays without faults. Raises `ValueError` if an invariant is violated."""
+    """Simulate a fleet with this number of relays and without faults; return its load probes by the keys of
+    the costs. Raises `ValueError` if an invariant is violated.
+    """
     world = World(fleet_plan(seed, relays, BACKENDS))
     checker = world.run(DURATION_S)
     if checker.violations:
@@ -52,13 +54,13 @@
 
     return [
         Cost(
-            name.key,
-            name.title,
-            name.unit,
-            name.size_unit,
-            [sample(name.key, size) for size in SIZES],
-            sample(name.key, CHECK_SIZE),
-            name.method,
+            definition.key,
+            definition.title,
+            definition.unit,
+            definition.size_unit,
+            [sample(definition.key, size) for size in SIZES],
+            sample(definition.key, CHECK_SIZE),
+            definition.method,
         )
-        for name in (PROBES_PER_ATTEMPT, PROBES_PER_BACKEND)
+        for definition in (PROBES_PER_ATTEMPT, PROBES_PER_BACKEND)
     ]
--- a/gannetweir/lab/scale/relays.py
+++ b/gannetweir/lab/scale/relays.py
@@ -16,7 +16,7 @@
 from gannetweir.lab.scale.processes import MeasuredProcess, backend, hosts_at, proxy, relay
 from gannetweir.lab.scale.slopes import Cost, Sample
 
-# A process holds a few connections at each of so many backends, as it would at the target.
+# Number of backends. A process holds a few connections at each of them, as it would at the target.
 BACKENDS = 400
 LINE_CONNECTIONS = 64  # connections that lines are sent over
 LINE_PERIOD_S = 1.0
@@ -91,17 +91,17 @@
 
 
 def _costs_of_rounds(
-    names: list[CostDefinition], plan: Sweep, rounds: list[dict[str, dict[int, float]]]
+    definitions: list[CostDefinition], plan: Sweep, rounds: list[dict[str, dict[int, float]]]
 ) -> list[Cost]:
     costs = []
-    for name in names:
+    for definition in definitions:
         samples = {
-            s: Sample(s, [round_values[name.key][s] for round_values in rounds])
+            s: Sample(s, [round_values[definition.key][s] for round_values in rounds])
             for s in (*plan.sizes, plan.check)
         }
         check = samples.pop(plan.check)
-        definition = name.key, name.title, name.unit, name.size_unit
-        costs.append(Cost(*definition, list(samples.values()), check, name.method))
+        leading_fields = definition.key, definition.title, definition.unit, definition.size_unit
+        costs.append(Cost(*leading_fields, list(samples.values()), check, definition.method))
     return costs
 
 
@@ -124,8 +124,8 @@
 
 
 async def _measure_lines(process: MeasuredProcess, per_s: int, direction: str) -> float:
-    """Return processor microseconds per second at a rate of lines, scaled from the lines that passed to the
-    rate that was asked for.
+    """Return processor microseconds per second at a rate of lines. The value is scaled from the rate at which
+    lines passed to the requested rate.
     """
     connections = ClientConnections(process.port)
     try:
@@ -149,7 +149,7 @@
 
 def measure_lines(on_progress: ProgressCallback) -> list[Cost]:
     """Measure lines in both directions and from the backend alone, through a relay and through a proxy."""
-    names = [
+    definitions = [
         _line_definition(process_kind, direction, title)
         for direction, title in DIRECTIONS.items()
         for process_kind in ("relay", "proxy")
@@ -170,7 +170,7 @@
                 for process_kind, process in processes.items()
             }
 
-        return measure_sizes(LINE_SWEEP, names, measure_one, on_progress)
+        return measure_sizes(LINE_SWEEP, definitions, measure_one, on_progress)
 
 
 def measure_starts(on_progress: ProgressCallback) -> list[Cost]:
@@ -219,8 +219,8 @@
 
 
 async def _measure_stall(process: MeasuredProcess, discovery: DiscoveryStandIn, data: bytes) -> float:
-    """Return the longest wait of a line, in milliseconds. Lines go through the relay one after another, from
-    when the list is sent until the relay has had ample time to read and apply the list.
+    """Return the longest wait of a line, in milliseconds. Lines go through the relay one after another; the
+    first follows the list immediately, and the last is sent after ample time to read and apply the list.
     """
     connections = ClientConnections(process.port)
     try:
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -48,7 +48,7 @@
 
 @dataclass
 class DiscoveryModel:
-    """A discovery that is reachable from `reachable_us` on. Earlier calls fail in randomly drawn ways."""
+    """A model of discovery, reachable from `reachable_us` on. Earlier calls fail in randomly drawn ways."""
 
     random: random.Random
     reachable_us: int
@@ -72,13 +72,13 @@
         kind = self.random.choice(self.failures)
         if kind == "refused":
             return now_us + self.random.randrange(2_000), False
-        if kind == "503":  # an error response, at the latest when the outage ends
+        if kind == "503":  # the error response arrives at the latest when the outage ends
             return min(self.reachable_us, now_us + self.random.randrange(2 * SECOND)), False
-        if kind == "half":  # a response head with nothing behind it, at the latest when the outage ends
-            head = min(
+        if kind == "half":  # the response head arrives by the end of the outage, and nothing follows it
+            head_us = min(
                 self.reachable_us, now_us + self.random.randrange(LIMITS.endpoint_watch_response_timeout_us)
             )
-            return head + LIMITS.endpoint_watch_silence_us, False
+            return head_us + LIMITS.endpoint_watch_silence_us, False
         # There is no response head, or an incomplete one.
         return now_us + LIMITS.endpoint_watch_response_timeout_us, False
 
@@ -241,7 +241,7 @@
     [
         "settings reload 2 plain:repeatable",
         "discovery close\nsettings reload 2 plain:repeatable\ntime wait 4000",
-        # complete lists without b1
+        # Complete lists without b1.
         "\n".join("discovery send " + UPDATE % (seq, "true", HOST_B2) for seq in range(43, 63)),
         "\n".join(
             "discovery send " + UPDATE % (seq, "true", HOST_B1 % "Terminating" + "," + HOST_B2)
