--- a/gannetweir/control/assembly.py
+++ b/gannetweir/control/assembly.py
@@ -16,7 +16,7 @@
     MAX_CONTENT_BYTES,
     MAX_ENTRIES,
     MAX_ENTRY_BYTES,
-    MAX_KEY_BYTES,
+    MAX_KEY_CHARS,
     Content,
     Entry,
     Reason,
@@ -137,10 +137,10 @@
     def _check_format(self, entry: Entry) -> None:
         key, body = entry.key, entry.body
         shown_key = key[:MAX_SHOWN_KEY_CHARS]
-        if not key or len(key) > MAX_KEY_BYTES or key in self.changes:
+        if not key or len(key) > MAX_KEY_CHARS or key in self.changes:
             raise RejectedError(
                 Reason.MALFORMED,
-                f"expected a unique key of 1 to {MAX_KEY_BYTES} characters, got {shown_key!r}",
+                f"expected a unique key of 1 to {MAX_KEY_CHARS} characters, got {shown_key!r}",
             )
         if body is None and self.is_snapshot:
             raise RejectedError(Reason.MALFORMED, f"expected a body for {shown_key!r} in a snapshot")
--- a/gannetweir/control/versions.py
+++ b/gannetweir/control/versions.py
@@ -22,7 +22,7 @@
 DIGEST_BYTES = 16
 _DIGEST_RANGE = 1 << (8 * DIGEST_BYTES)
 # The limits on keys, entries and the content bound the memory of a relay.
-MAX_KEY_BYTES = 200
+MAX_KEY_CHARS = 200
 # Bounds the body of an entry, so that a single entry stays well below the size of a slice.
 MAX_ENTRY_BYTES = 8_192
 # Entries of a resource. The capacity figures cover up to 15,000 backends.
