--- a/gannetweir/adapter.py
+++ b/gannetweir/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter, from standard input to standard output, with a `Balancer` for each instance."""
+"""The simulator's adapter: answers frames from standard input, with a `Balancer` for each instance."""
 
 from __future__ import annotations
 
--- a/gannetweir/cli.py
+++ b/gannetweir/cli.py
@@ -13,7 +13,7 @@
 
 serve         Run one relay; SIGTERM drains it, SIGHUP reloads its configuration, SIGUSR1 prints its
               counters.
-check         Read an operators' file and report every mistake in it, one a line.
+check         Read an operators' file and report every mistake in it, one per line.
 explain       Print the route of a request and its worst-case schedule, with the time to spare.
 check-config  Read the configuration as serve does and report what is wrong with it.
 control       status asks control machines (HOST:PORT each) how far each version is rolled out.
@@ -23,10 +23,10 @@
 
 Options:
   --seconds N       Duration of the demo [default: 30].
-  --operators FILE  Routes, time-outs, budgets and limits, in KDL (or $RELAY_OPERATORS).
+  --operators FILE  Routes, timeouts, budgets and limits, in KDL (or $RELAY_OPERATORS).
   --platform JSON   The platform's configuration, or only its settings object (or $RELAY_CONFIG).
   --log FORM        Log format: plain or json (or $RELAY_LOG, or plain).
-  --trace           Write every event of the balancer and its actions to standard error, a JSON line an event.
+  --trace           Write every event of the balancer and its actions to standard error, as JSON lines.
   --class CLASS     Name of the request's class.
   --group HEX       Group of the request, as in g= of the first line.
   --key HEX         Key of the request, as in the first line.
@@ -115,7 +115,7 @@
     try:
         return _run_lab([], float(seconds))
     except ValueError as error:
-        raise ConfigError(f"--seconds: {seconds[:MAX_SHOWN_CHARACTERS]!r} is no number") from error
+        raise ConfigError(f"--seconds: expected a number, got {seconds[:MAX_SHOWN_CHARACTERS]!r}") from error
 
 
 def _print_control_status(machines: list[str]) -> int:
--- a/gannetweir/config/kdl.py
+++ b/gannetweir/config/kdl.py
@@ -59,7 +59,7 @@
 def parse_document(text: str, with_lines: bool = True) -> list[Node]:
     """Return the top-level nodes of a document.
 
-    Size, line length and depth are checked first. To find the lines takes as long as all other work: a start
+    Size, line length and depth are checked first. Finding the lines takes as long as all other work: a start
     parses without them, and parses again with them only to report mistakes. Raises `KdlError`.
     """
     _check_size(text)
--- a/gannetweir/config/kdl_values.py
+++ b/gannetweir/config/kdl_values.py
@@ -14,7 +14,7 @@
 
 E = TypeVar("E", bound=Enum)
 
-MAX_DURATION_US = 3_600_000_000  # one hour; no time-out of a request is longer
+MAX_DURATION_US = 3_600_000_000  # one hour; no timeout of a request is longer
 MAX_COUNT = 1_000_000_000
 MAX_TEXT_CHARACTERS = 200  # longest address or server name
 MAX_PERCENT = 100.0
--- a/gannetweir/config/platform.py
+++ b/gannetweir/config/platform.py
@@ -26,7 +26,7 @@
     from gannetweir.routing.rules import RoutingRules
 
 MAX_PORT = 65535
-# Least limit of unsent data on one connection: a complete line fits even on the smallest machine.
+# Lower bound of `Limits.max_buffered_bytes`: a complete line fits even on the smallest machine.
 MIN_BUFFER_BYTES = 4096
 SEED_MASK = (1 << 64) - 1
 MAX_MISSING_KEYS_SHOWN = 5
@@ -69,7 +69,7 @@
 def parse_socket_address(literal: object, source: str) -> SocketAddress:
     """Return the address in a `HOST:PORT` literal. Raises `ConfigError`, which names the `source`."""
     host, _, port = str(literal).rpartition(":")
-    # isdecimal alone also accepts digits of other scripts, which no peer sends
+    # `isdecimal` alone also accepts digits of other scripts, which no peer sends.
     if not host or not port.isascii() or not port.isdecimal() or int(port) > MAX_PORT:
         raise ConfigError(f"{source}: {literal!r} is not HOST:PORT")
     return SocketAddress(host, int(port))
@@ -107,7 +107,7 @@
     except ValueError as error:
         raise ConfigError(f"{source}: not JSON: {error}") from error
     if not isinstance(data, dict):
-        raise ConfigError(f"{source}: not a JSON object but {type(data).__name__}")
+        raise ConfigError(f"{source}: expected a JSON object, got {type(data).__name__}")
     return data
 
 
@@ -197,7 +197,7 @@
     if known_endpoints is None:
         return {}
     if not isinstance(known_endpoints, dict):
-        raise ConfigError(f"known: not an object but {type(known_endpoints).__name__}")
+        raise ConfigError(f"known: expected an object, got {type(known_endpoints).__name__}")
     return known_endpoints
 
 
@@ -205,5 +205,5 @@
     if not text:
         return None
     if not text.isascii() or not text.isdecimal():
-        raise ConfigError(f"RELAY_INHERITED_FD: {text!r} is no descriptor")
+        raise ConfigError(f"RELAY_INHERITED_FD: expected the number of a descriptor, got {text!r}")
     return int(text)
--- a/gannetweir/config/settings.py
+++ b/gannetweir/config/settings.py
@@ -133,7 +133,7 @@
         raise SettingError(_CLASSES_KEY.path, "missing or empty, expected a list of at least one class")
     fields = read_fields(SETTINGS_KEYS, data)
     if fields.get("poll_interval_us") == 0:
-        # 0 means that no interval is stated, not that polls follow without a pause
+        # 0 means that no interval is stated, not that polls follow without a pause.
         del fields["poll_interval_us"]
     request_classes = [RequestClass(**read_fields(REQUEST_CLASS_KEYS, entry)) for entry in classes]
     mode = read_value(data, _ENDPOINT_LIST_MODE_KEY)
@@ -170,7 +170,7 @@
 
 
 def _check_not_negative(setting: str, value: float) -> None:
-    # an installation without such a rule may state 0
+    # 0 is valid: a platform without this bound may state 0.
     if not value >= 0:
         raise SettingError(setting, f"{value} is under 0")
 
--- a/gannetweir/control/assembly.py
+++ b/gannetweir/control/assembly.py
@@ -112,7 +112,7 @@
         self.received_slices += 1
         self.unchecked.extend(part.entries)
         if len(self.unchecked) + len(self.changes) > MAX_ENTRIES:
-            raise RejectedError(Reason.TOO_LARGE, f"over {MAX_ENTRIES} entries")
+            raise RejectedError(Reason.TOO_LARGE, f"expected at most {MAX_ENTRIES} entries, got more")
 
     def check_received(self, budget_entries: int) -> bool:
         """Check at most `budget_entries` entries.
@@ -145,7 +145,10 @@
         if body is None and self.is_snapshot:
             raise RejectedError(Reason.MALFORMED, f"expected a body for {shown_key!r} in a snapshot")
         if body is not None and len(body) > MAX_ENTRY_BYTES:
-            raise RejectedError(Reason.TOO_LARGE, f"{shown_key!r} has {len(body)} bytes")
+            raise RejectedError(
+                Reason.TOO_LARGE,
+                f"expected at most {MAX_ENTRY_BYTES} bytes for {shown_key!r}, got {len(body)}",
+            )
 
     def _add_change(self, entry: Entry, old: bytes | None) -> None:
         """Add the entry to the changes and the totals; `old` is the body that the entry replaces."""
@@ -159,7 +162,11 @@
             self.entry_count -= 1
             self.size_bytes -= len(key) + len(old)
         if self.entry_count > MAX_ENTRIES or self.size_bytes > MAX_CONTENT_BYTES:
-            raise RejectedError(Reason.TOO_LARGE, f"{self.entry_count} entries, {self.size_bytes} bytes")
+            raise RejectedError(
+                Reason.TOO_LARGE,
+                f"expected at most {MAX_ENTRIES} entries and {MAX_CONTENT_BYTES} bytes, "
+                f"got {self.entry_count} and {self.size_bytes}",
+            )
 
     def _remove_absent_keys(self, budget_entries: int) -> bool:
         """Remove applied keys that are not in the snapshot; return True once every key was looked up."""
@@ -175,7 +182,9 @@
     def verify(self) -> None:
         """Check the digest and the resulting content, after all entries. Raises `RejectedError`."""
         if self.digest != self.target.digest:
-            raise RejectedError(Reason.DIGEST, f"content of version {self.target.number} fails its digest")
+            raise RejectedError(
+                Reason.DIGEST, f"content of version {self.target.number} does not match its digest"
+            )
         fault = self.check.check_version(self.first_slice.resource, self.applied.entries, self.changes)
         if fault:
             raise RejectedError(Reason.CHECK, fault)
--- a/gannetweir/control/follower.py
+++ b/gannetweir/control/follower.py
@@ -145,9 +145,13 @@
             if target.number < applied.number:
                 raise RejectedError(Reason.OLDER, f"version {target.number} after {applied.number}")
             if target.number == applied.number and target.digest != applied.digest:
-                raise RejectedError(Reason.CONFLICT, f"version {target.number} with another content")
+                raise RejectedError(
+                    Reason.CONFLICT, f"version {target.number} is applied with another content"
+                )
         if part.base is not None and (part.base != applied.number or applied.epoch not in (0, target.epoch)):
-            raise RejectedError(Reason.WRONG_BASE, f"from {part.base}, held is {applied.number}")
+            raise RejectedError(
+                Reason.WRONG_BASE, f"delta from version {part.base}, the applied version is {applied.number}"
+            )
 
     def _add_to_assembly(self, part: Slice) -> None:
         assembly = self.assembly
--- a/gannetweir/control/versions.py
+++ b/gannetweir/control/versions.py
@@ -192,8 +192,12 @@
     if not 0 <= target.digest < _DIGEST_RANGE or target.epoch == 0:
         raise RejectedError(Reason.MALFORMED, f"expected a {DIGEST_BYTES}-byte digest and an epoch above 0")
     if part.count > MAX_SLICES or len(part.entries) > MAX_SLICE_ENTRIES:
-        raise RejectedError(Reason.TOO_LARGE, f"{part.count} slices, {len(part.entries)} entries in one")
+        raise RejectedError(
+            Reason.TOO_LARGE,
+            f"expected at most {MAX_SLICES} slices and {MAX_SLICE_ENTRIES} entries in one, "
+            f"got {part.count} and {len(part.entries)}",
+        )
     if part.index >= part.count:
-        raise RejectedError(Reason.MALFORMED, f"slice {part.index} of {part.count}")
+        raise RejectedError(Reason.MALFORMED, f"slice index {part.index}, expected below {part.count}")
     if part.base is not None and part.base >= target.number:
         raise RejectedError(Reason.MALFORMED, f"delta from {part.base} to {target.number}, expected a rise")
--- a/gannetweir/explain.py
+++ b/gannetweir/explain.py
@@ -70,7 +70,7 @@
     """
     if not platform:
         raise ConfigError(
-            "explain: no platform file named, which has the classes: add --platform JSON or set RELAY_CONFIG"
+            "explain: the platform's file is needed for its classes: add --platform JSON or set RELAY_CONFIG"
         )
     settings, limits = read_platform(platform)
     rules = load_routing_rules(file, settings, limits, with_lines=True)
--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -86,5 +86,8 @@
 
 def _find_drain_fault(limits: Limits) -> str:
     if limits.drain_end_us - limits.drain_grace_us < MIN_MIGRATION_US:
-        return f"deadlines too short: a drain has {limits.drain_end_us / 1000:g} ms before SIGKILL"
+        return (
+            f"deadlines too short: a drain has {limits.drain_end_us / 1000:g} ms before SIGKILL, "
+            f"expected at least {(limits.drain_grace_us + MIN_MIGRATION_US) / 1000:g} ms"
+        )
     return ""
