--- a/gannetweir/proto/client_connection.py
+++ b/gannetweir/proto/client_connection.py
@@ -28,7 +28,7 @@
     current_endpoint: str  # the endpoint that already serves this connection; empty if none
 
     def for_endpoint(self, timeout_us: int) -> bytes:
-        """Return the line for an endpoint, with the relay's time-out in milliseconds as the value of `d`."""
+        """Return the line for an endpoint, with the relay's timeout in milliseconds as the value of `d`."""
         if not self.before_deadline:
             return self.after_deadline
         timeout_ms = max(1, timeout_us // 1000)
@@ -36,7 +36,7 @@
 
 
 def _parse_number(text: str, base: int, what: str) -> int:
-    # int() also accepts signs, whitespace, underscores and prefixes, which no peer sends
+    # `int` also accepts signs, whitespace, underscores and prefixes, which no peer sends.
     digits = _HEXADECIMAL_DIGITS if base == _HEXADECIMAL else _DECIMAL_DIGITS
     if not 0 < len(text) <= _MAX_DIGITS or not set(text) <= digits:
         raise LineError(f"bad {what} {text[:40]!r}")
@@ -207,7 +207,7 @@
         """Buffer, for the endpoint, a line that the client sent without waiting for the answer.
 
         Raises `LineError` past the bound on buffered bytes, and for a second command: an endpoint that
-        received one would end both requests.
+        received one would end the upstream connection, and the client's connection would end with it.
         """
         if line.startswith((b"OPEN ", b"PING\r")):
             raise LineError("a second command before the answer")
--- a/gannetweir/proto/control_watch.py
+++ b/gannetweir/proto/control_watch.py
@@ -25,7 +25,7 @@
 _COMPRESSION_LEVEL = 6  # zlib's default
 # In zlib's encoding, adding 16 to the window bits selects the gzip format.
 _GZIP_WINDOW_BITS = zlib.MAX_WBITS | 16
-# The header of a gzip member: deflate, no file name, no time stamp, unknown operating system.
+# The header of a gzip member: deflate, no file name, no timestamp, unknown operating system.
 _GZIP_HEADER = b"\x1f\x8b\x08\x00\x00\x00\x00\x00\x00\xff"
 
 ControlEvent = Slice | Heartbeat | WatchFailed
--- a/gannetweir/proto/endpoint_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -96,7 +96,7 @@
 
 
 class WatchFailed(NamedTuple):
-    """The watch cannot go on; the events before this one remain valid."""
+    """The watch cannot continue; the events before this one remain valid."""
 
     reason: str
 
@@ -122,7 +122,7 @@
         limits: Limits,
         extra_parameters: str = "",
     ) -> None:
-        """Prepare `request`; its query ends with `extra_parameters`, of which the endpoint list has none."""
+        """Prepare `request`. Its query ends with `extra_parameters`, which only `ControlWatch` passes."""
         self.settings = settings
         self.lines = LineBuffer(limits.endpoint_watch_line_bytes)
         self.http = h11.Connection(h11.CLIENT)
--- a/gannetweir/proto/lines.py
+++ b/gannetweir/proto/lines.py
@@ -24,7 +24,8 @@
     def feed(self, data: bytes) -> Iterator[bytes]:
         """Yield the lines that are now complete.
 
-        Raises `LineError` for a line over the limit as soon as its length shows, after the lines before it.
+        Raises `LineError` for a line that exceeds the limit, after yielding the lines before it. The error is
+        raised as soon as the limit is exceeded, even if the line has not ended.
         """
         if b"\n" not in data:
             self.partial_line += data
@@ -34,7 +35,7 @@
                 if len(line) >= self.max_line_bytes:
                     raise LineError("line too long")
                 yield line + b"\n"
-        # a line without an end must not grow without limit
+        # A line without an end must not grow without limit.
         if len(self.partial_line) > self.max_line_bytes:
             raise LineError("line too long")
 
