--- a/gannetweir/limits.py
+++ b/gannetweir/limits.py
@@ -94,7 +94,8 @@
     # the grace period of a draining endpoint may be short.
     endpoint_watch_retry_us: int = 100_000
 
-    # Drain of this relay. The front keeps sending clients for 0.4 s after SIGTERM.
+    # Drain of this relay. The front, which distributes clients over the relays, keeps sending them for 0.4 s
+    # after SIGTERM.
     drain_grace_us: int = 500_000  # time from SIGTERM to the first migration
     # The migrations are spread over this time, because migrating all clients at once would cause overload.
     drain_migration_us: int = 2_400_000
--- a/gannetweir/net/client_connection.py
+++ b/gannetweir/net/client_connection.py
@@ -278,7 +278,7 @@
         self.close_upstream()
 
     def end_as_upstream(self, reset: bool) -> None:
-        """End the client's side the way the endpoint ended: with a reset or in order."""
+        """End the client's side the way the endpoint ended: with a reset or with a half-close."""
         self.protocol.phase = ClientPhase.ENDED
         self.context.engine.guard.close_permitted(self.request_id)
         if reset:
@@ -287,7 +287,9 @@
             self._finish(b"")
 
     def _finish(self, last_line: bytes) -> None:
-        """Write the last line, if any, and half-close. The client may linger to read the line."""
+        """Write the last line, if any, and half-close. The connection lingers, so that the client can read
+        the line.
+        """
         if last_line:
             self.client.write(last_line)
         self.client.finish()
--- a/gannetweir/net/endpoint_watch.py
+++ b/gannetweir/net/endpoint_watch.py
@@ -47,7 +47,8 @@
         self.has_answered = False  # the current watch has received an update or a heartbeat
         # Scope of the watch at the previous address, which stays open until the current watch answers.
         self.replaced_scope: anyio.CancelScope | None = None
-        # The endpoint list comes from another discovery, whose versions mean nothing to the new one.
+        # True from a change of discovery until the new one answers: the endpoint list is still that of the
+        # previous discovery, whose version numbers mean nothing to the new one.
         self.discovery_changed = False
 
     def apply_command(self, command: SetEndpointWatch) -> None:
--- a/gannetweir/net/errors.py
+++ b/gannetweir/net/errors.py
@@ -16,8 +16,8 @@
 
 # A lack of descriptors, buffers or memory, reported by socket(2), accept(2), send(2), recv(2), epoll_ctl(2).
 SHORTAGE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC})
-# With these errors connect(2) fails before anything has left the machine, for lack of a local port, a route
-# or a queue.
+# With these errors connect(2) fails before anything has left the machine, for lack of a local port, a route,
+# buffers or memory.
 LOCAL_CONNECT_ERRORS = SHORTAGE_ERRORS | {
     errno.EADDRNOTAVAIL,
     errno.EADDRINUSE,
--- a/gannetweir/net/relay.py
+++ b/gannetweir/net/relay.py
@@ -44,7 +44,7 @@
 class Relay:
     """A relay that runs until the drain that SIGTERM starts has ended.
 
-    `reread_config` returns the configuration to put into force at SIGHUP.
+    `reread_config` returns the configuration to activate at SIGHUP.
     """
 
     def __init__(
--- a/gannetweir/net/runtime.py
+++ b/gannetweir/net/runtime.py
@@ -25,7 +25,8 @@
     """The monotonic clock of a relay, in microseconds.
 
     Deadlines, waits and ages are measured with this clock, because the wall clock may be stepped. The wall
-    clock is read only at startup, as the only source for the age of a fleet, and for timestamps of log lines.
+    clock is read only for timestamps of log lines and once at startup, because no other clock shows how long
+    ago the endpoints started.
     """
 
     def __init__(self) -> None:
--- a/gannetweir/net/shutdown.py
+++ b/gannetweir/net/shutdown.py
@@ -21,7 +21,8 @@
         """Start the drain.
 
         With an inherited listener this process stops accepting at once, because the replacing process accepts
-        from the same socket. Without one the front keeps sending clients for a while, so accepting continues.
+        from the same socket. Without one, the front (which distributes clients over the relays) keeps sending
+        clients for a while, so accepting continues.
         """
         is_replaced = self.runtime.config.inherited_listener_fd is not None
         if is_replaced:
--- a/gannetweir/net/transport.py
+++ b/gannetweir/net/transport.py
@@ -142,7 +142,7 @@
             raise OSError(errno.EBADF, "connection closed locally") from None
 
     def close_now(self, discard_buffer: bytearray) -> None:
-        """End the connection in order and close the descriptor without waiting.
+        """Shut down the write side and close the descriptor without waiting.
 
         Input that has arrived is read first, because closing with unread bytes sends a reset. Unsent bytes of
         a last answer are sent with a few more calls.
--- a/gannetweir/net/upstream_connection.py
+++ b/gannetweir/net/upstream_connection.py
@@ -80,7 +80,7 @@
 
 
 class UpstreamTransport:
-    """Connects and owns the transport of one attempt, to a single address or to the first of several.
+    """Owns the transport of one attempt: connects to a single address, or by a race between several.
 
     `raise_if_closed` is called before each connect and after a race. It raises `OSError` if the attempt has
     been closed.
