--- a/gannetweir/config/operators_file.py
+++ b/gannetweir/config/operators_file.py
@@ -149,8 +149,8 @@
 ) -> list[Mistake]:
     """Return the mistakes in the combination of all rules.
 
-    Values that could not be read are missing from the rules. For such a route the schedule would mislead, and
-    so would statements about unreachable routes; neither is reported.
+    A value that could not be read is missing from its route. The schedule of such a route would be
+    misleading, as would every statement that a route is never reached, so neither is reported.
     """
     incomplete_routes = tuple(
         f"{route.title}, " for route in rules.routes if _concerns_route(read_mistakes, route)
--- a/gannetweir/config/operators_routes.py
+++ b/gannetweir/config/operators_routes.py
@@ -115,7 +115,7 @@
         """Read a route; `number` replaces a missing or invalid name in messages."""
         name = self._node_reader.parse_only_argument(node, "route", parse_name)
         if name in _RESERVED_NAMES:
-            self._node_reader.report(node, "route", f"the name {name!r}", "a name of its own")
+            self._node_reader.report(node, "route", f"the name {name!r}", "a name that is not reserved")
         if name == DEFAULT_ROUTE:
             return self.read_default(node)
         name = name or f"#{number}"
--- a/gannetweir/control/machine.py
+++ b/gannetweir/control/machine.py
@@ -24,7 +24,7 @@
 class Wait:
     """Nothing is to be sent to the relay for `duration_us`.
 
-    None: until a version, a stage or the relay's state changes.
+    A duration of None lasts until a version, a stage or the relay's state changes.
     """
 
     duration_us: int | None
--- a/gannetweir/control/publisher.py
+++ b/gannetweir/control/publisher.py
@@ -125,7 +125,7 @@
     def next_slice(self, relay: str, now_us: int) -> Slice | None:
         """Return the next slice for this relay.
 
-        None if the relay has its version already, or was sent all slices and has not answered yet.
+        Returns None if the relay has its version already, or was sent all slices and has not answered yet.
         """
         session = self.sessions[relay]
         if session.target is None:
--- a/gannetweir/control/store.py
+++ b/gannetweir/control/store.py
@@ -39,8 +39,8 @@
     def changes_since(self, resource: Resource, version: Version) -> Iterable[Change] | None:
         """Return the changes after a version, in ascending order.
 
-        None if the store's log no longer covers the version, or if the version has another epoch. Raises
-        `OSError` if the store can't be reached.
+        Returns None if the store's log no longer covers the version, or if the version has another epoch.
+        Raises `OSError` if the store can't be reached.
         """
 
     def released_number(self, resource: Resource) -> int:
--- a/gannetweir/limits.py
+++ b/gannetweir/limits.py
@@ -1,8 +1,9 @@
-"""Size, count and time limits of the relay, held in one immutable value that is built at startup.
+"""Size, count and time limits of the relay, in one immutable value. A reload replaces the value.
 
-The suffix of a field's name gives its unit: `_bytes`, `_us` for microseconds, `_per_s`. A name without a
-suffix is a count. The platform's configuration sets `sockets`, `memory_mb` and `connect_timeout_us`. Some
-other limits are derived from these and from the settings; the rest keep the defaults below.
+The suffix of a field's name gives its unit: `_bytes`, `_mb`, `_us` for microseconds, `_per_s`. A name
+without a suffix is a count. The platform's configuration sets `sockets`, `memory_mb` and
+`connect_timeout_us`. Some other limits are derived from these and from the settings; the rest keep the
+defaults below.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Limits in bytes and microseconds. The defaults suit a machine with 192 MB and 1,024 sockets."""
+    """The limits of a relay. The defaults suit a machine with 192 MB and 1,024 sockets."""
 
     # Machine resources
     sockets: int = 1024
@@ -60,7 +61,7 @@
     first_line_timeout_us: int = 2_600_000
     max_pings_before_request: int = 64  # per connection
     eviction_grace_us: int = 300_000  # a client that connected more recently is evicted last
-    # Per client. Answer delays are not measured for lines beyond this count.
+    # Upper bound per client on the unanswered lines whose answer delays are measured.
     max_unanswered_lines: int = 64
     answer_margin_us: int = 40_000  # the final answer is sent this long before the client's deadline
     rejection_retry_after_us: int = 250_000  # Retry-After of a relay that is full or draining
@@ -70,11 +71,11 @@
     connect_timeout_us: int = 250_000  # default; the settings may replace it
     resumption_timeout_us: int = 20_000_000  # limit for establishing a resumed connection
     resumption_retry_us: int = 200_000
-    answer_timeout_us: int = 4_000_000  # an endpoint that leaves a line unanswered for longer is dead
+    answer_timeout_us: int = 4_000_000  # an endpoint that leaves a line unanswered for longer counts as dead
     slow_answer_us: int = 1_000_000  # a line unanswered for longer is reported to the balancer
     watchdog_interval_us: int = 250_000  # interval between checks for unanswered lines
     delay_report_interval_us: int = 1_000_000  # minimum interval between delay reports for one endpoint
-    placement_timer_retry_us: int = 1_000_000  # retry delay of a timer for which the balancer raised
+    placement_timer_retry_us: int = 1_000_000  # retry delay of a timer whose handling raised an exception
 
     # Load probes
     load_probe_timeout_us: int = 1_000_000
--- a/gannetweir/net/control_check.py
+++ b/gannetweir/net/control_check.py
@@ -51,7 +51,7 @@
     ) -> str:
         """Return why a relay could not start with these settings, or could not drain in time.
 
-        An empty string if there is no fault.
+        Returns an empty string if there is no fault.
         """
         if resource is Resource.MEMBERSHIP:
             return ""
--- a/gannetweir/proto/endpoint_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -26,7 +26,7 @@
 
 
 class EndpointListError(GannetweirError, ValueError):
-    """A response to a watch cannot be used; the message says why."""
+    """A message of discovery or of the control protocol is invalid; the text says why."""
 
 
 def _index(names: list[str], name: JsonValue) -> int:
@@ -129,7 +129,7 @@
         target = f"/registry/instances?follow=1&since={since_version}{extra_parameters}"
         request = h11.Request(method="GET", target=target, headers=[("Host", host)])
         self.request = (self.http.send(request) or b"") + (self.http.send(h11.EndOfMessage()) or b"")
-        self.answered = False
+        self.answered = False  # a response with status 200 has begun
         self.version = since_version  # version of the last update
         self.has_updated = False
         self.partial_object = b""  # the lines so far of an object over several lines
