--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -1,8 +1,8 @@
 """A relay with one injected fault: python -m tests.fault_injection NAME serve
 
-Each fault breaks one rule, and the judge of the soak has to report it. The relay imports nothing from this
-module. Methods are replaced by typed assignments and not by name, so that a rename updates them and the type
-checker reports a method that no longer exists.
+Each fault breaks one rule, and the judge of the soak has to report the violation. The relay imports nothing
+from this module. Methods are replaced by typed assignments and not by name, so that a rename updates them and
+the type checker reports a method that no longer exists.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 FAULT_INTERVAL = 7  # one in this many requests is affected
 # Delay of an attempt after its client has disconnected. A busy machine can't explain a delay this long.
 ATTEMPT_DELAY_S = 4.0
-# Delay of a line, which takes at most 1 s without the fault. The stand-ins on a busy machine are late as
-# well.
+# Delay of a line. Without the fault a line takes at most 1 s, but on a busy machine the stand-ins are late as
+# well, so the delay is much longer.
 LINE_DELAY_S = 6.0
-# Backends that the other faults of the test with all faulty relays do not affect.
+# Backends that no fault of the backends affects in the soak test that runs faulty relays of all kinds.
 UNDISTURBED_BACKENDS = "b6", "b7", "b8"
 # With the fault `start` the process exits after this time without having served.
 EXIT_DELAY_S = 4.0
@@ -184,8 +184,8 @@
 def hold_lines_back() -> None:
     """Block the relay before it forwards one line of an established connection.
 
-    The line comes from a backend that the other faults of the test do not affect, because a delay that those
-    may cause is no finding.
+    The line comes from a backend without a fault, because a delay that a fault of the backend may cause is no
+    finding.
     """
     write_to_client = ClientConnectionDriver.write_to_client
     delays_s = [LINE_DELAY_S]
