--- a/gannetweir/proto/endpoint_watch.py
+++ b/gannetweir/proto/endpoint_watch.py
@@ -26,7 +26,7 @@
 
 
 class EndpointListError(GannetweirError, ValueError):
-    """A response to a watch cannot be used; the message says why."""
+    """A message of discovery or of the control protocol is invalid; the text says why."""
 
 
 def _index(names: list[str], name: JsonValue) -> int:
@@ -96,7 +96,7 @@
 
 
 class WatchFailed(NamedTuple):
-    """The watch cannot go on; the events before this one remain valid."""
+    """The watch cannot continue; the events before this one remain valid."""
 
     reason: str
 
@@ -122,14 +122,14 @@
         limits: Limits,
         extra_parameters: str = "",
     ) -> None:
-        """Prepare `request`; its query ends with `extra_parameters`, of which the endpoint list has none."""
+        """Prepare `request`. Its query ends with `extra_parameters`, which only `ControlWatch` passes."""
         self.settings = settings
         self.lines = LineBuffer(limits.endpoint_watch_line_bytes)
         self.http = h11.Connection(h11.CLIENT)
         target = f"/registry/instances?follow=1&since={since_version}{extra_parameters}"
         request = h11.Request(method="GET", target=target, headers=[("Host", host)])
         self.request = (self.http.send(request) or b"") + (self.http.send(h11.EndOfMessage()) or b"")
-        self.answered = False
+        self.answered = False  # a response with status 200 has begun
         self.version = since_version  # version of the last update
         self.has_updated = False
         self.partial_object = b""  # the lines so far of an object over several lines
