--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -86,7 +86,7 @@
         c1 close
         c3 send OPEN 0a 0c c=plain,d=2000
         c3/upstream expect OPEN 0a 0c*""",
-    "a second command before the answer ends both": """
+    "a second command before the answer gets an ERR and ends the upstream connection": """
         c1 send OPEN 0a 0b c=plain,d=2000
         c1/upstream expect OPEN*
         c1 send OPEN 0c 0b c=plain,d=2000
