--- a/gannetweir/control/rollout.py
+++ b/gannetweir/control/rollout.py
@@ -51,7 +51,7 @@
 
     def __init__(self, version: Version, now_us: int) -> None:
         self.version = version
-        self.elapsed_us = 0  # since the start of the stage
+        self.elapsed_us = 0  # microseconds since the start of the stage
         self.updated_us = now_us
         # The value of `elapsed_us` when the last canary applied the version; None before that.
         self.all_applied_us: int | None = None
--- a/gannetweir/control/stage.py
+++ b/gannetweir/control/stage.py
@@ -17,7 +17,7 @@
 MIN_ANSWERS = 20
 # A larger absolute drop of the success ratio is an objection.
 MAX_SERVED_RATIO_DROP = 0.05
-# Bounds the report of a stage; a single objection already halts the rollout.
+# This limit bounds the length of a stage's report; a single objection already halts the rollout.
 MAX_OBJECTIONS = 5
 
 
@@ -67,7 +67,7 @@
     latest: ServiceTotals | None = None
 
     def has_degraded(self) -> bool:
-        """Whether the success ratio since the first ACK dropped by more than `MAX_SERVED_RATIO_DROP`."""
+        """Return whether the success ratio fell by more than `MAX_SERVED_RATIO_DROP` after the first ACK."""
         if self.baseline is None or self.latest is None:
             return False
         since_ack = self.latest.since(self.baseline)
--- a/gannetweir/core/placement_dispatcher.py
+++ b/gannetweir/core/placement_dispatcher.py
@@ -57,7 +57,8 @@
         now_us = self.context.now_us
         try:
             actions = self.balancer.handle(event, now_us)
-        except Exception as error:  # noqa: BLE001 - an error on one event must end no connection
+        except Exception as error:  # noqa: BLE001 - guarded edge of placement
+            # A placement error on one event must not end any connection.
             self._report_fault(event, error)
             return
         if self.trace is not None:
--- a/gannetweir/lab/scale/control_page.py
+++ b/gannetweir/lab/scale/control_page.py
@@ -40,7 +40,7 @@
 
 
 def machine_rows(run: FleetRun) -> list[list[str]]:
-    """Return a row per phase on one control machine: means over all machines and maxima of any."""
+    """Return a row per phase on one control machine: means over all machines, and maxima of any machine."""
     return [
         [
             str(run.relays),
@@ -97,7 +97,10 @@
 
 
 def comparison(runs: list[FleetRun], direct_runs: list[FleetRun]) -> str:
-    """Return a table of both distributions, for sizes and phases that both have; empty if there are none."""
+    """Return the section that compares both distributions in the sizes and phases that both have.
+
+    The section is empty if there are no such sizes and phases.
+    """
     of_size = {(run.relays, run.backends): run for run in direct_runs}
     rows = []
     for run in runs:
--- a/gannetweir/lab/scale/fleet_page.py
+++ b/gannetweir/lab/scale/fleet_page.py
@@ -166,7 +166,7 @@
 ) -> str:
     """Return the page of results in Markdown.
 
-    `direct_runs` are stored runs of the direct distribution, for a comparison with those of another one.
+    `direct_runs` are stored runs of the direct distribution; the page compares `runs` with `direct_runs`.
     """
     groups = dict.fromkeys((run.distribution, run.backends) for run in runs)
     sections = [
--- a/gannetweir/lab/scale/messages.py
+++ b/gannetweir/lab/scale/messages.py
@@ -138,7 +138,8 @@
 
     relay: int
     versions: list[int] = field(default_factory=list)  # versions that came in force, in order
-    applied_ns: list[int] = field(default_factory=list)  # when each of `versions` came in force
+    # The times at which the versions came in force, one per entry of `versions`.
+    applied_ns: list[int] = field(default_factory=list)
     received: dict[int, int] = field(default_factory=dict)  # bytes by second since the epoch
     started_ns: list[int] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)  # errors of drivers
--- a/gannetweir/lab/scale/page.py
+++ b/gannetweir/lab/scale/page.py
@@ -196,7 +196,7 @@
 
 
 def write_page(record: Record, folder: Path, page: Path) -> None:
-    """Write the charts into the record's folder, and the page."""
+    """Write the charts into `folder`, the record's folder, and the text of the page into `page`."""
     for name, svg in draw(record).items():
         (folder / name).write_text(svg)
     page.parent.mkdir(parents=True, exist_ok=True)
--- a/gannetweir/lab/scale/tables.py
+++ b/gannetweir/lab/scale/tables.py
@@ -222,7 +222,7 @@
 
 
 def event_table(load: CapacityLoad) -> Table:
-    """Return every event under one pair of assumptions."""
+    """Return every event under the assumptions of `load`."""
     columns = [
         "event",
         "clients that come again",
@@ -248,7 +248,7 @@
 
 
 def crossover_table(results: list[ConclusionResult]) -> Table:
-    """Return every conclusion for all swept assumptions, and the sizes at which it changes."""
+    """Return every conclusion for all swept assumptions, and the sizes at which the conclusion changes."""
     columns = [
         "conclusion",
         *(case.name for case in swept_assumptions()),
@@ -272,7 +272,7 @@
 
 
 def earlier_figures_table(record: Record) -> Table:
-    """Return the earlier figures beside those of the record."""
+    """Return the earlier figures beside the record's figures."""
     columns = ["figure", "seen once", "in the record", "unit", ""]
     table_rows = []
     for entry in EARLIER_FIGURES:
--- a/gannetweir/net/control_server.py
+++ b/gannetweir/net/control_server.py
@@ -2,8 +2,8 @@
 
 Each connection carries one call. A watch stays open: the server sends the slices that the `ControlMachine`
 selects, and heartbeats in between. The `ControlServer` owns the listener, the connections and the relays'
-watches; `control_store` owns the machine and follows the store of record. A failure ends one connection,
-never the server.
+watches; `control_store` owns the machine and follows the store of record. An error while a connection is
+served ends that connection, never the server.
 """
 
 from __future__ import annotations
@@ -45,9 +45,9 @@
 
 # A relay ends a watch after 2.75 s without a complete message.
 HEARTBEAT_INTERVAL_S = 2.0
-# Limits the time to receive a call, and the time for the caller to close the connection after the response.
+# The time limit for receiving a call, and for the caller to close the connection after the response.
 CALL_TIMEOUT_S = 3.0
-# Limits watches and calls together, to bound descriptors and memory.
+# The limit applies to watches and calls together; it bounds descriptors and memory.
 MAX_CONNECTIONS = 2_000
 _US_PER_S = 1e6
 _HEARTBEAT = b"\n"
