--- a/gannetweir/net/control_status.py
+++ b/gannetweir/net/control_status.py
@@ -36,7 +36,7 @@
         answer = connection.getresponse()
         body = answer.read(MAX_STATUS_BYTES)
     except http.client.HTTPException as error:
-        raise EndpointListError(f"expected an HTTP response, got {type(error).__name__}") from error
+        raise EndpointListError(f"no HTTP: {type(error).__name__}") from error
     finally:
         connection.close()
     if answer.status != HTTPStatus.OK:
